--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -15,8 +15,8 @@
 use pimento_policy::poison::Crash;
 use pimento_policy::poison::Table;
 use pimento_policy::poison::Verdict;
-use pimento_policy::poison::breaks::Breaks;
-use pimento_policy::poison::breaks::Step;
+use pimento_policy::poison::broken_runs::Action;
+use pimento_policy::poison::broken_runs::BrokenRuns;
 use pimento_units::Digest;
 use pimento_units::Moment;
 use pimento_units::Wall;
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     table: Table,
-    breaks: Breaks,
+    breaks: BrokenRuns,
     /// Words of peers that were read.
     read: u64,
 }
@@ -55,7 +55,7 @@
     let incarnation = endpoint.incarnation();
     Crash {
         endpoint: choice::key(endpoint.name.as_str()),
-        life: (incarnation > 0).then_some(incarnation),
+        incarnation: (incarnation > 0).then_some(incarnation),
     }
 }
 
@@ -66,16 +66,16 @@
 
     /// How long a request is still barred; none if it may be sent.
     fn barred(&self, digest: Digest, now: Moment) -> Option<Duration> {
-        self.lock().table.barred(digest, now)
+        self.lock().table.blocked_for(digest, now)
     }
 
     /// Counts an end that this node saw; what peers are to be told.
     fn ended(&self, digest: Digest, crash: Crash, now: Moment) -> Option<Seen> {
-        let verdict = self.lock().table.crashed(digest, crash, now);
+        let verdict = self.lock().table.record_crash(digest, crash, now);
         log::info!("poison: An endpoint ended under {digest}: {verdict:?}.");
-        matches!(verdict, Verdict::Suspected(_) | Verdict::Barred).then_some(Seen::Ended {
+        matches!(verdict, Verdict::Suspected(_) | Verdict::Blocked).then_some(Seen::Ended {
             endpoint: crash.endpoint,
-            incarnation: crash.life,
+            incarnation: crash.incarnation,
         })
     }
 
@@ -87,7 +87,7 @@
         now: Moment,
         wall: Wall,
     ) -> Vec<Digest> {
-        let memory = Config::default().memory;
+        let memory = Config::default().crash_ttl;
         let inner = &mut *self.lock();
         let (fresh, read) = words(inner.read);
         inner.read = read;
@@ -99,22 +99,24 @@
             }
             let at = now.before(age);
             match word.what {
-                Seen::Answered => inner.table.heard(word.digest, at),
+                Seen::Answered => inner.table.merge_answer(word.digest, at),
                 Seen::Ended {
                     endpoint,
                     incarnation,
                 } => {
-                    let life = incarnation;
-                    let crash = Crash { endpoint, life };
-                    let verdict = inner.table.crashed(word.digest, crash, at);
+                    let crash = Crash {
+                        endpoint,
+                        incarnation,
+                    };
+                    let verdict = inner.table.record_crash(word.digest, crash, at);
                     let contradicts = verdict == Verdict::Cleared;
-                    if contradicts && inner.table.contradicts(word.digest, now) {
+                    if contradicts && inner.table.should_announce_answer(word.digest, now) {
                         cleared.push(word.digest);
                     }
                 }
             }
         }
-        for digest in inner.table.lapse(now) {
+        for digest in inner.table.expire_blocks(now) {
             log::info!("poison: The bar of {digest} has run out.");
         }
         cleared
@@ -137,7 +139,11 @@
 
     /// An answer to a request was whole.
     pub fn answered(&self, digest: Digest) {
-        let suspect = self.poison.lock().table.answered(digest, self.clock.now());
+        let suspect = self
+            .poison
+            .lock()
+            .table
+            .record_answer(digest, self.clock.now());
         if suspect {
             log::info!("poison: {digest} is cleared by a whole answer.");
             self.suspect(digest, Seen::Answered);
@@ -154,11 +160,11 @@
             return;
         };
         let crash = end(&endpoint);
-        let step = self.poison.lock().breaks.broke(digest, crash);
+        let step = self.poison.lock().breaks.record(digest, crash);
         match step {
-            Step::Count => self.ended(crash, &[digest]),
-            Step::Wait => {}
-            Step::Look => {
+            Action::Count => self.ended(crash, &[digest]),
+            Action::Wait => {}
+            Action::Probe => {
                 let Some(node) = self.shared() else { return };
                 // Bounded in time, and of no use to a node that ends.
                 tokio::spawn(async move { node.watch(&endpoint, crash).await });
@@ -169,7 +175,7 @@
     /// Waits until it is known whether an endpoint ended, and counts that for all that ran there.
     async fn watch(&self, endpoint: &Endpoint, crash: Crash) {
         let ended = gone::is_refused(endpoint.address, CONNECT).await || self.gone(endpoint).await;
-        let digests = self.poison.lock().breaks.looked(crash, ended);
+        let digests = self.poison.lock().breaks.resolve(crash, ended);
         log::info!(
             "poison: {} runs broke off at {}, ended: {ended}.",
             digests.len(),
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -18,7 +18,7 @@
 const fn crash(endpoint: u64) -> Crash {
     Crash {
         endpoint,
-        life: Some(1),
+        incarnation: Some(1),
     }
 }
 
@@ -30,14 +30,23 @@
 #[test]
 fn a_request_is_barred_with_the_third_end() {
     let (mut table, bad) = (Table::default(), digest("bad"));
-    assert_eq!(table.crashed(bad, crash(1), at(1)), Verdict::Suspected(1));
-    assert_eq!(table.crashed(bad, crash(1), at(1)), Verdict::Known);
-    assert_eq!(table.crashed(bad, crash(2), at(2)), Verdict::Suspected(2));
-    assert_eq!(table.barred(bad, at(2)), None);
-    assert_eq!(table.crashed(bad, crash(3), at(3)), Verdict::Barred);
-    let left = table.barred(bad, at(4)).unwrap();
-    assert_eq!(left + Duration::from_secs(1), Config::default().bar);
-    assert_eq!(table.barred(digest("other"), at(4)), None);
+    assert_eq!(
+        table.record_crash(bad, crash(1), at(1)),
+        Verdict::Suspected(1)
+    );
+    assert_eq!(table.record_crash(bad, crash(1), at(1)), Verdict::Duplicate);
+    assert_eq!(
+        table.record_crash(bad, crash(2), at(2)),
+        Verdict::Suspected(2)
+    );
+    assert_eq!(table.blocked_for(bad, at(2)), None);
+    assert_eq!(table.record_crash(bad, crash(3), at(3)), Verdict::Blocked);
+    let left = table.blocked_for(bad, at(4)).unwrap();
+    assert_eq!(
+        left + Duration::from_secs(1),
+        Config::default().block_duration
+    );
+    assert_eq!(table.blocked_for(digest("other"), at(4)), None);
     assert_eq!(table.counts(), (0, 1));
 }
 
@@ -48,15 +57,15 @@
     for life in 1..=2 {
         let end = Crash {
             endpoint: 1,
-            life: Some(life),
+            incarnation: Some(life),
         };
-        table.crashed(bad, end, at(life));
+        table.record_crash(bad, end, at(life));
     }
     let third = Crash {
         endpoint: 1,
-        life: Some(3),
+        incarnation: Some(3),
     };
-    assert_eq!(table.crashed(bad, third, at(3)), Verdict::Barred);
+    assert_eq!(table.record_crash(bad, third, at(3)), Verdict::Blocked);
 }
 
 /// Guards against an endpoint that does not tell its lives apart, whose second end counts for nothing, or
@@ -66,12 +75,12 @@
     let (mut table, bad) = (Table::default(), digest("bad"));
     let end = Crash {
         endpoint: 1,
-        life: None,
+        incarnation: None,
     };
-    assert_eq!(table.crashed(bad, end, at(1)), Verdict::Suspected(1));
-    assert_eq!(table.crashed(bad, end, at(1)), Verdict::Known);
-    assert_eq!(table.crashed(bad, end, at(4)), Verdict::Suspected(2));
-    assert_eq!(table.crashed(bad, end, at(8)), Verdict::Barred);
+    assert_eq!(table.record_crash(bad, end, at(1)), Verdict::Suspected(1));
+    assert_eq!(table.record_crash(bad, end, at(1)), Verdict::Duplicate);
+    assert_eq!(table.record_crash(bad, end, at(4)), Verdict::Suspected(2));
+    assert_eq!(table.record_crash(bad, end, at(8)), Verdict::Blocked);
 }
 
 /// Guards against an honest request barred for what others did: an answer that was whole clears it.
@@ -80,10 +89,10 @@
     let (mut table, honest) = (Table::default(), digest("honest"));
     for round in 0..20 {
         let seconds = round * 60;
-        table.crashed(honest, crash(2 * round), at(seconds));
-        table.crashed(honest, crash(2 * round + 1), at(seconds + 1));
-        assert!(table.answered(honest, at(seconds + 2)));
-        assert_eq!(table.barred(honest, at(seconds + 3)), None);
+        table.record_crash(honest, crash(2 * round), at(seconds));
+        table.record_crash(honest, crash(2 * round + 1), at(seconds + 1));
+        assert!(table.record_answer(honest, at(seconds + 2)));
+        assert_eq!(table.blocked_for(honest, at(seconds + 3)), None);
     }
     assert_eq!(table.counts(), (0, 0));
 }
@@ -92,25 +101,28 @@
 #[test]
 fn a_popular_request_outlives_the_loss_of_nearly_all_endpoints() {
     let (mut table, popular) = (Table::default(), digest("popular"));
-    table.answered(popular, at(10));
+    table.record_answer(popular, at(10));
     for endpoint in 0..77 {
         assert_eq!(
-            table.crashed(popular, crash(endpoint), at(12)),
+            table.record_crash(popular, crash(endpoint), at(12)),
             Verdict::Cleared
         );
     }
-    assert_eq!(table.barred(popular, at(12)), None);
+    assert_eq!(table.blocked_for(popular, at(12)), None);
 }
 
 /// Guards against a request that was once well, and is never barred though all endpoints end under it.
 #[test]
 fn an_old_answer_clears_nothing() {
     let (mut table, turned) = (Table::default(), digest("turned"));
-    table.answered(turned, at(10));
+    table.record_answer(turned, at(10));
     for endpoint in 0..2 {
-        table.crashed(turned, crash(endpoint), at(60));
+        table.record_crash(turned, crash(endpoint), at(60));
     }
-    assert_eq!(table.crashed(turned, crash(2), at(60)), Verdict::Barred);
+    assert_eq!(
+        table.record_crash(turned, crash(2), at(60)),
+        Verdict::Blocked
+    );
 }
 
 /// Guards against an answer that ends a bar too late: one that was under way when the bar came.
@@ -118,11 +130,11 @@
 fn a_whole_answer_ends_a_bar() {
     let (mut table, honest) = (Table::default(), digest("honest"));
     for endpoint in 0..3 {
-        table.crashed(honest, crash(endpoint), at(1));
+        table.record_crash(honest, crash(endpoint), at(1));
     }
-    assert!(table.barred(honest, at(2)).is_some());
-    assert!(table.answered(honest, at(2)));
-    assert_eq!(table.barred(honest, at(2)), None);
+    assert!(table.blocked_for(honest, at(2)).is_some());
+    assert!(table.record_answer(honest, at(2)));
+    assert_eq!(table.blocked_for(honest, at(2)), None);
 }
 
 /// Guards against a bar for ever, and against one that has run out and lets three more endpoints end.
@@ -131,19 +143,22 @@
     let config = Config::default();
     let (mut table, bad) = (Table::new(config), digest("bad"));
     for endpoint in 0..3 {
-        table.crashed(bad, crash(endpoint), at(0));
+        table.record_crash(bad, crash(endpoint), at(0));
     }
-    let out = Moment::ZERO + config.bar;
-    assert_eq!(table.lapse(at(1)), []);
-    assert_eq!(table.barred(bad, out), None);
-    assert_eq!(table.lapse(out), [bad]);
+    let out = Moment::ZERO + config.block_duration;
+    assert_eq!(table.expire_blocks(at(1)), []);
+    assert_eq!(table.blocked_for(bad, out), None);
+    assert_eq!(table.expire_blocks(out), [bad]);
     let again = out + Duration::from_secs(1);
-    assert_eq!(table.crashed(bad, crash(3), again), Verdict::Barred);
-    assert_eq!(table.barred(bad, again), Some(2 * config.bar));
+    assert_eq!(table.record_crash(bad, crash(3), again), Verdict::Blocked);
+    assert_eq!(
+        table.blocked_for(bad, again),
+        Some(2 * config.block_duration)
+    );
     // Without a further end it is forgotten in the end.
-    let later = again + 2 * config.bar;
-    assert_eq!(table.lapse(later), [bad]);
-    assert_eq!(table.lapse(later + config.memory), []);
+    let later = again + 2 * config.block_duration;
+    assert_eq!(table.expire_blocks(later), [bad]);
+    assert_eq!(table.expire_blocks(later + config.crash_ttl), []);
     assert_eq!(table.counts(), (0, 0));
 }
 
@@ -151,29 +166,32 @@
 #[test]
 fn a_flood_of_requests_pushes_out_no_bar_and_no_stronger_suspect() {
     let config = Config {
-        suspects: 50,
-        answered: 50,
+        max_suspects: 50,
+        max_answers: 50,
         ..Config::default()
     };
     let mut table = Table::new(config);
     let (bad, suspect, popular) = (digest("bad"), digest("suspect"), digest("popular"));
     for endpoint in 0..3 {
-        table.crashed(bad, crash(endpoint), at(0));
+        table.record_crash(bad, crash(endpoint), at(0));
     }
     for endpoint in 0..2 {
-        table.crashed(suspect, crash(endpoint), at(0));
+        table.record_crash(suspect, crash(endpoint), at(0));
     }
     for round in 0..1_000 {
         let other = digest(&format!("other {round}"));
-        table.crashed(other, crash(round), at(1));
-        table.answered(digest(&format!("answered {round}")), at(1));
-        table.answered(popular, at(1) + Duration::from_millis(round));
+        table.record_crash(other, crash(round), at(1));
+        table.record_answer(digest(&format!("answered {round}")), at(1));
+        table.record_answer(popular, at(1) + Duration::from_millis(round));
     }
-    assert!(table.barred(bad, at(2)).is_some());
-    assert_eq!(table.crashed(suspect, crash(9), at(2)), Verdict::Barred);
-    assert!(table.clears(popular, at(2)));
+    assert!(table.blocked_for(bad, at(2)).is_some());
+    assert_eq!(
+        table.record_crash(suspect, crash(9), at(2)),
+        Verdict::Blocked
+    );
+    assert!(table.is_cleared(popular, at(2)));
     let (suspects, barred) = table.counts();
-    assert!(suspects + barred <= config.suspects);
+    assert!(suspects + barred <= config.max_suspects);
 }
 
 /// Random numbers of a test.
@@ -316,7 +334,7 @@
                 let there: Vec<usize> = (0..self.endpoints.len())
                     .filter(|place| self.endpoints[*place].1)
                     .collect();
-                let barred = self.tables[vm].barred(self.bad, now).is_some();
+                let barred = self.tables[vm].blocked_for(self.bad, now).is_some();
                 if barred || there.is_empty() {
                     return;
                 }
@@ -351,7 +369,7 @@
                 match word {
                     Word::Crashed(key) => self.count_end(vm, key, now),
                     Word::Answered => {
-                        self.tables[vm].heard(self.bad, now);
+                        self.tables[vm].merge_answer(self.bad, now);
                         self.heard[vm] = now;
                     }
                 }
@@ -373,8 +391,8 @@
     }
 
     fn count_end(&mut self, vm: usize, key: u64, now: Moment) {
-        let verdict = self.tables[vm].crashed(self.bad, crash(key), now);
-        if verdict == Verdict::Cleared && self.tables[vm].contradicts(self.bad, now) {
+        let verdict = self.tables[vm].record_crash(self.bad, crash(key), now);
+        if verdict == Verdict::Cleared && self.tables[vm].should_announce_answer(self.bad, now) {
             let wait = self.draws.upto(CONTRADICTS);
             self.plan(now + wait, Event::Contradicts { vm, since: now });
         }
@@ -423,7 +441,7 @@
         // Every other VM answered it a little before.
         for vm in (0..vms).step_by(2) {
             let popular = fleet.bad;
-            fleet.tables[vm].answered(popular, at(9));
+            fleet.tables[vm].record_answer(popular, at(9));
         }
         let lost = fleet.endpoints.len() - 1;
         for endpoint in 0..lost {
@@ -440,7 +458,7 @@
         let barred = fleet
             .tables
             .iter()
-            .filter(|t| t.barred(popular, at(12)).is_some());
+            .filter(|t| t.blocked_for(popular, at(12)).is_some());
         assert_eq!(barred.count(), 0, "{vms} VMs");
         println!("{vms} VMs: {} words", fleet.words);
     }
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -20,8 +20,8 @@
 use pimento_policy::poison::Crash;
 use pimento_policy::poison::Table;
 use pimento_policy::poison::Verdict;
-use pimento_policy::poison::breaks::Breaks;
-use pimento_policy::poison::breaks::Step;
+use pimento_policy::poison::broken_runs::Action;
+use pimento_policy::poison::broken_runs::BrokenRuns;
 use pimento_units::Digest;
 use pimento_units::Moment;
 use pimento_units::id;
@@ -70,7 +70,7 @@
     /// What the VMs of the zone and of other zones are to be told.
     near: Outbox,
     far: Outbox,
-    breaks: Breaks,
+    breaks: BrokenRuns,
     /// Changes that are to be written to the log.
     unsaid: Vec<(Digest, Change)>,
 }
@@ -78,8 +78,8 @@
 impl State {
     /// Counts an end. A request that is cleared here is told of as such, to whoever does not know.
     fn count(&mut self, digest: Digest, crash: Crash, now: Moment) -> Verdict {
-        let verdict = self.table.crashed(digest, crash, now);
-        if verdict == Verdict::Cleared && self.table.contradicts(digest, now) {
+        let verdict = self.table.record_crash(digest, crash, now);
+        if verdict == Verdict::Cleared && self.table.should_announce_answer(digest, now) {
             // Whoever else knows it hears of the end in the same moment; one says so.
             let wait = Duration::ZERO..CONTRADICTS;
             self.tell(Word::Answered { digest }, now + rand::random_range(wait));
@@ -115,10 +115,10 @@
         for digest in digests {
             let verdict = state.count(*digest, crash, now);
             log::info!(digest:%, verdict:?; "poison: An endpoint ended here under a request.");
-            if matches!(verdict, Verdict::Suspected(_) | Verdict::Barred) {
+            if matches!(verdict, Verdict::Suspected(_) | Verdict::Blocked) {
                 state.tell(Word::crashed(*digest, crash), now);
             }
-            if verdict == Verdict::Barred {
+            if verdict == Verdict::Blocked {
                 self.bar(&mut state, *digest, now);
             }
         }
@@ -128,7 +128,7 @@
 
     /// Has a bar written to the log.
     fn bar(&self, state: &mut State, digest: Digest, now: Moment) {
-        let Some(lasts) = state.table.barred(digest, now) else {
+        let Some(lasts) = state.table.blocked_for(digest, now) else {
             return;
         };
         log::warn!(digest:%, lasts_ms = millis(lasts); "poison: Barred.");
@@ -150,15 +150,22 @@
                 endpoint,
                 life,
             } => {
-                let verdict = state.count(digest, Crash { endpoint, life }, now);
+                let verdict = state.count(
+                    digest,
+                    Crash {
+                        endpoint,
+                        incarnation: life,
+                    },
+                    now,
+                );
                 match verdict {
-                    Verdict::Barred if writes => self.bar(&mut state, digest, now),
+                    Verdict::Blocked if writes => self.bar(&mut state, digest, now),
                     Verdict::Cleared => self.told.notify_one(),
                     _ => {}
                 }
             }
             Word::Answered { digest } => {
-                state.table.heard(digest, now);
+                state.table.merge_answer(digest, now);
                 state.near.withdraw(word);
                 state.far.withdraw(word);
             }
@@ -187,7 +194,7 @@
     let now = boot::now();
     let poison = &node.poison;
     let mut state = poison.lock();
-    if state.table.answered(digest, now) {
+    if state.table.record_answer(digest, now) {
         log::info!(digest:%; "poison: Cleared by a whole answer.");
         state.tell(Word::Answered { digest }, now);
         poison.told.notify_one();
@@ -203,11 +210,11 @@
     let now = boot::now();
     let table = &node.poison.lock().table;
     // The VM that wrote the bar may not have heard of the answer.
-    if table.clears(digest, now) {
+    if table.is_cleared(digest, now) {
         return None;
     }
     let on_log = node.bars.view(|bars| bars.barred(digest, now));
-    table.barred(digest, now).max(on_log)
+    table.blocked_for(digest, now).max(on_log)
 }
 
 /// A run failed at an endpoint. Where its connection ended, the endpoint may have ended as well.
@@ -227,24 +234,24 @@
     };
     let crash = Crash {
         endpoint: choice::key(endpoint.as_str()),
-        life: Some(member.entry.born),
+        incarnation: Some(member.entry.born),
     };
-    let step = node.poison.lock().breaks.broke(digest, crash);
+    let step = node.poison.lock().breaks.record(digest, crash);
     match step {
-        Step::Count => node.poison.crashed(crash, &[digest], boot::now()),
-        Step::Look => {
+        Action::Count => node.poison.crashed(crash, &[digest], boot::now()),
+        Action::Probe => {
             let node = node.clone();
             // Bounded in time, and of no use to a VM that ends.
             tokio::spawn(async move { watch(&node, &member.entry, crash).await });
         }
-        Step::Wait => {}
+        Action::Wait => {}
     }
 }
 
 /// Waits until it is known whether an endpoint ended, and counts that for all that ran there.
 async fn watch<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry, crash: Crash) {
     let proof = ended::look(node, entry).await;
-    let digests = node.poison.lock().breaks.looked(crash, proof.is_some());
+    let digests = node.poison.lock().breaks.resolve(crash, proof.is_some());
     log::info!(
         endpoint = entry.id.as_str(),
         proof = proof.map(ended::Proof::as_str),
--- a/crates/relay/src/poison/keep.rs
+++ b/crates/relay/src/poison/keep.rs
@@ -49,11 +49,11 @@
 fn lapse<P: Border + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let mut state = node.poison.lock();
-    for digest in state.table.lapse(now) {
+    for digest in state.table.expire_blocks(now) {
         log::info!(digest:%; "poison: The bar has run out.");
     }
     if node.reads() {
-        let cleared = |digest| state.table.clears(digest, now);
+        let cleared = |digest| state.table.is_cleared(digest, now);
         for digest in node.bars.view(|bars| bars.needless(cleared, now)) {
             state.say(digest, Change::Drop);
         }
@@ -67,7 +67,7 @@
     let table = &state.table;
     node.bars.view(|bars| {
         state.unsaid.retain(|(digest, change)| match change {
-            Change::Bar(_) => !bars.holds(*digest) && table.barred(*digest, now).is_some(),
+            Change::Bar(_) => !bars.holds(*digest) && table.blocked_for(*digest, now).is_some(),
             Change::Drop => bars.holds(*digest),
         });
     });
--- a/crates/relay/src/poison/word.rs
+++ b/crates/relay/src/poison/word.rs
@@ -42,7 +42,7 @@
         Self::Crashed {
             digest,
             endpoint: crash.endpoint,
-            life: crash.life,
+            life: crash.incarnation,
         }
     }
 }
