--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -14,14 +14,14 @@
 //! 1999, for sizes as unlike as these); prefix-aware placing weighs a hit against the wait for it, as
 //! in Preble (2024). The speeds are learnt from prompts that found their engine idle.
 
-mod paces;
+mod prefill;
 
 use std::time::Duration;
 
 use pimento_units::Moment;
 use pimento_units::Tokens;
 
-pub use self::paces::Paces;
+pub use self::prefill::PrefillEstimator;
 use crate::number;
 
 /// A part of a prompt.
@@ -59,21 +59,21 @@
 }
 
 /// A call at an engine. Given by the caller, unlike those of all other calls there.
-pub type Ticket = u64;
+pub type CallId = u64;
 
 /// A prompt that was sent and whose first token has not come.
 #[derive(Debug, Clone)]
 struct Pending {
-    ticket: Ticket,
+    call: CallId,
     model: u64,
     /// Its parts, which the engine keeps once it has read them.
     parts: Vec<(u64, Tokens)>,
-    unread: Tokens,
+    prefill_tokens: Tokens,
     total: Tokens,
-    work: Duration,
+    prefill_time: Duration,
     sent: Moment,
     /// Whether nothing was ahead of it when it was sent.
-    alone: bool,
+    engine_was_idle: bool,
 }
 
 /// What a peer said of its calls at the engine.
@@ -81,15 +81,15 @@
 struct Peer {
     node: u64,
     wait: Duration,
-    at: Moment,
+    received: Moment,
 }
 
 /// A part that the engine is thought to keep.
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct CachedPart {
     key: u64,
     tokens: Tokens,
-    used: Moment,
+    last_used: Moment,
 }
 
 /// What a node knows of one engine.
@@ -100,21 +100,21 @@
     /// Sorted by node.
     peers: Vec<Peer>,
     /// Sorted by key.
-    kept: Vec<Kept>,
-    held: Tokens,
+    cached: Vec<CachedPart>,
+    cached_tokens: Tokens,
     /// When the first of the pending became first.
-    head: Moment,
+    head_since: Moment,
 }
 
 /// The most that a prompt is late and still counts as about to be read; what is later by far sits at
 /// an engine that hangs.
-const OVERDUE: Duration = Duration::from_secs(3);
+const MAX_OVERDUE: Duration = Duration::from_secs(3);
 
 /// A peer that said nothing for this long has no calls there any more, or is gone.
-const FORGOTTEN: Duration = Duration::from_secs(10);
+const PEER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Waits up to this long count as none: an engine that is between two steps.
-const IDLE: Duration = Duration::from_millis(5);
+const MAX_IDLE_WAIT: Duration = Duration::from_millis(5);
 
 impl Engine {
     /// An engine that has read nothing yet, with memory for running requests and kept parts.
@@ -124,23 +124,23 @@
             memory,
             pending: Vec::new(),
             peers: Vec::new(),
-            kept: Vec::new(),
-            held: Tokens::ZERO,
-            head: Moment::ZERO,
+            cached: Vec::new(),
+            cached_tokens: Tokens::ZERO,
+            head_since: Moment::ZERO,
         }
     }
 
     /// Tokens of a prompt that the engine would have to read: all from the first part on that it
     /// neither keeps nor is to read before.
     #[must_use]
-    pub fn unread(&self, prompt: &Prompt) -> Tokens {
-        let kept = |key: u64| self.find(key).is_ok() || self.awaits(key);
-        let missing = prompt.keys().skip_while(|(key, _)| kept(*key));
+    pub fn prefill_tokens(&self, prompt: &Prompt) -> Tokens {
+        let cached = |key: u64| self.find(key).is_ok() || self.is_pending(key);
+        let missing = prompt.keys().skip_while(|(key, _)| cached(*key));
         missing.map(|(_, tokens)| tokens).sum()
     }
 
     /// Whether a prompt that was sent and is not yet read has a part.
-    fn awaits(&self, part: u64) -> bool {
+    fn is_pending(&self, part: u64) -> bool {
         let mut parts = self.pending.iter().flat_map(|pending| &pending.parts);
         parts.any(|(key, _)| *key == part)
     }
@@ -149,69 +149,75 @@
     /// lately took beyond that.
     #[must_use]
     pub fn wait(&self, now: Moment) -> Duration {
-        self.own(now) + self.others(now)
+        self.own_wait(now) + self.peer_wait(now)
     }
 
     /// The wait that this node's own calls cause.
     #[must_use]
-    pub fn own(&self, now: Moment) -> Duration {
-        let works: Duration = self.pending.iter().map(|p| p.work).sum();
+    pub fn own_wait(&self, now: Moment) -> Duration {
+        let total: Duration = self.pending.iter().map(|p| p.prefill_time).sum();
         let Some(first) = self.pending.first() else {
             return Duration::ZERO;
         };
-        let reading = now.since(self.head);
+        let elapsed = now.since(self.head_since);
         // One that is late is as likely late for as long again.
-        let overdue = reading.saturating_sub(first.work).min(OVERDUE);
-        works.saturating_sub(reading.min(first.work)) + overdue
+        let overdue = elapsed.saturating_sub(first.prefill_time).min(MAX_OVERDUE);
+        total.saturating_sub(elapsed.min(first.prefill_time)) + overdue
     }
 
     /// The part of the wait that peers' calls cause.
-    fn others(&self, now: Moment) -> Duration {
-        let left = |peer: &Peer| peer.wait.saturating_sub(now.since(peer.at));
+    fn peer_wait(&self, now: Moment) -> Duration {
+        let left = |peer: &Peer| peer.wait.saturating_sub(now.since(peer.received));
         self.peers.iter().map(left).sum()
     }
 
     /// A prompt is sent that takes `work` to read.
-    pub fn begin(&mut self, ticket: Ticket, prompt: &Prompt, work: Duration, now: Moment) {
-        let unread = self.unread(prompt);
+    pub fn record_sent(
+        &mut self,
+        call: CallId,
+        prompt: &Prompt,
+        prefill_time: Duration,
+        now: Moment,
+    ) {
+        let prefill_tokens = self.prefill_tokens(prompt);
         let wait = self.wait(now);
         if self.pending.is_empty() {
-            self.head = now;
+            self.head_since = now;
         }
         self.pending.push(Pending {
-            ticket,
+            call,
             model: prompt.model,
             parts: prompt.keys().collect(),
-            unread,
+            prefill_tokens,
             total: prompt.tokens(),
-            work,
+            prefill_time,
             sent: now,
-            alone: wait <= IDLE,
+            engine_was_idle: wait <= MAX_IDLE_WAIT,
         });
     }
 
     /// Notes that the engine has read a prompt, sent by whomever.
-    pub fn keep(&mut self, prompt: &Prompt, now: Moment) {
+    pub fn record_cached(&mut self, prompt: &Prompt, now: Moment) {
         let parts: Vec<(u64, Tokens)> = prompt.keys().collect();
-        self.keep_parts(&parts, now);
+        self.cache_parts(&parts, now);
     }
 
-    fn keep_parts(&mut self, parts: &[(u64, Tokens)], now: Moment) {
+    fn cache_parts(&mut self, parts: &[(u64, Tokens)], now: Moment) {
         for (key, tokens) in parts.iter().copied() {
             match self.find(key) {
-                Ok(place) => self.kept[place].used = now,
+                Ok(place) => self.cached[place].last_used = now,
                 Err(place) => {
-                    let kept = Kept {
+                    let cached = CachedPart {
                         key,
                         tokens,
-                        used: now,
+                        last_used: now,
                     };
-                    self.kept.insert(place, kept);
-                    self.held += tokens;
+                    self.cached.insert(place, cached);
+                    self.cached_tokens += tokens;
                 }
             }
         }
-        while self.held > self.memory {
+        while self.cached_tokens > self.memory {
             self.evict();
         }
     }
@@ -219,25 +225,31 @@
     /// The first token of a call has come: its prompt is read, and only now its parts are kept. Of a
     /// call that was given up before, they may not be: taken for kept, they drew the next attempt to
     /// an engine that was too full to read the first.
-    pub fn read(&mut self, ticket: Ticket, paces: &mut Paces, now: Moment) {
-        let Some(pending) = self.remove(ticket, now) else {
+    pub fn record_first_token(
+        &mut self,
+        call: CallId,
+        prefill: &mut PrefillEstimator,
+        now: Moment,
+    ) {
+        let Some(pending) = self.remove(call, now) else {
             return;
         };
-        self.keep_parts(&pending.parts, now);
+        self.cache_parts(&pending.parts, now);
         let took = now.since(pending.sent);
-        if pending.alone {
-            paces.learn(&pending, took);
+        if pending.engine_was_idle {
+            prefill.record(&pending, took);
         }
     }
 
     /// A call has ended, read or not.
-    pub fn end(&mut self, ticket: Ticket, now: Moment) {
-        self.remove(ticket, now);
+    pub fn record_end(&mut self, call: CallId, now: Moment) {
+        self.remove(call, now);
     }
 
     /// A peer says how long the engine takes for its calls; one that takes no time has none there.
-    pub fn hear(&mut self, node: u64, wait: Duration, now: Moment) {
-        self.peers.retain(|peer| now.since(peer.at) < FORGOTTEN);
+    pub fn record_peer_wait(&mut self, node: u64, wait: Duration, now: Moment) {
+        self.peers
+            .retain(|peer| now.since(peer.received) < PEER_TIMEOUT);
         if wait.is_zero() {
             self.peers.retain(|peer| peer.node != node);
             return;
@@ -245,7 +257,7 @@
         let peer = Peer {
             node,
             wait,
-            at: now,
+            received: now,
         };
         match self.peers.binary_search_by_key(&node, |p| p.node) {
             Ok(place) => self.peers[place] = peer,
@@ -253,27 +265,31 @@
         }
     }
 
-    fn remove(&mut self, ticket: Ticket, now: Moment) -> Option<Pending> {
-        let place = self.pending.iter().position(|p| p.ticket == ticket)?;
+    fn remove(&mut self, call: CallId, now: Moment) -> Option<Pending> {
+        let place = self.pending.iter().position(|p| p.call == call)?;
         if place == 0 {
-            self.head = now;
+            self.head_since = now;
         }
         Some(self.pending.remove(place))
     }
 
     fn find(&self, key: u64) -> Result<usize, usize> {
-        self.kept.binary_search_by_key(&key, |kept| kept.key)
+        self.cached.binary_search_by_key(&key, |part| part.key)
     }
 
     /// Gives up the part that was not used for longest.
     fn evict(&mut self) {
-        let oldest = self.kept.iter().enumerate().min_by_key(|(_, k)| k.used);
+        let oldest = self
+            .cached
+            .iter()
+            .enumerate()
+            .min_by_key(|(_, k)| k.last_used);
         let Some((place, _)) = oldest else {
-            self.held = Tokens::ZERO;
+            self.cached_tokens = Tokens::ZERO;
             return;
         };
-        let kept = self.kept.remove(place);
-        self.held = Tokens(self.held.0.saturating_sub(kept.tokens.0));
+        let part = self.cached.remove(place);
+        self.cached_tokens = Tokens(self.cached_tokens.0.saturating_sub(part.tokens.0));
     }
 }
 
@@ -282,17 +298,17 @@
 pub struct Config {
     /// Times that a prompt's own reading counts against the wait for it: what one call reads anew,
     /// all calls behind it wait for.
-    pub reading: f64,
+    pub prefill_weight: f64,
     /// What another zone must save. A prompt's bytes between zones cost a twentieth to a tenth of
     /// what its answer is worth.
-    pub far: Duration,
+    pub remote_penalty: Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            reading: 1.5,
-            far: Duration::from_millis(400),
+            prefill_weight: 1.5,
+            remote_penalty: Duration::from_millis(400),
         }
     }
 }
@@ -305,30 +321,34 @@
     /// Whether it may be chosen.
     pub usable: bool,
     /// Whether it is in another zone.
-    pub far: bool,
+    pub remote: bool,
     /// Wait for what was sent there before.
     pub wait: Duration,
     /// Time to read what the engine does not keep.
-    pub work: Duration,
+    pub prefill_time: Duration,
 }
 
 impl Candidate {
     /// Time to the first token.
     #[must_use]
-    pub fn first(&self) -> Duration {
-        self.wait + self.work
+    pub fn time_to_first_token(&self) -> Duration {
+        self.wait + self.prefill_time
     }
 
     fn cost(&self, config: &Config) -> f64 {
-        let far = if self.far { config.far } else { Duration::ZERO };
-        let reading = self.work.as_secs_f64() * config.reading;
-        self.wait.as_secs_f64() + reading + far.as_secs_f64()
+        let penalty = if self.remote {
+            config.remote_penalty
+        } else {
+            Duration::ZERO
+        };
+        let prefill = self.prefill_time.as_secs_f64() * config.prefill_weight;
+        self.wait.as_secs_f64() + prefill + penalty.as_secs_f64()
     }
 }
 
 /// Costs this close count as equal, and the prompt's own order of the engines decides, so that nodes
 /// that know nothing of each other send the same beginning to the same place.
-const EQUAL: f64 = 0.01;
+const COST_TOLERANCE: f64 = 0.01;
 
 /// The engine for a prompt, as an index; none if no usable one is there. `prefix` is the hash of its
 /// shared beginning.
@@ -338,7 +358,8 @@
     let least = usable()
         .map(|(_, c)| c.cost(config))
         .min_by(f64::total_cmp)?;
-    let near = usable().filter(|(_, c)| c.cost(config) <= least + EQUAL);
-    near.max_by_key(|(_, c)| number::mix(c.key, prefix))
+    let cheapest = usable().filter(|(_, c)| c.cost(config) <= least + COST_TOLERANCE);
+    cheapest
+        .max_by_key(|(_, c)| number::mix(c.key, prefix))
         .map(|(place, _)| place)
 }
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -52,8 +52,8 @@
     health: eject::Pool,
     choice: choice::Config,
     placing: engine::Config,
-    paces: engine::Paces,
-    tickets: engine::Ticket,
+    prefill: engine::PrefillEstimator,
+    last_call: engine::CallId,
     /// Engines that each other VM named when it was last heard, sorted by VM.
     named: Vec<(u64, Vec<u64>)>,
     /// Prompts that engines read since they were last told to other VMs.
@@ -73,8 +73,8 @@
             health: eject::Pool::new(eject::Config::default()),
             choice: choice::Config::default(),
             placing: engine::Config::default(),
-            paces: engine::Paces::default(),
-            tickets: 0,
+            prefill: engine::PrefillEstimator::default(),
+            last_call: 0,
             named: Vec::new(),
             read: Vec::new(),
             turn: 0,
@@ -285,10 +285,10 @@
 
     /// Chooses an endpoint with a free slot and takes it. Endpoints tried before come last.
     pub fn take(&mut self, shared: &Arc<Shared>, job: &Job, now: Moment) -> Option<Permit> {
-        let (chosen, work) = match &job.prompt {
+        let (chosen, prefill_time) = match &job.prompt {
             Some(prompt) => {
                 let placement = self.place(prompt, job, now)?;
-                (placement.chosen, placement.meets().work)
+                (placement.chosen, placement.candidate().prefill_time)
             }
             None => (self.draw(job, now)?, Duration::ZERO),
         };
@@ -300,13 +300,13 @@
             limited.take(now);
         }
         self.health.sent(&seat.member.endpoint, now);
-        let ticket = job.prompt.as_ref().zip(seat.engine.as_mut());
-        let ticket = ticket.map(|(prompt, engine)| {
-            self.tickets += 1;
-            engine.begin(self.tickets, prompt, work, now);
-            self.tickets
+        let call = job.prompt.as_ref().zip(seat.engine.as_mut());
+        let call = call.map(|(prompt, engine)| {
+            self.last_call += 1;
+            engine.record_sent(self.last_call, prompt, prefill_time, now);
+            self.last_call
         });
-        let prompt = ticket.and(job.prompt.clone());
+        let prompt = call.and(job.prompt.clone());
         let slot = Slot {
             endpoint: seat.member.endpoint.clone(),
             zone: seat.member.zone.clone(),
@@ -314,7 +314,7 @@
             version: job.version.clone(),
             dispatch: None,
             since: now,
-            ticket,
+            call,
             prompt,
         };
         Some(Permit::new(Arc::clone(shared), slot))
@@ -413,8 +413,8 @@
     ) {
         if let Some(place) = self.place_of(&slot.endpoint) {
             let seat = &mut self.seats[place];
-            if let Some((engine, ticket)) = seat.engine.as_mut().zip(slot.ticket) {
-                engine.end(ticket, now);
+            if let Some((engine, call)) = seat.engine.as_mut().zip(slot.call) {
+                engine.record_end(call, now);
             }
             seat.limiter.release(outcome);
             if matches!(outcome, limit::Outcome::Served { .. }) {
--- a/crates/scheduler/src/inner/placing.rs
+++ b/crates/scheduler/src/inner/placing.rs
@@ -29,7 +29,7 @@
 
 impl Placement {
     /// What the prompt meets where it goes.
-    pub fn meets(&self) -> engine::Candidate {
+    pub fn candidate(&self) -> engine::Candidate {
         self.engines[self.chosen]
     }
 }
@@ -63,15 +63,18 @@
         let total = prompt.tokens();
         let candidate = |seat: &Seat| {
             let engine = seat.engine.as_ref();
-            let unread = engine.map_or(Tokens::ZERO, |engine| engine.unread(prompt));
-            let work = self.paces.work(prompt.model, unread, total);
+            let prefill_tokens =
+                engine.map_or(Tokens::ZERO, |engine| engine.prefill_tokens(prompt));
+            let prefill_time = self
+                .prefill
+                .prefill_time(prompt.model, prefill_tokens, total);
             let wait = engine.map_or(Duration::ZERO, |engine| engine.wait(now));
             engine::Candidate {
                 key: seat.key,
                 usable: self.free(seat, job, now),
-                far: !seat.member.distance.is_zero(),
+                remote: !seat.member.distance.is_zero(),
                 wait,
-                work,
+                prefill_time,
             }
         };
         self.seats.iter().map(candidate).collect()
@@ -88,12 +91,12 @@
     pub fn estimate(&self, job: &Job, now: Moment) -> Option<Estimate> {
         let prompt = job.prompt.as_ref()?;
         let placement = self.place(prompt, job, now)?;
-        let placed = placement.meets();
+        let placed = placement.candidate();
         let engines = placement.engines.iter().enumerate();
-        let near = engines.filter(|(_, e)| e.usable && !e.far);
+        let near = engines.filter(|(_, e)| e.usable && !e.remote);
         let wait = |(place, e): (usize, &engine::Candidate)| {
             if place == placement.chosen {
-                e.first()
+                e.time_to_first_token()
             } else {
                 e.wait
             }
@@ -105,10 +108,10 @@
         let next = sum / u32::try_from(half.max(1)).unwrap_or(u32::MAX);
         Some(Estimate {
             wait: placed.wait,
-            work: placed.work,
+            work: placed.prefill_time,
             full: self
-                .paces
-                .work(prompt.model, prompt.tokens(), prompt.tokens()),
+                .prefill
+                .prefill_time(prompt.model, prompt.tokens(), prompt.tokens()),
             next,
         })
     }
@@ -119,16 +122,17 @@
 
     pub fn waits(&self, now: Moment) -> Vec<(u64, Duration)> {
         let engines = self.seats.iter();
-        let waits = engines.filter_map(|seat| Some((seat.key, seat.engine.as_ref()?.own(now))));
+        let waits =
+            engines.filter_map(|seat| Some((seat.key, seat.engine.as_ref()?.own_wait(now))));
         waits.filter(|(_, wait)| !wait.is_zero()).collect()
     }
 
-    pub const fn paces(&self) -> &engine::Paces {
-        &self.paces
+    pub const fn prefill(&self) -> &engine::PrefillEstimator {
+        &self.prefill
     }
 
     pub fn seed(&mut self, paces: &[(u64, f64)]) {
-        self.paces.seed(paces.iter().copied());
+        self.prefill.seed(paces.iter().copied());
     }
 
     /// Another VM says how long engines take for its calls; all that it does not name take none. Of
@@ -142,7 +146,7 @@
         for (key, wait) in waits.iter().copied().chain(dropped) {
             let seat = self.seats.iter_mut().find(|seat| seat.key == key);
             if let Some(engine) = seat.and_then(|seat| seat.engine.as_mut()) {
-                engine.hear(node, wait, now);
+                engine.record_peer_wait(node, wait, now);
             }
         }
         if !named.is_empty() {
@@ -158,12 +162,12 @@
         let Some(engine) = seat.engine.as_mut() else {
             return;
         };
-        engine.keep(prompt, now);
+        engine.record_cached(prompt, now);
     }
 
     /// The first token of a call has come.
     pub fn begun(&mut self, slot: &Slot, now: Moment) {
-        let Some(ticket) = slot.ticket else { return };
+        let Some(call) = slot.call else { return };
         let Some(place) = self.place_of(&slot.endpoint) else {
             return;
         };
@@ -171,7 +175,7 @@
         let Some(engine) = seat.engine.as_mut() else {
             return;
         };
-        engine.read(ticket, &mut self.paces, now);
+        engine.record_first_token(call, &mut self.prefill, now);
         if let Some(prompt) = &slot.prompt
             && self.read.len() < TOLD
         {
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -25,7 +25,7 @@
     pub dispatch: Option<queue::Dispatch>,
     pub since: Moment,
     /// Its prompt at an engine.
-    pub ticket: Option<engine::Ticket>,
+    pub call: Option<engine::CallId>,
     /// The prompt itself.
     pub prompt: Option<engine::Prompt>,
 }
@@ -98,7 +98,7 @@
         let pace = took.as_secs_f64() / tokens.0.max(1) as f64;
         let outcome = limit::Outcome::Served { tokens, took };
         // Answers of engines take as long as their model and their length make them.
-        let health = if self.slot.ticket.is_some() {
+        let health = if self.slot.call.is_some() {
             eject::Outcome::Answered
         } else {
             eject::Outcome::Served { pace }
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -228,7 +228,7 @@
     /// known to be told to others.
     #[must_use]
     pub fn paces(&self) -> Vec<(u64, f64)> {
-        self.shared.lock().paces().told().to_vec()
+        self.shared.lock().prefill().reportable().to_vec()
     }
 
     /// Calls in flight at endpoints that don't hold `version`.
