--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -113,14 +113,14 @@
 
     /// One candidate as it stands now: all that changes with a call is at its own endpoint.
     fn update(&mut self, place: usize) {
-        self.candidates[place].own = self.limiters[place].flying();
+        self.candidates[place].own = self.limiters[place].in_flight();
         self.candidates[place].limit = self.limiters[place].limit();
     }
 
     /// All candidates as they stand now, in the place of the former ones.
     fn refresh(&mut self) {
         for (candidate, limiter) in self.candidates.iter_mut().zip(&self.limiters) {
-            candidate.own = limiter.flying();
+            candidate.own = limiter.in_flight();
             candidate.limit = limiter.limit();
         }
         if self.health.out() == 0 {
--- a/crates/policy/examples/proxy.rs
+++ b/crates/policy/examples/proxy.rs
@@ -20,7 +20,7 @@
         key: choice::key(["a", "b", "c"][place]),
         usable: true,
         distance: Duration::ZERO,
-        own: limiter.flying(),
+        own: limiter.in_flight(),
         limit: limiter.limit(),
         others: 0,
         age: Duration::ZERO,
@@ -50,7 +50,7 @@
         let demand = admission::Demand {
             ahead: queue.ahead(customer, 1, 0, WORK),
             slots: limits.iter().map(limit::Limiter::limit).sum(),
-            free: limits.iter().map(limit::Limiter::room).sum(),
+            free: limits.iter().map(limit::Limiter::free).sum(),
             run: gate.run(WORK),
             deadline: Moment::ZERO + Duration::from_secs(10),
         };
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -21,43 +21,43 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
     /// The first limit.
-    pub start: f64,
+    pub initial: f64,
     /// The lowest limit; at least one, or the endpoint would never be measured again.
-    pub least: f64,
+    pub min: f64,
     /// The highest limit.
-    pub most: f64,
+    pub max: f64,
     /// Times the usual time for a token that is still taken for well. In a full batch each call
     /// runs at about a third of the speed that it has alone, which is no sign of overload.
     pub tolerance: f64,
     /// Weight of an answer in the short average.
-    pub quick: f64,
+    pub short_weight: f64,
     /// Weight of an answer in the long average.
-    pub slow: f64,
+    pub long_weight: f64,
     /// The most that one answer shrinks the limit to.
-    pub cut: f64,
+    pub backoff_ratio: f64,
     /// Times the batch that may be at the endpoint, running and waiting. Waiting calls keep the
     /// batch full between an answer and the next call, and leave the owner of a cached prefix a
     /// free slot under load; engines honour priorities, so that short calls don't wait for long
     /// ones there. More than another batch would be a queue that no longer can be refused.
-    pub reserve: f64,
+    pub max_batches: f64,
     /// Added to the limit before it is rounded down. A node's share of a batch is a small number,
     /// such as 2.7 of 16 for each of six nodes: if all nodes rounded down, a quarter of the batch
     /// would stay empty. Best drawn at random between 0 and 1 for each limiter.
-    pub round: f64,
+    pub rounding_offset: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            start: 8.0,
-            least: 1.0,
-            most: 256.0,
+            initial: 8.0,
+            min: 1.0,
+            max: 256.0,
             tolerance: 4.0,
-            quick: 0.2,
-            slow: 0.01,
-            cut: 0.8,
-            reserve: 2.0,
-            round: 0.5,
+            short_weight: 0.2,
+            long_weight: 0.01,
+            backoff_ratio: 0.8,
+            max_batches: 2.0,
+            rounding_offset: 0.5,
         }
     }
 }
@@ -94,9 +94,9 @@
 pub struct Limiter {
     config: Config,
     limit: f64,
-    flying: u32,
-    quick: f64,
-    slow: f64,
+    in_flight: u32,
+    short_average: f64,
+    long_average: f64,
 }
 
 impl Limiter {
@@ -105,10 +105,10 @@
     pub fn new(config: Config) -> Self {
         Self {
             config,
-            limit: config.start,
-            flying: 0,
-            quick: 0.0,
-            slow: 0.0,
+            limit: config.initial,
+            in_flight: 0,
+            short_average: 0.0,
+            long_average: 0.0,
         }
     }
 
@@ -116,20 +116,20 @@
     /// [`release`](Self::release).
     #[must_use]
     pub fn acquire(&mut self) -> bool {
-        let free = self.room() > 0;
-        if free {
-            self.flying += 1;
+        let acquired = self.free() > 0;
+        if acquired {
+            self.in_flight += 1;
         }
-        free
+        acquired
     }
 
     /// Gives a slot back and learns from the call.
     pub fn release(&mut self, outcome: Outcome) {
-        let used = self.used();
-        self.flying = self.flying.saturating_sub(1);
+        let used = self.is_used();
+        self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Served { tokens, took } => self.learn(tokens, took, used),
-            Outcome::Overload => self.shrink(self.config.cut),
+            Outcome::Served { tokens, took } => self.record_served(tokens, took, used),
+            Outcome::Overload => self.shrink(self.config.backoff_ratio),
             Outcome::Unknown => {}
         }
     }
@@ -139,71 +139,73 @@
     /// what is in flight and not the limit, since reports lag: three reports on one burst would
     /// cut the limit three times. Up, this goes only while the limit is in use.
     pub fn report(&mut self, report: Report) {
-        let fits = f64::from(report.batch) * self.config.reserve;
+        let capacity = f64::from(report.batch) * self.config.max_batches;
         let present = f64::from(report.running) + f64::from(report.waiting);
         if report.batch == 0 || present <= 0.0 {
             return;
         }
-        let part = f64::from(self.flying) * fits / present;
-        if present > fits {
-            self.limit = self.limit.min(part.max(self.config.least.max(1.0)));
-        } else if self.used() {
-            self.limit = self.limit.max(part).min(self.config.most);
+        let share = f64::from(self.in_flight) * capacity / present;
+        if present > capacity {
+            self.limit = self.limit.min(share.max(self.config.min.max(1.0)));
+        } else if self.is_used() {
+            self.limit = self.limit.max(share).min(self.config.max);
         }
     }
 
     /// Whether enough of the limit is in use that a higher one might be, too.
-    fn used(&self) -> bool {
-        f64::from(self.flying) * 2.0 >= self.limit
+    fn is_used(&self) -> bool {
+        f64::from(self.in_flight) * 2.0 >= self.limit
     }
 
     /// Calls in flight from this node.
     #[must_use]
-    pub const fn flying(&self) -> u32 {
-        self.flying
+    pub const fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
     /// The limit now.
     #[must_use]
     pub fn limit(&self) -> u32 {
-        number::small(self.limit + self.config.round).max(1)
+        number::small(self.limit + self.config.rounding_offset).max(1)
     }
 
     /// Free slots.
     #[must_use]
-    pub fn room(&self) -> u32 {
-        self.limit().saturating_sub(self.flying)
+    pub fn free(&self) -> u32 {
+        self.limit().saturating_sub(self.in_flight)
     }
 
     /// Seconds for a token lately; zero before the first answer.
     #[must_use]
-    pub const fn pace(&self) -> f64 {
-        self.quick
+    pub const fn seconds_per_token(&self) -> f64 {
+        self.short_average
     }
 
-    fn learn(&mut self, tokens: Tokens, took: Duration, used: bool) {
-        let pace = took.as_secs_f64() / number::float(tokens.0.max(1));
-        if self.slow <= 0.0 {
-            self.quick = pace;
-            self.slow = pace;
+    fn record_served(&mut self, tokens: Tokens, took: Duration, used: bool) {
+        let seconds = took.as_secs_f64() / number::float(tokens.0.max(1));
+        if self.long_average <= 0.0 {
+            self.short_average = seconds;
+            self.long_average = seconds;
         }
-        self.quick += self.config.quick * (pace - self.quick);
-        self.slow += self.config.slow * (pace - self.slow);
+        self.short_average += self.config.short_weight * (seconds - self.short_average);
+        self.long_average += self.config.long_weight * (seconds - self.long_average);
         // A long average above the short one is left over from a slow spell; without the pull the
         // endpoint would be allowed that spell's latency for hundreds of answers.
-        if self.slow > self.quick {
-            self.slow += self.config.quick * (self.quick - self.slow);
+        if self.long_average > self.short_average {
+            self.long_average +=
+                self.config.short_weight * (self.short_average - self.long_average);
         }
-        let gradient = self.config.tolerance * self.slow / self.quick.max(f64::MIN_POSITIVE);
+        let gradient =
+            self.config.tolerance * self.long_average / self.short_average.max(f64::MIN_POSITIVE);
         if gradient < 1.0 {
             self.shrink(gradient);
         } else if used {
-            self.limit = (self.limit + 1.0 / self.limit).min(self.config.most);
+            self.limit = (self.limit + 1.0 / self.limit).min(self.config.max);
         }
     }
 
     fn shrink(&mut self, factor: f64) {
-        let factor = factor.clamp(self.config.cut, 1.0);
-        self.limit = (self.limit * factor).max(self.config.least.max(1.0));
+        let factor = factor.clamp(self.config.backoff_ratio, 1.0);
+        self.limit = (self.limit * factor).max(self.config.min.max(1.0));
     }
 }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -120,9 +120,9 @@
         health.retain(endpoints.iter().cloned());
         let limits = limit::Config::default();
         let fixed = limit::Config {
-            start: 16.0,
-            least: 16.0,
-            most: 16.0,
+            initial: 16.0,
+            min: 16.0,
+            max: 16.0,
             ..limits
         };
         let limits = if mechanisms.limit { limits } else { fixed };
@@ -140,7 +140,7 @@
             limiters: (0..ENDPOINTS)
                 .map(|_| {
                     limit::Limiter::new(limit::Config {
-                        round: random.unit(),
+                        rounding_offset: random.unit(),
                         ..limits
                     })
                 })
@@ -198,7 +198,7 @@
                 .sum(),
             free: (0..ENDPOINTS)
                 .filter(open)
-                .map(|e| self.limiters[e].room())
+                .map(|e| self.limiters[e].free())
                 .sum(),
             run: self.gate.run(job.tokens),
             deadline: moment(deadline),
@@ -262,11 +262,11 @@
 
     /// Whether any endpoint has a free slot.
     pub fn free(&self, now: f64) -> bool {
-        (0..ENDPOINTS).any(|e| self.open(e, now) && self.limiters[e].room() > 0)
+        (0..ENDPOINTS).any(|e| self.open(e, now) && self.limiters[e].free() > 0)
     }
 
     pub fn reported(&mut self, place: usize, load: (u32, u32), measured: f64) {
-        let own = self.limiters[place].flying();
+        let own = self.limiters[place].in_flight();
         let others = (load.0 + load.1).saturating_sub(own);
         self.seen[place] = Seen {
             others,
@@ -281,7 +281,7 @@
 
     /// The endpoint for an attempt.
     pub fn choose(&mut self, arrival: &Arrival, tried: &[usize], now: f64) -> Option<usize> {
-        let fits = |e: usize| !tried.contains(&e) && self.limiters[e].room() > 0;
+        let fits = |e: usize| !tried.contains(&e) && self.limiters[e].free() > 0;
         let due = self.health.due(moment(now));
         let probe = due.and_then(|name| self.endpoints.iter().position(|e| e == name));
         if let Some(probe) =
@@ -305,9 +305,11 @@
                 let other = open[self.random.below(open.len())];
                 [one, other]
                     .into_iter()
-                    .min_by_key(|e| self.limiters[*e].flying())
+                    .min_by_key(|e| self.limiters[*e].in_flight())
             }
-            Choice::LeastInFlight => open.into_iter().min_by_key(|e| self.limiters[*e].flying()),
+            Choice::LeastInFlight => open
+                .into_iter()
+                .min_by_key(|e| self.limiters[*e].in_flight()),
         }
     }
 
@@ -321,11 +323,11 @@
             } else {
                 ACROSS
             },
-            own: self.limiters[e].flying(),
+            own: self.limiters[e].in_flight(),
             limit: self.limiters[e].limit(),
             others: self.seen[e].others,
             age: Duration::from_secs_f64((now - self.seen[e].at).max(0.0)),
-            run: Duration::from_secs_f64(self.limiters[e].pace() * 100.0),
+            run: Duration::from_secs_f64(self.limiters[e].seconds_per_token() * 100.0),
         };
         let candidates: Vec<choice::Candidate> = (0..ENDPOINTS).map(candidate).collect();
         choice::choose(
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -71,7 +71,7 @@
         for (step, one, other) in steps {
             match step {
                 0 | 1 => if limiter.acquire() {
-                    assert!(limiter.flying() <= limiter.limit());
+                    assert!(limiter.in_flight() <= limiter.limit());
                 },
                 2 => limiter.report(limit::Report { running: one, waiting: other, batch: 16 }),
                 3 => limiter.release(limit::Outcome::Overload),
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -279,7 +279,7 @@
     fn open(&self, version: Option<&id::Version>, now: Moment) -> bool {
         self.seats.iter().any(|seat| {
             let out = self.health.state(&seat.member.endpoint, now) == eject::State::Out;
-            seat.is_open(now) && seat.member.holds(version) && !out && seat.limiter.room() > 0
+            seat.is_open(now) && seat.member.holds(version) && !out && seat.limiter.free() > 0
         })
     }
 
@@ -352,7 +352,7 @@
     /// not fail this job, and is a better chance than one that did.
     fn spare(&self, place: usize, job: &Job, now: Moment) -> bool {
         let seat = &self.seats[place];
-        let free = seat.takes(job, now) && seat.limiter.room() > 0;
+        let free = seat.takes(job, now) && seat.limiter.free() > 0;
         !job.tried.is_empty() && self.untried(place, job) && free
     }
 
@@ -364,14 +364,14 @@
         }
         let due = self.health.due(now)?;
         let place = self.seats.iter().position(|s| &s.member.endpoint == due)?;
-        (self.seats[place].limiter.room() > 0 && usable(place)).then_some(place)
+        (self.seats[place].limiter.free() > 0 && usable(place)).then_some(place)
     }
 
     fn candidates(&self, job: &Job, now: Moment) -> Vec<choice::Candidate> {
         let usual = self.usual();
         let candidate = |seat: &Seat| {
             let healthy = self.health.state(&seat.member.endpoint, now) != eject::State::Out;
-            let own = seat.limiter.flying();
+            let own = seat.limiter.in_flight();
             let (others, age) = seat.member.report.map_or((0, Duration::MAX), |(load, at)| {
                 let all = load.running.saturating_add(load.waiting);
                 (all.saturating_sub(own), now.since(at))
@@ -384,7 +384,7 @@
                 limit: seat.limiter.limit(),
                 others,
                 age,
-                run: ordinary(seat.limiter.pace(), usual),
+                run: ordinary(seat.limiter.seconds_per_token(), usual),
             }
         };
         self.seats.iter().map(candidate).collect()
@@ -396,7 +396,9 @@
     /// and calls leave their zone for it, also to one that has just been cut off.
     fn usual(&self) -> Option<f64> {
         let near = self.seats.iter().filter(|s| s.member.distance.is_zero());
-        let paces = near.map(|s| s.limiter.pace()).filter(|pace| *pace > 0.0);
+        let paces = near
+            .map(|s| s.limiter.seconds_per_token())
+            .filter(|pace| *pace > 0.0);
         let fastest = paces.min_by(f64::total_cmp);
         [fastest, self.health.median()]
             .into_iter()
@@ -471,14 +473,14 @@
 
     pub fn flying_beside(&self, version: &id::Version) -> u32 {
         let beside = self.seats.iter().filter(|s| !s.member.holds(Some(version)));
-        beside.map(|seat| seat.limiter.flying()).sum()
+        beside.map(|seat| seat.limiter.in_flight()).sum()
     }
 
     pub fn depth(&self) -> Depth {
         let usable = self.seats.iter().filter(|s| s.member.usable);
         Depth {
             waiting: self.stations.iter().map(|s| s.queue.len()).sum(),
-            flying: self.seats.iter().map(|s| s.limiter.flying()).sum(),
+            flying: self.seats.iter().map(|s| s.limiter.in_flight()).sum(),
             slots: usable.clone().map(Seat::slots).sum(),
             ejected: self.health.out(),
             limited: usable.clone().filter(|s| s.throttle().is_some()).count(),
--- a/crates/scheduler/src/inner/placing.rs
+++ b/crates/scheduler/src/inner/placing.rs
@@ -83,7 +83,7 @@
     /// Whether a call may be sent to an endpoint now.
     fn free(&self, seat: &Seat, job: &Job, now: Moment) -> bool {
         seat.takes(job, now)
-            && seat.limiter.room() > 0
+            && seat.limiter.free() > 0
             && self.health.state(&seat.member.endpoint, now) != eject::State::Out
     }
 
--- a/crates/scheduler/src/seat.rs
+++ b/crates/scheduler/src/seat.rs
@@ -113,7 +113,7 @@
 
     /// The same now.
     pub(crate) fn free(&self, now: Moment) -> u32 {
-        let room = self.limiter.room();
+        let room = self.limiter.free();
         match self.throttle() {
             _ if !self.is_open(now) => 0,
             None => room,
@@ -181,12 +181,12 @@
 /// in length and in speed, and the time that they take says nothing of its load.
 fn limiter(shape: Shape) -> limit::Limiter {
     let mut config = limit::Config {
-        round: rand::random_range(0.0..1.0),
+        rounding_offset: rand::random_range(0.0..1.0),
         ..limit::Config::default()
     };
     if let Some(batch) = shape.batch {
-        config.start = f64::from(batch);
-        config.most = f64::from(batch) * config.reserve;
+        config.initial = f64::from(batch);
+        config.max = f64::from(batch) * config.max_batches;
     }
     if shape.engine {
         config.tolerance = f64::INFINITY;
@@ -214,7 +214,7 @@
         seat.limiter.report(report);
     }
     let fresh = Shape::of(&member);
-    if fresh != seat.shape && seat.limiter.flying() == 0 {
+    if fresh != seat.shape && seat.limiter.in_flight() == 0 {
         seat.shape = fresh;
         seat.limiter = limiter(fresh);
     }
