--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -77,37 +77,37 @@
 
 /// How long an owner of a part waits for its next request at most: there are no more owners than the limit
 /// has requests in this time, and one.
-const TURN: Duration = Duration::from_secs(1);
+const MAX_OWNER_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Part of the limit that is given out. A request that was sent may arrive later than the next one.
-const USED: f64 = 0.9;
+const UTILIZATION: f64 = 0.9;
 
 /// The lowest rate that is kept to, in requests a second: somebody has to ask whether the limit holds on.
-const LEAST: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 
 /// Time for which an owner may save up, if that is more than one request.
-const SAVED: Duration = Duration::from_millis(250);
+const BURST_WINDOW: Duration = Duration::from_millis(250);
 
 /// This VM's part of an endpoint's limit, in requests a second; 0 if others have it all.
 ///
-/// `sharers` are all VMs that may send there, each by a hash of its name; none if this one is alone. A limit below
+/// `participants` are all VMs that may send there, each by a hash of its name; none if this one is alone. A limit below
 /// one request for each of them is not split among all, or the first second would bring as many requests as
-/// there are VMs: it has a few owners, found by rendezvous hashing, so that all who know the same sharers
+/// there are VMs: it has a few owners, found by rendezvous hashing, so that all who know the same participants
 /// find the same ones, and most keep their part when one leaves.
 #[must_use]
-pub fn part(limit: Limit, endpoint: u64, own: u64, sharers: &[u64]) -> f64 {
-    let rate = (limit.0 * USED).max(LEAST);
-    if sharers.is_empty() {
+pub fn share(limit: Limit, endpoint: u64, own: u64, participants: &[u64]) -> f64 {
+    let rate = (limit.0 * UTILIZATION).max(MIN_RATE);
+    if participants.is_empty() {
         return rate;
     }
-    if !sharers.contains(&own) {
+    if !participants.contains(&own) {
         return 0.0;
     }
-    let most = number::small(limit.0 * TURN.as_secs_f64()).saturating_add(1);
-    let count = u32::try_from(sharers.len()).unwrap_or(u32::MAX);
-    let owners = most.min(count);
+    let max_owners = number::small(limit.0 * MAX_OWNER_INTERVAL.as_secs_f64()).saturating_add(1);
+    let count = u32::try_from(participants.len()).unwrap_or(u32::MAX);
+    let owners = max_owners.min(count);
     let weight = |vm: u64| number::mix(endpoint, vm);
-    let heavier = sharers.iter().filter(|vm| weight(**vm) > weight(own));
+    let heavier = participants.iter().filter(|vm| weight(**vm) > weight(own));
     let rank = u32::try_from(heavier.count()).unwrap_or(u32::MAX);
     if rank < owners {
         rate / f64::from(owners)
@@ -120,66 +120,66 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Throttle {
     /// Requests a second.
-    part: f64,
+    rate: f64,
     /// Requests that may be sent now.
-    saved: f64,
+    available: f64,
     /// As of when.
-    at: Moment,
+    updated: Moment,
 }
 
 impl Throttle {
     /// Begins with nothing saved up: VMs hear of a limit together, and would send at once together.
     #[must_use]
-    pub const fn new(part: f64, now: Moment) -> Self {
+    pub const fn new(rate: f64, now: Moment) -> Self {
         Self {
-            part,
-            saved: 0.0,
-            at: now,
+            rate,
+            available: 0.0,
+            updated: now,
         }
     }
 
     /// The part is another one from now on.
-    pub fn set(&mut self, part: f64, now: Moment) {
-        self.saved = self.saved(now).min(most(part));
-        self.part = part;
-        self.at = now;
+    pub fn set_rate(&mut self, rate: f64, now: Moment) {
+        self.available = self.available(now).min(burst(rate));
+        self.rate = rate;
+        self.updated = now;
     }
 
     /// Requests a second.
     #[must_use]
-    pub const fn part(&self) -> f64 {
-        self.part
+    pub const fn rate(&self) -> f64 {
+        self.rate
     }
 
-    fn saved(&self, now: Moment) -> f64 {
-        let earned = now.since(self.at).as_secs_f64() * self.part;
-        (self.saved + earned).min(most(self.part).max(self.saved))
+    fn available(&self, now: Moment) -> f64 {
+        let earned = now.since(self.updated).as_secs_f64() * self.rate;
+        (self.available + earned).min(burst(self.rate).max(self.available))
     }
 
     /// Whether a request may be sent now.
     #[must_use]
     pub fn is_open(&self, now: Moment) -> bool {
-        self.part > 0.0 && self.saved(now) >= 1.0
+        self.rate > 0.0 && self.available(now) >= 1.0
     }
 
     /// A request is sent.
-    pub fn take(&mut self, now: Moment) {
-        self.saved = self.saved(now) - 1.0;
-        self.at = now;
+    pub fn consume(&mut self, now: Moment) {
+        self.available = self.available(now) - 1.0;
+        self.updated = now;
     }
 
     /// How long until the next request may be sent; none if none ever may.
     #[must_use]
     pub fn wait(&self, now: Moment) -> Option<Duration> {
-        if self.part <= 0.0 {
+        if self.rate <= 0.0 {
             return None;
         }
-        let missing = (1.0 - self.saved(now)).max(0.0);
-        Some(number::seconds(missing / self.part))
+        let missing = (1.0 - self.available(now)).max(0.0);
+        Some(number::seconds(missing / self.rate))
     }
 }
 
 /// The most requests that are saved up.
-fn most(part: f64) -> f64 {
-    (part * SAVED.as_secs_f64()).max(1.0)
+fn burst(rate: f64) -> f64 {
+    (rate * BURST_WINDOW.as_secs_f64()).max(1.0)
 }
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -75,12 +75,12 @@
             return;
         }
         for vm in (0..self.vms.len()).filter(|vm| up[*vm]) {
-            let mut sharers: Vec<u64> = living.iter().map(|vm| key(*vm)).collect();
-            if !sharers.contains(&key(vm)) {
-                sharers.push(key(vm));
+            let mut participants: Vec<u64> = living.iter().map(|vm| key(*vm)).collect();
+            if !participants.contains(&key(vm)) {
+                participants.push(key(vm));
             }
-            let part = throttle::part(self.limit, 7, key(vm), &sharers);
-            self.throttles[vm].set(part, now);
+            let rate = throttle::share(self.limit, 7, key(vm), &participants);
+            self.throttles[vm].set_rate(rate, now);
         }
         self.known = (living, up);
     }
@@ -89,7 +89,7 @@
         self.share(now);
         for ((up, _), own) in self.vms.iter().zip(&mut self.throttles) {
             while *up && own.is_open(now) {
-                own.take(now);
+                own.consume(now);
                 self.arrived.push(now);
             }
         }
@@ -187,11 +187,11 @@
     let at = |seconds| Moment::ZERO + Duration::from_secs(seconds);
     let mut throttle = Throttle::new(40.0, at(0));
     assert!(!throttle.is_open(at(0)));
-    throttle.set(0.5, at(10));
-    throttle.take(at(10));
+    throttle.set_rate(0.5, at(10));
+    throttle.consume(at(10));
     assert!(!throttle.is_open(at(11)));
     assert_eq!(throttle.wait(at(11)), Some(Duration::from_secs(1)));
-    throttle.set(0.0, at(12));
+    throttle.set_rate(0.0, at(12));
     assert_eq!(throttle.wait(at(100)), None);
     assert!(!throttle.is_open(at(100)));
 }
@@ -200,9 +200,9 @@
 #[test]
 fn a_vm_that_does_not_share_sends_nothing() {
     let limit = Limit::try_from(3.0).unwrap();
-    assert!(throttle::part(limit, 1, 9, &[1, 2, 3]).abs() < 1e-12);
-    assert!((throttle::part(limit, 1, 9, &[]) - 2.7).abs() < 1e-9);
-    let parts = (1..=40).map(|vm| throttle::part(limit, 1, vm, &(1..=40).collect::<Vec<_>>()));
+    assert!(throttle::share(limit, 1, 9, &[1, 2, 3]).abs() < 1e-12);
+    assert!((throttle::share(limit, 1, 9, &[]) - 2.7).abs() < 1e-9);
+    let parts = (1..=40).map(|vm| throttle::share(limit, 1, vm, &(1..=40).collect::<Vec<_>>()));
     let owners = parts.clone().filter(|part| *part > 0.0).count();
     assert_eq!(owners, 4);
     assert!((parts.sum::<f64>() - 2.7).abs() < 1e-9);
--- a/crates/scheduler/src/inner/throttled.rs
+++ b/crates/scheduler/src/inner/throttled.rs
@@ -98,7 +98,7 @@
         let (mut part, mut ready, mut all) = (0.0, 0, 0.0);
         for seat in self.seats.iter().filter(usable) {
             let throttle = seat.throttle()?;
-            part += throttle.part();
+            part += throttle.rate();
             ready += u32::from(throttle.is_open(now));
             all += seat.limited?.limit()?.per_second();
         }
--- a/crates/scheduler/src/limited.rs
+++ b/crates/scheduler/src/limited.rs
@@ -54,12 +54,12 @@
     pub fn new(
         said: Said,
         before: Option<Throttle>,
-        part: impl Fn(Limit) -> f64,
+        share: impl Fn(Limit) -> f64,
         now: Moment,
     ) -> Self {
         let throttle = said.limit.map(|limit| {
             let mut throttle = before.unwrap_or(Throttle::new(0.0, now));
-            throttle.set(part(limit), now);
+            throttle.set_rate(share(limit), now);
             throttle
         });
         Self { said, throttle }
@@ -71,9 +71,9 @@
     }
 
     /// Other VMs share the limit from now on.
-    pub fn share(&mut self, part: impl Fn(Limit) -> f64, now: Moment) {
+    pub fn share(&mut self, share: impl Fn(Limit) -> f64, now: Moment) {
         if let Some((limit, throttle)) = self.said.limit.zip(self.throttle.as_mut()) {
-            throttle.set(part(limit), now);
+            throttle.set_rate(share(limit), now);
         }
     }
 
@@ -90,7 +90,7 @@
     /// A request is sent.
     pub fn take(&mut self, now: Moment) {
         if let Some(throttle) = &mut self.throttle {
-            throttle.take(now);
+            throttle.consume(now);
         }
     }
 
--- a/crates/scheduler/src/seat.rs
+++ b/crates/scheduler/src/seat.rs
@@ -105,7 +105,7 @@
         match self.throttle() {
             None => limit,
             Some(throttle) => {
-                let calls = throttle.part() * FIRST_RUN.as_secs_f64();
+                let calls = throttle.rate() * FIRST_RUN.as_secs_f64();
                 limit.min(rounded_up(calls))
             }
         }
--- a/crates/scheduler/src/sharers.rs
+++ b/crates/scheduler/src/sharers.rs
@@ -39,6 +39,6 @@
 
     /// This VM's part of an endpoint's limit, in requests a second.
     pub(crate) fn part(&self, limit: Limit, zone: &id::Zone, endpoint: u64) -> f64 {
-        throttle::part(limit, endpoint, self.own, self.of(zone, endpoint))
+        throttle::share(limit, endpoint, self.own, self.of(zone, endpoint))
     }
 }
