--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -102,7 +102,7 @@
         let customer = &self.customers[place];
         let priority = u8::try_from(place % 3).expect("a small number");
         let demand = admission::Demand {
-            ahead: self.queue.ahead(customer, 1, priority, Tokens(100)),
+            ahead: self.queue.work_ahead(customer, 1, priority, Tokens(100)),
             slots: u32::try_from(self.limiters.len() * 8).expect("a small number"),
             free: 0,
             run: self.gate.run(Tokens(100)),
@@ -161,7 +161,7 @@
         let served = eject::Outcome::Served { pace: 0.005 };
         self.health.record(&self.endpoints[chosen], served, now);
         self.gate.served(tokens, took, now);
-        self.queue.done(&dispatch);
+        self.queue.release(&dispatch);
     }
 }
 
--- a/crates/policy/examples/proxy.rs
+++ b/crates/policy/examples/proxy.rs
@@ -48,7 +48,7 @@
     for n in 0_u64..18 {
         let customer = &names[usize::from(n >= 14)];
         let demand = admission::Demand {
-            ahead: queue.ahead(customer, 1, 0, WORK),
+            ahead: queue.work_ahead(customer, 1, 0, WORK),
             slots: limits.iter().map(limit::Limiter::limit).sum(),
             free: limits.iter().map(limit::Limiter::free).sum(),
             run: gate.run(WORK),
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -98,7 +98,7 @@
 /// What the door knows of a request and of the work before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
-    /// Work that goes first, from [`crate::queue::Queue::ahead`].
+    /// Work that goes first, from [`crate::queue::Queue::work_ahead`].
     pub ahead: Tokens,
     /// Slots of the pool: the sum of the endpoints' limits.
     pub slots: u32,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -28,9 +28,9 @@
     /// one short answer (200) served less at three times the capacity, 60.1% against 61.2%.
     pub quantum: Tokens,
     /// Share of the work that each class but the first is sure of while it waits.
-    pub minimum: f64,
+    pub min_share: f64,
     /// Jobs from this size on are long.
-    pub long: Tokens,
+    pub long_threshold: Tokens,
     /// Share of the slots that long jobs may hold together. Limits add up to about two batches of
     /// the pool, so that this is two fifths of the places where calls run.
     pub long_share: f64,
@@ -40,8 +40,8 @@
     fn default() -> Self {
         Self {
             quantum: Tokens(1_000),
-            minimum: 0.1,
-            long: Tokens(1_000),
+            min_share: 0.1,
+            long_threshold: Tokens(1_000),
             long_share: 0.2,
         }
     }
@@ -70,7 +70,7 @@
     flow: u32,
 }
 
-/// A job that left the queue for a slot. The slot is given back by [`Queue::done`].
+/// A job that left the queue for a slot. The slot is given back by [`Queue::release`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Dispatch {
     /// Which job.
@@ -89,7 +89,7 @@
     sequence: u64,
     waiting: usize,
     running_long: u32,
-    expiry: Option<Moment>,
+    next_expiry: Option<Moment>,
 }
 
 impl Queue {
@@ -102,20 +102,20 @@
             sequence: 0,
             waiting: 0,
             running_long: 0,
-            expiry: None,
+            next_expiry: None,
         }
     }
 
     /// Puts a job at the end of its customer's queue.
     pub fn enqueue(&mut self, job: Job) -> Ticket {
-        let place = self.lane(job.priority);
+        let place = self.lane_index_or_insert(job.priority);
         let lane = &mut self.lanes[place];
         let sequence = self.sequence;
         self.sequence += 1;
         self.waiting += 1;
-        let earliest = self.expiry.unwrap_or(job.start_by);
-        self.expiry = Some(earliest.min(job.start_by));
-        let long = job.tokens >= self.config.long;
+        let earliest = self.next_expiry.unwrap_or(job.start_by);
+        self.next_expiry = Some(earliest.min(job.start_by));
+        let long = job.tokens >= self.config.long_threshold;
         let priority = job.priority;
         let flow = lane.push(job, sequence, long, self.config.quantum);
         Ticket {
@@ -129,14 +129,14 @@
     /// be called when a slot is free. A job past its last start is left for
     /// [`expire`](Self::expire).
     pub fn next(&mut self, now: Moment, slots: u32) -> Option<Dispatch> {
-        let long = self.running_long < self.most_long(slots);
-        let chosen = self.choose(now, long)?;
+        let long = self.running_long < self.max_long(slots);
+        let chosen = self.choose_lane(now, long)?;
         let lane = &mut self.lanes[chosen];
         let (entry, flow) = lane.pop(now, long, self.config.quantum)?;
         let priority = lane.priority();
         self.waiting -= 1;
         self.running_long += u32::from(entry.long);
-        self.share(chosen, entry.tokens);
+        self.account(chosen, entry.tokens);
         Some(Dispatch {
             ticket: Ticket {
                 sequence: entry.sequence,
@@ -149,7 +149,7 @@
     }
 
     /// Gives back the slot of a job that has ended, however it ended.
-    pub fn done(&mut self, dispatch: &Dispatch) {
+    pub fn release(&mut self, dispatch: &Dispatch) {
         if dispatch.long {
             self.running_long = self.running_long.saturating_sub(1);
         }
@@ -158,7 +158,7 @@
     /// Removes a waiting job. False if it is no longer waiting: once dispatched it can't be
     /// refused any more.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        let Ok(place) = self.place(ticket.priority) else {
+        let Ok(place) = self.lane_index(ticket.priority) else {
             return false;
         };
         let removed = self.lanes[place].remove(ticket.flow, ticket.sequence);
@@ -170,7 +170,7 @@
     /// and not when their own timeout runs out.
     pub fn expire(&mut self, now: Moment) -> Vec<Ticket> {
         let mut expired = Vec::new();
-        if self.expiry.is_none_or(|earliest| now <= earliest) {
+        if self.next_expiry.is_none_or(|earliest| now <= earliest) {
             return expired;
         }
         for lane in &mut self.lanes {
@@ -184,14 +184,14 @@
             });
         }
         self.waiting -= expired.len();
-        self.expiry = self.lanes.iter().filter_map(Lane::earliest).min();
+        self.next_expiry = self.lanes.iter().filter_map(Lane::earliest_start_by).min();
         expired
     }
 
     /// When [`expire`](Self::expire) should next be called, at the latest.
     #[must_use]
-    pub const fn expiry(&self) -> Option<Moment> {
-        self.expiry
+    pub const fn next_expiry(&self) -> Option<Moment> {
+        self.next_expiry
     }
 
     /// Work that would be served before a job of `tokens` that joined now: all that waits in
@@ -200,7 +200,7 @@
     /// long answer is let in under overload, waits behind short ones that come after it, and hears
     /// only when its time is up that it can't be served.
     #[must_use]
-    pub fn ahead(
+    pub fn work_ahead(
         &self,
         customer: &id::Customer,
         weight: u32,
@@ -209,26 +209,25 @@
     ) -> Tokens {
         let higher = self.lanes.iter().filter(|lane| lane.priority() < priority);
         let waiting: Tokens = higher.map(Lane::backlog).sum();
-        let own = self
-            .place(priority)
-            .ok()
-            .map(|place| self.lanes[place].ahead(customer, weight, tokens, self.config.quantum));
+        let own = self.lane_index(priority).ok().map(|place| {
+            self.lanes[place].work_ahead(customer, weight, tokens, self.config.quantum)
+        });
         let work = number::float(waiting.0) + own.unwrap_or(0.0);
-        Tokens(number::whole(work / self.part(priority)))
+        Tokens(number::whole(work / self.drain_share(priority)))
     }
 
     /// The part of the drain that a class and those before it can count on.
-    fn part(&self, priority: u8) -> f64 {
+    fn drain_share(&self, priority: u8) -> f64 {
         let all: f64 = self.lanes.iter().map(Lane::served).sum();
         let others = |lane: &&Lane| lane.priority() < priority;
         let higher: f64 = self.lanes.iter().filter(others).map(Lane::served).sum();
         let lower = self
             .lanes
             .iter()
-            .filter(|lane| lane.priority() > priority && lane.waits());
-        let reserved = lower.fold(0.0, |sum, _| sum + self.config.minimum);
+            .filter(|lane| lane.priority() > priority && lane.has_waiting());
+        let reserved = lower.fold(0.0, |sum, _| sum + self.config.min_share);
         let free = 1.0 - reserved - higher / all.max(1.0);
-        free.max(self.config.minimum)
+        free.max(self.config.min_share)
     }
 
     /// All waiting work.
@@ -249,22 +248,22 @@
         self.waiting == 0
     }
 
-    /// How long the longest-waiting work would last at `pace` tokens a second, for metrics.
+    /// How long the longest-waiting work would last at `drain_rate` tokens a second, for metrics.
     #[must_use]
-    pub fn depth(&self, pace: f64) -> Duration {
-        number::seconds(number::float(self.backlog().0) / pace)
+    pub fn depth(&self, drain_rate: f64) -> Duration {
+        number::seconds(number::float(self.backlog().0) / drain_rate)
     }
 
-    fn most_long(&self, slots: u32) -> u32 {
+    fn max_long(&self, slots: u32) -> u32 {
         number::small(f64::from(slots) * self.config.long_share).max(1)
     }
 
-    fn place(&self, priority: u8) -> Result<usize, usize> {
+    fn lane_index(&self, priority: u8) -> Result<usize, usize> {
         self.lanes.binary_search_by_key(&priority, Lane::priority)
     }
 
-    fn lane(&mut self, priority: u8) -> usize {
-        match self.place(priority) {
+    fn lane_index_or_insert(&mut self, priority: u8) -> usize {
+        match self.lane_index(priority) {
             Ok(place) => place,
             Err(place) => {
                 self.lanes.insert(place, Lane::new(priority));
@@ -275,23 +274,23 @@
 
     /// The class to serve: one whose saved-up minimum covers its next job, or else the first that
     /// has a job that may start.
-    fn choose(&self, now: Moment, long: bool) -> Option<usize> {
-        let ready = |lane: &Lane| lane.ready(now, long);
+    fn choose_lane(&self, now: Moment, long: bool) -> Option<usize> {
+        let ready = |lane: &Lane| lane.is_ready(now, long);
         let due = self
             .lanes
             .iter()
-            .position(|lane| lane.credit() >= 1.0 && lane.covered(now, long));
+            .position(|lane| lane.credit() >= 1.0 && lane.credit_covers_next(now, long));
         due.or_else(|| self.lanes.iter().position(ready))
     }
 
     /// Credits the minimum share to the classes that had to wait.
-    fn share(&mut self, chosen: usize, tokens: Tokens) {
-        let minimum = self.config.minimum;
+    fn account(&mut self, chosen: usize, tokens: Tokens) {
+        let min_share = self.config.min_share;
         for (place, lane) in self.lanes.iter_mut().enumerate() {
             if place == chosen {
                 lane.debit(tokens);
             } else {
-                lane.earn(number::float(tokens.0) * minimum);
+                lane.earn_credit(number::float(tokens.0) * min_share);
             }
         }
     }
--- a/crates/policy/src/queue/lane.rs
+++ b/crates/policy/src/queue/lane.rs
@@ -11,7 +11,7 @@
 
 /// What is left of the memory of served work after a dispatch: that of the last hundred or so
 /// counts, enough to average over sizes and few enough to follow a change of load in seconds.
-const FORGET: f64 = 0.99;
+const SERVED_DECAY: f64 = 0.99;
 
 /// A waiting job.
 #[derive(Debug, Clone, Copy)]
@@ -35,7 +35,7 @@
 /// What the door has to know of a customer. Apart from its jobs, so that the sum over a thousand
 /// customers reads memory in order.
 #[derive(Debug, Clone, Copy)]
-struct Sum {
+struct FlowSummary {
     backlog: u64,
     weight: u32,
 }
@@ -47,7 +47,7 @@
     priority: u8,
     index: Vec<(id::Customer, u32)>,
     flows: Vec<Flow>,
-    sums: Vec<Sum>,
+    summaries: Vec<FlowSummary>,
     ring: VecDeque<u32>,
     backlog: u64,
     credit: f64,
@@ -71,7 +71,7 @@
 
     /// The oldest job that may start. Those past their last start are skipped, for `expire` to
     /// find: to run them would spend a slot on an answer that comes too late.
-    fn head(&self, now: Moment, long: bool) -> Option<Entry> {
+    fn next_entry(&self, now: Moment, long: bool) -> Option<Entry> {
         let first = |jobs: &VecDeque<Entry>| jobs.iter().find(|e| e.start_by >= now).copied();
         let short = first(&self.short);
         if !long {
@@ -94,7 +94,7 @@
         None
     }
 
-    fn grant(&self, quantum: Tokens) -> u64 {
+    fn turn_quantum(&self, quantum: Tokens) -> u64 {
         quantum.0.max(1) * u64::from(self.weight.max(1))
     }
 }
@@ -105,7 +105,7 @@
             priority,
             index: Vec::new(),
             flows: Vec::new(),
-            sums: Vec::new(),
+            summaries: Vec::new(),
             ring: VecDeque::new(),
             backlog: 0,
             credit: 0.0,
@@ -121,7 +121,7 @@
         Tokens(self.backlog)
     }
 
-    pub(super) fn waits(&self) -> bool {
+    pub(super) fn has_waiting(&self) -> bool {
         !self.ring.is_empty()
     }
 
@@ -135,9 +135,9 @@
     }
 
     /// Another class was served: a class that waits earns its minimum share of that.
-    pub(super) fn earn(&mut self, credit: f64) {
-        self.served *= FORGET;
-        if self.waits() {
+    pub(super) fn earn_credit(&mut self, credit: f64) {
+        self.served *= SERVED_DECAY;
+        if self.has_waiting() {
             self.credit += credit;
         } else {
             self.credit = 0.0;
@@ -147,33 +147,33 @@
     /// This class was served.
     pub(super) fn debit(&mut self, tokens: Tokens) {
         let tokens = number::float(tokens.0);
-        self.served = self.served * FORGET + tokens;
+        self.served = self.served * SERVED_DECAY + tokens;
         self.credit = (self.credit - tokens).max(0.0);
     }
 
-    pub(super) fn ready(&self, now: Moment, long: bool) -> bool {
-        self.heads(now, long).next().is_some()
+    pub(super) fn is_ready(&self, now: Moment, long: bool) -> bool {
+        self.next_entries(now, long).next().is_some()
     }
 
     /// Whether the credit covers the next job that may start.
-    pub(super) fn covered(&self, now: Moment, long: bool) -> bool {
-        let next = self.heads(now, long).next();
+    pub(super) fn credit_covers_next(&self, now: Moment, long: bool) -> bool {
+        let next = self.next_entries(now, long).next();
         next.is_some_and(|entry| self.credit >= number::float(entry.tokens.0))
     }
 
-    fn heads(&self, now: Moment, long: bool) -> impl Iterator<Item = Entry> {
+    fn next_entries(&self, now: Moment, long: bool) -> impl Iterator<Item = Entry> {
         self.ring
             .iter()
-            .filter_map(move |flow| self.flows[*flow as usize].head(now, long))
+            .filter_map(move |flow| self.flows[*flow as usize].next_entry(now, long))
     }
 
     pub(super) fn push(&mut self, job: Job, sequence: u64, long: bool, quantum: Tokens) -> u32 {
-        let place = self.flow(job.customer);
+        let place = self.flow_index_or_insert(job.customer);
         let flow = &mut self.flows[place as usize];
         flow.weight = job.weight;
-        let sum = &mut self.sums[place as usize];
-        sum.weight = job.weight;
-        sum.backlog += job.tokens.0;
+        let summary = &mut self.summaries[place as usize];
+        summary.weight = job.weight;
+        summary.backlog += job.tokens.0;
         self.backlog += job.tokens.0;
         let entry = Entry {
             sequence,
@@ -188,7 +188,7 @@
         }
         if !flow.active {
             flow.active = true;
-            flow.deficit = flow.grant(quantum);
+            flow.deficit = flow.turn_quantum(quantum);
             self.ring.push_back(place);
         }
         place
@@ -197,73 +197,73 @@
     /// Serves the customer whose turn it is. A turn lasts while the deficit covers the next job;
     /// then the customer goes to the back and is granted its quantum for the next turn.
     pub(super) fn pop(&mut self, now: Moment, long: bool, quantum: Tokens) -> Option<(Entry, u32)> {
-        let mut passed = 0;
+        let mut skipped = 0;
         loop {
             let place = *self.ring.front()?;
             let flow = &self.flows[place as usize];
-            match flow.head(now, long) {
+            match flow.next_entry(now, long) {
                 Some(head) if head.tokens.0 <= flow.deficit => {
                     return self.serve(place, head.sequence);
                 }
                 head => {
                     if head.is_some() {
-                        let grant = flow.grant(quantum);
+                        let grant = flow.turn_quantum(quantum);
                         self.flows[place as usize].deficit += grant;
                     }
                     self.ring.rotate_left(1);
-                    passed += 1;
+                    skipped += 1;
                 }
             }
-            if passed == self.ring.len() {
-                self.skip(now, long, quantum)?;
-                passed = 0;
+            if skipped == self.ring.len() {
+                self.grant_skipped_rounds(now, long, quantum)?;
+                skipped = 0;
             }
         }
     }
 
     /// After a round without a job served: grants at once the rounds that would pass until one is,
     /// so that a job of many quanta costs one pass and not hundreds.
-    fn skip(&mut self, now: Moment, long: bool, quantum: Tokens) -> Option<()> {
+    fn grant_skipped_rounds(&mut self, now: Moment, long: bool, quantum: Tokens) -> Option<()> {
         let rounds = |flow: &Flow| {
-            let head = flow.head(now, long)?;
+            let head = flow.next_entry(now, long)?;
             let missing = head.tokens.0.saturating_sub(flow.deficit);
-            Some(missing.div_ceil(flow.grant(quantum)))
+            Some(missing.div_ceil(flow.turn_quantum(quantum)))
         };
         let flows = self.ring.iter().map(|flow| &self.flows[*flow as usize]);
         let least = flows.filter_map(rounds).min()?;
         for place in &self.ring {
             let flow = &mut self.flows[*place as usize];
-            if flow.head(now, long).is_some() {
-                flow.deficit += least * flow.grant(quantum);
+            if flow.next_entry(now, long).is_some() {
+                flow.deficit += least * flow.turn_quantum(quantum);
             }
         }
         Some(())
     }
 
     fn serve(&mut self, place: u32, sequence: u64) -> Option<(Entry, u32)> {
-        let entry = self.take(place, sequence)?;
+        let entry = self.remove_entry(place, sequence)?;
         self.flows[place as usize].deficit -= entry.tokens.0;
-        self.settle(place);
+        self.deactivate_if_empty(place);
         Some((entry, place))
     }
 
     pub(super) fn remove(&mut self, place: u32, sequence: u64) -> bool {
-        let taken = self.take(place, sequence).is_some();
-        if taken {
-            self.settle(place);
+        let removed = self.remove_entry(place, sequence).is_some();
+        if removed {
+            self.deactivate_if_empty(place);
         }
-        taken
+        removed
     }
 
-    fn take(&mut self, place: u32, sequence: u64) -> Option<Entry> {
+    fn remove_entry(&mut self, place: u32, sequence: u64) -> Option<Entry> {
         let entry = self.flows.get_mut(place as usize)?.remove(sequence)?;
-        self.sums[place as usize].backlog -= entry.tokens.0;
+        self.summaries[place as usize].backlog -= entry.tokens.0;
         self.backlog -= entry.tokens.0;
         Some(entry)
     }
 
     /// A customer without jobs leaves the ring and its deficit: it can't save up while idle.
-    fn settle(&mut self, place: u32) {
+    fn deactivate_if_empty(&mut self, place: u32) {
         let flow = &mut self.flows[place as usize];
         if flow.is_empty() {
             flow.active = false;
@@ -277,28 +277,28 @@
         }
     }
 
-    pub(super) fn expire(&mut self, now: Moment, mut gone: impl FnMut(u32, u64)) {
+    pub(super) fn expire(&mut self, now: Moment, mut expired: impl FnMut(u32, u64)) {
         let places: Vec<u32> = self.ring.iter().copied().collect();
         for place in places {
             let flow = &mut self.flows[place as usize];
-            let mut lost = 0;
+            let mut expired_tokens = 0;
             for jobs in [&mut flow.short, &mut flow.long] {
                 jobs.retain(|entry| {
                     let keep = entry.start_by >= now;
                     if !keep {
-                        lost += entry.tokens.0;
-                        gone(place, entry.sequence);
+                        expired_tokens += entry.tokens.0;
+                        expired(place, entry.sequence);
                     }
                     keep
                 });
             }
-            self.sums[place as usize].backlog -= lost;
-            self.backlog -= lost;
-            self.settle(place);
+            self.summaries[place as usize].backlog -= expired_tokens;
+            self.backlog -= expired_tokens;
+            self.deactivate_if_empty(place);
         }
     }
 
-    pub(super) fn earliest(&self) -> Option<Moment> {
+    pub(super) fn earliest_start_by(&self) -> Option<Moment> {
         let flows = self.ring.iter().map(|flow| &self.flows[*flow as usize]);
         flows
             .flat_map(|flow| flow.short.iter().chain(&flow.long))
@@ -308,33 +308,35 @@
 
     /// Work of this class that goes before a new job of `customer`: its own, and of every other
     /// customer at most what its weight lets it send meanwhile, or one turn.
-    pub(super) fn ahead(
+    pub(super) fn work_ahead(
         &self,
         customer: &id::Customer,
         weight: u32,
         tokens: Tokens,
         quantum: Tokens,
     ) -> f64 {
-        let own = self.find(customer).map(|place| self.sums[place as usize]);
-        let waiting = own.map_or(0, |sum| sum.backlog);
-        let sent = number::float(waiting + tokens.0) / f64::from(weight.max(1));
+        let own = self
+            .flow_index(customer)
+            .map(|place| self.summaries[place as usize]);
+        let waiting = own.map_or(0, |summary| summary.backlog);
+        let sent_per_weight = number::float(waiting + tokens.0) / f64::from(weight.max(1));
         let quantum = number::float(quantum.0.max(1));
-        let part = |sum: &Sum| {
-            let most = sent.max(quantum) * f64::from(sum.weight.max(1));
-            most.min(number::float(sum.backlog))
+        let share = |summary: &FlowSummary| {
+            let turn = sent_per_weight.max(quantum) * f64::from(summary.weight.max(1));
+            turn.min(number::float(summary.backlog))
         };
-        let all: f64 = self.sums.iter().map(part).sum();
-        number::float(waiting) + all - own.as_ref().map_or(0.0, part)
+        let all: f64 = self.summaries.iter().map(share).sum();
+        number::float(waiting) + all - own.as_ref().map_or(0.0, share)
     }
 
-    fn find(&self, customer: &id::Customer) -> Option<u32> {
+    fn flow_index(&self, customer: &id::Customer) -> Option<u32> {
         let place = self
             .index
             .binary_search_by(|(known, _)| known.cmp(customer));
         place.ok().map(|place| self.index[place].1)
     }
 
-    fn flow(&mut self, customer: id::Customer) -> u32 {
+    fn flow_index_or_insert(&mut self, customer: id::Customer) -> u32 {
         let place = self
             .index
             .binary_search_by(|(known, _)| known.cmp(&customer));
@@ -343,7 +345,7 @@
             Err(place) => {
                 let flow = u32::try_from(self.flows.len()).unwrap_or(u32::MAX);
                 self.flows.push(Flow::new());
-                self.sums.push(Sum {
+                self.summaries.push(FlowSummary {
                     backlog: 0,
                     weight: 1,
                 });
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -128,7 +128,7 @@
         let limits = if mechanisms.limit { limits } else { fixed };
         let fair = queue::Config::default();
         let plain = queue::Config {
-            long: Tokens(u64::MAX),
+            long_threshold: Tokens(u64::MAX),
             ..fair
         };
         let mut random = Random(seed ^ (number as u64) << 32);
@@ -191,7 +191,9 @@
         let job = self.job(arrival, Moment::ZERO);
         let open = |e: &usize| self.open(*e, now);
         admission::Demand {
-            ahead: self.queue.ahead(&job.customer, 1, job.priority, job.tokens),
+            ahead: self
+                .queue
+                .work_ahead(&job.customer, 1, job.priority, job.tokens),
             slots: (0..ENDPOINTS)
                 .filter(open)
                 .map(|e| self.limiters[e].limit())
--- a/crates/policy/tests/model/world.rs
+++ b/crates/policy/tests/model/world.rs
@@ -328,7 +328,7 @@
         state.answer = answer;
         state.ended = self.now;
         if let Some(dispatch) = state.dispatch.take() {
-            self.nodes[state.node].queue.done(&dispatch);
+            self.nodes[state.node].queue.release(&dispatch);
         }
     }
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -81,7 +81,7 @@
                     gone.push(ticket);
                     running.push(dispatch);
                 },
-                Step::Done => if let Some(dispatch) = running.pop() { queue.done(&dispatch); },
+                Step::Done => if let Some(dispatch) = running.pop() { queue.release(&dispatch); },
                 Step::Cancel(place) => if !waiting.is_empty() {
                     let (ticket, _) = waiting.remove(place % waiting.len());
                     assert!(queue.cancel(ticket));
@@ -122,7 +122,7 @@
             let (_, owner) = owner.expect("a known ticket");
             work[*owner] += dispatch.tokens.0;
             left[*owner] -= 1;
-            queue.done(&dispatch);
+            queue.release(&dispatch);
             assert!(work[0].abs_diff(work[1]) <= config.quantum.0 + 900, "{work:?}");
         }
     }
@@ -139,11 +139,11 @@
     }
     let mut low = 0;
     for _ in 0..500 {
-        let before = queue.ahead(&customer(9), 1, 0, Tokens(u64::from(u32::MAX)));
+        let before = queue.work_ahead(&customer(9), 1, 0, Tokens(u64::from(u32::MAX)));
         let dispatch = queue.next(Moment::ZERO, SLOTS).expect("both wait");
-        let after = queue.ahead(&customer(9), 1, 0, Tokens(u64::from(u32::MAX)));
+        let after = queue.work_ahead(&customer(9), 1, 0, Tokens(u64::from(u32::MAX)));
         low += u32::from(before == after);
-        queue.done(&dispatch);
+        queue.release(&dispatch);
     }
     assert!(
         (45..=55).contains(&low),
@@ -158,7 +158,7 @@
     let config = Config::default();
     let mut queue = Queue::new(config);
     for _ in 0..50 {
-        queue.enqueue(job(0, 0, config.long.0, NEVER));
+        queue.enqueue(job(0, 0, config.long_threshold.0, NEVER));
     }
     let mut running = Vec::new();
     while let Some(dispatch) = queue.next(Moment::ZERO, SLOTS) {
@@ -171,7 +171,7 @@
         .next(Moment::ZERO, SLOTS)
         .expect("the short one passes");
     assert!(!short.long);
-    queue.done(&running[0]);
+    queue.release(&running[0]);
     assert!(
         queue
             .next(Moment::ZERO, SLOTS)
@@ -188,7 +188,7 @@
     for _ in 0..1_000 {
         queue.enqueue(job(0, 0, 100, NEVER));
     }
-    let ahead = queue.ahead(&customer(1), 1, 0, Tokens(100));
+    let ahead = queue.work_ahead(&customer(1), 1, 0, Tokens(100));
     assert_eq!(ahead, config.quantum);
     let ticket = queue.enqueue(job(1, 0, 100, NEVER));
     let turns = std::iter::from_fn(|| queue.next(Moment::ZERO, SLOTS));
@@ -205,10 +205,10 @@
     let mut queue = Queue::new(Config::default());
     let late = queue.enqueue(job(0, 0, 100, Moment::from_millis(10)));
     let good = queue.enqueue(job(0, 0, 100, Moment::from_millis(500)));
-    assert_eq!(queue.expiry(), Some(Moment::from_millis(10)));
+    assert_eq!(queue.next_expiry(), Some(Moment::from_millis(10)));
     let now = Moment::from_millis(20);
     assert_eq!(queue.next(now, SLOTS).map(|next| next.ticket), Some(good));
     assert_eq!(queue.expire(now), vec![late]);
     assert!(queue.is_empty());
-    assert_eq!(queue.expiry(), None);
+    assert_eq!(queue.next_expiry(), None);
 }
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -146,7 +146,7 @@
         let station = self.station(version);
         let ahead = station
             .queue
-            .ahead(&job.customer, job.weight, job.priority, job.tokens);
+            .work_ahead(&job.customer, job.weight, job.priority, job.tokens);
         Some(admission::Demand {
             ahead,
             slots,
@@ -257,13 +257,13 @@
             .waiters
             .binary_search_by_key(&dispatch.ticket, |(t, _)| *t);
         let Ok(found) = found else {
-            station.queue.done(&dispatch);
+            station.queue.release(&dispatch);
             return true;
         };
         let (_, waiter) = station.waiters.remove(found);
         let Some(mut permit) = self.take(shared, &waiter.job, now) else {
             // No endpoint is open after all: the sender is dropped, which refuses the job.
-            self.stations[place].queue.done(&dispatch);
+            self.stations[place].queue.release(&dispatch);
             return true;
         };
         permit.dispatched(dispatch);
@@ -428,7 +428,7 @@
         self.health.record(&slot.endpoint, health, now);
         let station = self.station(slot.version.as_ref());
         if let Some(dispatch) = &slot.dispatch {
-            station.queue.done(dispatch);
+            station.queue.release(dispatch);
         }
         if let limit::Outcome::Served { tokens, took } = outcome {
             station.gate.served(tokens, took, now);
