--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -173,7 +173,7 @@
             prefix: None,
             prompt: None,
             tried: trace.tried.clone(),
-            returning: call.identity.returning,
+            previously_refused: call.identity.returning,
             repeatable: call.repeatable,
         },
         gone: &call.identity.gone,
@@ -253,7 +253,7 @@
     let failure = retry::Failure {
         repeatable: call.repeatable || fault.not_run(),
         attempts: trace.attempts,
-        run: pool.run(None, WORK),
+        run: pool.expected_run_time(None, WORK),
         deadline: call.identity.deadline,
     };
     if matches!(fault, Fault::Unreachable { .. }) {
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -139,7 +139,7 @@
             prefix: beginning.map(|m| xxhash_rust::xxh3::xxh3_64(m.content.as_bytes())),
             prompt: None,
             tried: ask.trace.tried.clone(),
-            returning: request.identity.returning,
+            previously_refused: request.identity.returning,
             repeatable: true,
         }
     }
@@ -184,7 +184,7 @@
         let failure = retry::Failure {
             repeatable: true,
             attempts: ask.trace.attempts,
-            run: pool.run(Some(ask.version), self.tokens(ask)),
+            run: pool.expected_run_time(Some(ask.version), self.tokens(ask)),
             deadline: request.identity.deadline,
         };
         if ask.paid.swap(false, Ordering::Relaxed) {
@@ -302,7 +302,7 @@
         node.unbarred(ask.request.digest).ok()?;
         let mut job = self.job(ask);
         job.tried.push(first.clone());
-        let permit = node.scheduler.pool(ask.pool).take(&job)?;
+        let permit = node.scheduler.pool(ask.pool).try_acquire(&job)?;
         let customer = &ask.request.customer;
         let paid =
             permit.endpoint() != first && node.retries.hedge(customer, ask.pool, node.clock.now());
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -151,7 +151,7 @@
             let untried = course.tried.binary_search(&version.id).is_err();
             Candidate {
                 cost: version.price.of(input, output),
-                run: pool.run(Some(&version.id), input + output),
+                run: pool.expected_run_time(Some(&version.id), input + output),
                 mean,
                 lower,
                 usable: untried && mean > course.short && pool.holds(Some(&version.id)),
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -149,7 +149,7 @@
         Pool {
             name,
             waiting: depth.waiting,
-            flying: depth.flying,
+            flying: depth.in_flight,
             slots: depth.slots,
             usable: depth.usable,
             ejected: depth.ejected,
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -140,11 +140,11 @@
 impl From<Refused> for Refusal {
     fn from(refused: Refused) -> Self {
         let (code, after) = match refused {
-            Refused::Nobody { after } => (Code::NoEndpoint, Some(after)),
-            Refused::Overloaded { after } | Refused::Late { after } => {
+            Refused::NoEndpoint { after } => (Code::NoEndpoint, Some(after)),
+            Refused::Overloaded { after } | Refused::Expired { after } => {
                 (Code::Overloaded, Some(after))
             }
-            Refused::Gone => (Code::Gone, None),
+            Refused::CallerGone => (Code::Gone, None),
         };
         let refusal = Self::not_run(code, refused.to_string());
         Self { after, ..refusal }
--- a/crates/entry/src/registry/poll.rs
+++ b/crates/entry/src/registry/poll.rs
@@ -205,7 +205,7 @@
             versions,
             report,
             memory: None,
-            life: endpoint.incarnation(),
+            incarnation: endpoint.incarnation(),
         }
     }
 
--- a/crates/entry/tests/all/scheduler.rs
+++ b/crates/entry/tests/all/scheduler.rs
@@ -30,7 +30,7 @@
         versions: Some(vec![name(SMALL)]),
         report: None,
         memory: None,
-        life: 0,
+        incarnation: 0,
     }
 }
 
@@ -63,7 +63,7 @@
             prefix: None,
             prompt: None,
             tried: Vec::new(),
-            returning: false,
+            previously_refused: false,
             repeatable: true,
         }
     }
@@ -108,7 +108,7 @@
 async fn no_slot_is_lost_by_callers_that_go_away() {
     let bench = Bench::new(&["a"]);
     let permits = bench.fill().await;
-    let flying = bench.pool.depth().flying;
+    let flying = bench.pool.depth().in_flight;
     let waiting = bench.pool.acquire(bench.job(), &bench.token);
     let mut first = Box::pin(waiting);
     let mut second = Box::pin(bench.pool.acquire(bench.job(), &bench.token));
@@ -119,7 +119,7 @@
     // The second was given a slot and never looks at it.
     assert_eq!(bench.pool.depth().waiting, 0);
     drop(second);
-    assert_eq!(bench.pool.depth().flying, 0, "of {flying}");
+    assert_eq!(bench.pool.depth().in_flight, 0, "of {flying}");
 }
 
 #[tokio::test]
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -182,7 +182,7 @@
                 Ok(permit) => permit,
                 // Whoever could take it may have registered since the pool was last brought up to
                 // the list. Once is enough: nothing else runs between the two looks.
-                Err(Refused::Nobody { .. }) if !followed => {
+                Err(Refused::NoEndpoint { .. }) if !followed => {
                     followed = true;
                     pools::refresh(self.node);
                     continue;
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -59,7 +59,7 @@
             }
         };
         let pool = self.node.scheduler.pool(&self.request.pool);
-        if pool.named(endpoint, limit, self.state.began) {
+        if pool.record_limit(endpoint, limit, self.state.began) {
             let limit = limit.map(Limit::per_second);
             let endpoint = endpoint.as_str();
             log::info!(request, endpoint, limit; "attempt: The endpoint names another limit.");
@@ -177,7 +177,7 @@
             prefix: request.prefix(),
             prompt: variant.model.as_ref().and_then(|m| request.prompt(m)),
             tried: self.state.tried.clone(),
-            returning: false,
+            previously_refused: false,
             repeatable: request.grant.route.repeatable(),
         }
     }
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -123,13 +123,13 @@
             resume: variant.resume,
         };
         let estimate = attempts.estimate(&next)?;
-        (full, next_wait) = (estimate.full, estimate.next);
+        (full, next_wait) = (estimate.full_prefill, estimate.next_wait);
         candidates.push(Larger {
             model: key(larger),
             rank: confidence::rank(rank, models.len()),
             cost: cost(request, larger),
             wait: estimate.wait,
-            work: estimate.work,
+            work: estimate.prefill,
         });
     }
     let answer = Answer {
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -26,7 +26,7 @@
 use std::time::Duration;
 
 use pimento_policy::choice;
-use pimento_scheduler::limited;
+use pimento_scheduler::endpoint_limit;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
@@ -248,16 +248,17 @@
             .iter()
             .map(|(engine, millis)| (*engine, Duration::from_millis(u64::from(*millis))))
             .collect();
-        let limits: Vec<limited::Word> = message.limits.iter().filter_map(limit::read).collect();
+        let limits: Vec<endpoint_limit::Report> =
+            message.limits.iter().filter_map(limit::read).collect();
         for (_, pool) in self.node.scheduler.pools() {
             if near {
-                pool.hear(teller, &waits);
+                pool.merge_waits(teller, &waits);
                 for word in &limits {
-                    pool.hear_limit(*word);
+                    pool.merge_limit(*word);
                 }
             }
             for read in &message.reads {
-                pool.learn(read.engine, &read.prompt());
+                pool.merge_prefilled(read.engine, &read.prompt());
             }
         }
     }
@@ -303,7 +304,7 @@
         self.node.repeats.share_among(inner.peers.count() + 1);
         let sharers = inner.peers.sharers(&config.node, &config.zone, boot::now());
         drop(inner);
-        self.node.scheduler.share(&sharers);
+        self.node.scheduler.set_participants(&sharers);
         self.zone
             .keep(|node| peers.iter().any(|peer| peer.key == node));
         peers
--- a/crates/relay/src/neighbours/limit.rs
+++ b/crates/relay/src/neighbours/limit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pimento_policy::throttle::Limit;
-use pimento_scheduler::limited::Word;
+use pimento_scheduler::endpoint_limit::Report;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -19,7 +19,7 @@
 }
 
 /// A word as it is written.
-pub fn written(word: &Word) -> Told {
+pub fn written(word: &Report) -> Told {
     Told {
         endpoint: word.endpoint,
         limit: word.limit.map(Limit::per_second),
@@ -28,7 +28,7 @@
 }
 
 /// A word as it was read; none if its limit is none that an endpoint can name.
-pub fn read(told: &Told) -> Option<Word> {
+pub fn read(told: &Told) -> Option<Report> {
     let limit = match told.limit.map(Limit::try_from).transpose() {
         Ok(limit) => limit,
         Err(error) => {
@@ -36,7 +36,7 @@
             return None;
         }
     };
-    Some(Word {
+    Some(Report {
         endpoint: told.endpoint,
         limit,
         age: Duration::from_millis(u64::from(told.age_ms)),
--- a/crates/relay/src/neighbours/meet.rs
+++ b/crates/relay/src/neighbours/meet.rs
@@ -118,7 +118,7 @@
     }
 
     fn meet_one(&self, node: id::Node, word: Word) {
-        self.node.scheduler.seed(&word.paces);
+        self.node.scheduler.seed_prefill(&word.paces);
         if node != self.node.config.node {
             let now = boot::now();
             let peer = Peer::told_of(node, word.zone, word.address, now);
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pimento_policy::choice;
-use pimento_scheduler::Sharers;
+use pimento_scheduler::Participants;
 use pimento_units::Moment;
 use pimento_units::id;
 use serde::Deserialize;
@@ -145,7 +145,7 @@
     /// the others; one that hears nobody, though others are known, may be the one that is cut off, and
     /// takes nobody's. Other zones are heard too seldom to tell.
     #[must_use]
-    pub fn sharers(&self, own: &id::Node, zone: &id::Zone, now: Moment) -> Sharers {
+    pub fn sharers(&self, own: &id::Node, zone: &id::Zone, now: Moment) -> Participants {
         let near = |peer: &&Peer| peer.zone == *zone;
         let alone = !self.peers.iter().filter(near).any(|peer| peer.lives(now));
         let shares = |peer: &&Peer| {
@@ -159,7 +159,7 @@
                 None => zones.push((peer.zone.clone(), vec![peer.key])),
             }
         }
-        Sharers::new(choice::key(own.as_str()), zones)
+        Participants::new(choice::key(own.as_str()), zones)
     }
 
     /// The VMs of a zone.
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/tell.rs
@@ -136,14 +136,15 @@
         };
         let mut shared = Vec::new();
         for (_, pool) in self.node.scheduler.pools() {
-            let read = pool.read();
+            let read = pool.take_prefilled();
             news.reads.extend(read.iter().map(Read::new));
             shared.extend(read.iter().filter_map(Read::shared));
             let millis = |wait: Duration| u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
-            let waits = pool.waits().into_iter();
+            let waits = pool.engine_waits().into_iter();
             news.waits
                 .extend(waits.map(|(key, wait)| (key, millis(wait))));
-            news.limits.extend(pool.limits().iter().map(limit::written));
+            news.limits
+                .extend(pool.limit_reports().iter().map(limit::written));
         }
         let mut inner = self.lock();
         inner.far.extend(shared);
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -295,7 +295,10 @@
     /// How fast models read.
     fn paces(&self) -> Vec<(u64, f64)> {
         let pools = self.scheduler.pools();
-        pools.iter().flat_map(|(_, pool)| pool.paces()).collect()
+        pools
+            .iter()
+            .flat_map(|(_, pool)| pool.seconds_per_token())
+            .collect()
     }
 
     /// Looks at or changes the roll-outs. `act` runs under a lock and must be short.
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -193,10 +193,10 @@
 impl From<Refused> for Refusal {
     fn from(refused: Refused) -> Self {
         match refused {
-            Refused::Nobody { after } => Self::new(Cause::NoEndpoint).after(after),
+            Refused::NoEndpoint { after } => Self::new(Cause::NoEndpoint).after(after),
             Refused::Overloaded { after } => Self::new(Cause::Overloaded).after(after),
-            Refused::Late { after } => Self::new(Cause::Expired).after(after),
-            Refused::Gone => Self::new(Cause::Expired),
+            Refused::Expired { after } => Self::new(Cause::Expired).after(after),
+            Refused::CallerGone => Self::new(Cause::Expired),
         }
     }
 }
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -409,7 +409,7 @@
 impl<P: Border + Codec, L: Log> Node<P, L> {
     /// Whether no request of this VM is at an endpoint of another version than `target`.
     fn left(&self, pool: &id::Pool, target: &id::Version) -> bool {
-        self.scheduler.pool(pool).flying_beside(target) == 0
+        self.scheduler.pool(pool).in_flight_without(target) == 0
     }
 
     fn announcements(&self, now: Moment) -> Vec<Announcement> {
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -225,7 +225,7 @@
     let mut source = Source::new(permit, body, &request.grant.route);
     match source.first(left).await {
         Ok(Step::Event(event)) => {
-            source.permit.begun();
+            source.permit.first_token();
             attempts.judged(&source.permit, false);
             Ok(Some(Begun::Stream(Box::new(First {
                 head,
@@ -405,7 +405,7 @@
                     };
                     step = source.first(self.request.left(self.node.now())).await;
                     if matches!(step, Ok(Step::Event(_))) {
-                        source.permit.begun();
+                        source.permit.first_token();
                     }
                 }
             }
--- a/crates/relay/tests/all/peers.rs
+++ b/crates/relay/tests/all/peers.rs
@@ -11,7 +11,7 @@
 use pimento_relay::neighbours::peers::Role;
 use pimento_relay::neighbours::peers::Standing;
 use pimento_relay::neighbours::tell::period;
-use pimento_scheduler::Sharers;
+use pimento_scheduler::Participants;
 use pimento_units::Moment;
 use pimento_units::id;
 
@@ -138,13 +138,13 @@
     assert_eq!(period(2), period(1) * 2);
 }
 
-fn sharers(peers: &Peers, own: &str, at: Moment) -> Sharers {
+fn sharers(peers: &Peers, own: &str, at: Moment) -> Participants {
     peers.sharers(&node(own), &zone(), at)
 }
 
-fn of(names: &[&str]) -> Sharers {
+fn of(names: &[&str]) -> Participants {
     let keys = names.iter().map(|name| choice::key(name));
-    Sharers::new(choice::key("b"), vec![(zone(), keys.collect())])
+    Participants::new(choice::key("b"), vec![(zone(), keys.collect())])
 }
 
 /// Guards against a VM that hears nobody and takes what endpoints take for itself, and against one that
--- a/crates/scheduler/src/limited.rs
+++ b/crates/scheduler/src/endpoint_limit.rs
@@ -7,16 +7,16 @@
 use pimento_units::Moment;
 
 /// For how long other VMs are told that a limit has ended.
-const TOLD: Duration = Duration::from_secs(3);
+const REMOVAL_REPORT_PERIOD: Duration = Duration::from_secs(3);
 
-/// What is said of an endpoint's limit.
+/// What is observation of an endpoint's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Word {
+pub struct Report {
     /// Hash of the endpoint's name.
     pub endpoint: u64,
     /// Its limit; none if it has one no more.
     pub limit: Option<Limit>,
-    /// How long ago it said so.
+    /// How long ago it observation so.
     pub age: Duration,
 }
 
@@ -24,62 +24,65 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
     /// The endpoint told this VM.
-    Own,
+    Local,
     /// Another VM did.
-    Heard,
+    Peer,
 }
 
-/// What an endpoint said.
+/// What an endpoint observation.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Said {
+pub(crate) struct Observation {
     /// Its limit; none if it has none.
     pub limit: Option<Limit>,
     /// Who knows it from whom.
     pub source: Source,
-    /// When it said so.
-    pub at: Moment,
+    /// When it observation so.
+    pub observed: Moment,
 }
 
 /// What is known of one endpoint's limit.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Limited {
-    said: Said,
+pub(crate) struct EndpointLimit {
+    observation: Observation,
     /// What this VM may send, while there is a limit.
     throttle: Option<Throttle>,
 }
 
-impl Limited {
-    /// What follows from what an endpoint said: `part` is this VM's part of a limit, and `before` what it
+impl EndpointLimit {
+    /// What follows from what an endpoint observation: `part` is this VM's part of a limit, and `before` what it
     /// could send by the limit until now.
     pub fn new(
-        said: Said,
+        observation: Observation,
         before: Option<Throttle>,
         share: impl Fn(Limit) -> f64,
         now: Moment,
     ) -> Self {
-        let throttle = said.limit.map(|limit| {
+        let throttle = observation.limit.map(|limit| {
             let mut throttle = before.unwrap_or(Throttle::new(0.0, now));
             throttle.set_rate(share(limit), now);
             throttle
         });
-        Self { said, throttle }
+        Self {
+            observation,
+            throttle,
+        }
     }
 
-    /// When the endpoint said what is known.
-    pub const fn at(&self) -> Moment {
-        self.said.at
+    /// When the endpoint observation what is known.
+    pub const fn observed(&self) -> Moment {
+        self.observation.observed
     }
 
     /// Other VMs share the limit from now on.
-    pub fn share(&mut self, share: impl Fn(Limit) -> f64, now: Moment) {
-        if let Some((limit, throttle)) = self.said.limit.zip(self.throttle.as_mut()) {
+    pub fn set_share(&mut self, share: impl Fn(Limit) -> f64, now: Moment) {
+        if let Some((limit, throttle)) = self.observation.limit.zip(self.throttle.as_mut()) {
             throttle.set_rate(share(limit), now);
         }
     }
 
     /// The limit, if there is one.
     pub const fn limit(&self) -> Option<Limit> {
-        self.said.limit
+        self.observation.limit
     }
 
     /// What may be sent; none if there is no limit.
@@ -88,18 +91,22 @@
     }
 
     /// A request is sent.
-    pub fn take(&mut self, now: Moment) {
+    pub fn consume(&mut self, now: Moment) {
         if let Some(throttle) = &mut self.throttle {
             throttle.consume(now);
         }
     }
 
     /// What other VMs are to be told; none if they know it from elsewhere, or by now.
-    pub fn word(&self, endpoint: u64, now: Moment) -> Option<Word> {
-        let Said { limit, source, at } = self.said;
-        let age = now.since(at);
-        let fresh = limit.is_some() || age < TOLD;
-        (source == Source::Own && fresh).then_some(Word {
+    pub fn report(&self, endpoint: u64, now: Moment) -> Option<Report> {
+        let Observation {
+            limit,
+            source,
+            observed,
+        } = self.observation;
+        let age = now.since(observed);
+        let fresh = limit.is_some() || age < REMOVAL_REPORT_PERIOD;
+        (source == Source::Local && fresh).then_some(Report {
             endpoint,
             limit,
             age,
--- a/crates/scheduler/src/inner/placing.rs
+++ b/crates/scheduler/src/inner/placement.rs
@@ -9,14 +9,14 @@
 use pimento_units::Tokens;
 
 use super::Inner;
+use crate::endpoint_state::EndpointState;
 use crate::permit::Slot;
 use crate::pool::Estimate;
 use crate::pool::Job;
-use crate::seat::Seat;
 
 /// Prompts that are kept to be told to other VMs. They are told several times a second; a VM that
 /// tells nobody keeps no more than these.
-const TOLD: usize = 128;
+const MAX_PREFILLED: usize = 128;
 
 /// Where a prompt goes.
 #[derive(Debug)]
@@ -24,30 +24,36 @@
     /// The engine's place.
     pub chosen: usize,
     /// What the prompt would meet at each engine.
-    engines: Vec<engine::Candidate>,
+    candidates: Vec<engine::Candidate>,
 }
 
 impl Placement {
     /// What the prompt meets where it goes.
     pub fn candidate(&self) -> engine::Candidate {
-        self.engines[self.chosen]
+        self.candidates[self.chosen]
     }
 }
 
 impl Inner {
     /// The engine for a prompt.
-    pub(super) fn place(&self, prompt: &Prompt, job: &Job, now: Moment) -> Option<Placement> {
+    pub(super) fn place_prompt(
+        &self,
+        prompt: &Prompt,
+        job: &Job,
+        now: Moment,
+    ) -> Option<Placement> {
         let prefix = job.prefix.unwrap_or(prompt.model);
-        let engines = self.engines(prompt, job, now);
-        let mut untried = engines.clone();
+        let candidates = self.engine_candidates(prompt, job, now);
+        let mut untried = candidates.clone();
         for (place, candidate) in untried.iter_mut().enumerate() {
             candidate.usable &= self.untried(place, job);
         }
-        let choose = |engines: &[engine::Candidate]| engine::choose(engines, prefix, &self.placing);
+        let choose =
+            |engines: &[engine::Candidate]| engine::choose(engines, prefix, &self.engine_choice);
         let ejected = || {
-            let mut ejected = engines.clone();
+            let mut ejected = candidates.clone();
             for (place, candidate) in ejected.iter_mut().enumerate() {
-                candidate.usable = self.spare(place, job, now);
+                candidate.usable = self.is_fallback(place, job, now);
             }
             choose(&ejected)
         };
@@ -55,14 +61,14 @@
             .probe(job, now, |place| untried[place].usable)
             .or_else(|| choose(&untried))
             .or_else(ejected)
-            .or_else(|| choose(&engines))?;
-        Some(Placement { chosen, engines })
+            .or_else(|| choose(&candidates))?;
+        Some(Placement { chosen, candidates })
     }
 
-    fn engines(&self, prompt: &Prompt, job: &Job, now: Moment) -> Vec<engine::Candidate> {
+    fn engine_candidates(&self, prompt: &Prompt, job: &Job, now: Moment) -> Vec<engine::Candidate> {
         let total = prompt.tokens();
-        let candidate = |seat: &Seat| {
-            let engine = seat.engine.as_ref();
+        let candidate = |state: &EndpointState| {
+            let engine = state.engine.as_ref();
             let prefill_tokens =
                 engine.map_or(Tokens::ZERO, |engine| engine.prefill_tokens(prompt));
             let prefill_time = self
@@ -70,29 +76,29 @@
                 .prefill_time(prompt.model, prefill_tokens, total);
             let wait = engine.map_or(Duration::ZERO, |engine| engine.wait(now));
             engine::Candidate {
-                key: seat.key,
-                usable: self.free(seat, job, now),
-                remote: !seat.member.distance.is_zero(),
+                key: state.key,
+                usable: self.is_free(state, job, now),
+                remote: !state.member.distance.is_zero(),
                 wait,
                 prefill_time,
             }
         };
-        self.seats.iter().map(candidate).collect()
+        self.endpoints.iter().map(candidate).collect()
     }
 
     /// Whether a call may be sent to an endpoint now.
-    fn free(&self, seat: &Seat, job: &Job, now: Moment) -> bool {
-        seat.takes(job, now)
-            && seat.limiter.free() > 0
-            && self.health.state(&seat.member.endpoint, now) != eject::State::Out
+    fn is_free(&self, state: &EndpointState, job: &Job, now: Moment) -> bool {
+        state.accepts(job, now)
+            && state.limiter.free() > 0
+            && self.health.state(&state.member.endpoint, now) != eject::State::Out
     }
 
     /// What a job with a prompt would meet.
     pub fn estimate(&self, job: &Job, now: Moment) -> Option<Estimate> {
         let prompt = job.prompt.as_ref()?;
-        let placement = self.place(prompt, job, now)?;
+        let placement = self.place_prompt(prompt, job, now)?;
         let placed = placement.candidate();
-        let engines = placement.engines.iter().enumerate();
+        let engines = placement.candidates.iter().enumerate();
         let near = engines.filter(|(_, e)| e.usable && !e.remote);
         let wait = |(place, e): (usize, &engine::Candidate)| {
             if place == placement.chosen {
@@ -105,25 +111,25 @@
         waits.sort_unstable();
         let half = waits.len().div_ceil(2);
         let sum: Duration = waits.iter().take(half).sum();
-        let next = sum / u32::try_from(half.max(1)).unwrap_or(u32::MAX);
+        let next_wait = sum / u32::try_from(half.max(1)).unwrap_or(u32::MAX);
         Some(Estimate {
             wait: placed.wait,
-            work: placed.prefill_time,
-            full: self
+            prefill: placed.prefill_time,
+            full_prefill: self
                 .prefill
                 .prefill_time(prompt.model, prompt.tokens(), prompt.tokens()),
-            next,
+            next_wait,
         })
     }
 
-    pub fn read(&mut self) -> Vec<(u64, Prompt)> {
-        std::mem::take(&mut self.read)
+    pub fn take_prefilled(&mut self) -> Vec<(u64, Prompt)> {
+        std::mem::take(&mut self.prefilled)
     }
 
-    pub fn waits(&self, now: Moment) -> Vec<(u64, Duration)> {
-        let engines = self.seats.iter();
+    pub fn engine_waits(&self, now: Moment) -> Vec<(u64, Duration)> {
+        let engines = self.endpoints.iter();
         let waits =
-            engines.filter_map(|seat| Some((seat.key, seat.engine.as_ref()?.own_wait(now))));
+            engines.filter_map(|state| Some((state.key, state.engine.as_ref()?.own_wait(now))));
         waits.filter(|(_, wait)| !wait.is_zero()).collect()
     }
 
@@ -131,55 +137,57 @@
         &self.prefill
     }
 
-    pub fn seed(&mut self, paces: &[(u64, f64)]) {
-        self.prefill.seed(paces.iter().copied());
+    pub fn seed_prefill(&mut self, seconds_per_token: &[(u64, f64)]) {
+        self.prefill.seed(seconds_per_token.iter().copied());
     }
 
     /// Another VM says how long engines take for its calls; all that it does not name take none. Of
     /// thousands of engines it names a few, so that only these and those it named before are looked at.
-    pub fn hear(&mut self, node: u64, waits: &[(u64, Duration)], now: Moment) {
+    pub fn merge_waits(&mut self, node: u64, waits: &[(u64, Duration)], now: Moment) {
         let named: Vec<u64> = waits.iter().map(|(key, _)| *key).collect();
-        let known = self.named.binary_search_by_key(&node, |(node, _)| *node);
-        let before = known.map_or_else(|_| Vec::new(), |place| self.named.remove(place).1);
+        let known = self
+            .peer_engines
+            .binary_search_by_key(&node, |(node, _)| *node);
+        let before = known.map_or_else(|_| Vec::new(), |place| self.peer_engines.remove(place).1);
         let dropped = before.iter().filter(|key| !named.contains(key));
         let dropped = dropped.map(|key| (*key, Duration::ZERO));
         for (key, wait) in waits.iter().copied().chain(dropped) {
-            let seat = self.seats.iter_mut().find(|seat| seat.key == key);
-            if let Some(engine) = seat.and_then(|seat| seat.engine.as_mut()) {
+            let state = self.endpoints.iter_mut().find(|state| state.key == key);
+            if let Some(engine) = state.and_then(|state| state.engine.as_mut()) {
                 engine.record_peer_wait(node, wait, now);
             }
         }
         if !named.is_empty() {
             let (Ok(place) | Err(place)) = known;
-            self.named.insert(place, (node, named));
+            self.peer_engines.insert(place, (node, named));
         }
     }
 
-    pub fn learn(&mut self, key: u64, prompt: &Prompt, now: Moment) {
-        let Some(seat) = self.seats.iter_mut().find(|seat| seat.key == key) else {
+    pub fn merge_prefilled(&mut self, key: u64, prompt: &Prompt, now: Moment) {
+        let Some(state) = self.endpoints.iter_mut().find(|state| state.key == key) else {
             return;
         };
-        let Some(engine) = seat.engine.as_mut() else {
+        let Some(engine) = state.engine.as_mut() else {
             return;
         };
         engine.record_cached(prompt, now);
     }
 
     /// The first token of a call has come.
-    pub fn begun(&mut self, slot: &Slot, now: Moment) {
+    pub fn first_token(&mut self, slot: &Slot, now: Moment) {
         let Some(call) = slot.call else { return };
-        let Some(place) = self.place_of(&slot.endpoint) else {
+        let Some(place) = self.index_of(&slot.endpoint) else {
             return;
         };
-        let seat = &mut self.seats[place];
-        let Some(engine) = seat.engine.as_mut() else {
+        let state = &mut self.endpoints[place];
+        let Some(engine) = state.engine.as_mut() else {
             return;
         };
         engine.record_first_token(call, &mut self.prefill, now);
         if let Some(prompt) = &slot.prompt
-            && self.read.len() < TOLD
+            && self.prefilled.len() < MAX_PREFILLED
         {
-            self.read.push((seat.key, prompt.clone()));
+            self.prefilled.push((state.key, prompt.clone()));
         }
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -6,15 +6,17 @@
 //! over an await. The filter chain and the relay share it.
 
 pub mod clock;
+pub mod endpoint_limit;
+mod endpoint_state;
 mod inner;
-pub mod limited;
+pub mod participants;
 pub mod permit;
 mod pool;
 pub mod refused;
-mod seat;
-pub mod sharers;
 
 pub use clock::Clock;
+pub use endpoint_state::Member;
+pub use participants::Participants;
 pub use permit::Permit;
 pub use pool::Depth;
 pub use pool::Estimate;
@@ -22,5 +24,3 @@
 pub use pool::Pool;
 pub use pool::Scheduler;
 pub use refused::Refused;
-pub use seat::Member;
-pub use sharers::Sharers;
--- a/crates/scheduler/src/sharers.rs
+++ b/crates/scheduler/src/participants.rs
@@ -8,14 +8,14 @@
 /// The VMs of all zones, each by a hash of its name. An endpoint with a limit is shared by the VMs of its
 /// own zone: they send it most of what it gets, and hear of each other within a second.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Sharers {
+pub struct Participants {
     /// This VM.
     own: u64,
     /// Sorted by zone; the VMs of each, sorted.
     zones: Vec<(id::Zone, Vec<u64>)>,
 }
 
-impl Sharers {
+impl Participants {
     /// This VM, and the VMs of each zone, this one among them. Zones without VMs are left out.
     #[must_use]
     pub fn new(own: u64, mut zones: Vec<(id::Zone, Vec<u64>)>) -> Self {
@@ -38,7 +38,7 @@
     }
 
     /// This VM's part of an endpoint's limit, in requests a second.
-    pub(crate) fn part(&self, limit: Limit, zone: &id::Zone, endpoint: u64) -> f64 {
+    pub(crate) fn share(&self, limit: Limit, zone: &id::Zone, endpoint: u64) -> f64 {
         throttle::share(limit, endpoint, self.own, self.of(zone, endpoint))
     }
 }
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -30,13 +30,13 @@
     pub prompt: Option<engine::Prompt>,
 }
 
-/// The right to make one call at one endpoint. Dropped without a word, it says nothing about the
+/// The right to make one call at one endpoint. Dropped without a report, it says nothing about the
 /// endpoint's health.
 #[derive(Debug)]
 pub struct Permit {
     shared: Arc<Shared>,
     slot: Slot,
-    ended: bool,
+    released: bool,
 }
 
 impl Permit {
@@ -44,17 +44,17 @@
         Self {
             shared,
             slot,
-            ended: false,
+            released: false,
         }
     }
 
     /// Takes the slot out without giving it back, for a holder of the pool's lock.
-    pub(crate) fn defuse(mut self) -> Slot {
-        self.ended = true;
+    pub(crate) fn into_slot(mut self) -> Slot {
+        self.released = true;
         self.slot.clone()
     }
 
-    pub(crate) const fn dispatched(&mut self, dispatch: queue::Dispatch) {
+    pub(crate) const fn set_dispatch(&mut self, dispatch: queue::Dispatch) {
         self.slot.dispatch = Some(dispatch);
     }
 
@@ -83,11 +83,11 @@
     }
 
     /// The first token has come: the prompt is read.
-    pub fn begun(&mut self) {
+    pub fn first_token(&mut self) {
         let now = self.shared.clock.now();
         let mut inner = self.shared.lock();
-        inner.begun(&self.slot, now);
-        inner.pump(&self.shared, now);
+        inner.first_token(&self.slot, now);
+        inner.dispatch_waiting(&self.shared, now);
     }
 
     /// Gives the slot back after a whole answer of `tokens`, prompt included.
@@ -103,7 +103,7 @@
         } else {
             eject::Outcome::Served { pace }
         };
-        self.end(outcome, health, now);
+        self.release(outcome, health, now);
     }
 
     /// Gives the slot back after a fault.
@@ -120,36 +120,36 @@
         };
         // Closed before its slot is given back, or the next job would be sent there at once.
         if let Fault::Refused { after, .. } = fault {
-            self.close(after.unwrap_or_default(), now);
+            self.back_off(after.unwrap_or_default(), now);
         }
-        self.end(limit, health, now);
+        self.release(limit, health, now);
     }
 
     /// Leaves an endpoint that is full alone for a while, and then looks for waiting work again.
-    fn close(&self, after: Duration, now: Moment) {
+    fn back_off(&self, after: Duration, now: Moment) {
         let endpoint = &self.slot.endpoint;
-        let span = self.shared.lock().close(endpoint, after, now);
+        let span = self.shared.lock().back_off(endpoint, after, now);
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
             tokio::time::sleep(span).await;
             let now = shared.clock.now();
-            shared.lock().pump(&shared, now);
+            shared.lock().dispatch_waiting(&shared, now);
         });
     }
 
-    fn end(&mut self, limit: limit::Outcome, health: eject::Outcome, now: Moment) {
-        self.ended = true;
+    fn release(&mut self, limit: limit::Outcome, health: eject::Outcome, now: Moment) {
+        self.released = true;
         let mut inner = self.shared.lock();
         inner.release(&self.slot, limit, health, now);
-        inner.pump(&self.shared, now);
+        inner.dispatch_waiting(&self.shared, now);
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.released {
             let now = self.shared.clock.now();
-            self.end(limit::Outcome::Unknown, eject::Outcome::Unknown, now);
+            self.release(limit::Outcome::Unknown, eject::Outcome::Unknown, now);
         }
     }
 }
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -18,12 +18,12 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::clock::Clock;
+use crate::endpoint_limit;
+use crate::endpoint_state::Member;
 use crate::inner::Inner;
-use crate::limited;
+use crate::participants::Participants;
 use crate::permit::Permit;
 use crate::refused::Refused;
-use crate::seat::Member;
-use crate::sharers::Sharers;
 
 /// Work that wants a slot.
 #[derive(Debug, Clone)]
@@ -47,14 +47,14 @@
     /// Endpoints that failed this request already.
     pub tried: Vec<id::Endpoint>,
     /// Whether the caller comes back with a request that was refused before.
-    pub returning: bool,
+    pub previously_refused: bool,
     /// Whether the call may be sent twice.
     pub repeatable: bool,
 }
 
 /// What a job waits on.
 #[derive(Debug)]
-pub(crate) struct Waiter {
+pub(crate) struct PendingJob {
     pub(crate) job: Job,
     pub(crate) slot: oneshot::Sender<Permit>,
 }
@@ -94,7 +94,7 @@
         let now = self.shared.clock.now();
         let mut inner = self.shared.lock();
         inner.update(members);
-        inner.pump(&self.shared, now);
+        inner.dispatch_waiting(&self.shared, now);
     }
 
     /// Waits for a slot.
@@ -106,8 +106,8 @@
         let (slot, granted) = oneshot::channel();
         let version = job.version.clone();
         let asked = job.clone();
-        let (ticket, start_by) = self.enqueue(Waiter { job, slot })?;
-        let _wait = Waiting {
+        let (ticket, start_by) = self.enqueue(PendingJob { job, slot })?;
+        let _wait = CancelOnDrop {
             pool: self,
             version: &version,
             ticket,
@@ -118,44 +118,44 @@
             biased;
             slot = granted => match slot {
                 Ok(permit) => Ok(permit),
-                Err(_) => Err(nobody()),
+                Err(_) => Err(no_endpoint()),
             },
-            () = cancel.cancelled() => Err(Refused::Gone),
-            () = tokio::time::sleep_until(deadline) => Err(self.late(&asked)),
+            () = cancel.cancelled() => Err(Refused::CallerGone),
+            () = tokio::time::sleep_until(deadline) => Err(self.expired(&asked)),
         }
     }
 
-    fn enqueue(&self, waiter: Waiter) -> Result<(queue::Ticket, Moment), Refused> {
+    fn enqueue(&self, pending: PendingJob) -> Result<(queue::Ticket, Moment), Refused> {
         let now = self.shared.clock.now();
         let mut inner = self.shared.lock();
-        let demand = inner.demand(&waiter.job, now).ok_or_else(nobody)?;
-        if let Some(after) = inner.hopeless(&waiter.job, now) {
+        let demand = inner.demand(&pending.job, now).ok_or_else(no_endpoint)?;
+        if let Some(after) = inner.unavailable_for(&pending.job, now) {
             return Err(Refused::Overloaded { after });
         }
-        if let Some(after) = inner.throttled(&waiter.job, now) {
+        if let Some(after) = inner.throttled_for(&pending.job, now) {
             return Err(Refused::Overloaded { after });
         }
-        let verdict = inner.decide(&waiter.job, demand, now, rand::random());
+        let verdict = inner.decide(&pending.job, demand, now, rand::random());
         let start_by = match verdict {
             admission::Verdict::Admit { start_by } => start_by,
             admission::Verdict::Refuse { after } => return Err(Refused::Overloaded { after }),
         };
-        let ticket = inner.enqueue(waiter, start_by);
-        inner.pump(&self.shared, now);
+        let ticket = inner.enqueue(pending, start_by);
+        inner.dispatch_waiting(&self.shared, now);
         Ok((ticket, start_by))
     }
 
     /// A slot at once, without queueing, for a hedge; none if none is free.
     #[must_use]
-    pub fn take(&self, job: &Job) -> Option<Permit> {
+    pub fn try_acquire(&self, job: &Job) -> Option<Permit> {
         let now = self.shared.clock.now();
-        self.shared.lock().take(&self.shared, job, now)
+        self.shared.lock().try_acquire(&self.shared, job, now)
     }
 
-    fn late(&self, job: &Job) -> Refused {
+    fn expired(&self, job: &Job) -> Refused {
         let now = self.shared.clock.now();
-        let after = self.shared.lock().again(job, now, rand::random());
-        Refused::Late { after }
+        let after = self.shared.lock().retry_after(job, now, rand::random());
+        Refused::Expired { after }
     }
 
     /// What a job with a prompt would meet at the endpoint that it would get; none if there is none,
@@ -168,8 +168,8 @@
 
     /// How long work of `tokens` is expected to run on a version.
     #[must_use]
-    pub fn run(&self, version: Option<&id::Version>, tokens: Tokens) -> Duration {
-        self.shared.lock().run(version, tokens)
+    pub fn expected_run_time(&self, version: Option<&id::Version>, tokens: Tokens) -> Duration {
+        self.shared.lock().expected_run_time(version, tokens)
     }
 
     /// Whether any usable endpoint holds the version.
@@ -180,64 +180,69 @@
 
     /// Prompts that engines read since the last call, each with the key of its engine, for other VMs.
     #[must_use]
-    pub fn read(&self) -> Vec<(u64, Prompt)> {
-        self.shared.lock().read()
+    pub fn take_prefilled(&self) -> Vec<(u64, Prompt)> {
+        self.shared.lock().take_prefilled()
     }
 
     /// How long each engine takes for this VM's prompts, for other VMs; only those that take time.
     #[must_use]
-    pub fn waits(&self) -> Vec<(u64, Duration)> {
+    pub fn engine_waits(&self) -> Vec<(u64, Duration)> {
         let now = self.shared.clock.now();
-        self.shared.lock().waits(now)
+        self.shared.lock().engine_waits(now)
     }
 
     /// Another VM says how long engines take for its prompts.
-    pub fn hear(&self, node: u64, waits: &[(u64, Duration)]) {
+    pub fn merge_waits(&self, node: u64, waits: &[(u64, Duration)]) {
         let now = self.shared.clock.now();
-        self.shared.lock().hear(node, waits, now);
+        self.shared.lock().merge_waits(node, waits, now);
     }
 
     /// An engine read another VM's prompt and keeps its parts from now on.
-    pub fn learn(&self, engine: u64, prompt: &Prompt) {
+    pub fn merge_prefilled(&self, engine: u64, prompt: &Prompt) {
         let now = self.shared.clock.now();
-        self.shared.lock().learn(engine, prompt, now);
+        self.shared.lock().merge_prefilled(engine, prompt, now);
     }
 
     /// An endpoint named a limit, or none, in its answer to a call that was sent at `asked`. Whether that
     /// is news.
     #[must_use]
-    pub fn named(&self, endpoint: &id::Endpoint, limit: Option<Limit>, asked: Moment) -> bool {
+    pub fn record_limit(
+        &self,
+        endpoint: &id::Endpoint,
+        limit: Option<Limit>,
+        asked: Moment,
+    ) -> bool {
         let now = self.shared.clock.now();
-        self.shared.lock().named(endpoint, limit, asked, now)
+        self.shared.lock().record_limit(endpoint, limit, asked, now)
     }
 
     /// What other VMs are to be told of limits.
     #[must_use]
-    pub fn limits(&self) -> Vec<limited::Word> {
+    pub fn limit_reports(&self) -> Vec<endpoint_limit::Report> {
         let now = self.shared.clock.now();
-        self.shared.lock().limits(now)
+        self.shared.lock().limit_reports(now)
     }
 
     /// Another VM says what an endpoint named.
-    pub fn hear_limit(&self, word: limited::Word) {
+    pub fn merge_limit(&self, report: endpoint_limit::Report) {
         let now = self.shared.clock.now();
-        self.shared.lock().hear_limit(word, now);
+        self.shared.lock().merge_limit(report, now);
     }
 
     /// How fast models read, in seconds for a token by the models' hashes; none before enough is
     /// known to be told to others.
     #[must_use]
-    pub fn paces(&self) -> Vec<(u64, f64)> {
+    pub fn seconds_per_token(&self) -> Vec<(u64, f64)> {
         self.shared.lock().prefill().reportable().to_vec()
     }
 
     /// Calls in flight at endpoints that don't hold `version`.
     #[must_use]
-    pub fn flying_beside(&self, version: &id::Version) -> u32 {
-        self.shared.lock().flying_beside(version)
+    pub fn in_flight_without(&self, version: &id::Version) -> u32 {
+        self.shared.lock().in_flight_without(version)
     }
 
-    /// Waiting jobs, calls in flight, slots and ejected endpoints.
+    /// CancelOnDrop jobs, calls in flight, slots and ejected endpoints.
     #[must_use]
     pub fn depth(&self) -> Depth {
         self.shared.lock().depth()
@@ -250,12 +255,12 @@
     /// Wait for the prompts sent before.
     pub wait: Duration,
     /// Reading of what the engine does not keep.
-    pub work: Duration,
+    pub prefill: Duration,
     /// Reading of the whole prompt.
-    pub full: Duration,
+    pub full_prefill: Duration,
     /// What the next prompt would wait: the mean over the less busy half of the engines nearby, once
     /// this one is placed.
-    pub next: Duration,
+    pub next_wait: Duration,
 }
 
 /// Figures of a pool for metrics.
@@ -264,7 +269,7 @@
     /// Jobs that wait.
     pub waiting: usize,
     /// Calls in flight from this node.
-    pub flying: u32,
+    pub in_flight: u32,
     /// The sum of the limits.
     pub slots: u32,
     /// Endpoints ejected.
@@ -282,7 +287,7 @@
         let count = |count| u64::try_from(count).unwrap_or(u64::MAX);
         [
             ("waiting", count(self.waiting)),
-            ("flying", u64::from(self.flying)),
+            ("flying", u64::from(self.in_flight)),
             ("slots", u64::from(self.slots)),
             ("usable", count(self.usable)),
             ("ejected", count(self.ejected)),
@@ -293,23 +298,23 @@
 
 /// Takes the job out of the queue if its caller stops waiting for whatever reason, so that no slot
 /// is given to nobody.
-struct Waiting<'a> {
+struct CancelOnDrop<'a> {
     pool: &'a Pool,
     version: &'a Option<id::Version>,
     ticket: queue::Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         let shared = &self.pool.shared;
         shared.lock().cancel(self.version.as_ref(), self.ticket);
     }
 }
 
-const fn nobody() -> Refused {
+const fn no_endpoint() -> Refused {
     /// A list or load report later, an endpoint may be there.
-    const AGAIN: Duration = Duration::from_secs(2);
-    Refused::Nobody { after: AGAIN }
+    const RETRY_AFTER: Duration = Duration::from_secs(2);
+    Refused::NoEndpoint { after: RETRY_AFTER }
 }
 
 /// All pools of a node; clones share them.
@@ -319,9 +324,9 @@
     /// Sorted by pool.
     pools: Arc<RwLock<Vec<(id::Pool, Pool)>>>,
     /// How fast models read, as other VMs learnt, for pools to come.
-    paces: Arc<RwLock<Vec<(u64, f64)>>>,
+    seconds_per_token: Arc<RwLock<Vec<(u64, f64)>>>,
     /// The VMs that share what endpoints take.
-    sharers: Arc<RwLock<Sharers>>,
+    participants: Arc<RwLock<Participants>>,
 }
 
 impl Scheduler {
@@ -331,8 +336,8 @@
         Self {
             clock,
             pools: Arc::default(),
-            paces: Arc::default(),
-            sharers: Arc::default(),
+            seconds_per_token: Arc::default(),
+            participants: Arc::default(),
         }
     }
 
@@ -351,10 +356,18 @@
             Ok(place) => pools[place].1.clone(),
             Err(place) => {
                 let pool = Pool::new(self.clock);
-                let paces = self.paces.read().unwrap_or_else(PoisonError::into_inner);
-                pool.shared.lock().seed(&paces);
-                let sharers = self.sharers.read().unwrap_or_else(PoisonError::into_inner);
-                pool.shared.lock().share(sharers.clone(), self.clock.now());
+                let known = self
+                    .seconds_per_token
+                    .read()
+                    .unwrap_or_else(PoisonError::into_inner);
+                pool.shared.lock().seed_prefill(&known);
+                let participants = self
+                    .participants
+                    .read()
+                    .unwrap_or_else(PoisonError::into_inner);
+                pool.shared
+                    .lock()
+                    .set_participants(participants.clone(), self.clock.now());
                 pools.insert(place, (name.clone(), pool.clone()));
                 pool
             }
@@ -362,26 +375,34 @@
     }
 
     /// Takes what another VM learnt of how fast models read, for all pools.
-    pub fn seed(&self, paces: &[(u64, f64)]) {
+    pub fn seed_prefill(&self, seconds_per_token: &[(u64, f64)]) {
         for (_, pool) in self.pools() {
-            pool.shared.lock().seed(paces);
+            pool.shared.lock().seed_prefill(seconds_per_token);
         }
-        let mut known = self.paces.write().unwrap_or_else(PoisonError::into_inner);
-        known.extend_from_slice(paces);
+        let mut known = self
+            .seconds_per_token
+            .write()
+            .unwrap_or_else(PoisonError::into_inner);
+        known.extend_from_slice(seconds_per_token);
     }
 
     /// These VMs share what endpoints take from now on.
-    pub fn share(&self, sharers: &Sharers) {
+    pub fn set_participants(&self, participants: &Participants) {
         {
-            let mut known = self.sharers.write().unwrap_or_else(PoisonError::into_inner);
-            if *known == *sharers {
+            let mut known = self
+                .participants
+                .write()
+                .unwrap_or_else(PoisonError::into_inner);
+            if *known == *participants {
                 return;
             }
-            *known = sharers.clone();
+            *known = participants.clone();
         }
         let now = self.clock.now();
         for (_, pool) in self.pools() {
-            pool.shared.lock().share(sharers.clone(), now);
+            pool.shared
+                .lock()
+                .set_participants(participants.clone(), now);
         }
     }
 
--- a/crates/scheduler/src/refused.rs
+++ b/crates/scheduler/src/refused.rs
@@ -9,7 +9,7 @@
 pub enum Refused {
     /// No endpoint can take the job now.
     #[snafu(display("no endpoint can take the call now"))]
-    Nobody {
+    NoEndpoint {
         /// When one may be there.
         after: Duration,
     },
@@ -21,11 +21,11 @@
     },
     /// The job waited until its last chance had passed.
     #[snafu(display("the work could not start in time"))]
-    Late {
+    Expired {
         /// When what is ahead of it has drained.
         after: Duration,
     },
     /// Whoever asked stopped waiting.
     #[snafu(display("the caller went away"))]
-    Gone,
+    CallerGone,
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -22,6 +22,6 @@
         versions: None,
         report: Some((report, Moment::ZERO)),
         memory: None,
-        life: 1,
+        incarnation: 1,
     }
 }
--- a/crates/scheduler/tests/limited.rs
+++ b/crates/scheduler/tests/endpoint_limit.rs
@@ -9,11 +9,11 @@
 use pimento_scheduler::Clock;
 use pimento_scheduler::Job;
 use pimento_scheduler::Member;
+use pimento_scheduler::Participants;
 use pimento_scheduler::Pool;
 use pimento_scheduler::Refused;
 use pimento_scheduler::Scheduler;
-use pimento_scheduler::Sharers;
-use pimento_scheduler::limited::Word;
+use pimento_scheduler::endpoint_limit::Report;
 use pimento_units::Moment;
 use pimento_units::Tokens;
 use tokio_util::sync::CancellationToken;
@@ -24,8 +24,11 @@
 const OWN: u64 = 1;
 const OTHER: u64 = 2;
 
-fn desk(life: u64) -> Member {
-    Member { life, ..member(6) }
+fn desk(incarnation: u64) -> Member {
+    Member {
+        incarnation,
+        ..member(6)
+    }
 }
 
 fn call(clock: Clock, wait: Duration) -> Job {
@@ -39,7 +42,7 @@
         prefix: None,
         prompt: None,
         tried: Vec::new(),
-        returning: false,
+        previously_refused: false,
         repeatable: true,
     }
 }
@@ -49,7 +52,7 @@
     let clock = Clock::default();
     let scheduler = Scheduler::new(clock);
     let zone = "a".parse().unwrap();
-    scheduler.share(&Sharers::new(OWN, vec![(zone, vms.to_vec())]));
+    scheduler.set_participants(&Participants::new(OWN, vec![(zone, vms.to_vec())]));
     let pool = scheduler.pool(&"desk".parse().unwrap());
     pool.update(vec![desk(1)]);
     (clock, scheduler, pool)
@@ -59,7 +62,7 @@
     let limit = limit.map(|limit| Limit::try_from(limit).unwrap());
     let endpoint = "i-1".parse().unwrap();
     assert!(clock.now() >= sent);
-    pool.named(&endpoint, limit, sent)
+    pool.record_limit(&endpoint, limit, sent)
 }
 
 fn limited(pool: &Pool) -> usize {
@@ -98,24 +101,24 @@
     let (clock, _scheduler, pool) = pool(&[OWN]);
     tokio::time::sleep(Duration::from_millis(20)).await;
     name(clock, &pool, Some(2.0), clock.now());
-    let told = pool.limits();
-    assert_eq!(told.len(), 1);
-    let old = Word {
+    let reports = pool.limit_reports();
+    assert_eq!(reports.len(), 1);
+    let old = Report {
         limit: None,
         age: Duration::from_millis(15),
-        ..told[0]
+        ..reports[0]
     };
-    pool.hear_limit(old);
+    pool.merge_limit(old);
     assert_eq!(limited(&pool), 1);
     tokio::time::sleep(Duration::from_millis(5)).await;
-    let newer = Word {
+    let newer = Report {
         age: Duration::ZERO,
         limit: Some(Limit::try_from(3.0).unwrap()),
-        ..told[0]
+        ..reports[0]
     };
-    pool.hear_limit(newer);
+    pool.merge_limit(newer);
     assert_eq!(limited(&pool), 1);
-    assert_eq!(pool.limits(), []);
+    assert_eq!(pool.limit_reports(), []);
 }
 
 /// Guards against a call that waits for its turn, and gets none since nothing else happens in the pool.
@@ -145,7 +148,7 @@
     assert!((0.5..=30.0).contains(&after.as_secs_f64()), "{after:?}");
     // Its part comes to this one when the other leaves.
     let zone = "a".parse().unwrap();
-    scheduler.share(&Sharers::new(OWN, vec![(zone, vec![OWN])]));
+    scheduler.set_participants(&Participants::new(OWN, vec![(zone, vec![OWN])]));
     let permit = pool.acquire(job(), &gone).await.unwrap();
     permit.served(Tokens(1));
 }
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -47,7 +47,7 @@
             parts: vec![part(1, 13_000), part(2, 7_000)],
         }),
         tried: Vec::new(),
-        returning: false,
+        previously_refused: false,
         repeatable: true,
     }
 }
@@ -62,7 +62,7 @@
     let pool = scheduler.pool(&"llm".parse().unwrap());
     pool.update(vec![engine(Some(MEMORY))]);
     let known = pool.estimate(&job()).unwrap();
-    assert!(known.work > Duration::from_millis(100), "{known:?}");
+    assert!(known.prefill > Duration::from_millis(100), "{known:?}");
     let late = scheduler.pool(&"late".parse().unwrap());
     late.update(vec![engine(None)]);
     late.update(vec![engine(Some(MEMORY))]);
@@ -242,12 +242,12 @@
     let key = pimento_policy::choice::key("i-1");
     let wait = || pool.estimate(&job()).unwrap().wait;
     let busy = Duration::from_secs(20);
-    pool.hear(1, &[(key, busy)]);
-    pool.hear(2, &[(key, busy)]);
+    pool.merge_waits(1, &[(key, busy)]);
+    pool.merge_waits(2, &[(key, busy)]);
     assert!(wait() > busy, "{:?}", wait());
-    pool.hear(1, &[]);
+    pool.merge_waits(1, &[]);
     assert!(wait() <= busy && !wait().is_zero(), "{:?}", wait());
-    pool.hear(2, &[]);
+    pool.merge_waits(2, &[]);
     assert_eq!(wait(), Duration::ZERO);
 }
 
@@ -263,7 +263,7 @@
     pool.update(vec![member("i-5"), member("i-3"), member("i-1")]);
     let key = pimento_policy::choice::key("i-3");
     let busy = Duration::from_secs(20);
-    pool.hear(1, &[(key, busy)]);
+    pool.merge_waits(1, &[(key, busy)]);
     for others in [["i-0", "i-4"], ["i-2", "i-9"], ["i-1", "i-5"]] {
         let mut members: Vec<Member> = others.map(member).into();
         members.push(member("i-3"));
@@ -285,7 +285,7 @@
     pool.update(both);
     assert_eq!(pool.depth().ejected, 1);
     let again = Member {
-        life: 2,
+        incarnation: 2,
         ..desk(1, true)
     };
     pool.update(vec![again, desk(2, true)]);
