--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,18 +1,19 @@
-//! Where a prompt is read: the load of batching engines as one node knows it.
+//! Placement of prompts: the load of batching engines as one node knows it.
 //!
-//! **Load:** prompts of hundreds to tens of thousands of tokens, models whose speed of reading differs
-//! tenfold, long beginnings that several requests share. **Without it:** counting calls in flight
-//! takes an engine that reads one prompt of 30,000 tokens for less busy than one that generates five
-//! short answers, and the next caller's first token waits for seconds; and each engine reads each
-//! shared beginning anew. **How:** engines read prompts in turn, between the tokens of running
-//! answers, so that the wait for a first token is the unread work sent there before, plus the
-//! prompt's own unread parts. Both are known for the node's own calls: a prompt counts as unread
-//! until its first token has come. Peers tell theirs. What an engine keeps is followed as it works:
-//! the parts least recently used yield once the memory is full.
+//! Prompts have hundreds to tens of thousands of tokens, the prefill speed of models differs tenfold, and
+//! several requests share long prefixes. A count of calls in flight would rate an engine that prefills one
+//! prompt of 30,000 tokens as less busy than one that generates five short answers, and the next caller
+//! would wait seconds for a first token. Each engine would also prefill each shared prefix again.
 //!
-//! **Grounds:** join the shortest queue, with the work known (Harchol-Balter, Crovella and Murta,
-//! 1999, for sizes as unlike as these); prefix-aware placing weighs a hit against the wait for it, as
-//! in Preble (2024). The speeds are learnt from prompts that found their engine idle.
+//! Engines prefill prompts in turn, between the decode steps of running answers. The wait for a first token
+//! is therefore the pending prefill work that was sent to the engine before, plus the prompt's own parts
+//! that are not cached there. A node knows both for its own calls: a prompt is pending until its first
+//! token has arrived. Peers report theirs. The module also tracks each engine's prefix cache: when its
+//! memory is full, the least recently used parts are evicted.
+//!
+//! This is join the shortest queue with known work (Harchol-Balter, Crovella and Murta, 1999, for sizes
+//! that differ this much), and prefix-aware placement that weighs a cache hit against the wait for it, as
+//! in Preble (2024). Prefill speeds are learned from prompts that found their engine idle.
 
 mod prefill;
 
@@ -36,7 +37,7 @@
 /// A prompt for one model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
-    /// Hash of the model, as parts are kept for each model by itself.
+    /// Hash of the model. Engines cache parts per model.
     pub model: u64,
     /// Its parts in order.
     pub parts: Vec<Part>,
@@ -49,7 +50,7 @@
         self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Each part's key, which depends on the model and all parts before it.
+    /// Returns each part's cache key, which depends on the model and on all parts before it.
     fn keys(&self) -> impl Iterator<Item = (u64, Tokens)> {
         self.parts.iter().scan(self.model, |key, part| {
             *key = number::mix(*key, part.hash);
@@ -58,25 +59,25 @@
     }
 }
 
-/// A call at an engine. Given by the caller, unlike those of all other calls there.
+/// Identifies a call at an engine. The caller assigns it, unique among the calls at that engine.
 pub type CallId = u64;
 
-/// A prompt that was sent and whose first token has not come.
+/// A prompt that was sent and whose first token has not arrived.
 #[derive(Debug, Clone)]
 struct Pending {
     call: CallId,
     model: u64,
-    /// Its parts, which the engine keeps once it has read them.
+    /// Keys and lengths of its parts, which the engine caches once they are prefilled.
     parts: Vec<(u64, Tokens)>,
     prefill_tokens: Tokens,
     total: Tokens,
     prefill_time: Duration,
     sent: Moment,
-    /// Whether nothing was ahead of it when it was sent.
+    /// Whether no other prompt was ahead of it when it was sent.
     engine_was_idle: bool,
 }
 
-/// What a peer said of its calls at the engine.
+/// The wait that a peer last reported for its calls at the engine.
 #[derive(Debug, Clone, Copy)]
 struct Peer {
     node: u64,
@@ -84,7 +85,7 @@
     received: Moment,
 }
 
-/// A part that the engine is thought to keep.
+/// A part that the engine is assumed to have in its prefix cache.
 #[derive(Debug, Clone, Copy)]
 struct CachedPart {
     key: u64,
@@ -92,7 +93,7 @@
     last_used: Moment,
 }
 
-/// What a node knows of one engine.
+/// What a node knows of one engine's prefill queue and prefix cache.
 #[derive(Debug, Clone)]
 pub struct Engine {
     memory: Tokens,
@@ -102,22 +103,22 @@
     /// Sorted by key.
     cached: Vec<CachedPart>,
     cached_tokens: Tokens,
-    /// When the first of the pending became first.
+    /// When the first pending prompt became the first.
     head_since: Moment,
 }
 
-/// The most that a prompt is late and still counts as about to be read; what is later by far sits at
-/// an engine that hangs.
+/// Maximum overdue time of a prompt that is added to the wait. A prompt that is later than this is most
+/// likely at an engine that hangs.
 const MAX_OVERDUE: Duration = Duration::from_secs(3);
 
-/// A peer that said nothing for this long has no calls there any more, or is gone.
+/// Time without a report after which a peer is assumed to be gone, or to have no calls at the engine.
 const PEER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits up to this long count as none: an engine that is between two steps.
+/// Maximum wait at which an engine counts as idle; it may be between two steps.
 const MAX_IDLE_WAIT: Duration = Duration::from_millis(5);
 
 impl Engine {
-    /// An engine that has read nothing yet, with memory for running requests and kept parts.
+    /// Creates an engine with an empty prefix cache. `memory` holds running requests and cached parts.
     #[must_use]
     pub const fn new(memory: Tokens) -> Self {
         Self {
@@ -130,29 +131,28 @@
         }
     }
 
-    /// Tokens of a prompt that the engine would have to read: all from the first part on that it
-    /// neither keeps nor is to read before.
+    /// Returns the number of tokens of a prompt that the engine would have to prefill: all tokens from the
+    /// first part on that is neither cached nor part of a pending prompt.
     #[must_use]
     pub fn prefill_tokens(&self, prompt: &Prompt) -> Tokens {
-        let cached = |key: u64| self.find(key).is_ok() || self.is_pending(key);
+        let cached = |key: u64| self.cached_index(key).is_ok() || self.is_pending(key);
         let missing = prompt.keys().skip_while(|(key, _)| cached(*key));
         missing.map(|(_, tokens)| tokens).sum()
     }
 
-    /// Whether a prompt that was sent and is not yet read has a part.
+    /// Returns whether a pending prompt contains a part.
     fn is_pending(&self, part: u64) -> bool {
         let mut parts = self.pending.iter().flat_map(|pending| &pending.parts);
         parts.any(|(key, _)| *key == part)
     }
 
-    /// How long the prompts sent before take until they are read: those known of, and what prompts
-    /// lately took beyond that.
+    /// Returns the time until all prompts sent before are prefilled, including those that peers reported.
     #[must_use]
     pub fn wait(&self, now: Moment) -> Duration {
         self.own_wait(now) + self.peer_wait(now)
     }
 
-    /// The wait that this node's own calls cause.
+    /// Returns the part of the wait that this node's own calls cause.
     #[must_use]
     pub fn own_wait(&self, now: Moment) -> Duration {
         let total: Duration = self.pending.iter().map(|p| p.prefill_time).sum();
@@ -160,18 +160,18 @@
             return Duration::ZERO;
         };
         let elapsed = now.since(self.head_since);
-        // One that is late is as likely late for as long again.
+        // A prompt that is overdue is expected to take as long again as it is overdue.
         let overdue = elapsed.saturating_sub(first.prefill_time).min(MAX_OVERDUE);
         total.saturating_sub(elapsed.min(first.prefill_time)) + overdue
     }
 
-    /// The part of the wait that peers' calls cause.
+    /// Returns the part of the wait that peers' calls cause.
     fn peer_wait(&self, now: Moment) -> Duration {
         let left = |peer: &Peer| peer.wait.saturating_sub(now.since(peer.received));
         self.peers.iter().map(left).sum()
     }
 
-    /// A prompt is sent that takes `work` to read.
+    /// Records that a prompt was sent whose prefill is expected to take `prefill_time`.
     pub fn record_sent(
         &mut self,
         call: CallId,
@@ -196,7 +196,7 @@
         });
     }
 
-    /// Notes that the engine has read a prompt, sent by whomever.
+    /// Records that the engine has prefilled a prompt, whoever sent it.
     pub fn record_cached(&mut self, prompt: &Prompt, now: Moment) {
         let parts: Vec<(u64, Tokens)> = prompt.keys().collect();
         self.cache_parts(&parts, now);
@@ -204,15 +204,15 @@
 
     fn cache_parts(&mut self, parts: &[(u64, Tokens)], now: Moment) {
         for (key, tokens) in parts.iter().copied() {
-            match self.find(key) {
-                Ok(place) => self.cached[place].last_used = now,
-                Err(place) => {
+            match self.cached_index(key) {
+                Ok(index) => self.cached[index].last_used = now,
+                Err(index) => {
                     let cached = CachedPart {
                         key,
                         tokens,
                         last_used: now,
                     };
-                    self.cached.insert(place, cached);
+                    self.cached.insert(index, cached);
                     self.cached_tokens += tokens;
                 }
             }
@@ -222,9 +222,9 @@
         }
     }
 
-    /// The first token of a call has come: its prompt is read, and only now its parts are kept. Of a
-    /// call that was given up before, they may not be: taken for kept, they drew the next attempt to
-    /// an engine that was too full to read the first.
+    /// Records that the first token of a call has arrived: the prompt is prefilled, and its parts are
+    /// cached from now on. The parts of a call that was cancelled before may not be cached. If they counted
+    /// as cached, the next attempt would be placed at an engine that was too full to prefill the first one.
     pub fn record_first_token(
         &mut self,
         call: CallId,
@@ -241,12 +241,12 @@
         }
     }
 
-    /// A call has ended, read or not.
+    /// Records that a call has ended, prefilled or not.
     pub fn record_end(&mut self, call: CallId, now: Moment) {
         self.remove(call, now);
     }
 
-    /// A peer says how long the engine takes for its calls; one that takes no time has none there.
+    /// Records the wait that a peer reports for its own calls. A wait of zero means that it has none here.
     pub fn record_peer_wait(&mut self, node: u64, wait: Duration, now: Moment) {
         self.peers
             .retain(|peer| now.since(peer.received) < PEER_TIMEOUT);
@@ -260,47 +260,47 @@
             received: now,
         };
         match self.peers.binary_search_by_key(&node, |p| p.node) {
-            Ok(place) => self.peers[place] = peer,
-            Err(place) => self.peers.insert(place, peer),
+            Ok(index) => self.peers[index] = peer,
+            Err(index) => self.peers.insert(index, peer),
         }
     }
 
     fn remove(&mut self, call: CallId, now: Moment) -> Option<Pending> {
-        let place = self.pending.iter().position(|p| p.call == call)?;
-        if place == 0 {
+        let index = self.pending.iter().position(|p| p.call == call)?;
+        if index == 0 {
             self.head_since = now;
         }
-        Some(self.pending.remove(place))
+        Some(self.pending.remove(index))
     }
 
-    fn find(&self, key: u64) -> Result<usize, usize> {
+    fn cached_index(&self, key: u64) -> Result<usize, usize> {
         self.cached.binary_search_by_key(&key, |part| part.key)
     }
 
-    /// Gives up the part that was not used for longest.
+    /// Evicts the least recently used part.
     fn evict(&mut self) {
         let oldest = self
             .cached
             .iter()
             .enumerate()
             .min_by_key(|(_, k)| k.last_used);
-        let Some((place, _)) = oldest else {
+        let Some((index, _)) = oldest else {
             self.cached_tokens = Tokens::ZERO;
             return;
         };
-        let part = self.cached.remove(place);
+        let part = self.cached.remove(index);
         self.cached_tokens = Tokens(self.cached_tokens.0.saturating_sub(part.tokens.0));
     }
 }
 
-/// Figures of a choice among engines.
+/// Weights of the choice among engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Times that a prompt's own reading counts against the wait for it: what one call reads anew,
-    /// all calls behind it wait for.
+    /// Factor by which a prompt's own prefill time counts more than the wait: all calls behind a prompt
+    /// wait for its prefill.
     pub prefill_weight: f64,
-    /// What another zone must save. A prompt's bytes between zones cost a twentieth to a tenth of
-    /// what its answer is worth.
+    /// Time to the first token that an engine in another zone must save. Sending a prompt's bytes between
+    /// zones costs a twentieth to a tenth of the value of its answer.
     pub remote_penalty: Duration,
 }
 
@@ -313,7 +313,7 @@
     }
 }
 
-/// An engine that might read a prompt.
+/// An engine to which a prompt may be sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Candidate {
     /// Hash of the engine's name, the same at every node.
@@ -322,14 +322,14 @@
     pub usable: bool,
     /// Whether it is in another zone.
     pub remote: bool,
-    /// Wait for what was sent there before.
+    /// Wait for the prompts sent there before.
     pub wait: Duration,
-    /// Time to read what the engine does not keep.
+    /// Time to prefill the tokens that the engine has not cached.
     pub prefill_time: Duration,
 }
 
 impl Candidate {
-    /// Time to the first token.
+    /// Returns the expected time to the first token.
     #[must_use]
     pub fn time_to_first_token(&self) -> Duration {
         self.wait + self.prefill_time
@@ -346,12 +346,12 @@
     }
 }
 
-/// Costs this close count as equal, and the prompt's own order of the engines decides, so that nodes
-/// that know nothing of each other send the same beginning to the same place.
+/// Cost difference in seconds up to which engines count as equal. Among equal engines the hash of prefix
+/// and engine decides, so that nodes without any shared state send the same prefix to the same engine.
 const COST_TOLERANCE: f64 = 0.01;
 
-/// The engine for a prompt, as an index; none if no usable one is there. `prefix` is the hash of its
-/// shared beginning.
+/// Returns the index of the engine for a prompt, or `None` if no engine is usable. `prefix` is the hash of
+/// the prompt's shared prefix.
 #[must_use]
 pub fn choose(candidates: &[Candidate], prefix: u64, config: &Config) -> Option<usize> {
     let usable = || candidates.iter().enumerate().filter(|(_, c)| c.usable);
@@ -361,5 +361,5 @@
     let cheapest = usable().filter(|(_, c)| c.cost(config) <= least + COST_TOLERANCE);
     cheapest
         .max_by_key(|(_, c)| number::mix(c.key, prefix))
-        .map(|(place, _)| place)
+        .map(|(index, _)| index)
 }
--- a/crates/policy/src/engine/prefill.rs
+++ b/crates/policy/src/engine/prefill.rs
@@ -1,4 +1,4 @@
-//! How fast models read, learnt from prompts that found their engine idle.
+//! Prefill speed of models, learned from prompts that found their engine idle.
 
 use std::time::Duration;
 
@@ -7,60 +7,64 @@
 use super::Pending;
 use crate::number;
 
-/// How fast each model reads, sorted by model.
+/// Estimates how long engines take to prefill prompts.
 #[derive(Debug, Clone, Default)]
 pub struct PrefillEstimator {
-    /// Seconds to a first token beside the reading; none before it was measured.
+    /// Seconds to a first token besides the prefill of its prompt; `None` before any was measured.
     start_seconds: Option<f64>,
+    /// Seconds per token of each model, sorted by model.
     models: Vec<(u64, f64)>,
     samples: u32,
 }
 
-/// Prompts after which paces are told to others: some of each of three models.
+/// Samples after which the estimates are reported to other nodes: some for each of three models.
 const MIN_SAMPLES: u32 = 40;
 
-/// Seconds for a token before any was measured: a middling model on a fast accelerator. The first
-/// prompt that finds an idle engine puts it right. A guess that is too high would never be put right:
-/// the model would seem too slow to be asked.
+/// Seconds per token before any were measured: a medium-sized model on a fast accelerator. The first prompt
+/// that finds an idle engine corrects the estimate. An initial value that is too high would never be
+/// corrected, since the model would seem too slow to be used.
 const INITIAL_SECONDS_PER_TOKEN: f64 = 0.000_015;
 
-/// Weight of a sample that is below the estimate, and of one above it. A prompt's time is its own
-/// reading and at times somebody else's that was not known of, so that low samples tell the speed.
+/// Weights of samples below and above the estimate. A measured time includes the prompt's own prefill and
+/// at times that of an unknown other prompt, so low samples are more reliable.
 const WEIGHT_BELOW: f64 = 0.3;
 const WEIGHT_ABOVE: f64 = 0.05;
 
-/// Times the estimate from which on a sample counts as OUTLIER_GROWTH above it: fifteen such make up for an
-/// estimate that is seven times too low, the widest between the models of one pool.
+/// A sample above `OUTLIER_ABOVE` times the estimate only raises it by the factor `OUTLIER_GROWTH`. Fifteen
+/// such samples make up for an estimate that is seven times too low, the widest difference between the
+/// models of one pool.
 const OUTLIER_ABOVE: f64 = 2.0;
 const OUTLIER_GROWTH: f64 = 1.15;
 
-/// Share of the estimate below which a prompt's parts were kept and nobody here knew, as of all that
-/// came before a restart. Taken at their word, ten of them made the largest model look free, and all
-/// prompts went to it. Twenty in a row still bring down an estimate that is much too high.
+/// A sample below this share of the estimate means that the prompt's parts were cached without this node
+/// knowing, as are all parts from before its restart. It only lowers the estimate by the factor
+/// `OUTLIER_DECAY`. With the usual weight, ten such samples would make the largest model look free, and all
+/// prompts would go to it. Twenty in a row still lower an estimate that is much too high.
 const OUTLIER_BELOW: f64 = 0.2;
 const OUTLIER_DECAY: f64 = 0.95;
 
-/// Prompts from this size on tell a speed. For shorter ones the time to a first token outweighs their
-/// own reading, and they tell that.
+/// Minimum prefill of a sample for the seconds per token. With fewer tokens most of the time to the first
+/// token is not prefill, and the sample counts for the start time instead.
 const MIN_SAMPLE_TOKENS: Tokens = Tokens(400);
 
-/// Seconds to a first token beside the reading, before any was measured: two steps of a batch and the
-/// way there and back. Engines that were met take 8 to 50 ms. Taken for fixed it was counted as reading
-/// where it is longer, most of all by short prompts, and long ones looked up to twice as long.
+/// Seconds to a first token besides its prefill, before any were measured: two steps of a batch and the
+/// network round trip. Known engines take 8 to 50 ms. If the start time were fixed, a longer one would
+/// count as prefill, mostly of short prompts, and long prompts would look up to twice as slow as they are.
 const INITIAL_START_SECONDS: f64 = 0.008;
 
-/// What attention to the tokens before adds to the reading of a token, for each of them: reading a
-/// prompt of 30,000 tokens takes a fifth longer for a token than one of 10,000.
+/// Increase of a token's prefill time, relative to a first token, for each token before it, which it
+/// attends to. A token of a prompt of 30,000 tokens takes a fifth longer on average than one of 10,000.
 const ATTENTION_PER_TOKEN: f64 = 0.000_02;
 
-/// The last `uncached` of `total` tokens, each weighed by the time that it takes against a first one.
+/// Returns the last `uncached` of `total` tokens, each weighted by its prefill time relative to a first
+/// token.
 fn weighted_tokens(uncached: Tokens, total: Tokens) -> f64 {
     let count = number::float(uncached.0);
     let before = number::float(total.0.max(uncached.0)) - count / 2.0;
     count * (1.0 + ATTENTION_PER_TOKEN * before)
 }
 
-/// What an estimate becomes by a sample.
+/// Returns the estimate after a sample.
 fn update_estimate(known: f64, sample: f64) -> f64 {
     if sample < known * OUTLIER_BELOW {
         known * OUTLIER_DECAY
@@ -77,14 +81,15 @@
 }
 
 impl PrefillEstimator {
-    /// Seconds for the first token of a prompt.
+    /// Returns the seconds to prefill a token that has no tokens before it.
     #[must_use]
     pub fn seconds_per_token(&self, model: u64) -> f64 {
         let found = self.models.binary_search_by_key(&model, |(m, _)| *m);
-        found.map_or(INITIAL_SECONDS_PER_TOKEN, |place| self.models[place].1)
+        found.map_or(INITIAL_SECONDS_PER_TOKEN, |index| self.models[index].1)
     }
 
-    /// How long reading the last `uncached` of `total` tokens takes.
+    /// Returns the time to a first token, without any wait, if the last `uncached` of `total` tokens are
+    /// not cached.
     #[must_use]
     pub fn prefill_time(&self, model: u64, uncached: Tokens, total: Tokens) -> Duration {
         number::seconds(
@@ -96,7 +101,7 @@
         self.start_seconds.unwrap_or(INITIAL_START_SECONDS)
     }
 
-    /// Learns from a prompt that was read in `took`, beside its wait.
+    /// Learns from a prompt whose first token arrived `took` after it was sent to an idle engine.
     pub(super) fn record(&mut self, pending: &Pending, took: Duration) {
         let (model, uncached) = (pending.model, pending.prefill_tokens);
         let tokens = weighted_tokens(uncached, pending.total);
@@ -110,19 +115,19 @@
         }
         self.samples = self.samples.saturating_add(1);
         match self.models.binary_search_by_key(&model, |(m, _)| *m) {
-            Ok(place) => {
-                let known = &mut self.models[place].1;
+            Ok(index) => {
+                let known = &mut self.models[index].1;
                 *known = update_estimate(*known, sample);
             }
-            // The first tells the order of size, if its parts were not kept.
-            Err(place) if sample >= INITIAL_SECONDS_PER_TOKEN * OUTLIER_BELOW => {
-                self.models.insert(place, (model, sample));
+            // The first sample sets the order of magnitude, unless the parts seem to have been cached.
+            Err(index) if sample >= INITIAL_SECONDS_PER_TOKEN * OUTLIER_BELOW => {
+                self.models.insert(index, (model, sample));
             }
             Err(_) => {}
         }
     }
 
-    /// Learns from what a short prompt took beside its reading.
+    /// Learns from the time that a short prompt took besides its prefill.
     fn record_start(&mut self, sample: f64) {
         if sample > 0.0 {
             self.start_seconds = Some(
@@ -132,19 +137,19 @@
         }
     }
 
-    /// Takes what another node learnt of models that are not known here.
+    /// Adopts another node's estimates for models that are unknown here.
     pub fn seed(&mut self, models: impl IntoIterator<Item = (u64, f64)>) {
         for (model, seconds) in models {
-            if let Err(place) = self.models.binary_search_by_key(&model, |(m, _)| *m) {
-                self.models.insert(place, (model, seconds));
-                // It rested on as many there, and is as good to be passed on.
+            if let Err(index) = self.models.binary_search_by_key(&model, |(m, _)| *m) {
+                self.models.insert(index, (model, seconds));
+                // The other node's estimates rest on at least as many samples.
                 self.samples = self.samples.max(MIN_SAMPLES);
             }
         }
     }
 
-    /// The seconds for a token of each model, sorted by model; none before they rest on enough
-    /// prompts to be told to others.
+    /// Returns the seconds per token of each model, sorted by model, or an empty slice before they rest on
+    /// enough samples to be reported to other nodes.
     #[must_use]
     pub fn reportable(&self) -> &[(u64, f64)] {
         if self.samples < MIN_SAMPLES {
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,15 +1,15 @@
-//! Concurrency limit of each endpoint, found from latency and from the load that it reports.
+//! Concurrency limit of each endpoint, derived from its latency and from the load that it reports.
 //!
-//! **Load:** a slow endpoint, lost capacity, a batch that is full. **Without it:** work piles up
-//! where it is slowest, since that is where it stays longest; a fixed limit is either too low for
-//! a well endpoint or too high for a sick one. **How:** time for a token over its long-term value
-//! is the gradient. While it stays within the tolerance and the limit is used, the limit grows by
-//! one each round; beyond, it shrinks by the gradient. A report with waiting calls shrinks it too,
-//! since then all nodes together send more than the batch holds.
+//! Without a limit, work piles up at a slow endpoint, since it stays there longest. A fixed limit is either
+//! too low for a healthy endpoint or too high for one that is slow or has lost capacity.
 //!
-//! **Grounds:** Netflix's `concurrency-limits` (Gradient2, 2018) for the gradient over two
-//! averages, and Chiu and Jain (1989) for additive growth and multiplicative shrinking, which
-//! leads nodes that share an endpoint to equal parts without talking to each other.
+//! The gradient is the long-term time per token over the recent one. While it stays within the tolerance
+//! and the limit is used, the limit grows by one each round; beyond the tolerance it shrinks by the
+//! gradient. A report of more calls than fit also shrinks it, since then all nodes together send too much.
+//!
+//! The gradient over two averages is that of Netflix's `concurrency-limits` (Gradient2, 2018). Additive
+//! increase and multiplicative decrease (Chiu and Jain, 1989) lead nodes that share an endpoint to equal
+//! shares without any communication.
 
 use std::time::Duration;
 
@@ -17,32 +17,32 @@
 
 use crate::number;
 
-/// Figures of a [`Limiter`].
+/// Parameters of a [`Limiter`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// The first limit.
+    /// The initial limit.
     pub initial: f64,
-    /// The lowest limit; at least one, or the endpoint would never be measured again.
+    /// The minimum limit; at least one, or the endpoint would never be measured again.
     pub min: f64,
-    /// The highest limit.
+    /// The maximum limit.
     pub max: f64,
-    /// Times the usual time for a token that is still taken for well. In a full batch each call
+    /// Multiple of the long-term time per token that still counts as healthy. In a full batch each call
     /// runs at about a third of the speed that it has alone, which is no sign of overload.
     pub tolerance: f64,
     /// Weight of an answer in the short average.
     pub short_weight: f64,
     /// Weight of an answer in the long average.
     pub long_weight: f64,
-    /// The most that one answer shrinks the limit to.
+    /// Factor of the largest decrease after one answer.
     pub backoff_ratio: f64,
-    /// Times the batch that may be at the endpoint, running and waiting. Waiting calls keep the
-    /// batch full between an answer and the next call, and leave the owner of a cached prefix a
-    /// free slot under load; engines honour priorities, so that short calls don't wait for long
-    /// ones there. More than another batch would be a queue that no longer can be refused.
+    /// Batches of calls that may be at the endpoint, running and waiting. Waiting calls keep the batch full
+    /// between an answer and the next call, and leave a free slot under load at the endpoint that has a
+    /// prompt's prefix cached. Engines honour priorities, so short calls don't wait for long ones there.
+    /// More than one waiting batch would be a queue whose calls can no longer be refused.
     pub max_batches: f64,
-    /// Added to the limit before it is rounded down. A node's share of a batch is a small number,
-    /// such as 2.7 of 16 for each of six nodes: if all nodes rounded down, a quarter of the batch
-    /// would stay empty. Best drawn at random between 0 and 1 for each limiter.
+    /// Added to the limit before it is rounded down. A node's share of a batch is a small number, such as
+    /// 2.7 of 16 for each of six nodes. If all nodes rounded down, a quarter of the batch would stay empty.
+    /// It should be drawn at random between 0 and 1 for each limiter.
     pub rounding_offset: f64,
 }
 
@@ -65,27 +65,27 @@
 /// How a call at an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// A complete answer.
     Served {
         /// Tokens of the prompt and the answer.
         tokens: Tokens,
         /// Time from sending to the last byte.
         took: Duration,
     },
-    /// Refused for overload, or not answered in time.
+    /// The endpoint refused the call because of overload, or did not answer in time.
     Overload,
-    /// It says nothing about load: cancelled, or failed at once.
+    /// The outcome carries no information about load: the call was cancelled, or failed at once.
     Unknown,
 }
 
-/// The load that an endpoint reported.
+/// Load that an endpoint reported.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Report {
     /// Calls in the running batch.
     pub running: u32,
-    /// Calls that wait.
+    /// Calls that wait at the endpoint.
     pub waiting: u32,
-    /// The most calls in a batch.
+    /// Maximum number of calls in a batch; zero if it is not known.
     pub batch: u32,
 }
 
@@ -100,7 +100,7 @@
 }
 
 impl Limiter {
-    /// A limiter that has measured nothing yet.
+    /// Creates a limiter without any measurements.
     #[must_use]
     pub fn new(config: Config) -> Self {
         Self {
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Takes a slot, if one is free. Each slot taken must be given back by
-    /// [`release`](Self::release).
+    /// Acquires a slot if one is free, and returns whether it did. Each acquired slot must be given back
+    /// with [`release`](Self::release).
     #[must_use]
     pub fn acquire(&mut self) -> bool {
         let acquired = self.free() > 0;
@@ -123,7 +123,7 @@
         acquired
     }
 
-    /// Gives a slot back and learns from the call.
+    /// Releases a slot and learns from the call's outcome.
     pub fn release(&mut self, outcome: Outcome) {
         let used = self.is_used();
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -134,10 +134,10 @@
         }
     }
 
-    /// Learns from the load that the endpoint reports: this node's part of the calls there is
-    /// scaled to what fits over what is there, in the same measure as everybody's. The base is
-    /// what is in flight and not the limit, since reports lag: three reports on one burst would
-    /// cut the limit three times. Up, this goes only while the limit is in use.
+    /// Adapts the limit to the load that the endpoint reports: this node's calls in flight are scaled by
+    /// the capacity over the calls present, as every node scales its own. The base is the number of calls
+    /// in flight and not the limit, since reports lag: three reports on one burst would lower the limit
+    /// three times. The limit is raised only while it is used.
     pub fn report(&mut self, report: Report) {
         let capacity = f64::from(report.batch) * self.config.max_batches;
         let present = f64::from(report.running) + f64::from(report.waiting);
@@ -152,30 +152,30 @@
         }
     }
 
-    /// Whether enough of the limit is in use that a higher one might be, too.
+    /// Returns whether enough of the limit is used that a higher limit might be used, too.
     fn is_used(&self) -> bool {
         f64::from(self.in_flight) * 2.0 >= self.limit
     }
 
-    /// Calls in flight from this node.
+    /// Returns the number of this node's calls in flight.
     #[must_use]
     pub const fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The limit now.
+    /// Returns the current limit.
     #[must_use]
     pub fn limit(&self) -> u32 {
         number::small(self.limit + self.config.rounding_offset).max(1)
     }
 
-    /// Free slots.
+    /// Returns the number of free slots.
     #[must_use]
     pub fn free(&self) -> u32 {
         self.limit().saturating_sub(self.in_flight)
     }
 
-    /// Seconds for a token lately; zero before the first answer.
+    /// Returns the short average of the seconds per token; zero before the first answer.
     #[must_use]
     pub const fn seconds_per_token(&self) -> f64 {
         self.short_average
@@ -189,8 +189,8 @@
         }
         self.short_average += self.config.short_weight * (seconds - self.short_average);
         self.long_average += self.config.long_weight * (seconds - self.long_average);
-        // A long average above the short one is left over from a slow spell; without the pull the
-        // endpoint would be allowed that spell's latency for hundreds of answers.
+        // A long average above the short one is left over from a slow period. Unless it is pulled down, the
+        // endpoint would be allowed the latency of that period for hundreds of answers.
         if self.long_average > self.short_average {
             self.long_average +=
                 self.config.short_weight * (self.short_average - self.long_average);
