--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -1,15 +1,18 @@
-//! Poison requests: those under which endpoints end.
+//! Detection of poison requests: requests that crash the endpoints which run them.
 //!
-//! **Load:** a request that crashes whatever begins to run it, and that its caller sends again at any VM.
-//! **Without it:** each try and each retry ends one more endpoint, with all that ran there, until the
-//! service is out. **How:** the ends of endpoints are counted by what ran there; a request under which
-//! several have ended is barred, and sent nowhere until the bar runs out. Whatever else ran there is a
-//! bystander and counted as well, so that an answer that was whole clears a request: of what it was
-//! held for, and of what it would be held for a little later. A popular request is thus served through
-//! the loss of nearly all endpoints, and a poison one never has such an answer.
+//! A caller may send a request that crashes every endpoint which starts to run it, and may send it again
+//! to any VM. Unless it is blocked, each attempt crashes one more endpoint, together with all other calls
+//! that run there, until the service is down. The table counts crashes per request and blocks a request
+//! once several endpoints have crashed while they ran it. A blocked request is sent nowhere until its
+//! block expires.
 //!
-//! **Grounds:** poison messages of queues, which are put aside after so many deliveries that were not
-//! acknowledged.
+//! Requests that merely ran at the same endpoint are counted as well. A complete answer clears them: it
+//! removes the crashes counted so far, and those of the next [`Config::cleared_for`] are not counted. A
+//! popular request is therefore served even while nearly all endpoints are lost, and a poison request
+//! never gets a complete answer.
+//!
+//! The approach is that of poison messages in queues, which are set aside after a number of unacknowledged
+//! deliveries.
 
 pub mod broken_runs;
 
@@ -19,39 +22,37 @@
 use pimento_units::Digest;
 use pimento_units::Moment;
 
-/// One end of one endpoint.
+/// One crash of one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Crash {
     /// Hash of the endpoint's name.
     pub endpoint: u64,
-    /// Tells the incarnation that ended from others under the same name, if the endpoint says so.
+    /// The incarnation that crashed, if the endpoint reports incarnations.
     pub incarnation: Option<u64>,
 }
 
-/// Figures of a [`Table`].
+/// Thresholds, durations and capacities of a [`Table`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Config {
-    /// Endpoints that must have ended under a request before it is barred. A bystander is rarely there
-    /// three times in a row without an answer in between.
+    /// Crashes before a request is blocked. A request that is not at fault is rarely present at three
+    /// crashes in a row without an answer in between.
     pub block_threshold: usize,
-    /// For this long after a whole answer a request is not counted as one under which an endpoint
-    /// ended.
+    /// Time after a complete answer during which crashes are not counted against the request.
     pub cleared_for: Duration,
-    /// For this long nobody need be told again that a request is cleared.
+    /// Minimum time between two announcements that a request is cleared.
     pub announce_interval: Duration,
-    /// Ends of an endpoint that does not tell its lives apart are one if no more than this is between
-    /// them.
+    /// Crashes of an endpoint that reports no incarnations count as one if they are less than this apart.
     pub dedup_window: Duration,
-    /// After this long an end is held against nobody.
+    /// Time after which a crash no longer counts.
     pub crash_ttl: Duration,
-    /// How long the first bar lasts. Each further one lasts twice as long, as it begins with one more
-    /// end.
+    /// Length of the first block. Each further block, which a single further crash starts, lasts twice as
+    /// long as the one before.
     pub block_duration: Duration,
-    /// The longest bar.
+    /// Maximum length of a block.
     pub max_block_duration: Duration,
-    /// Suspects that are kept. The least suspect one makes room.
+    /// Maximum number of suspects. The lowest-ranked one is evicted.
     pub max_suspects: usize,
-    /// Requests with whole answers that are kept. The one that was answered longest ago makes room.
+    /// Maximum number of requests with complete answers. Those answered longest ago are evicted.
     pub max_answers: usize,
 }
 
@@ -71,21 +72,21 @@
     }
 }
 
-/// What the end of an endpoint changed for a request that ran there.
+/// Effect of a crash on a request that ran at the endpoint.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is known to be answered elsewhere.
+    /// A recent complete answer clears the request; the crash does not count.
     Cleared,
-    /// The end was counted before.
+    /// This crash was counted before.
     Duplicate,
-    /// So many endpoints have ended under it.
+    /// The request is suspected, with this number of crashes.
     Suspected(usize),
-    /// It is barred from now on.
+    /// The request is blocked from now on.
     Blocked,
 }
 
 impl fmt::Debug for Verdict {
-    /// Prints the words that logs show under the key `verdict`; they differ from the variants' names.
+    /// Prints the words that logs show under the key `verdict`, which differ from the variant names.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Cleared => f.write_str("Cleared"),
@@ -96,15 +97,15 @@
     }
 }
 
-/// A request under which an endpoint ended.
+/// A request that ran at an endpoint when it crashed.
 #[derive(Debug, Clone)]
 struct Suspect {
     digest: Digest,
-    /// The ends that count, the oldest first.
+    /// The crashes that count, in the order in which they were recorded.
     crashes: Vec<(Crash, Moment)>,
-    /// Bars so far.
+    /// Number of blocks so far.
     blocks: u32,
-    /// When its bar runs out.
+    /// When the current block expires.
     blocked_until: Option<Moment>,
 }
 
@@ -118,35 +119,35 @@
         }
     }
 
-    /// Who stays longest when room is short.
+    /// Eviction order: the suspect with the lowest rank is evicted first.
     fn rank(&self) -> (Option<Moment>, usize, Option<Moment>) {
         let last = self.crashes.last().map(|(_, at)| *at);
         (self.blocked_until, self.crashes.len(), last)
     }
 }
 
-/// A request that was answered.
+/// A request that got a complete answer.
 #[derive(Debug, Clone, Copy)]
 struct Answer {
     digest: Digest,
-    /// The last answer that was whole.
+    /// Time of the last complete answer.
     at: Moment,
-    /// When VMs last told each other of it.
+    /// When a VM last announced the answer to the others.
     announced: Option<Moment>,
 }
 
-/// The requests under which endpoints ended, as one VM knows them.
+/// The suspected and the answered requests known to one VM.
 #[derive(Debug, Clone)]
 pub struct Table {
     config: Config,
     /// Sorted by digest.
     suspects: Vec<Suspect>,
-    /// Requests that were answered, sorted by digest.
+    /// Sorted by digest.
     answers: Vec<Answer>,
 }
 
 impl Table {
-    /// Without suspects.
+    /// Creates an empty table.
     #[must_use]
     pub const fn new(config: Config) -> Self {
         Self {
@@ -160,43 +161,44 @@
         self.suspects.binary_search_by_key(&digest, |s| s.digest)
     }
 
-    /// An answer was whole. Whether the request was suspect until now.
+    /// Records a complete answer. Returns whether the request was a suspect until now.
     pub fn record_answer(&mut self, digest: Digest, now: Moment) -> bool {
         match self.answer_index(digest) {
-            Ok(place) => {
-                let answer = &mut self.answers[place];
+            Ok(index) => {
+                let answer = &mut self.answers[index];
                 answer.at = answer.at.max(now);
             }
-            Err(place) => {
+            Err(index) => {
                 let answer = Answer {
                     digest,
                     at: now,
                     announced: None,
                 };
-                self.answers.insert(place, answer);
+                self.answers.insert(index, answer);
                 self.evict_answers();
             }
         }
         let suspect = self.suspect_index(digest);
-        suspect.map(|place| self.suspects.remove(place)).is_ok()
+        suspect.map(|index| self.suspects.remove(index)).is_ok()
     }
 
-    /// Another VM says that an answer was whole.
+    /// Records a complete answer that another VM announced.
     pub fn merge_answer(&mut self, digest: Digest, now: Moment) {
         self.record_answer(digest, now);
-        if let Ok(place) = self.answer_index(digest) {
-            self.answers[place].announced = Some(now);
+        if let Ok(index) = self.answer_index(digest) {
+            self.answers[index].announced = Some(now);
         }
     }
 
-    /// Whether others are to be told now that a request is cleared. VMs that all know it hear of the same
-    /// end at the same time, and need not all say so, again and again.
+    /// Returns whether this VM should announce now that the request is cleared, and if so starts a new
+    /// announce interval. All VMs that know the answer receive the same crash report at about the same
+    /// time, and they need not all announce it.
     pub fn should_announce_answer(&mut self, digest: Digest, now: Moment) -> bool {
         let interval = self.config.announce_interval;
-        let Ok(place) = self.answer_index(digest) else {
+        let Ok(index) = self.answer_index(digest) else {
             return false;
         };
-        let answer = &mut self.answers[place];
+        let answer = &mut self.answers[index];
         if answer.announced.is_some_and(|at| now.since(at) < interval) {
             return false;
         }
@@ -208,7 +210,7 @@
         self.answers.binary_search_by_key(&digest, |a| a.digest)
     }
 
-    /// Makes room for half as many further answers, so that this is rare.
+    /// Evicts the older half of the answers once there are too many, so that evictions are rare.
     fn evict_answers(&mut self) {
         if self.answers.len() <= self.config.max_answers {
             return;
@@ -220,15 +222,15 @@
         self.answers.retain(|answer| answer.at > middle);
     }
 
-    /// Whether a whole answer is recent enough to clear the request.
+    /// Returns whether a complete answer is recent enough to clear the request.
     #[must_use]
     pub fn is_cleared(&self, digest: Digest, now: Moment) -> bool {
-        let since = |place: usize| now.since(self.answers[place].at);
+        let since = |index: usize| now.since(self.answers[index].at);
         let known = self.answer_index(digest);
-        known.is_ok_and(|place| since(place) < self.config.cleared_for)
+        known.is_ok_and(|index| since(index) < self.config.cleared_for)
     }
 
-    /// An endpoint ended while the request ran there.
+    /// Records that an endpoint crashed while the request ran there.
     pub fn record_crash(&mut self, digest: Digest, crash: Crash, now: Moment) -> Verdict {
         if self.is_cleared(digest, now) {
             return Verdict::Cleared;
@@ -241,11 +243,11 @@
             max_block_duration,
             ..
         } = self.config;
-        let place = self.suspect_index_or_insert(digest);
-        let suspect = &mut self.suspects[place];
+        let index = self.suspect_index_or_insert(digest);
+        let suspect = &mut self.suspects[index];
         suspect.crashes.retain(|(_, at)| now.since(*at) < crash_ttl);
         let same = |(known, at): &(Crash, Moment)| {
-            // Word of others comes in any order.
+            // Reports of other VMs arrive in any order.
             let between = now.since(*at).max(at.since(now));
             *known == crash && (crash.incarnation.is_some() || between < dedup_window)
         };
@@ -264,10 +266,10 @@
         Verdict::Blocked
     }
 
-    /// The place of a request among the suspects.
+    /// Returns the index of a suspect, which is inserted if it is not known yet.
     fn suspect_index_or_insert(&mut self, digest: Digest) -> usize {
-        if let Ok(place) = self.suspect_index(digest) {
-            return place;
+        if let Ok(index) = self.suspect_index(digest) {
+            return index;
         }
         if self.suspects.len() >= self.config.max_suspects {
             let ranked = self.suspects.iter().enumerate();
@@ -275,12 +277,12 @@
                 self.suspects.remove(least);
             }
         }
-        let (Ok(place) | Err(place)) = self.suspect_index(digest);
-        self.suspects.insert(place, Suspect::new(digest));
-        place
+        let (Ok(index) | Err(index)) = self.suspect_index(digest);
+        self.suspects.insert(index, Suspect::new(digest));
+        index
     }
 
-    /// How long a request is still barred; none if it may be sent.
+    /// Returns how long a request is still blocked, or `None` if it may be sent.
     #[must_use]
     pub fn blocked_for(&self, digest: Digest, now: Moment) -> Option<Duration> {
         let suspect = &self.suspects[self.suspect_index(digest).ok()?];
@@ -288,8 +290,8 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// Ends the bars that have run out, and gives them. One more end under such a request bars it
-    /// again.
+    /// Removes the blocks that have expired and returns their requests. One more crash blocks such a
+    /// request again.
     pub fn expire_blocks(&mut self, now: Moment) -> Vec<Digest> {
         let crash_ttl = self.config.crash_ttl;
         let remaining = self.config.block_threshold.saturating_sub(1);
@@ -298,7 +300,8 @@
             if suspect.blocked_until.is_some_and(|until| until <= now) {
                 suspect.blocked_until = None;
                 suspect.crashes.truncate(remaining);
-                // Its memory begins anew, or the first end after a long bar would count for nothing.
+                // The remaining crashes get a new lifetime. After a long block they would otherwise expire
+                // at once, and the next crash would not block the request.
                 suspect.crashes.iter_mut().for_each(|(_, at)| *at = now);
                 expired.push(suspect.digest);
             }
@@ -312,7 +315,7 @@
         expired
     }
 
-    /// Suspects that are not barred, and requests that are.
+    /// Returns the numbers of unblocked suspects and of blocked requests.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let blocked = self
--- a/crates/policy/src/poison/broken_runs.rs
+++ b/crates/policy/src/poison/broken_runs.rs
@@ -1,35 +1,35 @@
-//! Runs that broke off, until it is known whether their endpoints ended.
+//! Runs whose connections broke, until it is known whether their endpoints crashed.
 
 use pimento_units::Digest;
 
 use super::Crash;
 
-/// Ends that are remembered, for runs whose connections break a little later than the first.
+/// Crashes that are remembered for runs whose connections break a little later than the first one.
 const MAX_CRASHES: usize = 64;
 
-/// What to do about a run that broke off.
+/// What the caller does about a broken run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// To count it: its endpoint is known to have ended.
+    /// Count it: its endpoint is known to have crashed.
     Count,
-    /// To look whether its endpoint has ended, and to say so by [`BrokenRuns::resolve`].
+    /// Find out whether its endpoint crashed, and report that with [`BrokenRuns::resolve`].
     Probe,
-    /// Nothing: another look is under way.
+    /// Nothing: another run's probe of the endpoint is in progress.
     Wait,
 }
 
-/// Runs that broke off. Whatever ran at an endpoint breaks off in the same moment, and one look tells
-/// for all.
+/// Runs whose connections broke. All runs at an endpoint break at the same time, and one probe of the
+/// endpoint settles them all.
 #[derive(Debug, Clone, Default)]
 pub struct BrokenRuns {
-    /// What ran at the endpoints that are looked at.
+    /// Endpoints that are being probed, with the requests that ran there.
     pending: Vec<(Crash, Vec<Digest>)>,
-    /// The last ends.
+    /// The most recent crashes.
     crashes: Vec<Crash>,
 }
 
 impl BrokenRuns {
-    /// A run broke off at an endpoint.
+    /// Records a run whose connection broke.
     pub fn record(&mut self, digest: Digest, crash: Crash) -> Action {
         if self.crashes.contains(&crash) {
             return Action::Count;
@@ -42,17 +42,17 @@
         Action::Probe
     }
 
-    /// Whether the endpoint turned out to have ended; gives what ran there.
+    /// Records whether the endpoint crashed, and returns the requests that ran there.
     pub fn resolve(&mut self, crash: Crash, crashed: bool) -> Vec<Digest> {
-        // What breaks off later at an endpoint that does not tell its lives apart may be of the next.
+        // Without an incarnation, a run that breaks later may belong to the endpoint's next incarnation.
         if crashed && crash.incarnation.is_some() {
             if self.crashes.len() >= MAX_CRASHES {
                 self.crashes.remove(0);
             }
             self.crashes.push(crash);
         }
-        let place = self.pending.iter().position(|(known, _)| *known == crash);
-        let digests = place.map(|place| self.pending.swap_remove(place).1);
+        let index = self.pending.iter().position(|(known, _)| *known == crash);
+        let digests = index.map(|index| self.pending.swap_remove(index).1);
         digests.unwrap_or_default()
     }
 }
