--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,14 +1,15 @@
-//! Fair queue of one pool: deficit round robin over customers, classes by priority.
+//! Fair queue of one pool: deficit round robin over customers, and classes by priority.
 //!
-//! **Load:** a hot caller, long jobs among short ones. **Without it:** in a common queue one
-//! workspace at ten times its share starves the other nine, and a batch-history review that holds
-//! every slot makes stock answers wait for minutes. **How:** three rules.
-//! - Within a class each customer has a queue of its own, served in turn by weight, in tokens.
-//! - Classes go by priority, but each waiting class gets at least a minimum share of the work.
-//! - Long jobs hold at most a share of the slots, since a slot once given is not taken back.
+//! In a common queue one workspace at ten times its share starves the other nine, and a batch-history
+//! review that holds every slot makes stock answers wait for minutes. Three rules prevent that:
+//! - Within a class each customer has its own queue. The queues are served in turns, by weight and in
+//!   tokens.
+//! - Classes are served by priority, but each waiting class gets at least a minimum share of the work, so
+//!   that lower classes do not starve.
+//! - Long jobs hold at most a share of the slots, since a slot in use cannot be taken back.
 //!
-//! **Grounds:** deficit round robin (Shreedhar and Varghese, 1995), whose cost does not grow with
-//! the number of customers. The minimum share keeps priority from becoming starvation.
+//! Deficit round robin (Shreedhar and Varghese, 1995) has a cost that does not grow with the number of
+//! customers.
 
 mod lane;
 
@@ -21,18 +22,18 @@
 use self::lane::Lane;
 use crate::number;
 
-/// Figures of a [`Queue`].
+/// Parameters of a [`Queue`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Tokens that a customer of weight one may send in one turn: some short answers. A turn of
-    /// one short answer (200) served less at three times the capacity, 60.1% against 61.2%.
+    /// Tokens that a customer of weight one may dispatch in one turn: some short answers. A turn of one
+    /// short answer (200 tokens) serves less at three times the capacity: 60.1% instead of 61.2%.
     pub quantum: Tokens,
-    /// Share of the work that each class but the first is sure of while it waits.
+    /// Minimum share of the work for each waiting class.
     pub min_share: f64,
-    /// Jobs from this size on are long.
+    /// Jobs of at least this size are long.
     pub long_threshold: Tokens,
-    /// Share of the slots that long jobs may hold together. Limits add up to about two batches of
-    /// the pool, so that this is two fifths of the places where calls run.
+    /// Share of the slots that all long jobs together may hold. The limits add up to about two batches of
+    /// the pool, so long jobs fill at most two fifths of a batch.
     pub long_share: f64,
 }
 
@@ -50,7 +51,7 @@
 /// A request that waits for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// Whose it is.
+    /// The customer that it belongs to.
     pub customer: id::Customer,
     /// The customer's weight; zero counts as one.
     pub weight: u32,
@@ -58,11 +59,11 @@
     pub priority: u8,
     /// Estimated work.
     pub tokens: Tokens,
-    /// The last moment at which it can start.
+    /// The latest moment at which it may start.
     pub start_by: Moment,
 }
 
-/// A job's place in the queue. Never used twice.
+/// Identifies a waiting job. Tickets are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
     sequence: u64,
@@ -70,14 +71,14 @@
     flow: u32,
 }
 
-/// A job that left the queue for a slot. The slot is given back by [`Queue::release`].
+/// A job that was dispatched to a slot. [`Queue::release`] gives the slot back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Dispatch {
-    /// Which job.
+    /// The job's ticket.
     pub ticket: Ticket,
-    /// Its estimated work.
+    /// The job's estimated work.
     pub tokens: Tokens,
-    /// Whether it counts as long.
+    /// Whether the job counts as long.
     pub long: bool,
 }
 
@@ -93,7 +94,7 @@
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(config: Config) -> Self {
         Self {
@@ -106,10 +107,10 @@
         }
     }
 
-    /// Puts a job at the end of its customer's queue.
+    /// Appends a job to its customer's queue.
     pub fn enqueue(&mut self, job: Job) -> Ticket {
-        let place = self.lane_index_or_insert(job.priority);
-        let lane = &mut self.lanes[place];
+        let index = self.lane_index_or_insert(job.priority);
+        let lane = &mut self.lanes[index];
         let sequence = self.sequence;
         self.sequence += 1;
         self.waiting += 1;
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Takes the job that goes next if one may start now; `slots` is the pool's sum of limits. To
-    /// be called when a slot is free. A job past its last start is left for
+    /// Removes the next job that may start now, and returns it. `slots` is the sum of the pool's limits. It
+    /// is to be called when a slot is free. A job past its latest start is skipped, and left for
     /// [`expire`](Self::expire).
     pub fn next(&mut self, now: Moment, slots: u32) -> Option<Dispatch> {
         let long = self.running_long < self.max_long(slots);
@@ -148,26 +149,25 @@
         })
     }
 
-    /// Gives back the slot of a job that has ended, however it ended.
+    /// Releases the slot of a job that has ended, whatever its outcome.
     pub fn release(&mut self, dispatch: &Dispatch) {
         if dispatch.long {
             self.running_long = self.running_long.saturating_sub(1);
         }
     }
 
-    /// Removes a waiting job. False if it is no longer waiting: once dispatched it can't be
-    /// refused any more.
+    /// Removes a waiting job. Returns false if it no longer waits; a dispatched job cannot be refused.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        let Ok(place) = self.lane_index(ticket.priority) else {
+        let Ok(index) = self.lane_index(ticket.priority) else {
             return false;
         };
-        let removed = self.lanes[place].remove(ticket.flow, ticket.sequence);
+        let removed = self.lanes[index].remove(ticket.flow, ticket.sequence);
         self.waiting -= usize::from(removed);
         removed
     }
 
-    /// Removes all jobs that can't start in time any more. Their callers get the final answer now,
-    /// and not when their own timeout runs out.
+    /// Removes all jobs that can no longer start in time, so that their callers get the final answer now
+    /// and not at their own timeout.
     pub fn expire(&mut self, now: Moment) -> Vec<Ticket> {
         let mut expired = Vec::new();
         if self.next_expiry.is_none_or(|earliest| now <= earliest) {
@@ -188,17 +188,17 @@
         expired
     }
 
-    /// When [`expire`](Self::expire) should next be called, at the latest.
+    /// Returns the latest time at which [`expire`](Self::expire) should next be called.
     #[must_use]
     pub const fn next_expiry(&self) -> Option<Moment> {
         self.next_expiry
     }
 
-    /// Work that would be served before a job of `tokens` that joined now: all that waits in
-    /// higher classes, of its own class what the other customers may send until its turn, and what
-    /// higher classes are going to take meanwhile, by what they took lately. Without the last a
-    /// long answer is let in under overload, waits behind short ones that come after it, and hears
-    /// only when its time is up that it can't be served.
+    /// Returns the work that will be served before a job of `tokens` that joined now. It consists of the
+    /// backlog of higher classes, of what other customers of its own class may dispatch before its turn,
+    /// and of what higher classes will take meanwhile, estimated from what they took recently. Without the
+    /// last part a long job would be admitted under overload, wait behind short ones that arrive after it,
+    /// and be refused only at its deadline.
     #[must_use]
     pub fn work_ahead(
         &self,
@@ -209,14 +209,16 @@
     ) -> Tokens {
         let higher = self.lanes.iter().filter(|lane| lane.priority() < priority);
         let waiting: Tokens = higher.map(Lane::backlog).sum();
-        let own = self.lane_index(priority).ok().map(|place| {
-            self.lanes[place].work_ahead(customer, weight, tokens, self.config.quantum)
+        let own = self.lane_index(priority).ok().map(|index| {
+            self.lanes[index].work_ahead(customer, weight, tokens, self.config.quantum)
         });
         let work = number::float(waiting.0) + own.unwrap_or(0.0);
         Tokens(number::whole(work / self.drain_share(priority)))
     }
 
-    /// The part of the drain that a class and those before it can count on.
+    /// Returns the share of the drain rate that is left for a class, at least the minimum share: lower
+    /// classes that wait are granted their minimum shares, and higher classes are assumed to take what they
+    /// took recently.
     fn drain_share(&self, priority: u8) -> f64 {
         let all: f64 = self.lanes.iter().map(Lane::served).sum();
         let others = |lane: &&Lane| lane.priority() < priority;
@@ -230,25 +232,25 @@
         free.max(self.config.min_share)
     }
 
-    /// All waiting work.
+    /// Returns all waiting work.
     #[must_use]
     pub fn backlog(&self) -> Tokens {
         self.lanes.iter().map(Lane::backlog).sum()
     }
 
-    /// Number of waiting jobs.
+    /// Returns the number of waiting jobs.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Whether no job waits.
+    /// Returns whether no job waits.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 
-    /// How long the longest-waiting work would last at `drain_rate` tokens a second, for metrics.
+    /// Returns how long the backlog lasts at `drain_rate` tokens per second, for metrics.
     #[must_use]
     pub fn depth(&self, drain_rate: f64) -> Duration {
         number::seconds(number::float(self.backlog().0) / drain_rate)
@@ -264,16 +266,16 @@
 
     fn lane_index_or_insert(&mut self, priority: u8) -> usize {
         match self.lane_index(priority) {
-            Ok(place) => place,
-            Err(place) => {
-                self.lanes.insert(place, Lane::new(priority));
-                place
+            Ok(index) => index,
+            Err(index) => {
+                self.lanes.insert(index, Lane::new(priority));
+                index
             }
         }
     }
 
-    /// The class to serve: one whose saved-up minimum covers its next job, or else the first that
-    /// has a job that may start.
+    /// Returns the class to serve: the first one whose credit covers its next job, or else the first one
+    /// that has a job which may start.
     fn choose_lane(&self, now: Moment, long: bool) -> Option<usize> {
         let ready = |lane: &Lane| lane.is_ready(now, long);
         let due = self
@@ -283,11 +285,11 @@
         due.or_else(|| self.lanes.iter().position(ready))
     }
 
-    /// Credits the minimum share to the classes that had to wait.
+    /// Debits the served class, and credits the minimum share to all other classes that wait.
     fn account(&mut self, chosen: usize, tokens: Tokens) {
         let min_share = self.config.min_share;
-        for (place, lane) in self.lanes.iter_mut().enumerate() {
-            if place == chosen {
+        for (index, lane) in self.lanes.iter_mut().enumerate() {
+            if index == chosen {
                 lane.debit(tokens);
             } else {
                 lane.earn_credit(number::float(tokens.0) * min_share);
--- a/crates/policy/src/queue/lane.rs
+++ b/crates/policy/src/queue/lane.rs
@@ -1,4 +1,4 @@
-//! One class of the queue: a queue for each customer, served by deficit round robin.
+//! One class of the queue: a queue per customer, served by deficit round robin.
 
 use std::collections::VecDeque;
 
@@ -9,8 +9,8 @@
 use super::Job;
 use crate::number;
 
-/// What is left of the memory of served work after a dispatch: that of the last hundred or so
-/// counts, enough to average over sizes and few enough to follow a change of load in seconds.
+/// Factor by which recent work decays with each dispatch. About the last hundred dispatches count: enough
+/// to average over job sizes, and few enough to follow a change of load within seconds.
 const SERVED_DECAY: f64 = 0.99;
 
 /// A waiting job.
@@ -32,16 +32,16 @@
     active: bool,
 }
 
-/// What the door has to know of a customer. Apart from its jobs, so that the sum over a thousand
-/// customers reads memory in order.
+/// What the admission estimate needs of a customer. It is kept apart from the customer's jobs, so that the
+/// sum over a thousand customers reads memory sequentially.
 #[derive(Debug, Clone, Copy)]
 struct FlowSummary {
     backlog: u64,
     weight: u32,
 }
 
-/// One class. `index` is sorted by customer; `flows` keep their place, which tickets refer to;
-/// `ring` holds those with jobs in the order of their turns.
+/// One class. `index` is sorted by customer. `flows` keep their positions, which tickets refer to. `ring`
+/// holds the flows with jobs in the order of their turns.
 #[derive(Debug, Clone)]
 pub(super) struct Lane {
     priority: u8,
@@ -69,8 +69,8 @@
         self.short.is_empty() && self.long.is_empty()
     }
 
-    /// The oldest job that may start. Those past their last start are skipped, for `expire` to
-    /// find: to run them would spend a slot on an answer that comes too late.
+    /// Returns the oldest job that may start. Jobs past their latest start are skipped and left for
+    /// `expire`: a slot would be wasted on an answer that comes too late.
     fn next_entry(&self, now: Moment, long: bool) -> Option<Entry> {
         let first = |jobs: &VecDeque<Entry>| jobs.iter().find(|e| e.start_by >= now).copied();
         let short = first(&self.short);
@@ -86,10 +86,10 @@
 
     fn remove(&mut self, sequence: u64) -> Option<Entry> {
         for jobs in [&mut self.short, &mut self.long] {
-            let Ok(place) = jobs.binary_search_by_key(&sequence, |entry| entry.sequence) else {
+            let Ok(index) = jobs.binary_search_by_key(&sequence, |entry| entry.sequence) else {
                 continue;
             };
-            return jobs.remove(place);
+            return jobs.remove(index);
         }
         None
     }
@@ -129,12 +129,13 @@
         self.credit
     }
 
-    /// Work dispatched from this class lately.
+    /// Returns the decayed sum of the work dispatched from this class.
     pub(super) const fn served(&self) -> f64 {
         self.served
     }
 
-    /// Another class was served: a class that waits earns its minimum share of that.
+    /// Records a dispatch from another class: this class earns its minimum share of that work while it
+    /// waits.
     pub(super) fn earn_credit(&mut self, credit: f64) {
         self.served *= SERVED_DECAY;
         if self.has_waiting() {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// This class was served.
+    /// Records a dispatch from this class.
     pub(super) fn debit(&mut self, tokens: Tokens) {
         let tokens = number::float(tokens.0);
         self.served = self.served * SERVED_DECAY + tokens;
@@ -155,7 +156,7 @@
         self.next_entries(now, long).next().is_some()
     }
 
-    /// Whether the credit covers the next job that may start.
+    /// Returns whether the credit covers the next job that may start.
     pub(super) fn credit_covers_next(&self, now: Moment, long: bool) -> bool {
         let next = self.next_entries(now, long).next();
         next.is_some_and(|entry| self.credit >= number::float(entry.tokens.0))
@@ -168,10 +169,10 @@
     }
 
     pub(super) fn push(&mut self, job: Job, sequence: u64, long: bool, quantum: Tokens) -> u32 {
-        let place = self.flow_index_or_insert(job.customer);
-        let flow = &mut self.flows[place as usize];
+        let index = self.flow_index_or_insert(job.customer);
+        let flow = &mut self.flows[index as usize];
         flow.weight = job.weight;
-        let summary = &mut self.summaries[place as usize];
+        let summary = &mut self.summaries[index as usize];
         summary.weight = job.weight;
         summary.backlog += job.tokens.0;
         self.backlog += job.tokens.0;
@@ -189,26 +190,26 @@
         if !flow.active {
             flow.active = true;
             flow.deficit = flow.turn_quantum(quantum);
-            self.ring.push_back(place);
+            self.ring.push_back(index);
         }
-        place
+        index
     }
 
-    /// Serves the customer whose turn it is. A turn lasts while the deficit covers the next job;
-    /// then the customer goes to the back and is granted its quantum for the next turn.
+    /// Dispatches a job of the customer whose turn it is. A turn lasts while the deficit covers the next
+    /// job; then the customer moves to the back and is granted its quantum for the next turn.
     pub(super) fn pop(&mut self, now: Moment, long: bool, quantum: Tokens) -> Option<(Entry, u32)> {
         let mut skipped = 0;
         loop {
-            let place = *self.ring.front()?;
-            let flow = &self.flows[place as usize];
+            let index = *self.ring.front()?;
+            let flow = &self.flows[index as usize];
             match flow.next_entry(now, long) {
                 Some(head) if head.tokens.0 <= flow.deficit => {
-                    return self.serve(place, head.sequence);
+                    return self.serve(index, head.sequence);
                 }
                 head => {
                     if head.is_some() {
                         let grant = flow.turn_quantum(quantum);
-                        self.flows[place as usize].deficit += grant;
+                        self.flows[index as usize].deficit += grant;
                     }
                     self.ring.rotate_left(1);
                     skipped += 1;
@@ -221,8 +222,8 @@
         }
     }
 
-    /// After a round without a job served: grants at once the rounds that would pass until one is,
-    /// so that a job of many quanta costs one pass and not hundreds.
+    /// Grants all customers the rounds that would pass until a job can be dispatched, after a round without
+    /// one. A job of many quanta then takes one pass instead of hundreds.
     fn grant_skipped_rounds(&mut self, now: Moment, long: bool, quantum: Tokens) -> Option<()> {
         let rounds = |flow: &Flow| {
             let head = flow.next_entry(now, long)?;
@@ -231,8 +232,8 @@
         };
         let flows = self.ring.iter().map(|flow| &self.flows[*flow as usize]);
         let least = flows.filter_map(rounds).min()?;
-        for place in &self.ring {
-            let flow = &mut self.flows[*place as usize];
+        for index in &self.ring {
+            let flow = &mut self.flows[*index as usize];
             if flow.next_entry(now, long).is_some() {
                 flow.deficit += least * flow.turn_quantum(quantum);
             }
@@ -240,61 +241,62 @@
         Some(())
     }
 
-    fn serve(&mut self, place: u32, sequence: u64) -> Option<(Entry, u32)> {
-        let entry = self.remove_entry(place, sequence)?;
-        self.flows[place as usize].deficit -= entry.tokens.0;
-        self.deactivate_if_empty(place);
-        Some((entry, place))
+    fn serve(&mut self, index: u32, sequence: u64) -> Option<(Entry, u32)> {
+        let entry = self.remove_entry(index, sequence)?;
+        self.flows[index as usize].deficit -= entry.tokens.0;
+        self.deactivate_if_empty(index);
+        Some((entry, index))
     }
 
-    pub(super) fn remove(&mut self, place: u32, sequence: u64) -> bool {
-        let removed = self.remove_entry(place, sequence).is_some();
+    pub(super) fn remove(&mut self, index: u32, sequence: u64) -> bool {
+        let removed = self.remove_entry(index, sequence).is_some();
         if removed {
-            self.deactivate_if_empty(place);
+            self.deactivate_if_empty(index);
         }
         removed
     }
 
-    fn remove_entry(&mut self, place: u32, sequence: u64) -> Option<Entry> {
-        let entry = self.flows.get_mut(place as usize)?.remove(sequence)?;
-        self.summaries[place as usize].backlog -= entry.tokens.0;
+    fn remove_entry(&mut self, index: u32, sequence: u64) -> Option<Entry> {
+        let entry = self.flows.get_mut(index as usize)?.remove(sequence)?;
+        self.summaries[index as usize].backlog -= entry.tokens.0;
         self.backlog -= entry.tokens.0;
         Some(entry)
     }
 
-    /// A customer without jobs leaves the ring and its deficit: it can't save up while idle.
-    fn deactivate_if_empty(&mut self, place: u32) {
-        let flow = &mut self.flows[place as usize];
+    /// Removes a customer without jobs from the ring and resets its deficit: idle customers save nothing
+    /// up.
+    fn deactivate_if_empty(&mut self, index: u32) {
+        let flow = &mut self.flows[index as usize];
         if flow.is_empty() {
             flow.active = false;
             flow.deficit = 0;
-            // The one that was served stands in front, so that this mostly costs nothing.
-            if self.ring.front() == Some(&place) {
+            // The customer that was just served is mostly at the front, where removal is cheap.
+            if self.ring.front() == Some(&index) {
                 self.ring.pop_front();
             } else {
-                self.ring.retain(|other| *other != place);
+                self.ring.retain(|other| *other != index);
             }
         }
     }
 
     pub(super) fn expire(&mut self, now: Moment, mut expired: impl FnMut(u32, u64)) {
         let places: Vec<u32> = self.ring.iter().copied().collect();
-        for place in places {
-            let flow = &mut self.flows[place as usize];
+        for index in places {
+            let flow = &mut self.flows[index as usize];
             let mut expired_tokens = 0;
             for jobs in [&mut flow.short, &mut flow.long] {
                 jobs.retain(|entry| {
                     let keep = entry.start_by >= now;
                     if !keep {
                         expired_tokens += entry.tokens.0;
-                        expired(place, entry.sequence);
+                        expired(index, entry.sequence);
                     }
                     keep
                 });
             }
-            self.summaries[place as usize].backlog -= expired_tokens;
+            self.summaries[index as usize].backlog -= expired_tokens;
             self.backlog -= expired_tokens;
-            self.deactivate_if_empty(place);
+            self.deactivate_if_empty(index);
         }
     }
 
@@ -306,8 +308,9 @@
             .min()
     }
 
-    /// Work of this class that goes before a new job of `customer`: its own, and of every other
-    /// customer at most what its weight lets it send meanwhile, or one turn.
+    /// Returns the work of this class that is served before a new job of `customer`: the customer's own
+    /// backlog, and for each other customer at most what its weight lets it dispatch meanwhile, or one
+    /// turn.
     pub(super) fn work_ahead(
         &self,
         customer: &id::Customer,
@@ -317,7 +320,7 @@
     ) -> f64 {
         let own = self
             .flow_index(customer)
-            .map(|place| self.summaries[place as usize]);
+            .map(|index| self.summaries[index as usize]);
         let waiting = own.map_or(0, |summary| summary.backlog);
         let sent_per_weight = number::float(waiting + tokens.0) / f64::from(weight.max(1));
         let quantum = number::float(quantum.0.max(1));
@@ -330,26 +333,26 @@
     }
 
     fn flow_index(&self, customer: &id::Customer) -> Option<u32> {
-        let place = self
+        let index = self
             .index
             .binary_search_by(|(known, _)| known.cmp(customer));
-        place.ok().map(|place| self.index[place].1)
+        index.ok().map(|index| self.index[index].1)
     }
 
     fn flow_index_or_insert(&mut self, customer: id::Customer) -> u32 {
-        let place = self
+        let index = self
             .index
             .binary_search_by(|(known, _)| known.cmp(&customer));
-        match place {
-            Ok(place) => self.index[place].1,
-            Err(place) => {
+        match index {
+            Ok(index) => self.index[index].1,
+            Err(index) => {
                 let flow = u32::try_from(self.flows.len()).unwrap_or(u32::MAX);
                 self.flows.push(Flow::new());
                 self.summaries.push(FlowSummary {
                     backlog: 0,
                     weight: 1,
                 });
-                self.index.insert(place, (customer, flow));
+                self.index.insert(index, (customer, flow));
                 flow
             }
         }
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -1,13 +1,14 @@
-//! Requests a second that an endpoint takes from all VMs together.
+//! Distributed rate limit: requests per second that an endpoint accepts from all VMs together.
 //!
-//! **Load:** an endpoint in need names a limit, and many VMs send to it. **Without it:** each VM sends what
-//! it would have sent, or keeps the limit by itself, so that all of them together break it, the more VMs
-//! the more so; buckets that begin full do so in the first second. **How:** of the VMs that may send there
-//! a few own a part each, as many as the limit has requests in a second; the others send nothing. A part
-//! is earned over time, beginning with nothing.
+//! An endpoint under stress names a limit, and many VMs send to it. If each VM applied the whole limit by
+//! itself, all of them together would exceed it, the more so the more VMs there are. Token buckets that
+//! start full would exceed it in the first second.
 //!
-//! **Grounds:** a token bucket for each part, and rendezvous hashing (Thaler and Ravishankar, 1998) for
-//! whose it is, so that VMs which know the same others need not talk about it.
+//! A few of the VMs that may send to the endpoint own an equal share of the limit, about one owner per
+//! request per second; the other VMs send nothing. An owner's token bucket starts empty.
+//!
+//! Owners are chosen by rendezvous hashing (Thaler and Ravishankar, 1998), so that VMs which know the same
+//! VMs agree on the owners without communication.
 
 use std::fmt;
 use std::num::ParseFloatError;
@@ -20,21 +21,21 @@
 
 use crate::number;
 
-/// Requests a second that an endpoint takes. Not negative, and finite.
+/// Requests per second that an endpoint accepts; finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Limit(f64);
 
-/// Why a text is no limit.
+/// Why a value is not a limit.
 #[derive(Debug, Clone, PartialEq, Snafu)]
 pub enum Error {
-    /// It is no number.
-    #[snafu(display("no number of requests a second: {source}"))]
+    /// The text is not a number.
+    #[snafu(display("not a number of requests per second: {source}"))]
     Syntax {
-        /// Why.
+        /// The parse error.
         source: ParseFloatError,
     },
-    /// It is negative, infinite or not a number.
-    #[snafu(display("{number} is no number of requests a second"))]
+    /// The number is negative, infinite or NaN.
+    #[snafu(display("{number} is not a valid number of requests per second"))]
     Range {
         /// The number.
         number: f64,
@@ -42,7 +43,7 @@
 }
 
 impl Limit {
-    /// Requests a second.
+    /// Returns the limit in requests per second.
     #[must_use]
     pub const fn per_second(self) -> f64 {
         self.0
@@ -75,25 +76,26 @@
     }
 }
 
-/// How long an owner of a part waits for its next request at most: there are no more owners than the limit
-/// has requests in this time, and one.
-const MAX_OWNER_INTERVAL: Duration = Duration::from_secs(1);
+/// Sets the number of owners: one more than the requests that the limit allows in this time.
+const OWNER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Part of the limit that is given out. A request that was sent may arrive later than the next one.
+/// Share of the limit that is used. Delays in transit can bring requests closer together than they were
+/// sent.
 const UTILIZATION: f64 = 0.9;
 
-/// The lowest rate that is kept to, in requests a second: somebody has to ask whether the limit holds on.
+/// Minimum rate in requests per second. With a limit of zero, somebody still has to ask whether it holds.
 const MIN_RATE: f64 = 0.1;
 
-/// Time for which an owner may save up, if that is more than one request.
+/// Time for which an owner's bucket fills, unless that is less than one request.
 const BURST_WINDOW: Duration = Duration::from_millis(250);
 
-/// This VM's part of an endpoint's limit, in requests a second; 0 if others have it all.
+/// Returns this VM's share of an endpoint's limit, in requests per second; zero if it is not an owner.
 ///
-/// `participants` are all VMs that may send there, each by a hash of its name; none if this one is alone. A limit below
-/// one request for each of them is not split among all, or the first second would bring as many requests as
-/// there are VMs: it has a few owners, found by rendezvous hashing, so that all who know the same participants
-/// find the same ones, and most keep their part when one leaves.
+/// `participants` are hashes of the names of all VMs that may send to the endpoint; if there are none, this
+/// VM has the whole limit. A limit of less than one request per second for each of them is not split among
+/// all, or the first second would bring as many requests as there are VMs. It has a few owners, chosen by
+/// rendezvous hashing: all VMs that know the same participants find the same owners, and most owners stay
+/// when one VM leaves.
 #[must_use]
 pub fn share(limit: Limit, endpoint: u64, own: u64, participants: &[u64]) -> f64 {
     let rate = (limit.0 * UTILIZATION).max(MIN_RATE);
@@ -103,7 +105,7 @@
     if !participants.contains(&own) {
         return 0.0;
     }
-    let max_owners = number::small(limit.0 * MAX_OWNER_INTERVAL.as_secs_f64()).saturating_add(1);
+    let max_owners = number::small(limit.0 * OWNER_INTERVAL.as_secs_f64()).saturating_add(1);
     let count = u32::try_from(participants.len()).unwrap_or(u32::MAX);
     let owners = max_owners.min(count);
     let weight = |vm: u64| number::mix(endpoint, vm);
@@ -116,19 +118,20 @@
     }
 }
 
-/// What this VM may send to an endpoint with a limit.
+/// Token bucket for the requests that this VM may send to an endpoint with a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Throttle {
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    /// Requests that may be sent now.
+    /// Requests that could be sent at `updated`. Negative after a request that was sent too early.
     available: f64,
-    /// As of when.
+    /// When `available` was computed.
     updated: Moment,
 }
 
 impl Throttle {
-    /// Begins with nothing saved up: VMs hear of a limit together, and would send at once together.
+    /// Creates an empty bucket: all VMs receive a limit at about the same time, and full buckets would let
+    /// them all send at once.
     #[must_use]
     pub const fn new(rate: f64, now: Moment) -> Self {
         Self {
@@ -138,14 +141,14 @@
         }
     }
 
-    /// The part is another one from now on.
+    /// Changes the rate, and removes what exceeds the new capacity.
     pub fn set_rate(&mut self, rate: f64, now: Moment) {
         self.available = self.available(now).min(burst(rate));
         self.rate = rate;
         self.updated = now;
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     #[must_use]
     pub const fn rate(&self) -> f64 {
         self.rate
@@ -156,19 +159,19 @@
         (self.available + earned).min(burst(self.rate).max(self.available))
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     #[must_use]
     pub fn is_open(&self, now: Moment) -> bool {
         self.rate > 0.0 && self.available(now) >= 1.0
     }
 
-    /// A request is sent.
+    /// Takes one request from the bucket.
     pub fn consume(&mut self, now: Moment) {
         self.available = self.available(now) - 1.0;
         self.updated = now;
     }
 
-    /// How long until the next request may be sent; none if none ever may.
+    /// Returns the time until the next request may be sent, or `None` if this VM may send none.
     #[must_use]
     pub fn wait(&self, now: Moment) -> Option<Duration> {
         if self.rate <= 0.0 {
@@ -179,7 +182,7 @@
     }
 }
 
-/// The most requests that are saved up.
+/// Capacity of a bucket, in requests.
 fn burst(rate: f64) -> f64 {
     (rate * BURST_WINDOW.as_secs_f64()).max(1.0)
 }
