--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -1,4 +1,4 @@
-//! The two clocks of the process, read here and passed as plain numbers to decisions.
+//! The two clocks of the process. They are read here and passed to decisions as plain numbers.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -23,25 +23,25 @@
 }
 
 impl Clock {
-    /// Time since the process began, on the monotonic clock.
+    /// Returns the time since the process began, on the monotonic clock.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.moment(Instant::now())
     }
 
-    /// The moment of an instant; the start for earlier ones.
+    /// Converts an instant to a moment; instants before the start become the start.
     #[must_use]
     pub fn moment(&self, instant: Instant) -> Moment {
         Moment::ZERO + instant.saturating_duration_since(self.start)
     }
 
-    /// The instant of a moment.
+    /// Converts a moment to an instant.
     #[must_use]
     pub fn instant(&self, moment: Moment) -> Instant {
         self.start + Duration::from_nanos(moment.nanos())
     }
 
-    /// The wall clock.
+    /// Returns the time of the wall clock.
     #[must_use]
     pub fn wall(&self) -> Wall {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/scheduler/src/endpoint_limit.rs
+++ b/crates/scheduler/src/endpoint_limit.rs
@@ -1,4 +1,4 @@
-//! An endpoint's own limit, as it named it or as another VM heard it.
+//! Limits that endpoints name for all VMs together, observed by this VM or reported by another one.
 
 use std::time::Duration;
 
@@ -6,51 +6,51 @@
 use pimento_policy::throttle::Throttle;
 use pimento_units::Moment;
 
-/// For how long other VMs are told that a limit has ended.
+/// Time for which the removal of a limit is reported to other VMs.
 const REMOVAL_REPORT_PERIOD: Duration = Duration::from_secs(3);
 
-/// What is observation of an endpoint's limit.
+/// A report of an endpoint's limit to other VMs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Report {
     /// Hash of the endpoint's name.
     pub endpoint: u64,
-    /// Its limit; none if it has one no more.
+    /// The limit; `None` if the endpoint no longer has one.
     pub limit: Option<Limit>,
-    /// How long ago it observation so.
+    /// Time since the endpoint's answer.
     pub age: Duration,
 }
 
-/// Who knows of an endpoint's limit.
+/// How this VM knows an endpoint's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The endpoint told this VM.
+    /// From an answer of the endpoint to this VM.
     Local,
-    /// Another VM did.
+    /// From another VM's report.
     Peer,
 }
 
-/// What an endpoint observation.
+/// A limit, or its absence, in an endpoint's answer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Observation {
-    /// Its limit; none if it has none.
+    /// The limit; `None` if the endpoint has none.
     pub limit: Option<Limit>,
-    /// Who knows it from whom.
+    /// How this VM knows it.
     pub source: Source,
-    /// When it observation so.
+    /// When the endpoint answered.
     pub observed: Moment,
 }
 
-/// What is known of one endpoint's limit.
+/// The state of one endpoint's limit.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndpointLimit {
     observation: Observation,
-    /// What this VM may send, while there is a limit.
+    /// Token bucket for this VM's calls, if there is a limit.
     throttle: Option<Throttle>,
 }
 
 impl EndpointLimit {
-    /// What follows from what an endpoint observation: `part` is this VM's part of a limit, and `before` what it
-    /// could send by the limit until now.
+    /// Applies an observation. `share` computes this VM's share of a limit, and `before` is the token
+    /// bucket that it has used so far.
     pub fn new(
         observation: Observation,
         before: Option<Throttle>,
@@ -68,36 +68,37 @@
         }
     }
 
-    /// When the endpoint observation what is known.
+    /// Returns when the endpoint answered.
     pub const fn observed(&self) -> Moment {
         self.observation.observed
     }
 
-    /// Other VMs share the limit from now on.
+    /// Sets this VM's share of the limit, after the VMs that share it have changed.
     pub fn set_share(&mut self, share: impl Fn(Limit) -> f64, now: Moment) {
         if let Some((limit, throttle)) = self.observation.limit.zip(self.throttle.as_mut()) {
             throttle.set_rate(share(limit), now);
         }
     }
 
-    /// The limit, if there is one.
+    /// Returns the limit, if there is one.
     pub const fn limit(&self) -> Option<Limit> {
         self.observation.limit
     }
 
-    /// What may be sent; none if there is no limit.
+    /// Returns the token bucket, if there is a limit.
     pub const fn throttle(&self) -> Option<Throttle> {
         self.throttle
     }
 
-    /// A request is sent.
+    /// Counts a request that is sent.
     pub fn consume(&mut self, now: Moment) {
         if let Some(throttle) = &mut self.throttle {
             throttle.consume(now);
         }
     }
 
-    /// What other VMs are to be told; none if they know it from elsewhere, or by now.
+    /// Returns the report for other VMs. There is none for a limit that another VM reported, nor for a
+    /// removal after [`REMOVAL_REPORT_PERIOD`].
     pub fn report(&self, endpoint: u64, now: Moment) -> Option<Report> {
         let Observation {
             limit,
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! An endpoint of a pool, with what this node learnt of it.
+//! An endpoint of a pool, with the state that this node keeps of it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,32 +14,32 @@
 use crate::endpoint_limit::EndpointLimit;
 use crate::pool::Job;
 
-/// A call of typical_run_time size, for comparing endpoints by how long one takes.
+/// Size of a typical call, for comparing endpoints by their run times.
 const TYPICAL_CALL: Tokens = Tokens(500);
 
-/// Expected time of a call before any was measured.
+/// Expected run time of a call before any was measured.
 pub(crate) const INITIAL_RUN_TIME: Duration = Duration::from_secs(1);
 
 /// An endpoint of the pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// The endpoint's name.
     pub endpoint: id::Endpoint,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: id::Zone,
-    /// Where it is.
+    /// The endpoint's address.
     pub address: SocketAddr,
     /// Whether it may take new work.
     pub usable: bool,
-    /// Delay to its zone beyond the own one's.
+    /// Delay to its zone in addition to the delay within the local zone.
     pub distance: Duration,
-    /// Versions that it holds, sorted; none for a plain service.
+    /// Versions that it holds, sorted; `None` for a plain service.
     pub versions: Option<Vec<id::Version>>,
-    /// What it reported of its load, and when that was measured.
+    /// Its last load report, and when that was measured.
     pub report: Option<(limit::Report, Moment)>,
-    /// For an engine whose calls bring their prompts: its memory, for running calls and kept parts.
+    /// For an engine whose calls carry their prompts: its memory for running calls and cached prefixes.
     pub memory: Option<Tokens>,
-    /// Tells one life of an endpoint from the next under the same name, which knows nothing of it.
+    /// Distinguishes successive endpoints of the same name, which share no state.
     pub incarnation: u64,
 }
 
@@ -53,53 +53,53 @@
     }
 }
 
-/// A member with what this node learnt of it.
+/// A member with the state that this node keeps of it.
 #[derive(Debug)]
 pub(crate) struct EndpointState {
     pub(crate) member: Member,
     pub(crate) limiter: limit::Limiter,
-    /// What the limiter was made for.
+    /// The properties for which the limiter was configured.
     inputs: LimiterInputs,
     pub(crate) key: u64,
-    /// Refusals in a row, and until when no further call is sent because of them.
+    /// Successive refusals, and until when no further call is sent because of them.
     pub(crate) consecutive_refusals: u32,
     pub(crate) closed_until: Moment,
-    /// When it observation that it takes calls again, with its last refusal.
+    /// When it accepts calls again according to its last refusal.
     pub(crate) retry_at: Moment,
-    /// What is known of its prompts, for an engine.
+    /// Prefill queue and prefix cache, for an engine.
     pub(crate) engine: Option<Engine>,
     /// The limit that it named for all VMs together.
     pub(crate) limit: Option<EndpointLimit>,
 }
 
-/// When to come back to an endpoint that this VM may send nothing.
+/// Time after which to retry at an endpoint if this VM has no share of its limit.
 pub(crate) const NO_SHARE_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 impl EndpointState {
-    /// Whether the endpoint says that it takes calls such as this one.
+    /// Returns whether the endpoint accepts the job from this VM now.
     pub(crate) fn accepts(&self, job: &Job, now: Moment) -> bool {
         self.is_open(now) && self.member.holds(job.version.as_ref())
     }
 
-    /// Whether the endpoint says that it takes calls from this VM.
+    /// Returns whether the endpoint accepts calls from this VM now.
     pub(crate) fn is_open(&self, now: Moment) -> bool {
         let allowed = self.throttle().is_none_or(|throttle| throttle.is_open(now));
         self.member.usable && now >= self.closed_until && allowed
     }
 
-    /// What this VM may send to an endpoint that named a limit.
+    /// Returns the token bucket of an endpoint that named a limit.
     pub(crate) fn throttle(&self) -> Option<Throttle> {
         self.limit.as_ref()?.throttle()
     }
 
-    /// When this VM may send it the next call.
+    /// Returns when this VM may send the next call.
     pub(crate) fn next_allowed(&self, now: Moment) -> Moment {
         self.throttle().map_or(Moment::ZERO, |throttle| {
             now + throttle.wait(now).unwrap_or(NO_SHARE_RETRY_AFTER)
         })
     }
 
-    /// Calls at once that it can be counted on for.
+    /// Returns the number of concurrent calls that the endpoint contributes to the pool's capacity.
     pub(crate) fn slots(&self) -> u32 {
         let limit = self.limiter.limit();
         match self.throttle() {
@@ -111,18 +111,18 @@
         }
     }
 
-    /// The same now.
+    /// Returns the number of calls that may be sent now.
     pub(crate) fn free(&self, now: Moment) -> u32 {
-        let room = self.limiter.free();
+        let free = self.limiter.free();
         match self.throttle() {
             _ if !self.is_open(now) => 0,
-            None => room,
-            Some(_) => room.min(1),
+            None => free,
+            Some(_) => free.min(1),
         }
     }
 }
 
-/// A small number of calls.
+/// Rounds a small number of calls up.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -132,11 +132,11 @@
     calls.ceil() as u32
 }
 
-/// How long an endpoint that refused a call gets none from this node: several round trips, in which
-/// calls of other nodes end. Doubled with each further refusal.
+/// Time for which an endpoint that refused a call gets no calls from this node: several round trips, during
+/// which calls of other nodes end. It doubles with each further refusal.
 pub(crate) const REFUSAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Doublings at most: 0.8 s is short beside the time of the answers that fill an engine.
+/// Maximum number of doublings: 0.8 s is short compared with the answers that fill an engine.
 pub(crate) const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 pub(crate) fn initial_state(member: Member) -> EndpointState {
@@ -154,10 +154,10 @@
     }
 }
 
-/// What a limiter depends on.
+/// Properties of an endpoint that determine its limiter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LimiterInputs {
-    /// The endpoint's batch, if it is known.
+    /// The endpoint's batch size, if it is known.
     batch: Option<u32>,
     /// Whether it is an engine whose prompts are known.
     engine: bool,
@@ -173,12 +173,12 @@
     }
 }
 
-/// A limiter that begins at the engine's batch and never goes past what may run and wait there. A
-/// report that is late shows an engine as empty that has filled since, and without this bound would
-/// raise the limit to many batches.
+/// Creates a limiter that starts at the engine's batch size and never exceeds what may run and wait there.
+/// A late report shows an engine as empty that has filled since; without the bound it would raise the limit
+/// to many batches.
 ///
-/// An engine whose prompts are known is limited by the wait for them. Its answers differ a hundredfold
-/// in length and in speed, and the time that they take says nothing of its load.
+/// At an engine whose prompts are known, the wait for them limits the calls. Its answers differ a
+/// hundredfold in length and speed, so their duration says nothing about its load.
 fn limiter(inputs: LimiterInputs) -> limit::Limiter {
     let mut config = limit::Config {
         rounding_offset: rand::random_range(0.0..1.0),
@@ -194,15 +194,16 @@
     limit::Limiter::new(config)
 }
 
-/// Keeps what was learnt of an endpoint, and tells its limiter of a report that is new.
+/// Updates the state of an endpoint, and passes a new load report to its limiter.
 pub(crate) fn refresh(mut state: EndpointState, member: Member) -> EndpointState {
-    // A VM that starts may read the list of endpoints before the configuration that says how much
-    // memory they have. Without prompts an engine would look idle and each prompt read for ever.
-    let again = state.member.incarnation != member.incarnation;
-    if again || state.member.memory != member.memory {
+    // A starting VM may read the list of endpoints before the configuration that sets their memory. If the
+    // engine were not created then, it would look idle for ever, and each prompt as if its prefill took no
+    // time.
+    let restarted = state.member.incarnation != member.incarnation;
+    if restarted || state.member.memory != member.memory {
         state.engine = member.memory.map(Engine::new);
     }
-    if again {
+    if restarted {
         state.consecutive_refusals = 0;
         state.closed_until = Moment::ZERO;
         state.retry_at = Moment::ZERO;
@@ -222,8 +223,8 @@
     state
 }
 
-/// How long a call of typical_run_time size takes. An endpoint that has not answered yet is taken for a baseline
-/// one: a guess that is too high would keep it idle for ever.
+/// Returns the run time of a typical call. An endpoint without any answer is assumed to be as fast as the
+/// baseline; an assumption that is too slow would keep it idle for ever.
 pub(crate) fn typical_run_time(seconds_per_token: f64, baseline: Option<f64>) -> Duration {
     let seconds_per_token = if seconds_per_token > 0.0 {
         seconds_per_token
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -1,4 +1,4 @@
-//! The state of one pool under its lock.
+//! The state of one pool, behind its lock.
 
 mod limits;
 mod placement;
@@ -33,8 +33,8 @@
 use crate::pool::PendingJob;
 use crate::pool::Shared;
 
-/// Jobs for one version, with their own drain rate: versions differ in speed, and a job of one
-/// must not wait behind jobs of another whose endpoints are full.
+/// Jobs for one version, with their own drain rate. Versions differ in speed, and a job for one version
+/// must not wait behind jobs for another one whose endpoints are full.
 #[derive(Debug)]
 struct VersionQueue {
     version: Option<id::Version>,
@@ -54,14 +54,14 @@
     engine_choice: engine::Config,
     prefill: engine::PrefillEstimator,
     last_call: engine::CallId,
-    /// Engines that each other VM named when it was last heard, sorted by VM.
+    /// Engines that each other VM named in its last report of waits, sorted by VM.
     peer_engines: Vec<(u64, Vec<u64>)>,
-    /// Prompts that engines read since they were last told to other VMs.
+    /// Prompts that engines prefilled since the last report to other VMs.
     prefilled: Vec<(u64, Prompt)>,
     last_served: usize,
-    /// The VMs that share what endpoints take.
+    /// The VMs that share the limits of endpoints.
     participants: Participants,
-    /// When waiting jobs are next looked at for an endpoint that may then get one more.
+    /// When dispatch is next tried because an endpoint with a limit accepts another call.
     wake_at: Option<Moment>,
 }
 
@@ -87,10 +87,10 @@
 impl Inner {
     pub fn update(&mut self, mut members: Vec<Member>) {
         members.sort_by(|one, other| one.endpoint.cmp(&other.endpoint));
-        // One that is leaving serves nobody, and must not count as one that is left.
+        // Ejection must not count an endpoint that is leaving among those that remain.
         let usable = members.iter().filter(|member| member.usable);
         self.health.retain(usable.map(|m| m.endpoint.clone()));
-        // Both are sorted, so that one pass over them finds each endpoint's state.
+        // Both lists are sorted, so that one pass over them finds each endpoint's state.
         let former = std::mem::take(&mut self.endpoints);
         let mut former = former.into_iter().peekable();
         for member in members {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The place of an endpoint's state. Seats are sorted by their endpoints.
+    /// Returns the index of an endpoint's state. The states are sorted by endpoint.
     fn index_of(&self, endpoint: &id::Endpoint) -> Option<usize> {
         let find = |state: &EndpointState| state.member.endpoint.cmp(endpoint);
         self.endpoints.binary_search_by(find).ok()
@@ -127,7 +127,7 @@
         entry.map_or(INITIAL_RUN_TIME, |s| s.gate.run(tokens))
     }
 
-    /// What the gate has to know; none if no endpoint holds the version.
+    /// Returns the input of the admission gate, or `None` if no usable endpoint holds the version.
     pub fn demand(&mut self, job: &Job, now: Moment) -> Option<admission::Demand> {
         let version = job.version.as_ref();
         let states = self
@@ -179,21 +179,21 @@
             tokens: pending.job.tokens,
             start_by,
         });
-        let place = entry.pending.partition_point(|(t, _)| *t < ticket);
-        entry.pending.insert(place, (ticket, pending));
+        let index = entry.pending.partition_point(|(t, _)| *t < ticket);
+        entry.pending.insert(index, (ticket, pending));
         ticket
     }
 
     pub fn cancel(&mut self, version: Option<&id::Version>, ticket: queue::Ticket) {
         let entry = self.version_queue(version);
         entry.queue.cancel(ticket);
-        if let Ok(place) = entry.pending.binary_search_by_key(&ticket, |(t, _)| *t) {
-            entry.pending.remove(place);
+        if let Ok(index) = entry.pending.binary_search_by_key(&ticket, |(t, _)| *t) {
+            entry.pending.remove(index);
         }
     }
 
-    /// When a job that was given up on may come back: once the work ahead of it has drained, each
-    /// one at a time of its own.
+    /// Returns when the caller of a job that expired may retry: once the work ahead of it has drained, with
+    /// jitter from `random`.
     pub fn retry_after(&mut self, job: &Job, now: Moment, random: u64) -> Duration {
         let Some(demand) = self.demand(job, now) else {
             return INITIAL_RUN_TIME;
@@ -211,20 +211,20 @@
     }
 
     fn version_queue(&mut self, version: Option<&id::Version>) -> &mut VersionQueue {
-        let place = self
+        let index = self
             .versions
             .binary_search_by(|s| s.version.as_ref().cmp(&version));
-        let place = place.unwrap_or_else(|place| {
+        let index = index.unwrap_or_else(|index| {
             let entry = VersionQueue {
                 version: version.cloned(),
                 gate: admission::Gate::new(admission::Config::default()),
                 queue: queue::Queue::new(queue::Config::default()),
                 pending: Vec::new(),
             };
-            self.versions.insert(place, entry);
-            place
+            self.versions.insert(index, entry);
+            index
         });
-        &mut self.versions[place]
+        &mut self.versions[index]
     }
 
     /// Gives free slots to waiting jobs. Versions take turns, since an endpoint may hold several.
@@ -242,14 +242,14 @@
         self.schedule_wake(shared, now);
     }
 
-    /// Gives one slot to one job of a version; false if there is no slot or no job.
-    fn dispatch_one(&mut self, shared: &Arc<Shared>, place: usize, now: Moment) -> bool {
-        let version = self.versions[place].version.clone();
-        if self.versions[place].queue.is_empty() || !self.any_open(version.as_ref(), now) {
+    /// Gives one slot to one job of a version. Returns false if there is no slot or no job.
+    fn dispatch_one(&mut self, shared: &Arc<Shared>, index: usize, now: Moment) -> bool {
+        let version = self.versions[index].version.clone();
+        if self.versions[index].queue.is_empty() || !self.any_open(version.as_ref(), now) {
             return false;
         }
         let slots = self.slots(version.as_ref());
-        let entry = &mut self.versions[place];
+        let entry = &mut self.versions[index];
         let Some(dispatch) = entry.queue.next(now, slots) else {
             return false;
         };
@@ -262,13 +262,13 @@
         };
         let (_, pending) = entry.pending.remove(found);
         let Some(mut permit) = self.try_acquire(shared, &pending.job, now) else {
-            // No endpoint is open after all: the sender is dropped, which refuses the job.
-            self.versions[place].queue.release(&dispatch);
+            // No endpoint is open after all. Dropping the job drops its sender, which refuses the job.
+            self.versions[index].queue.release(&dispatch);
             return true;
         };
         permit.set_dispatch(dispatch);
         if let Err(permit) = pending.slot.send(permit) {
-            // The lock is held here, so the permit must not give itself back.
+            // The lock is held here, so the permit must not release its slot on drop.
             let slot = permit.into_slot();
             let unknown = limit::Outcome::Unknown;
             self.release(&slot, unknown, eject::Outcome::Unknown, now);
@@ -283,7 +283,8 @@
         })
     }
 
-    /// Chooses an endpoint with a free slot and takes it. Endpoints tried before come last.
+    /// Chooses an endpoint with a free slot and acquires it. Endpoints that failed the job before are a
+    /// last resort.
     pub fn try_acquire(&mut self, shared: &Arc<Shared>, job: &Job, now: Moment) -> Option<Permit> {
         let (chosen, prefill_time) = match &job.prompt {
             Some(prompt) => {
@@ -320,54 +321,54 @@
         Some(Permit::new(Arc::clone(shared), slot))
     }
 
-    /// The endpoint for a call of which only the load is known.
+    /// Chooses the endpoint for a call without a prompt, by load.
     fn choose_endpoint(&self, job: &Job, now: Moment) -> Option<usize> {
         let random: u64 = rand::random();
         let choose =
             |states: &[choice::Candidate]| choice::choose(states, job.prefix, random, &self.choice);
         let candidates = self.candidates(job, now);
         let mut untried = candidates.clone();
-        for (place, candidate) in untried.iter_mut().enumerate() {
-            candidate.usable &= self.untried(place, job);
+        for (index, candidate) in untried.iter_mut().enumerate() {
+            candidate.usable &= self.untried(index, job);
         }
         let ejected = || {
             let mut ejected = candidates.clone();
-            for (place, candidate) in ejected.iter_mut().enumerate() {
-                candidate.usable = self.is_fallback(place, job, now);
+            for (index, candidate) in ejected.iter_mut().enumerate() {
+                candidate.usable = self.is_fallback(index, job, now);
             }
             choose(&ejected)
         };
-        self.probe(job, now, |place| untried[place].usable)
+        self.probe(job, now, |index| untried[index].usable)
             .or_else(|| choose(&untried))
             .or_else(ejected)
             .or_else(|| choose(&candidates))
     }
 
-    /// Whether the endpoint at a place has not failed a job yet.
-    fn untried(&self, place: usize, job: &Job) -> bool {
-        !job.tried.contains(&self.endpoints[place].member.endpoint)
+    /// Returns whether the endpoint at `index` has not failed the job yet.
+    fn untried(&self, index: usize, job: &Job) -> bool {
+        !job.tried.contains(&self.endpoints[index].member.endpoint)
     }
 
-    /// Whether a job that others failed may go to the endpoint at a place although that is out: it did
-    /// not fail this job, and is a better chance than one that did.
-    fn is_fallback(&self, place: usize, job: &Job, now: Moment) -> bool {
-        let state = &self.endpoints[place];
+    /// Returns whether a job that other endpoints failed may go to the endpoint at `index` although that is
+    /// ejected. It has not failed this job, and is a better choice than one that did.
+    fn is_fallback(&self, index: usize, job: &Job, now: Moment) -> bool {
+        let state = &self.endpoints[index];
         let free = state.accepts(job, now) && state.limiter.free() > 0;
-        !job.tried.is_empty() && self.untried(place, job) && free
+        !job.tried.is_empty() && self.untried(index, job) && free
     }
 
-    /// The endpoint that is due for a probe, if this job may be one: a call that may be sent twice.
-    /// By choice alone an endpoint that was out would be tried late, or by many calls at once.
+    /// Returns the endpoint that is due for a probe, if the job may be sent twice and so may serve as one.
+    /// The regular choice would try an ejected endpoint late, or with many calls at once.
     fn probe(&self, job: &Job, now: Moment, usable: impl Fn(usize) -> bool) -> Option<usize> {
         if !job.repeatable || self.health.out() == 0 {
             return None;
         }
         let due = self.health.due(now)?;
-        let place = self
+        let index = self
             .endpoints
             .iter()
             .position(|s| &s.member.endpoint == due)?;
-        (self.endpoints[place].limiter.free() > 0 && usable(place)).then_some(place)
+        (self.endpoints[index].limiter.free() > 0 && usable(index)).then_some(index)
     }
 
     fn candidates(&self, job: &Job, now: Moment) -> Vec<choice::Candidate> {
@@ -396,19 +397,19 @@
         self.endpoints.iter().map(candidate).collect()
     }
 
-    /// Seconds for a token at an endpoint that nobody called yet: as at the fastest one of the own zone
-    /// now, or as in the whole pool if that is slower. The pool's median is of a moment ago. While calls
-    /// take longer from one to the next, endpoints of other zones would look faster by what changed since,
-    /// and calls leave their zone for it, also to one that has just been cut off.
+    /// Returns the assumed seconds per token of endpoints without any measurement: those of the fastest
+    /// endpoint of the local zone, or the pool's median if that is slower. The median lags. While calls get
+    /// slower, endpoints of other zones would look faster by the change since, and calls would leave their
+    /// zone for them, even for one that has just been cut off.
     fn baseline(&self) -> Option<f64> {
-        let near = self
+        let local = self
             .endpoints
             .iter()
             .filter(|s| s.member.distance.is_zero());
-        let paces = near
+        let measured = local
             .map(|s| s.limiter.seconds_per_token())
-            .filter(|pace| *pace > 0.0);
-        let fastest = paces.min_by(f64::total_cmp);
+            .filter(|seconds| *seconds > 0.0);
+        let fastest = measured.min_by(f64::total_cmp);
         [fastest, self.health.median()]
             .into_iter()
             .flatten()
@@ -422,8 +423,8 @@
         health: eject::Outcome,
         now: Moment,
     ) {
-        if let Some(place) = self.index_of(&slot.endpoint) {
-            let state = &mut self.endpoints[place];
+        if let Some(index) = self.index_of(&slot.endpoint) {
+            let state = &mut self.endpoints[index];
             if let Some((engine, call)) = state.engine.as_mut().zip(slot.call) {
                 engine.record_end(call, now);
             }
@@ -444,9 +445,10 @@
         }
     }
 
-    /// When a job may come back that no endpoint will take in time: each one is out, or refused its
-    /// last call and observation to come back, until after this job's last start. Such a job hears it at once; going round
-    /// the endpoints until its time is short would give it nothing.
+    /// Returns when a job may be retried that no endpoint will accept in time, or `None` if one may accept
+    /// it. No endpoint will if each one is ejected, or asked with its last refusal to be left alone, beyond
+    /// the job's latest start. Refusing such a job at once is better than trying the endpoints until its
+    /// time is up.
     pub fn unavailable_for(&self, job: &Job, now: Moment) -> Option<Duration> {
         let version = job.version.as_ref();
         let last = job
@@ -457,22 +459,22 @@
             .endpoints
             .iter()
             .filter(|s| s.member.usable && s.member.holds(version));
-        let back = |state: &EndpointState| {
+        let retry_at = |state: &EndpointState| {
             let out = self.health.back(&state.member.endpoint);
             state.retry_at.max(out).max(state.next_allowed(now))
         };
-        let earliest = states.map(back).min()?;
+        let earliest = states.map(retry_at).min()?;
         let after = earliest.since(now);
         (after > last).then_some(after)
     }
 
-    /// Closes an endpoint that refused a call for a while, and gives that while. `after` is what it
-    /// observation itself: a full engine says a second or so and is often free sooner.
+    /// Sends no calls for a while to an endpoint that refused one, and returns for how long. `after` is the
+    /// time that the endpoint named itself: a full engine names a second or so, and is often free sooner.
     pub fn back_off(&mut self, endpoint: &id::Endpoint, after: Duration, now: Moment) -> Duration {
-        let Some(place) = self.index_of(endpoint) else {
+        let Some(index) = self.index_of(endpoint) else {
             return Duration::ZERO;
         };
-        let state = &mut self.endpoints[place];
+        let state = &mut self.endpoints[index];
         let span = REFUSAL_BACKOFF * (1 << state.consecutive_refusals.min(MAX_BACKOFF_DOUBLINGS));
         state.consecutive_refusals = state.consecutive_refusals.saturating_add(1);
         state.closed_until = now + span;
@@ -481,11 +483,11 @@
     }
 
     pub fn in_flight_without(&self, version: &id::Version) -> u32 {
-        let beside = self
+        let others = self
             .endpoints
             .iter()
             .filter(|s| !s.member.holds(Some(version)));
-        beside.map(|state| state.limiter.in_flight()).sum()
+        others.map(|state| state.limiter.in_flight()).sum()
     }
 
     pub fn depth(&self) -> Depth {
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/inner/limits.rs
@@ -18,34 +18,32 @@
 use crate::pool::Job;
 use crate::pool::Shared;
 
-/// Share of a job's time that waiting for its turn and running may take, as at the gate.
+/// Share of a job's remaining time that its wait and its run may take, as at the admission gate.
 const HEADROOM: f64 = 0.5;
 
-/// The shortest time after which a job comes back that this VM can't send.
+/// Minimum time after which a job that this VM can't send may be retried.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Inner {
-    /// An endpoint named a limit, or none, in its answer to a call that was sent at `asked`. Whether that
-    /// is news.
+    /// Records the limit, or its absence, in an endpoint's answer to a call that was sent at `sent`.
+    /// Returns whether the limit changed.
     ///
-    /// An answer that names none ends a limit only if its call was sent after the limit had been named:
-    /// answers of one endpoint may overtake each other.
+    /// An answer without a limit removes a known one only if its call was sent after that limit had been
+    /// observed, since answers of one endpoint may overtake each other.
     pub fn record_limit(
         &mut self,
         endpoint: &id::Endpoint,
         limit: Option<Limit>,
-        asked: Moment,
+        sent: Moment,
         now: Moment,
     ) -> bool {
-        let Some(place) = self.index_of(endpoint) else {
+        let Some(index) = self.index_of(endpoint) else {
             return false;
         };
-        let state = &mut self.endpoints[place];
+        let state = &mut self.endpoints[index];
         let known = state.limit.and_then(|limited| limited.limit());
-        let ends = state
-            .limit
-            .is_some_and(|limited| limited.observed() < asked);
-        if limit.is_none() && (known.is_none() || !ends) {
+        let outdated = state.limit.is_some_and(|limited| limited.observed() < sent);
+        if limit.is_none() && (known.is_none() || !outdated) {
             return false;
         }
         let observation = Observation {
@@ -57,7 +55,7 @@
         known != limit
     }
 
-    /// Another VM says what an endpoint named.
+    /// Merges another VM's report of an endpoint's limit.
     pub fn merge_limit(&mut self, report: Report, now: Moment) {
         let Some(state) = self.endpoints.iter_mut().find(|s| s.key == report.endpoint) else {
             return;
@@ -77,14 +75,14 @@
         set_limit(state, &self.participants, observation, now);
     }
 
-    /// What other VMs are to be told.
+    /// Returns the reports for other VMs.
     pub fn limit_reports(&self, now: Moment) -> Vec<Report> {
         let states = self.endpoints.iter();
         let reports = states.filter_map(|state| state.limit?.report(state.key, now));
         reports.collect()
     }
 
-    /// These VMs share what endpoints take from now on.
+    /// Sets the VMs that share the limits of endpoints from now on.
     pub fn set_participants(&mut self, participants: Participants, now: Moment) {
         self.participants = participants;
         for state in &mut self.endpoints {
@@ -95,38 +93,39 @@
         }
     }
 
-    /// When a job may come back whose turn at endpoints that all named limits would come too late, or
-    /// never here. It hears so at once.
+    /// Returns when a job may be retried that must be refused at once, because all usable endpoints have
+    /// limits and its turn there would come too late, or this VM has no share of them. Returns `None` if
+    /// the job may wait.
     pub fn throttled_for(&self, job: &Job, now: Moment) -> Option<Duration> {
         let version = job.version.as_ref();
         let usable = |s: &&EndpointState| s.member.usable && s.member.holds(version);
-        let (mut share, mut ready, mut all) = (0.0, 0, 0.0);
+        let (mut share, mut ready, mut total) = (0.0, 0, 0.0);
         for state in self.endpoints.iter().filter(usable) {
             let throttle = state.throttle()?;
             share += throttle.rate();
             ready += u32::from(throttle.is_open(now));
-            all += state.limit?.limit()?.per_second();
+            total += state.limit?.limit()?.per_second();
         }
         if share <= 0.0 {
-            return Some(seconds(1.0 / all).clamp(MIN_RETRY_AFTER, NO_SHARE_RETRY_AFTER));
+            return Some(seconds(1.0 / total).clamp(MIN_RETRY_AFTER, NO_SHARE_RETRY_AFTER));
         }
         let ahead = self.waiting_jobs(version) + 1;
         let missing = f64::from(ahead.saturating_sub(ready));
         let wait = seconds(missing / share);
-        let whole = job.deadline.since(now).mul_f64(HEADROOM);
-        let slack = whole.saturating_sub(self.expected_run_time(version, job.tokens));
+        let budget = job.deadline.since(now).mul_f64(HEADROOM);
+        let slack = budget.saturating_sub(self.expected_run_time(version, job.tokens));
         (wait > slack).then(|| wait.clamp(MIN_RETRY_AFTER, NO_SHARE_RETRY_AFTER))
     }
 
-    /// Jobs that wait for a version.
+    /// Returns the number of jobs that wait for a version.
     fn waiting_jobs(&self, version: Option<&id::Version>) -> u32 {
         let entry = self.versions.iter().find(|s| s.version.as_ref() == version);
         let waiting = entry.map_or(0, |entry| entry.queue.len());
         u32::try_from(waiting).unwrap_or(u32::MAX - 1)
     }
 
-    /// Looks at waiting jobs again once an endpoint with a limit may get one more: nothing else would, as
-    /// no call may be under way that could end before.
+    /// Schedules the next dispatch for when an endpoint with a limit accepts another call. Without it
+    /// nothing might trigger one, since there may be no call in flight that could end before.
     pub(super) fn schedule_wake(&mut self, shared: &Arc<Shared>, now: Moment) {
         if self.versions.iter().all(|entry| entry.queue.is_empty()) {
             return;
@@ -150,7 +149,7 @@
     }
 }
 
-/// The shortest time between two looks.
+/// Minimum time between two scheduled dispatches.
 const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(10);
 
 fn set_limit(
--- a/crates/scheduler/src/inner/placement.rs
+++ b/crates/scheduler/src/inner/placement.rs
@@ -1,4 +1,4 @@
-//! Prompts at engines: where one goes, what it would meet, and what this and other VMs learnt.
+//! Placement of prompts at engines, and what this and other VMs learn from them.
 
 use std::time::Duration;
 
@@ -14,28 +14,28 @@
 use crate::pool::Estimate;
 use crate::pool::Job;
 
-/// Prompts that are kept to be told to other VMs. They are told several times a second; a VM that
-/// tells nobody keeps no more than these.
+/// Maximum number of prefilled prompts that wait to be reported to other VMs. Reports are sent several
+/// times a second; a VM that sends none must not collect prompts without bound.
 const MAX_PREFILLED: usize = 128;
 
-/// Where a prompt goes.
+/// The choice of an engine for a prompt.
 #[derive(Debug)]
 pub struct Placement {
-    /// The engine's place.
+    /// Index of the chosen engine.
     pub chosen: usize,
-    /// What the prompt would meet at each engine.
+    /// The wait and the prefill time at each engine.
     candidates: Vec<engine::Candidate>,
 }
 
 impl Placement {
-    /// What the prompt meets where it goes.
+    /// Returns the chosen engine's wait and prefill time.
     pub fn candidate(&self) -> engine::Candidate {
         self.candidates[self.chosen]
     }
 }
 
 impl Inner {
-    /// The engine for a prompt.
+    /// Chooses the engine for a prompt.
     pub(super) fn place_prompt(
         &self,
         prompt: &Prompt,
@@ -45,20 +45,20 @@
         let prefix = job.prefix.unwrap_or(prompt.model);
         let candidates = self.engine_candidates(prompt, job, now);
         let mut untried = candidates.clone();
-        for (place, candidate) in untried.iter_mut().enumerate() {
-            candidate.usable &= self.untried(place, job);
+        for (index, candidate) in untried.iter_mut().enumerate() {
+            candidate.usable &= self.untried(index, job);
         }
         let choose =
             |engines: &[engine::Candidate]| engine::choose(engines, prefix, &self.engine_choice);
         let ejected = || {
             let mut ejected = candidates.clone();
-            for (place, candidate) in ejected.iter_mut().enumerate() {
-                candidate.usable = self.is_fallback(place, job, now);
+            for (index, candidate) in ejected.iter_mut().enumerate() {
+                candidate.usable = self.is_fallback(index, job, now);
             }
             choose(&ejected)
         };
         let chosen = self
-            .probe(job, now, |place| untried[place].usable)
+            .probe(job, now, |index| untried[index].usable)
             .or_else(|| choose(&untried))
             .or_else(ejected)
             .or_else(|| choose(&candidates))?;
@@ -86,35 +86,35 @@
         self.endpoints.iter().map(candidate).collect()
     }
 
-    /// Whether a call may be sent to an endpoint now.
+    /// Returns whether a call may be sent to an endpoint now.
     fn is_free(&self, state: &EndpointState, job: &Job, now: Moment) -> bool {
         state.accepts(job, now)
             && state.limiter.free() > 0
             && self.health.state(&state.member.endpoint, now) != eject::State::Out
     }
 
-    /// What a job with a prompt would meet.
+    /// Estimates the wait and the prefill time of a job with a prompt.
     pub fn estimate(&self, job: &Job, now: Moment) -> Option<Estimate> {
         let prompt = job.prompt.as_ref()?;
         let placement = self.place_prompt(prompt, job, now)?;
-        let placed = placement.candidate();
+        let chosen = placement.candidate();
         let engines = placement.candidates.iter().enumerate();
-        let near = engines.filter(|(_, e)| e.usable && !e.remote);
-        let wait = |(place, e): (usize, &engine::Candidate)| {
-            if place == placement.chosen {
+        let local = engines.filter(|(_, e)| e.usable && !e.remote);
+        let wait = |(index, e): (usize, &engine::Candidate)| {
+            if index == placement.chosen {
                 e.time_to_first_token()
             } else {
                 e.wait
             }
         };
-        let mut waits: Vec<Duration> = near.map(wait).collect();
+        let mut waits: Vec<Duration> = local.map(wait).collect();
         waits.sort_unstable();
         let half = waits.len().div_ceil(2);
         let sum: Duration = waits.iter().take(half).sum();
         let next_wait = sum / u32::try_from(half.max(1)).unwrap_or(u32::MAX);
         Some(Estimate {
-            wait: placed.wait,
-            prefill: placed.prefill_time,
+            wait: chosen.wait,
+            prefill: chosen.prefill_time,
             full_prefill: self
                 .prefill
                 .prefill_time(prompt.model, prompt.tokens(), prompt.tokens()),
@@ -141,14 +141,15 @@
         self.prefill.seed(seconds_per_token.iter().copied());
     }
 
-    /// Another VM says how long engines take for its calls; all that it does not name take none. Of
-    /// thousands of engines it names a few, so that only these and those it named before are looked at.
+    /// Merges another VM's report of how long engines take for its calls; its calls take no time at engines
+    /// that it does not name. It names a few of thousands of engines, so only these and those of its last
+    /// report are updated.
     pub fn merge_waits(&mut self, node: u64, waits: &[(u64, Duration)], now: Moment) {
         let named: Vec<u64> = waits.iter().map(|(key, _)| *key).collect();
         let known = self
             .peer_engines
             .binary_search_by_key(&node, |(node, _)| *node);
-        let before = known.map_or_else(|_| Vec::new(), |place| self.peer_engines.remove(place).1);
+        let before = known.map_or_else(|_| Vec::new(), |index| self.peer_engines.remove(index).1);
         let dropped = before.iter().filter(|key| !named.contains(key));
         let dropped = dropped.map(|key| (*key, Duration::ZERO));
         for (key, wait) in waits.iter().copied().chain(dropped) {
@@ -158,8 +159,8 @@
             }
         }
         if !named.is_empty() {
-            let (Ok(place) | Err(place)) = known;
-            self.peer_engines.insert(place, (node, named));
+            let (Ok(index) | Err(index)) = known;
+            self.peer_engines.insert(index, (node, named));
         }
     }
 
@@ -173,13 +174,13 @@
         engine.record_cached(prompt, now);
     }
 
-    /// The first token of a call has come.
+    /// Records that the first token of a call has arrived.
     pub fn first_token(&mut self, slot: &Slot, now: Moment) {
         let Some(call) = slot.call else { return };
-        let Some(place) = self.index_of(&slot.endpoint) else {
+        let Some(index) = self.index_of(&slot.endpoint) else {
             return;
         };
-        let state = &mut self.endpoints[place];
+        let state = &mut self.endpoints[index];
         let Some(engine) = state.engine.as_mut() else {
             return;
         };
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,9 +1,9 @@
-//! Slots of endpoints: who gets one, who waits, who is refused, and which endpoint it is.
+//! Scheduling of calls: which job gets a slot at which endpoint, which one waits and which one is refused.
 //!
-//! One [`Pool`] for each pool of endpoints joins the decisions of `pimento_policy`: the admission
-//! gate, the fair queue, the concurrency limits, the choice of an endpoint and ejection. They are
-//! plain state machines; this crate gives them the time, random bits and a lock that is never held
-//! over an await. The filter chain and the relay share it.
+//! A [`Pool`] combines the decisions of `pimento_policy` for one pool of endpoints: admission gate, fair
+//! queue, concurrency limits, choice of an endpoint and ejection. These are plain state machines. This
+//! crate supplies the time, random bits and a lock that is never held across an await. The filter chain
+//! and the relay share it.
 
 pub mod clock;
 pub mod endpoint_limit;
--- a/crates/scheduler/src/participants.rs
+++ b/crates/scheduler/src/participants.rs
@@ -1,22 +1,23 @@
-//! The VMs that share what endpoints take.
+//! The VMs that share the limits of endpoints.
 
 use pimento_policy::choice;
 use pimento_policy::throttle;
 use pimento_policy::throttle::Limit;
 use pimento_units::id;
 
-/// The VMs of all zones, each by a hash of its name. An endpoint with a limit is shared by the VMs of its
-/// own zone: they send it most of what it gets, and hear of each other within a second.
+/// The VMs of all zones, each by a hash of its name. The VMs of an endpoint's own zone share its limit:
+/// they send most of its calls, and learn of each other within a second.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Participants {
-    /// This VM.
+    /// Hash of this VM's name.
     own: u64,
-    /// Sorted by zone; the VMs of each, sorted.
+    /// The VMs of each zone, both sorted.
     zones: Vec<(id::Zone, Vec<u64>)>,
 }
 
 impl Participants {
-    /// This VM, and the VMs of each zone, this one among them. Zones without VMs are left out.
+    /// Creates the list from this VM and the VMs of each zone, including this one. Zones without VMs are
+    /// dropped.
     #[must_use]
     pub fn new(own: u64, mut zones: Vec<(id::Zone, Vec<u64>)>) -> Self {
         zones.retain(|(_, vms)| !vms.is_empty());
@@ -27,17 +28,18 @@
         Self { own, zones }
     }
 
-    /// The VMs that share an endpoint: those of its zone, or of one other zone if it has none.
+    /// Returns the VMs that share an endpoint's limit: those of its zone or, if that has none, those of one
+    /// other zone.
     fn of(&self, zone: &id::Zone, endpoint: u64) -> &[u64] {
-        if let Ok(place) = self.zones.binary_search_by(|(known, _)| known.cmp(zone)) {
-            return &self.zones[place].1;
+        if let Ok(index) = self.zones.binary_search_by(|(known, _)| known.cmp(zone)) {
+            return &self.zones[index].1;
         }
         let weight = |zone: &id::Zone| choice::key(zone.as_str()) ^ endpoint;
         let other = self.zones.iter().max_by_key(|(zone, _)| weight(zone));
         other.map_or(&[], |(_, vms)| vms)
     }
 
-    /// This VM's part of an endpoint's limit, in requests a second.
+    /// Returns this VM's share of an endpoint's limit, in requests per second.
     pub(crate) fn share(&self, limit: Limit, zone: &id::Zone, endpoint: u64) -> f64 {
         throttle::share(limit, endpoint, self.own, self.of(zone, endpoint))
     }
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -1,4 +1,4 @@
-//! A slot at an endpoint, given back with what was learnt from the call.
+//! A slot at an endpoint, released with the outcome of its call.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 use crate::pool::Shared;
 
-/// A slot as the pool gave it.
+/// A slot that a pool has given to a job.
 #[derive(Debug, Clone)]
 pub(crate) struct Slot {
     pub endpoint: id::Endpoint,
@@ -24,14 +24,14 @@
     pub version: Option<id::Version>,
     pub dispatch: Option<queue::Dispatch>,
     pub since: Moment,
-    /// Its prompt at an engine.
+    /// Identifies the call at its engine, if it has a prompt.
     pub call: Option<engine::CallId>,
-    /// The prompt itself.
+    /// The prompt, if the call is at an engine.
     pub prompt: Option<engine::Prompt>,
 }
 
-/// The right to make one call at one endpoint. Dropped without a report, it says nothing about the
-/// endpoint's health.
+/// The right to make one call at one endpoint. If it is dropped without an outcome, the call does not count
+/// for or against the endpoint's health.
 #[derive(Debug)]
 pub struct Permit {
     shared: Arc<Shared>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Takes the slot out without giving it back, for a holder of the pool's lock.
+    /// Returns the slot without releasing it, for a caller that holds the pool's lock.
     pub(crate) fn into_slot(mut self) -> Slot {
         self.released = true;
         self.slot.clone()
@@ -58,31 +58,31 @@
         self.slot.dispatch = Some(dispatch);
     }
 
-    /// The endpoint.
+    /// Returns the endpoint.
     #[must_use]
     pub const fn endpoint(&self) -> &id::Endpoint {
         &self.slot.endpoint
     }
 
-    /// Its zone.
+    /// Returns the endpoint's zone.
     #[must_use]
     pub const fn zone(&self) -> &id::Zone {
         &self.slot.zone
     }
 
-    /// The version that the job was for.
+    /// Returns the version that the job required.
     #[must_use]
     pub const fn version(&self) -> Option<&id::Version> {
         self.slot.version.as_ref()
     }
 
-    /// Where it is.
+    /// Returns the endpoint's address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.slot.address
     }
 
-    /// The first token has come: the prompt is read.
+    /// Records that the first token has arrived: the prompt is prefilled.
     pub fn first_token(&mut self) {
         let now = self.shared.clock.now();
         let mut inner = self.shared.lock();
@@ -90,14 +90,15 @@
         inner.dispatch_waiting(&self.shared, now);
     }
 
-    /// Gives the slot back after a whole answer of `tokens`, prompt included.
+    /// Releases the slot after a complete answer. `tokens` includes the prompt.
     pub fn served(mut self, tokens: Tokens) {
         let now = self.shared.clock.now();
         let took = now.since(self.slot.since);
         #[expect(clippy::cast_precision_loss, reason = "token counts are small")]
         let pace = took.as_secs_f64() / tokens.0.max(1) as f64;
         let outcome = limit::Outcome::Served { tokens, took };
-        // Answers of engines take as long as their model and their length make them.
+        // The duration of an engine's answer depends on its model and length, and says nothing about its
+        // health.
         let health = if self.slot.call.is_some() {
             eject::Outcome::Answered
         } else {
@@ -106,7 +107,7 @@
         self.release(outcome, health, now);
     }
 
-    /// Gives the slot back after a fault.
+    /// Releases the slot after a fault.
     pub fn failed(mut self, fault: &Fault) {
         let now = self.shared.clock.now();
         let (limit, health) = match fault {
@@ -118,14 +119,14 @@
             | Fault::Cut { .. }
             | Fault::Nonsense { .. } => (limit::Outcome::Unknown, eject::Outcome::Failed),
         };
-        // Closed before its slot is given back, or the next job would be sent there at once.
+        // This comes before the slot's release, or the next job would be sent to the endpoint at once.
         if let Fault::Refused { after, .. } = fault {
             self.back_off(after.unwrap_or_default(), now);
         }
         self.release(limit, health, now);
     }
 
-    /// Leaves an endpoint that is full alone for a while, and then looks for waiting work again.
+    /// Sends no calls for a while to an endpoint that refused one, and then dispatches waiting jobs again.
     fn back_off(&self, after: Duration, now: Moment) {
         let endpoint = &self.slot.endpoint;
         let span = self.shared.lock().back_off(endpoint, after, now);
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pools of endpoints and the jobs that wait for their slots.
+//! Pools of endpoints, and the jobs that wait for their slots.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -25,10 +25,10 @@
 use crate::permit::Permit;
 use crate::refused::Refused;
 
-/// Work that wants a slot.
+/// A job that needs a slot.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Whose it is.
+    /// The customer that it belongs to.
     pub customer: id::Customer,
     /// The customer's weight.
     pub weight: u32,
@@ -36,30 +36,30 @@
     pub priority: u8,
     /// Estimated work.
     pub tokens: Tokens,
-    /// When the whole answer must be there.
+    /// When the complete answer is due.
     pub deadline: Moment,
-    /// The version that the endpoint must hold; none if any will do.
+    /// The version that the endpoint must hold; `None` if any will do.
     pub version: Option<id::Version>,
-    /// Hash of the prompt's beginning, for the prefix cache.
+    /// Hash of the prompt's shared prefix, for cache affinity.
     pub prefix: Option<u64>,
-    /// The prompt, for engines that it is placed at by what they have read and have still to read.
+    /// The prompt, for placement by prefix caches and pending prefill.
     pub prompt: Option<Prompt>,
-    /// Endpoints that failed this request already.
+    /// Endpoints that failed this request before.
     pub tried: Vec<id::Endpoint>,
-    /// Whether the caller comes back with a request that was refused before.
+    /// Whether the caller retries a request that was refused before.
     pub previously_refused: bool,
     /// Whether the call may be sent twice.
     pub repeatable: bool,
 }
 
-/// What a job waits on.
+/// A waiting job, with the channel for its permit.
 #[derive(Debug)]
 pub(crate) struct PendingJob {
     pub(crate) job: Job,
     pub(crate) slot: oneshot::Sender<Permit>,
 }
 
-/// One pool's scheduler; clones share it.
+/// The scheduler of one pool. Clones share its state.
 #[derive(Debug, Clone)]
 pub struct Pool {
     shared: Arc<Shared>,
@@ -73,7 +73,7 @@
 
 impl Shared {
     pub(crate) fn lock(&self) -> MutexGuard<'_, Inner> {
-        // A panic between two steps of the bookkeeping is a bug; going on beats refusing all.
+        // A panic between two updates of the state is a bug; continuing is better than refusing all jobs.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Puts these endpoints in use in place of the former ones.
+    /// Replaces the endpoints of the pool.
     pub fn update(&self, members: Vec<Member>) {
         let now = self.shared.clock.now();
         let mut inner = self.shared.lock();
@@ -101,27 +101,27 @@
     ///
     /// # Errors
     ///
-    /// [`Refused`], at once if the job can't start in time, else when its last chance has passed.
+    /// [`Refused`], at once if the job can't start in time, else when its latest start has passed.
     pub async fn acquire(&self, job: Job, cancel: &CancellationToken) -> Result<Permit, Refused> {
         let (slot, granted) = oneshot::channel();
         let version = job.version.clone();
-        let asked = job.clone();
+        let expired = job.clone();
         let (ticket, start_by) = self.enqueue(PendingJob { job, slot })?;
-        let _wait = CancelOnDrop {
+        let _guard = CancelOnDrop {
             pool: self,
             version: &version,
             ticket,
         };
         let deadline = self.shared.clock.instant(start_by);
         tokio::select! {
-            // A slot that came is taken first, or it would be given back unused.
+            // A permit that has arrived takes precedence, or it would be released unused.
             biased;
             slot = granted => match slot {
                 Ok(permit) => Ok(permit),
                 Err(_) => Err(no_endpoint()),
             },
             () = cancel.cancelled() => Err(Refused::CallerGone),
-            () = tokio::time::sleep_until(deadline) => Err(self.expired(&asked)),
+            () = tokio::time::sleep_until(deadline) => Err(self.expired(&expired)),
         }
     }
 
@@ -145,7 +145,7 @@
         Ok((ticket, start_by))
     }
 
-    /// A slot at once, without queueing, for a hedge; none if none is free.
+    /// Acquires a slot at once, without queueing, for a hedge. Returns `None` if none is free.
     #[must_use]
     pub fn try_acquire(&self, job: &Job) -> Option<Permit> {
         let now = self.shared.clock.now();
@@ -158,130 +158,133 @@
         Refused::Expired { after }
     }
 
-    /// What a job with a prompt would meet at the endpoint that it would get; none if there is none,
-    /// or the job has no prompt.
+    /// Estimates the wait and the prefill time at the engine that a job with a prompt would get. Returns
+    /// `None` if there is no such engine, or the job has no prompt.
     #[must_use]
     pub fn estimate(&self, job: &Job) -> Option<Estimate> {
         let now = self.shared.clock.now();
         self.shared.lock().estimate(job, now)
     }
 
-    /// How long work of `tokens` is expected to run on a version.
+    /// Returns the expected run time of work of `tokens` on a version.
     #[must_use]
     pub fn expected_run_time(&self, version: Option<&id::Version>, tokens: Tokens) -> Duration {
         self.shared.lock().expected_run_time(version, tokens)
     }
 
-    /// Whether any usable endpoint holds the version.
+    /// Returns whether any usable endpoint holds the version.
     #[must_use]
     pub fn holds(&self, version: Option<&id::Version>) -> bool {
         self.shared.lock().holds(version)
     }
 
-    /// Prompts that engines read since the last call, each with the key of its engine, for other VMs.
+    /// Returns the prompts that engines prefilled since the last call, each with its engine's key, to
+    /// report to other VMs.
     #[must_use]
     pub fn take_prefilled(&self) -> Vec<(u64, Prompt)> {
         self.shared.lock().take_prefilled()
     }
 
-    /// How long each engine takes for this VM's prompts, for other VMs; only those that take time.
+    /// Returns how long engines take for this VM's prompts, to report to other VMs. Engines without any are
+    /// left out.
     #[must_use]
     pub fn engine_waits(&self) -> Vec<(u64, Duration)> {
         let now = self.shared.clock.now();
         self.shared.lock().engine_waits(now)
     }
 
-    /// Another VM says how long engines take for its prompts.
+    /// Merges another VM's report of how long engines take for its prompts.
     pub fn merge_waits(&self, node: u64, waits: &[(u64, Duration)]) {
         let now = self.shared.clock.now();
         self.shared.lock().merge_waits(node, waits, now);
     }
 
-    /// An engine read another VM's prompt and keeps its parts from now on.
+    /// Merges another VM's report that an engine prefilled a prompt, whose parts are cached there from now
+    /// on.
     pub fn merge_prefilled(&self, engine: u64, prompt: &Prompt) {
         let now = self.shared.clock.now();
         self.shared.lock().merge_prefilled(engine, prompt, now);
     }
 
-    /// An endpoint named a limit, or none, in its answer to a call that was sent at `asked`. Whether that
-    /// is news.
+    /// Records the limit, or its absence, in an endpoint's answer to a call that was sent at `sent`.
+    /// Returns whether the limit changed.
     #[must_use]
     pub fn record_limit(
         &self,
         endpoint: &id::Endpoint,
         limit: Option<Limit>,
-        asked: Moment,
+        sent: Moment,
     ) -> bool {
         let now = self.shared.clock.now();
-        self.shared.lock().record_limit(endpoint, limit, asked, now)
+        self.shared.lock().record_limit(endpoint, limit, sent, now)
     }
 
-    /// What other VMs are to be told of limits.
+    /// Returns the reports of endpoints' limits for other VMs.
     #[must_use]
     pub fn limit_reports(&self) -> Vec<endpoint_limit::Report> {
         let now = self.shared.clock.now();
         self.shared.lock().limit_reports(now)
     }
 
-    /// Another VM says what an endpoint named.
+    /// Merges another VM's report of an endpoint's limit.
     pub fn merge_limit(&self, report: endpoint_limit::Report) {
         let now = self.shared.clock.now();
         self.shared.lock().merge_limit(report, now);
     }
 
-    /// How fast models read, in seconds for a token by the models' hashes; none before enough is
-    /// known to be told to others.
+    /// Returns the prefill speed of models in seconds per token, by hash of the model. It is empty before
+    /// there are enough samples to report it to other VMs.
     #[must_use]
     pub fn seconds_per_token(&self) -> Vec<(u64, f64)> {
         self.shared.lock().prefill().reportable().to_vec()
     }
 
-    /// Calls in flight at endpoints that don't hold `version`.
+    /// Returns the number of calls in flight at endpoints that don't hold `version`.
     #[must_use]
     pub fn in_flight_without(&self, version: &id::Version) -> u32 {
         self.shared.lock().in_flight_without(version)
     }
 
-    /// CancelOnDrop jobs, calls in flight, slots and ejected endpoints.
+    /// Returns the pool's metrics.
     #[must_use]
     pub fn depth(&self) -> Depth {
         self.shared.lock().depth()
     }
 }
 
-/// What a prompt would meet.
+/// What a prompt would find at the engine that it would get.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
     /// Wait for the prompts sent before.
     pub wait: Duration,
-    /// Reading of what the engine does not keep.
+    /// Time to prefill the tokens that the engine has not cached.
     pub prefill: Duration,
-    /// Reading of the whole prompt.
+    /// Time to prefill the whole prompt.
     pub full_prefill: Duration,
-    /// What the next prompt would wait: the mean over the less busy half of the engines nearby, once
-    /// this one is placed.
+    /// Wait of the next prompt: the mean over the less busy half of the local zone's engines once this
+    /// prompt is placed.
     pub next_wait: Duration,
 }
 
-/// Figures of a pool for metrics.
+/// Metrics of a pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Depth {
-    /// Jobs that wait.
+    /// Waiting jobs.
     pub waiting: usize,
     /// Calls in flight from this node.
     pub in_flight: u32,
-    /// The sum of the limits.
+    /// Sum of the endpoints' limits.
     pub slots: u32,
-    /// Endpoints ejected.
+    /// Ejected endpoints.
     pub ejected: usize,
-    /// Endpoints usable.
+    /// Usable endpoints.
     pub usable: usize,
-    /// Of these, endpoints that named a limit.
+    /// Usable endpoints that named a limit.
     pub limited: usize,
 }
 
 impl Depth {
-    /// The figures with their names in metrics.
+    /// Returns the values with their names in metrics.
     #[must_use]
     pub fn figures(&self) -> [(&'static str, u64); 6] {
         let count = |count| u64::try_from(count).unwrap_or(u64::MAX);
@@ -296,8 +299,8 @@
     }
 }
 
-/// Takes the job out of the queue if its caller stops waiting for whatever reason, so that no slot
-/// is given to nobody.
+/// Removes the job from the queue when its caller stops waiting for any reason, so that no slot is given to
+/// a job that is gone.
 struct CancelOnDrop<'a> {
     pool: &'a Pool,
     version: &'a Option<id::Version>,
@@ -312,25 +315,25 @@
 }
 
 const fn no_endpoint() -> Refused {
-    /// A list or load report later, an endpoint may be there.
+    /// Within this time an update of the list or a load report may make an endpoint available.
     const RETRY_AFTER: Duration = Duration::from_secs(2);
     Refused::NoEndpoint { after: RETRY_AFTER }
 }
 
-/// All pools of a node; clones share them.
+/// All pools of a node. Clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct Scheduler {
     clock: Clock,
     /// Sorted by pool.
     pools: Arc<RwLock<Vec<(id::Pool, Pool)>>>,
-    /// How fast models read, as other VMs learnt, for pools to come.
+    /// Prefill speeds of models that other VMs reported, for pools that are created later.
     seconds_per_token: Arc<RwLock<Vec<(u64, f64)>>>,
-    /// The VMs that share what endpoints take.
+    /// The VMs that share the limits of endpoints.
     participants: Arc<RwLock<Participants>>,
 }
 
 impl Scheduler {
-    /// Without pools yet.
+    /// Creates a scheduler without pools.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
         Self {
@@ -341,20 +344,20 @@
         }
     }
 
-    /// One pool; made empty if it is not known yet.
+    /// Returns a pool, which is created without endpoints if it does not exist yet.
     #[must_use]
     pub fn pool(&self, name: &id::Pool) -> Pool {
         let find = |pools: &[(id::Pool, Pool)]| pools.binary_search_by(|(p, _)| p.cmp(name));
         {
             let pools = self.pools.read().unwrap_or_else(PoisonError::into_inner);
-            if let Ok(place) = find(&pools) {
-                return pools[place].1.clone();
+            if let Ok(index) = find(&pools) {
+                return pools[index].1.clone();
             }
         }
         let mut pools = self.pools.write().unwrap_or_else(PoisonError::into_inner);
         match find(&pools) {
-            Ok(place) => pools[place].1.clone(),
-            Err(place) => {
+            Ok(index) => pools[index].1.clone(),
+            Err(index) => {
                 let pool = Pool::new(self.clock);
                 let known = self
                     .seconds_per_token
@@ -368,13 +371,13 @@
                 pool.shared
                     .lock()
                     .set_participants(participants.clone(), self.clock.now());
-                pools.insert(place, (name.clone(), pool.clone()));
+                pools.insert(index, (name.clone(), pool.clone()));
                 pool
             }
         }
     }
 
-    /// Takes what another VM learnt of how fast models read, for all pools.
+    /// Merges prefill speeds that another VM reported, for all pools.
     pub fn seed_prefill(&self, seconds_per_token: &[(u64, f64)]) {
         for (_, pool) in self.pools() {
             pool.shared.lock().seed_prefill(seconds_per_token);
@@ -386,7 +389,7 @@
         known.extend_from_slice(seconds_per_token);
     }
 
-    /// These VMs share what endpoints take from now on.
+    /// Sets the VMs that share the limits of endpoints from now on.
     pub fn set_participants(&self, participants: &Participants) {
         {
             let mut known = self
@@ -406,7 +409,7 @@
         }
     }
 
-    /// All pools, sorted by name.
+    /// Returns all pools, sorted by name.
     #[must_use]
     pub fn pools(&self) -> Vec<(id::Pool, Pool)> {
         let pools = self.pools.read().unwrap_or_else(PoisonError::into_inner);
--- a/crates/scheduler/src/refused.rs
+++ b/crates/scheduler/src/refused.rs
@@ -1,4 +1,4 @@
-//! Why a job got no slot. None of these has reached an endpoint.
+//! Reasons why a job got no slot. None of these jobs has reached an endpoint.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 /// Why a job got no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Refused {
-    /// No endpoint can take the job now.
+    /// No endpoint can take the job.
     #[snafu(display("no endpoint can take the call now"))]
     NoEndpoint {
-        /// When one may be there.
+        /// Time after which an endpoint may be available.
         after: Duration,
     },
-    /// The job could not start by its deadline.
+    /// The job cannot start by its deadline.
     #[snafu(display("the work could not start by its deadline"))]
     Overloaded {
-        /// When it could.
+        /// Time after which it may be retried.
         after: Duration,
     },
-    /// The job waited until its last chance had passed.
+    /// The job waited until its latest start had passed.
     #[snafu(display("the work could not start in time"))]
     Expired {
-        /// When what is ahead of it has drained.
+        /// Time after which the work ahead of it has drained.
         after: Duration,
     },
-    /// Whoever asked stopped waiting.
+    /// The caller stopped waiting.
     #[snafu(display("the caller went away"))]
     CallerGone,
 }
