--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -1,5 +1,4 @@
-//! What a node makes of its engines' answers: how fast models read, what engines keep, what waits
-//! there, and where the next prompt goes.
+//! State of engines as one node tracks it: prefill speeds, cached prefixes and waits.
 
 use std::time::Duration;
 
@@ -10,11 +9,11 @@
 use pimento_units::Moment;
 use pimento_units::Tokens;
 
-/// A model, and the seconds that it takes to read a token.
+/// A model, and its prefill time for one token in seconds.
 const MODEL: u64 = 7;
 const SECONDS_PER_TOKEN: f64 = 0.000_057;
 
-/// Time to a first token of a prompt whose parts are all kept.
+/// Time to the first token of a prompt whose parts are all cached.
 const START: Duration = Duration::from_millis(8);
 
 fn prompt(parts: &[(u64, u64)]) -> Prompt {
@@ -36,7 +35,7 @@
     Moment::ZERO + Duration::from_millis(millis)
 }
 
-/// A prompt is sent and its first token comes after `took`.
+/// Sends a prompt whose first token arrives after `took`.
 fn ask(
     engine: &mut Engine,
     prefill: &mut PrefillEstimator,
@@ -45,18 +44,18 @@
     took: Duration,
 ) {
     let uncached = engine.prefill_tokens(prompt);
-    let work = prefill.prefill_time(MODEL, uncached, prompt.tokens());
+    let expected = prefill.prefill_time(MODEL, uncached, prompt.tokens());
     let call = sent.since(Moment::ZERO).as_micros().try_into();
     let call = call.expect("within the day");
-    engine.record_sent(call, prompt, work, sent);
+    engine.record_sent(call, prompt, expected, sent);
     engine.record_first_token(call, prefill, sent + took);
 }
 
-// A node that has just started does not know what engines keep. Prompts that it takes for unread
-// have their first token at once, and it must not conclude that the model reads at no cost: it would
-// send all to the largest model and call its engines idle for a minute.
+// A node that has just started does not know what engines have cached. Prompts that it expects to be
+// prefilled get their first token at once. If it concluded that the model's prefill is free, it would send
+// all prompts to the largest model, and rate its engines as idle for a minute.
 #[test]
-fn parts_kept_without_our_knowing_do_not_make_a_model_fast() {
+fn unknown_cached_parts_do_not_make_a_model_look_fast() {
     let mut prefill = PrefillEstimator::default();
     prefill.seed([(MODEL, SECONDS_PER_TOKEN)]);
     let mut engine = engine();
@@ -77,21 +76,21 @@
     );
 }
 
-// The same where nothing is known of the model: the first prompts found their parts kept.
+// The same for an unknown model, whose first prompts were cached.
 #[test]
-fn a_first_prompt_that_was_kept_does_not_decide_the_pace() {
+fn a_cached_first_prompt_does_not_set_the_prefill_speed() {
     let mut prefill = PrefillEstimator::default();
     let mut engine = engine();
-    let kept = START + Duration::from_millis(1);
+    let cached = START + Duration::from_millis(1);
     ask(
         &mut engine,
         &mut prefill,
         &prompt(&[(1, 4_000)]),
         at(0),
-        kept,
+        cached,
     );
-    let work = prefill.prefill_time(MODEL, Tokens(4_000), Tokens(4_000));
-    assert!(work > Duration::from_millis(20), "{work:?}");
+    let expected = prefill.prefill_time(MODEL, Tokens(4_000), Tokens(4_000));
+    assert!(expected > Duration::from_millis(20), "{expected:?}");
     for round in 1..12 {
         let took = START + Duration::from_secs_f64(4_000.0 * SECONDS_PER_TOKEN);
         let prompt = prompt(&[(round + 1, 4_000)]);
@@ -104,9 +103,9 @@
     );
 }
 
-// A first prompt that waited a little behind others tells next to nothing of its own reading.
+// The time of a first prompt that waited a little behind others says next to nothing about its own prefill.
 #[test]
-fn a_first_prompt_that_waited_does_not_decide_the_pace() {
+fn a_first_prompt_that_waited_does_not_set_the_prefill_speed() {
     let mut prefill = PrefillEstimator::default();
     let mut engine = engine();
     engine.record_peer_wait(3, Duration::from_millis(40), at(0));
@@ -118,13 +117,13 @@
         at(0),
         took,
     );
-    let work = prefill.prefill_time(MODEL, Tokens(4_000), Tokens(4_000));
-    assert!(work > Duration::from_millis(20), "{work:?}");
+    let expected = prefill.prefill_time(MODEL, Tokens(4_000), Tokens(4_000));
+    assert!(expected > Duration::from_millis(20), "{expected:?}");
 }
 
-// The estimate follows prompts that found their engine idle, up and down, within a dozen.
+// The estimate follows prompts that found their engine idle, in both directions and within a dozen prompts.
 #[test]
-fn the_pace_follows_what_idle_engines_take() {
+fn the_prefill_speed_follows_idle_engines() {
     for (start, truth) in [(0.000_008, 0.000_057), (0.000_057, 0.000_017)] {
         let mut prefill = PrefillEstimator::default();
         prefill.seed([(MODEL, start)]);
@@ -142,11 +141,11 @@
     }
 }
 
-// Engines take 8 ms or 50 ms to a first token beside the reading. Most prompts are short, and taken for
-// reading that time made a long prompt look up to twice as long as it was: callers with the longest
-// prompts got the small model's answer though the large one would have been in time.
+// Engines take 8 ms or 50 ms to a first token besides the prefill. Most prompts are short. If that time
+// counted as prefill, a long prompt would look up to twice as slow as it is, and callers with the longest
+// prompts would get the small model's answer although the large model would have been in time.
 #[test]
-fn the_time_beside_the_reading_does_not_count_as_reading() {
+fn the_start_time_does_not_count_as_prefill() {
     for start in [8, 50].map(Duration::from_millis) {
         let mut prefill = PrefillEstimator::default();
         let mut engine = engine();
@@ -172,28 +171,28 @@
     }
 }
 
-/// Reading of a whole prompt, with a fifth more for a token at 10,000 than at the first.
+/// Prefill time of a whole prompt. The token at position 10,000 takes a fifth longer than the first one.
 fn prefill_time(tokens: u64) -> Duration {
     let count = Duration::from_millis(tokens).as_secs_f64() * 1_000.0;
     Duration::from_secs_f64(count * SECONDS_PER_TOKEN * (1.0 + 0.000_01 * count))
 }
 
-// Parts count as kept from their first token on. A call that was given up before leaves nothing.
+// Parts count as cached from their first token on. A call that was cancelled before leaves nothing cached.
 #[test]
-fn parts_are_kept_once_read() {
+fn parts_are_cached_once_prefilled() {
     let mut prefill = PrefillEstimator::default();
     let mut engine = engine();
     let both = prompt(&[(1, 4_000), (2, 500)]);
-    let work = prefill.prefill_time(MODEL, Tokens(4_500), Tokens(4_500));
-    engine.record_sent(1, &both, work, at(0));
-    // About to be read: what comes behind it finds its parts.
+    let expected = prefill.prefill_time(MODEL, Tokens(4_500), Tokens(4_500));
+    engine.record_sent(1, &both, expected, at(0));
+    // The prompt is pending: another one that follows it will find its parts cached.
     assert_eq!(
         engine.prefill_tokens(&prompt(&[(1, 4_000), (3, 500)])),
         Tokens(500)
     );
     engine.record_end(1, at(50));
     assert_eq!(engine.prefill_tokens(&both), Tokens(4_500));
-    ask(&mut engine, &mut prefill, &both, at(100), work);
+    ask(&mut engine, &mut prefill, &both, at(100), expected);
     assert_eq!(engine.prefill_tokens(&both), Tokens::ZERO);
     assert_eq!(
         engine.prefill_tokens(&prompt(&[(2, 500), (1, 4_000)])),
@@ -201,9 +200,9 @@
     );
 }
 
-// What was not used for longest yields when the memory is full.
+// The least recently used part is evicted when the memory is full.
 #[test]
-fn the_memory_gives_up_the_least_recently_used() {
+fn the_least_recently_used_part_is_evicted() {
     let mut engine = Engine::new(Tokens(10_000));
     let (first, second) = (prompt(&[(1, 6_000)]), prompt(&[(2, 4_000)]));
     engine.record_cached(&first, at(0));
@@ -214,9 +213,9 @@
     assert_eq!(engine.prefill_tokens(&second), Tokens(4_000));
 }
 
-// Parts are kept for a model by itself.
+// Parts are cached per model.
 #[test]
-fn another_model_keeps_nothing_for_this_one() {
+fn models_do_not_share_cached_parts() {
     let mut engine = engine();
     let mine = prompt(&[(1, 6_000)]);
     engine.record_cached(&mine, at(0));
@@ -224,13 +223,12 @@
     assert_eq!(engine.prefill_tokens(&other), Tokens(6_000));
 }
 
-// A prompt that is late is likely late for as long again, up to a bound; when it has gone, the wait
-// goes with it.
+// An overdue prompt is expected to take as long again, up to a bound. Its end removes it from the wait.
 #[test]
-fn a_late_prompt_lengthens_the_wait() {
+fn an_overdue_prompt_lengthens_the_wait() {
     let mut engine = engine();
-    let work = Duration::from_millis(100);
-    engine.record_sent(1, &prompt(&[(1, 4_000)]), work, at(0));
+    let expected = Duration::from_millis(100);
+    engine.record_sent(1, &prompt(&[(1, 4_000)]), expected, at(0));
     assert_eq!(engine.own_wait(at(60)), Duration::from_millis(40));
     assert_eq!(engine.own_wait(at(400)), Duration::from_millis(300));
     assert_eq!(engine.own_wait(at(60_000)), Duration::from_secs(3));
@@ -238,9 +236,9 @@
     assert_eq!(engine.own_wait(at(60_000)), Duration::ZERO);
 }
 
-// What peers said of their calls runs out as the engine reads on.
+// Waits that peers reported decrease with time, as the engine works on their prompts.
 #[test]
-fn peers_waits_add_up_and_run_out() {
+fn peers_waits_add_up_and_expire() {
     let mut engine = engine();
     engine.record_peer_wait(1, Duration::from_millis(300), at(0));
     engine.record_peer_wait(2, Duration::from_millis(100), at(0));
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints end: one VM's table, and the tables of many VMs that tell each other.
+//! Poison requests: the table of one VM, and the tables of many VMs that exchange messages.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -26,9 +26,9 @@
     Moment::from_millis(seconds * 1_000)
 }
 
-/// Guards against a request that goes on ending endpoints, and against one end that counts for several.
+/// Guards against a request that keeps crashing endpoints, and against one crash that counts several times.
 #[test]
-fn a_request_is_barred_with_the_third_end() {
+fn a_request_is_blocked_after_the_third_crash() {
     let (mut table, bad) = (Table::default(), digest("bad"));
     assert_eq!(
         table.record_crash(bad, crash(1), at(1)),
@@ -50,16 +50,30 @@
     assert_eq!(table.counts(), (0, 1));
 }
 
-/// Guards against a second life of an endpoint that is taken for the first.
+/// Guards against renamed variants that change the words in logs.
 #[test]
-fn each_life_of_an_endpoint_counts() {
+fn verdicts_keep_their_words_in_logs() {
+    let verdicts = [
+        (Verdict::Cleared, "Cleared"),
+        (Verdict::Duplicate, "Known"),
+        (Verdict::Suspected(2), "Suspected(2)"),
+        (Verdict::Blocked, "Barred"),
+    ];
+    for (verdict, text) in verdicts {
+        assert_eq!(format!("{verdict:?}"), text);
+    }
+}
+
+/// Guards against a second incarnation of an endpoint that is taken for the first.
+#[test]
+fn each_incarnation_of_an_endpoint_counts() {
     let (mut table, bad) = (Table::default(), digest("bad"));
-    for life in 1..=2 {
-        let end = Crash {
+    for incarnation in 1..=2 {
+        let crash = Crash {
             endpoint: 1,
-            incarnation: Some(life),
+            incarnation: Some(incarnation),
         };
-        table.record_crash(bad, end, at(life));
+        table.record_crash(bad, crash, at(incarnation));
     }
     let third = Crash {
         endpoint: 1,
@@ -68,24 +82,24 @@
     assert_eq!(table.record_crash(bad, third, at(3)), Verdict::Blocked);
 }
 
-/// Guards against an endpoint that does not tell its lives apart, whose second end counts for nothing, or
-/// whose one end counts for each that saw it.
+/// Guards against an endpoint without incarnations whose second crash does not count, or whose one crash
+/// counts once for each VM that saw it.
 #[test]
-fn ends_of_an_endpoint_without_lives_are_told_apart_by_time() {
+fn crashes_without_incarnations_are_distinguished_by_time() {
     let (mut table, bad) = (Table::default(), digest("bad"));
-    let end = Crash {
+    let crash = Crash {
         endpoint: 1,
         incarnation: None,
     };
-    assert_eq!(table.record_crash(bad, end, at(1)), Verdict::Suspected(1));
-    assert_eq!(table.record_crash(bad, end, at(1)), Verdict::Duplicate);
-    assert_eq!(table.record_crash(bad, end, at(4)), Verdict::Suspected(2));
-    assert_eq!(table.record_crash(bad, end, at(8)), Verdict::Blocked);
+    assert_eq!(table.record_crash(bad, crash, at(1)), Verdict::Suspected(1));
+    assert_eq!(table.record_crash(bad, crash, at(1)), Verdict::Duplicate);
+    assert_eq!(table.record_crash(bad, crash, at(4)), Verdict::Suspected(2));
+    assert_eq!(table.record_crash(bad, crash, at(8)), Verdict::Blocked);
 }
 
-/// Guards against an honest request barred for what others did: an answer that was whole clears it.
+/// Guards against a block of a request that did not cause the crashes: a complete answer clears it.
 #[test]
-fn a_whole_answer_clears_a_bystander() {
+fn a_complete_answer_clears_a_request() {
     let (mut table, honest) = (Table::default(), digest("honest"));
     for round in 0..20 {
         let seconds = round * 60;
@@ -97,9 +111,9 @@
     assert_eq!(table.counts(), (0, 0));
 }
 
-/// Guards against a popular request barred when nearly all endpoints are lost at once.
+/// Guards against a block of a popular request when nearly all endpoints are lost at once.
 #[test]
-fn a_popular_request_outlives_the_loss_of_nearly_all_endpoints() {
+fn a_popular_request_is_not_blocked_when_nearly_all_endpoints_are_lost() {
     let (mut table, popular) = (Table::default(), digest("popular"));
     table.record_answer(popular, at(10));
     for endpoint in 0..77 {
@@ -111,7 +125,8 @@
     assert_eq!(table.blocked_for(popular, at(12)), None);
 }
 
-/// Guards against a request that was once well, and is never barred though all endpoints end under it.
+/// Guards against a request that was answered long ago and is never blocked although it crashes all
+/// endpoints.
 #[test]
 fn an_old_answer_clears_nothing() {
     let (mut table, turned) = (Table::default(), digest("turned"));
@@ -125,9 +140,9 @@
     );
 }
 
-/// Guards against an answer that ends a bar too late: one that was under way when the bar came.
+/// Guards against a block that outlasts a complete answer which was in progress when the block began.
 #[test]
-fn a_whole_answer_ends_a_bar() {
+fn a_complete_answer_removes_a_block() {
     let (mut table, honest) = (Table::default(), digest("honest"));
     for endpoint in 0..3 {
         table.record_crash(honest, crash(endpoint), at(1));
@@ -137,9 +152,9 @@
     assert_eq!(table.blocked_for(honest, at(2)), None);
 }
 
-/// Guards against a bar for ever, and against one that has run out and lets three more endpoints end.
+/// Guards against a block without end, and against one whose expiry lets three more endpoints crash.
 #[test]
-fn after_a_bar_one_end_bars_again_for_longer() {
+fn after_a_block_one_crash_blocks_again_for_longer() {
     let config = Config::default();
     let (mut table, bad) = (Table::new(config), digest("bad"));
     for endpoint in 0..3 {
@@ -155,16 +170,16 @@
         table.blocked_for(bad, again),
         Some(2 * config.block_duration)
     );
-    // Without a further end it is forgotten in the end.
+    // Without a further crash the request is forgotten.
     let later = again + 2 * config.block_duration;
     assert_eq!(table.expire_blocks(later), [bad]);
     assert_eq!(table.expire_blocks(later + config.crash_ttl), []);
     assert_eq!(table.counts(), (0, 0));
 }
 
-/// Guards against a flood of different requests that pushes out what is known of others.
+/// Guards against a flood of different requests that evicts the state of others.
 #[test]
-fn a_flood_of_requests_pushes_out_no_bar_and_no_stronger_suspect() {
+fn a_flood_of_requests_evicts_neither_blocks_nor_stronger_suspects() {
     let config = Config {
         max_suspects: 50,
         max_answers: 50,
@@ -190,15 +205,15 @@
         Verdict::Blocked
     );
     assert!(table.is_cleared(popular, at(2)));
-    let (suspects, barred) = table.counts();
-    assert!(suspects + barred <= config.max_suspects);
+    let (suspects, blocked) = table.counts();
+    assert!(suspects + blocked <= config.max_suspects);
 }
 
-/// Random numbers of a test.
-struct Draws(u64);
+/// A reproducible sequence of random numbers.
+struct Random(u64);
 
-impl Draws {
-    /// A number from 0 to 1.
+impl Random {
+    /// Returns a number from 0 to 1.
     #[expect(clippy::cast_precision_loss, reason = "some digits are enough")]
     fn share(&mut self) -> f64 {
         self.0 += 1;
@@ -212,63 +227,67 @@
         (0..count).rfind(|n| f64::from(*n) <= place).unwrap_or(0) as usize
     }
 
-    fn upto(&mut self, span: Duration) -> Duration {
+    fn up_to(&mut self, span: Duration) -> Duration {
         span.mul_f64(self.share())
     }
 }
 
-/// What a VM tells another.
+/// A message from one VM to others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Word {
-    Crashed(u64),
-    Answered,
+enum Message {
+    Crash(u64),
+    Answer,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A caller asks a VM, for the first time or within its attempts.
+    /// A caller sends the request to a VM, or the VM makes a further attempt.
     Ask { vm: usize, attempt: u32 },
-    /// An endpoint ends under a run of a VM.
-    Ends {
+    /// An endpoint crashes under a run of a VM.
+    Crash {
         vm: usize,
         endpoint: usize,
         attempt: u32,
     },
-    /// A VM hears a word; `passes` if it is to tell its zone.
-    Hears { vm: usize, word: Word, passes: bool },
-    /// A VM says that the request is cleared, unless it has heard so since.
-    Contradicts { vm: usize, since: Moment },
-    /// An endpoint is back.
-    Back { endpoint: usize },
+    /// A VM receives a message, which it forwards within its zone if `forwards` is set.
+    Receive {
+        vm: usize,
+        message: Message,
+        forwards: bool,
+    },
+    /// A VM announces that the request is cleared, unless it has received that since.
+    Announce { vm: usize, since: Moment },
+    /// An endpoint has restarted.
+    Restart { endpoint: usize },
 }
 
-/// VMs in zones before endpoints that one request ends.
+/// VMs in zones, with endpoints that one request crashes.
 struct Fleet {
     zones: usize,
     tables: Vec<Table>,
-    /// The life of each endpoint, and whether it is there.
+    /// The incarnation of each endpoint, and whether it is running.
     endpoints: Vec<(u64, bool)>,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     count: u64,
-    draws: Draws,
+    random: Random,
     bad: Digest,
-    ends: Vec<Moment>,
+    crashes: Vec<Moment>,
     sent: Vec<Moment>,
-    words: u64,
-    /// When each VM last heard that the request is cleared.
-    heard: Vec<Moment>,
+    messages: u64,
+    /// When each VM last received that the request is cleared.
+    last_answer: Vec<Moment>,
 }
 
-/// Of datagrams that are lost.
-const LOST: f64 = 0.05;
-/// From the arrival of the request to the end of its endpoint, and from there until it is back.
-const RUNS: Duration = Duration::from_millis(60);
-const BACK: Duration = Duration::from_secs(4);
-/// Time between a word's repetitions, and the longest wait of a word to another zone.
-const AGAIN: Duration = Duration::from_millis(1_100);
-const FAR: Duration = Duration::from_millis(300);
-/// The longest wait of a VM that knows better.
-const CONTRADICTS: Duration = Duration::from_millis(300);
+/// Share of datagrams that are lost.
+const LOSS_RATE: f64 = 0.05;
+/// Time from the arrival of the request to the crash of its endpoint, and from there to its restart.
+const RUN_TIME: Duration = Duration::from_millis(60);
+const RESTART_TIME: Duration = Duration::from_secs(4);
+/// Time between repetitions of a message, and the maximum delay of a message to another zone.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(1_100);
+const MAX_REMOTE_DELAY: Duration = Duration::from_millis(300);
+/// Maximum delay before a VM announces that the request is cleared.
+const MAX_ANNOUNCE_DELAY: Duration = Duration::from_millis(300);
 
 impl Fleet {
     fn new(vms: usize, zones: usize, seed: u64) -> Self {
@@ -278,123 +297,132 @@
             endpoints: vec![(1, true); (vms / 2).max(9)],
             events: BinaryHeap::new(),
             count: 0,
-            draws: Draws(seed << 32),
+            random: Random(seed << 32),
             bad: digest("bad"),
-            ends: Vec::new(),
+            crashes: Vec::new(),
             sent: Vec::new(),
-            words: 0,
-            heard: vec![Moment::ZERO; vms],
+            messages: 0,
+            last_answer: vec![Moment::ZERO; vms],
         }
     }
 
-    fn plan(&mut self, at: Moment, event: Event) {
+    fn schedule(&mut self, at: Moment, event: Event) {
         self.count += 1;
         self.events.push(Reverse((at, self.count, event)));
     }
 
-    /// The longest wait of a word within a zone: the time between datagrams there.
-    fn period(&self) -> Duration {
+    /// Returns the maximum delay of a message within a zone, which is the time between datagrams there.
+    fn zone_delay(&self) -> Duration {
         let others = u32::try_from(self.tables.len() / self.zones).unwrap();
         (Duration::from_millis(20) * others).min(Duration::from_millis(600))
     }
 
-    fn tell(&mut self, vm: usize, word: Word, now: Moment) {
+    fn broadcast(&mut self, vm: usize, message: Message, now: Moment) {
         for repetition in 0..3 {
-            let now = now + AGAIN * repetition;
-            self.tell_zone(vm, word, now);
+            let now = now + REPEAT_INTERVAL * repetition;
+            self.broadcast_zone(vm, message, now);
             let own = vm % self.zones;
             for zone in (0..self.zones).filter(|zone| *zone != own) {
                 let members = self.tables.len().saturating_sub(zone).div_ceil(self.zones);
-                let one = zone + self.draws.below(members) * self.zones;
-                let wait = self.draws.upto(FAR);
-                self.send(one, word, true, now + wait);
+                let one = zone + self.random.below(members) * self.zones;
+                let wait = self.random.up_to(MAX_REMOTE_DELAY);
+                self.send(one, message, true, now + wait);
             }
         }
     }
 
-    fn tell_zone(&mut self, vm: usize, word: Word, now: Moment) {
+    fn broadcast_zone(&mut self, vm: usize, message: Message, now: Moment) {
         for other in (vm % self.zones..self.tables.len()).step_by(self.zones) {
             if other != vm {
-                let wait = self.draws.upto(self.period());
-                self.send(other, word, false, now + wait);
+                let wait = self.random.up_to(self.zone_delay());
+                self.send(other, message, false, now + wait);
             }
         }
     }
 
-    fn send(&mut self, vm: usize, word: Word, passes: bool, at: Moment) {
-        self.words += 1;
-        if self.draws.share() >= LOST {
-            self.plan(at, Event::Hears { vm, word, passes });
+    fn send(&mut self, vm: usize, message: Message, forwards: bool, at: Moment) {
+        self.messages += 1;
+        if self.random.share() >= LOSS_RATE {
+            let event = Event::Receive {
+                vm,
+                message,
+                forwards,
+            };
+            self.schedule(at, event);
         }
     }
 
-    fn happen(&mut self, event: Event, now: Moment) {
+    fn handle(&mut self, event: Event, now: Moment) {
         match event {
             Event::Ask { vm, attempt } => {
-                let there: Vec<usize> = (0..self.endpoints.len())
+                let running: Vec<usize> = (0..self.endpoints.len())
                     .filter(|place| self.endpoints[*place].1)
                     .collect();
-                let barred = self.tables[vm].blocked_for(self.bad, now).is_some();
-                if barred || there.is_empty() {
+                let blocked = self.tables[vm].blocked_for(self.bad, now).is_some();
+                if blocked || running.is_empty() {
                     return;
                 }
-                let endpoint = there[self.draws.below(there.len())];
+                let endpoint = running[self.random.below(running.len())];
                 self.sent.push(now);
-                let ends = Event::Ends {
+                let crash = Event::Crash {
                     vm,
                     endpoint,
                     attempt,
                 };
-                self.plan(now + RUNS, ends);
+                self.schedule(now + RUN_TIME, crash);
             }
-            Event::Ends {
+            Event::Crash {
                 vm,
                 endpoint,
                 attempt,
             } => {
-                let (life, there) = &mut self.endpoints[endpoint];
-                let key = endpoint as u64 * 1_000 + *life;
-                if std::mem::replace(there, false) {
-                    self.ends.push(now);
-                    self.plan(now + BACK, Event::Back { endpoint });
+                let (incarnation, running) = &mut self.endpoints[endpoint];
+                let key = endpoint as u64 * 1_000 + *incarnation;
+                if std::mem::replace(running, false) {
+                    self.crashes.push(now);
+                    self.schedule(now + RESTART_TIME, Event::Restart { endpoint });
                 }
-                self.count_end(vm, key, now);
-                self.tell(vm, Word::Crashed(key), now);
+                self.record_crash(vm, key, now);
+                self.broadcast(vm, Message::Crash(key), now);
                 if attempt < 3 {
                     let attempt = attempt + 1;
-                    self.plan(now, Event::Ask { vm, attempt });
+                    self.schedule(now, Event::Ask { vm, attempt });
                 }
             }
-            Event::Hears { vm, word, passes } => {
-                match word {
-                    Word::Crashed(key) => self.count_end(vm, key, now),
-                    Word::Answered => {
+            Event::Receive {
+                vm,
+                message,
+                forwards,
+            } => {
+                match message {
+                    Message::Crash(key) => self.record_crash(vm, key, now),
+                    Message::Answer => {
                         self.tables[vm].merge_answer(self.bad, now);
-                        self.heard[vm] = now;
+                        self.last_answer[vm] = now;
                     }
                 }
-                if passes {
-                    self.tell_zone(vm, word, now);
+                if forwards {
+                    self.broadcast_zone(vm, message, now);
                 }
             }
-            Event::Contradicts { vm, since } => {
-                if self.heard[vm] < since {
-                    self.tell(vm, Word::Answered, now);
+            Event::Announce { vm, since } => {
+                if self.last_answer[vm] < since {
+                    self.broadcast(vm, Message::Answer, now);
                 }
             }
-            Event::Back { endpoint } => {
-                let (life, there) = &mut self.endpoints[endpoint];
-                *life += 1;
-                *there = true;
+            Event::Restart { endpoint } => {
+                let (incarnation, running) = &mut self.endpoints[endpoint];
+                *incarnation += 1;
+                *running = true;
             }
         }
     }
 
-    fn count_end(&mut self, vm: usize, key: u64, now: Moment) {
+    fn record_crash(&mut self, vm: usize, key: u64, now: Moment) {
         let verdict = self.tables[vm].record_crash(self.bad, crash(key), now);
         if verdict == Verdict::Cleared && self.tables[vm].should_announce_answer(self.bad, now) {
-            let wait = self.draws.upto(CONTRADICTS);
-            self.plan(now + wait, Event::Contradicts { vm, since: now });
+            let wait = self.random.up_to(MAX_ANNOUNCE_DELAY);
+            self.schedule(now + wait, Event::Announce { vm, since: now });
         }
     }
 
@@ -403,63 +431,63 @@
             if now > until {
                 return;
             }
-            self.happen(event, now);
+            self.handle(event, now);
         }
     }
 }
 
-/// Numbers of VMs and zones.
+/// Numbers of VMs, each with the number of zones.
 const SIZES: [(usize, usize); 4] = [(9, 3), (79, 3), (195, 5), (300, 5)];
 
-/// Guards against VMs that each let a request end three endpoints before they know of it.
+/// Guards against VMs that each let a request crash three endpoints before they know of it.
 #[test]
 fn all_vms_together_stop_sending_a_request_that_ends_endpoints() {
     for (vms, zones) in SIZES {
         for seed in 1..=8 {
             let mut fleet = Fleet::new(vms, zones, seed);
-            // Comes at five VMs at once, then ten times a second.
+            // The request arrives at five VMs at once, then ten times a second.
             for repeat in 0..300_u64 {
-                let vm = fleet.draws.below(vms);
+                let vm = fleet.random.below(vms);
                 let at = Moment::from_millis(1_000 + repeat.saturating_sub(5) * 100);
-                fleet.plan(at, Event::Ask { vm, attempt: 1 });
+                fleet.schedule(at, Event::Ask { vm, attempt: 1 });
             }
             fleet.run(at(40));
-            let known = fleet.ends[2] + Duration::from_secs(3);
+            let known = fleet.crashes[2] + Duration::from_secs(3);
             let late = fleet.sent.iter().filter(|at| **at > known).count();
             assert_eq!(late, 0, "{vms} VMs, seed {seed}");
-            let (ends, words) = (fleet.ends.len(), fleet.words);
-            println!("{vms} VMs: {ends} ends, {words} words");
+            let (crashes, messages) = (fleet.crashes.len(), fleet.messages);
+            println!("{vms} VMs: {crashes} crashes, {messages} messages");
         }
     }
 }
 
-/// Guards against VMs that do not know a popular request, and bar it as nearly all endpoints are lost.
+/// Guards against VMs that do not know a popular request, and block it when nearly all endpoints are lost.
 #[test]
-fn vms_that_know_a_request_as_answered_tell_those_that_do_not() {
+fn vms_announce_answers_to_vms_that_do_not_know_them() {
     for (vms, zones) in SIZES {
         let mut fleet = Fleet::new(vms, zones, 1);
-        // Every other VM answered it a little before.
+        // Every other VM has got an answer a little before.
         for vm in (0..vms).step_by(2) {
             let popular = fleet.bad;
             fleet.tables[vm].record_answer(popular, at(9));
         }
         let lost = fleet.endpoints.len() - 1;
         for endpoint in 0..lost {
-            let vm = fleet.draws.below(vms);
-            let ends = Event::Ends {
+            let vm = fleet.random.below(vms);
+            let crash = Event::Crash {
                 vm,
                 endpoint,
                 attempt: 3,
             };
-            fleet.plan(at(10), ends);
+            fleet.schedule(at(10), crash);
         }
         fleet.run(at(12));
         let popular = fleet.bad;
-        let barred = fleet
+        let blocked = fleet
             .tables
             .iter()
             .filter(|t| t.blocked_for(popular, at(12)).is_some());
-        assert_eq!(barred.count(), 0, "{vms} VMs");
-        println!("{vms} VMs: {} words", fleet.words);
+        assert_eq!(blocked.count(), 0, "{vms} VMs");
+        println!("{vms} VMs: {} messages", fleet.messages);
     }
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue: nothing is lost, refused after dispatch or served out of turn.
+//! The fair queue: no job is lost, refused after dispatch or served out of turn.
 
 use std::time::Duration;
 
@@ -58,8 +58,8 @@
 proptest! {
     #![proptest_config(Runner { cases: 256, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Runner::default() })]
 
-    /// Each job leaves the queue once: dispatched, cancelled or expired. Once dispatched it can't
-    /// be refused. Work that waits is the work that came less the work that left.
+    /// Each job leaves the queue once: dispatched, cancelled or expired. A dispatched job can't be refused.
+    /// The waiting work is the work that arrived less the work that left.
     #[test]
     fn jobs_leave_once_and_work_is_conserved(steps in vec(step(), 1..300)) {
         let mut queue = Queue::new(Config::default());
@@ -74,16 +74,16 @@
                     waiting.push((queue.enqueue(job(who, priority, tokens, start_by)), tokens));
                 }
                 Step::Next => if let Some(dispatch) = queue.next(now, SLOTS) {
-                    let place = waiting.iter().position(|(t, _)| *t == dispatch.ticket);
-                    let (ticket, tokens) = waiting.remove(place.expect("it waited"));
+                    let index = waiting.iter().position(|(t, _)| *t == dispatch.ticket);
+                    let (ticket, tokens) = waiting.remove(index.expect("the job was waiting"));
                     assert_eq!(dispatch.tokens, Tokens(tokens));
                     assert!(!queue.cancel(ticket), "no refusal after dispatch");
                     gone.push(ticket);
                     running.push(dispatch);
                 },
                 Step::Done => if let Some(dispatch) = running.pop() { queue.release(&dispatch); },
-                Step::Cancel(place) => if !waiting.is_empty() {
-                    let (ticket, _) = waiting.remove(place % waiting.len());
+                Step::Cancel(index) => if !waiting.is_empty() {
+                    let (ticket, _) = waiting.remove(index % waiting.len());
                     assert!(queue.cancel(ticket));
                     assert!(!queue.cancel(ticket), "cancelled once");
                     gone.push(ticket);
@@ -91,8 +91,8 @@
                 Step::Expire(after) => {
                     now = now + Duration::from_millis(after);
                     for ticket in queue.expire(now) {
-                        let place = waiting.iter().position(|(t, _)| *t == ticket);
-                        waiting.remove(place.expect("it waited"));
+                        let index = waiting.iter().position(|(t, _)| *t == ticket);
+                        waiting.remove(index.expect("the job was waiting"));
                         gone.push(ticket);
                     }
                 }
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Two customers that always wait get the same work, up to a turn and the largest job.
+    /// Two customers that always wait get the same work, up to the difference of a turn and the largest
+    /// job.
     #[test]
     fn equal_customers_get_equal_work(sizes in vec((1_u64..900, 1_u64..900), 60..100)) {
         let config = Config::default();
@@ -117,7 +118,7 @@
         let mut work = [0_u64; 2];
         let mut left = [sizes.len(); 2];
         while left[0] > 0 && left[1] > 0 {
-            let dispatch = queue.next(Moment::ZERO, SLOTS).expect("both wait");
+            let dispatch = queue.next(Moment::ZERO, SLOTS).expect("both customers wait");
             let owner = owners.iter().find(|(ticket, _)| *ticket == dispatch.ticket);
             let (_, owner) = owner.expect("a known ticket");
             work[*owner] += dispatch.tokens.0;
@@ -128,10 +129,9 @@
     }
 }
 
-// A class of lower priority that always waits gets its minimum share, or priority would be
-// starvation.
+// A class of lower priority that always waits gets its minimum share, or priority would mean starvation.
 #[test]
-fn lower_class_gets_its_minimum() {
+fn lower_class_gets_its_minimum_share() {
     let mut queue = Queue::new(Config::default());
     for _ in 0..1_000 {
         queue.enqueue(job(0, 0, 100, NEVER));
@@ -140,7 +140,9 @@
     let mut low = 0;
     for _ in 0..500 {
         let before = queue.work_ahead(&customer(9), 1, 0, Tokens(u64::from(u32::MAX)));
-        let dispatch = queue.next(Moment::ZERO, SLOTS).expect("both wait");
+        let dispatch = queue
+            .next(Moment::ZERO, SLOTS)
+            .expect("both customers wait");
         let after = queue.work_ahead(&customer(9), 1, 0, Tokens(u64::from(u32::MAX)));
         low += u32::from(before == after);
         queue.release(&dispatch);
@@ -151,8 +153,8 @@
     );
 }
 
-// Long jobs hold at most their share of the slots, however many wait and whatever their class;
-// a short one that comes finds a slot.
+// Long jobs hold at most their share of the slots, however many wait, so that a short job still finds a
+// slot.
 #[test]
 fn long_jobs_hold_a_share_of_the_slots() {
     let config = Config::default();
@@ -169,7 +171,7 @@
     queue.enqueue(job(0, 0, 10, NEVER));
     let short = queue
         .next(Moment::ZERO, SLOTS)
-        .expect("the short one passes");
+        .expect("a short job finds a slot");
     assert!(!short.long);
     queue.release(&running[0]);
     assert!(
@@ -179,8 +181,9 @@
     );
 }
 
-// A hot customer's thousand jobs stand before a quiet customer's first one in time, but not in its
-// turn: the door must count one turn of the hot customer, or it would refuse the quiet one.
+// A thousand jobs of a busy customer arrived before the first job of a quiet one, but only one turn of them
+// is served before it. The admission gate must count no more than that turn, or it would refuse the quiet
+// customer.
 #[test]
 fn quiet_customer_waits_one_turn() {
     let config = Config::default();
@@ -198,10 +201,10 @@
     assert!(before <= 10, "{before} jobs went before it");
 }
 
-// A job that can't start in time any more is handed back to be refused at the moment when that is
-// known, and it is not dispatched before that either: its answer would come too late.
+// A job that can no longer start in time is returned for refusal as soon as that is known. It is not
+// dispatched either, since its answer would come too late.
 #[test]
-fn expired_jobs_are_handed_back_and_not_sent() {
+fn expired_jobs_are_returned_and_not_dispatched() {
     let mut queue = Queue::new(Config::default());
     let late = queue.enqueue(job(0, 0, 100, Moment::from_millis(10)));
     let good = queue.enqueue(job(0, 0, 100, Moment::from_millis(500)));
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints name.
+//! Limits that endpoints name for all VMs together.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use pimento_policy::throttle::Throttle;
 use pimento_units::Moment;
 
-/// Guards against a limit that is no number, or none that can be kept, taken for one.
+/// Guards against a limit that is not a number, or a number that can't be a limit.
 #[test]
 fn a_limit_is_a_finite_number_of_requests_a_second() {
     for (text, limit) in [("1", 1.0), (" 1.1 ", 1.1), ("0", 0.0), ("1e9", 1e9)] {
@@ -19,34 +19,35 @@
     }
 }
 
-/// The span in which requests are counted, and what may arrive in it as a part of the limit, and beyond.
-const SPAN: f64 = 4.0;
-const PART: f64 = 1.5;
-const MORE: f64 = 5.0;
+/// The window in which arrivals are counted, and the arrivals that are allowed in it: the limit's number
+/// times `TOLERANCE`, plus `SLACK`.
+const WINDOW_SECONDS: f64 = 4.0;
+const TOLERANCE: f64 = 1.5;
+const SLACK: f64 = 5.0;
 
-/// Time between two looks at all VMs.
+/// Time between two steps of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 
-/// How long a VM that ended counts as living, and how long one that started is not known.
-const UNHEARD: Duration = Duration::from_millis(1_300);
-const UNMET: Duration = Duration::from_millis(600);
+/// Time for which a stopped VM still counts as alive, and after which a started VM is known to the others.
+const DETECT_STOPPED: Duration = Duration::from_millis(1_300);
+const DETECT_STARTED: Duration = Duration::from_millis(600);
 
-/// The VMs of one zone before an endpoint with a limit. Each would send more than it may.
+/// The VMs of one zone that send to an endpoint with a limit. Each would send more than it may.
 struct Zone {
     limit: Limit,
-    /// Since when each VM is up, or down.
+    /// Whether each VM is up, and since when it is up or down.
     vms: Vec<(bool, Moment)>,
     throttles: Vec<Throttle>,
     arrived: Vec<Moment>,
     now: Moment,
-    /// Who lives for the others, and who is up, when parts were last set.
+    /// The VMs that counted as alive, and those that were up, when shares were last set.
     known: (Vec<usize>, Vec<bool>),
 }
 
 impl Zone {
     fn new(count: usize, limit: f64) -> Self {
         let limit = Limit::try_from(limit).unwrap();
-        // They are there for long when they all hear of the limit.
+        // The VMs have been up for long when they all receive the limit.
         let now = Moment::ZERO + Duration::from_secs(100);
         Self {
             limit,
@@ -58,35 +59,35 @@
         }
     }
 
-    /// Whether a VM counts as living for the others.
-    fn lives(&self, vm: usize, now: Moment) -> bool {
+    /// Returns whether a VM counts as alive for the others.
+    fn is_alive(&self, vm: usize, now: Moment) -> bool {
         let (up, since) = self.vms[vm];
-        let heard = if up { UNMET } else { UNHEARD };
-        up == (now.since(since) >= heard)
+        let delay = if up { DETECT_STARTED } else { DETECT_STOPPED };
+        up == (now.since(since) >= delay)
     }
 
-    /// Tells all VMs who shares, if that has changed.
-    fn share(&mut self, now: Moment) {
+    /// Sets the shares of all VMs if the VMs that share have changed.
+    fn update_shares(&mut self, now: Moment) {
         let key = |vm: usize| xxhash_rust::xxh3::xxh3_64(&vm.to_le_bytes());
-        let living = (0..self.vms.len()).filter(|vm| self.lives(*vm, now));
-        let living: Vec<usize> = living.collect();
+        let alive = (0..self.vms.len()).filter(|vm| self.is_alive(*vm, now));
+        let alive: Vec<usize> = alive.collect();
         let up: Vec<bool> = self.vms.iter().map(|(up, _)| *up).collect();
-        if self.known == (living.clone(), up.clone()) {
+        if self.known == (alive.clone(), up.clone()) {
             return;
         }
         for vm in (0..self.vms.len()).filter(|vm| up[*vm]) {
-            let mut participants: Vec<u64> = living.iter().map(|vm| key(*vm)).collect();
+            let mut participants: Vec<u64> = alive.iter().map(|vm| key(*vm)).collect();
             if !participants.contains(&key(vm)) {
                 participants.push(key(vm));
             }
             let rate = throttle::share(self.limit, 7, key(vm), &participants);
             self.throttles[vm].set_rate(rate, now);
         }
-        self.known = (living, up);
+        self.known = (alive, up);
     }
 
     fn step(&mut self, now: Moment) {
-        self.share(now);
+        self.update_shares(now);
         for ((up, _), own) in self.vms.iter().zip(&mut self.throttles) {
             while *up && own.is_open(now) {
                 own.consume(now);
@@ -105,11 +106,11 @@
         }
     }
 
-    fn most(&self) -> usize {
+    fn busiest_window(&self) -> usize {
         let mut last = 0;
         let mut most = 0;
         for (first, at) in self.arrived.iter().enumerate() {
-            let within = |other: &&Moment| other.since(*at).as_secs_f64() < SPAN;
+            let within = |other: &&Moment| other.since(*at).as_secs_f64() < WINDOW_SECONDS;
             last += self.arrived[last..].iter().take_while(within).count();
             most = most.max(last - first);
         }
@@ -117,7 +118,7 @@
     }
 }
 
-/// VMs of a zone, of 9, 79, 195 and 300 in three and five.
+/// Numbers of VMs in a zone, with 9, 79, 195 and 300 VMs in three and five zones.
 const ZONES: [usize; 5] = [1, 3, 27, 39, 60];
 
 const LIMITS: [f64; 7] = [0.0, 0.2, 1.0, 1.1, 5.0, 24.0, 300.0];
@@ -128,18 +129,18 @@
     reason = "a few requests"
 )]
 fn allowed(limit: f64) -> usize {
-    (limit * SPAN * PART + MORE) as usize
+    (limit * WINDOW_SECONDS * TOLERANCE + SLACK) as usize
 }
 
-/// Guards against VMs that break a limit together, from the first second on, and against a limit that
-/// is mostly left unused.
+/// Guards against VMs that together exceed a limit, from the first second on, and against a limit that is
+/// mostly unused.
 #[test]
 fn vms_keep_a_limit_together_and_use_it() {
     for count in ZONES {
         for limit in LIMITS {
             let mut zone = Zone::new(count, limit);
             zone.run(Duration::from_secs(40), |_, _| {});
-            let (most, allowed) = (zone.most(), allowed(limit));
+            let (most, allowed) = (zone.busiest_window(), allowed(limit));
             assert!(
                 most <= allowed,
                 "{count} VMs, limit {limit}: {most} of {allowed}"
@@ -154,7 +155,7 @@
     }
 }
 
-/// Guards against a limit that is broken while VMs end and start, and others do not know it yet.
+/// Guards against a limit that is exceeded while VMs stop and start, and others do not know that yet.
 #[test]
 fn vms_keep_a_limit_while_they_come_and_go() {
     for count in ZONES {
@@ -172,7 +173,7 @@
                     due = now + Duration::from_millis(700);
                 }
             });
-            let (most, allowed) = (zone.most(), allowed(limit));
+            let (most, allowed) = (zone.busiest_window(), allowed(limit));
             assert!(
                 most <= allowed,
                 "{count} VMs, limit {limit}: {most} of {allowed}"
@@ -181,9 +182,9 @@
     }
 }
 
-/// Guards against a limit that is lowered, and kept only once what was saved up is spent.
+/// Guards against a lowered limit that applies only once the bucket is empty.
 #[test]
-fn a_part_that_shrinks_saves_no_more_than_before() {
+fn a_lowered_rate_reduces_what_is_available() {
     let at = |seconds| Moment::ZERO + Duration::from_secs(seconds);
     let mut throttle = Throttle::new(40.0, at(0));
     assert!(!throttle.is_open(at(0)));
@@ -196,14 +197,14 @@
     assert!(!throttle.is_open(at(100)));
 }
 
-/// Guards against VMs that see each other differently and each take the whole.
+/// Guards against VMs with different views of each other that each use the whole limit.
 #[test]
-fn a_vm_that_does_not_share_sends_nothing() {
+fn a_vm_that_does_not_participate_sends_nothing() {
     let limit = Limit::try_from(3.0).unwrap();
     assert!(throttle::share(limit, 1, 9, &[1, 2, 3]).abs() < 1e-12);
     assert!((throttle::share(limit, 1, 9, &[]) - 2.7).abs() < 1e-9);
-    let parts = (1..=40).map(|vm| throttle::share(limit, 1, vm, &(1..=40).collect::<Vec<_>>()));
-    let owners = parts.clone().filter(|part| *part > 0.0).count();
+    let shares = (1..=40).map(|vm| throttle::share(limit, 1, vm, &(1..=40).collect::<Vec<_>>()));
+    let owners = shares.clone().filter(|share| *share > 0.0).count();
     assert_eq!(owners, 4);
-    assert!((parts.sum::<f64>() - 2.7).abs() < 1e-9);
+    assert!((shares.sum::<f64>() - 2.7).abs() < 1e-9);
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the tests' lists have them.
+//! Endpoints for the tests' lists.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use pimento_scheduler::Member;
 use pimento_units::Moment;
 
-/// A plain endpoint that works on so many calls at once.
+/// A plain endpoint that runs `batch` calls at once.
 pub fn member(batch: u32) -> Member {
     let report = limit::Report {
         running: 0,
--- a/crates/scheduler/tests/endpoint_limit.rs
+++ b/crates/scheduler/tests/endpoint_limit.rs
@@ -20,7 +20,7 @@
 
 use self::common::member;
 
-/// This VM and another one of the endpoints' zone.
+/// This VM, and another VM of the endpoints' zone.
 const OWN: u64 = 1;
 const OTHER: u64 = 2;
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// A pool of one endpoint, shared with these VMs.
+/// A pool of one endpoint whose limit these VMs share.
 fn pool(vms: &[u64]) -> (Clock, Scheduler, Pool) {
     let clock = Clock::default();
     let scheduler = Scheduler::new(clock);
@@ -58,7 +58,7 @@
     (clock, scheduler, pool)
 }
 
-fn name(clock: Clock, pool: &Pool, limit: Option<f64>, sent: Moment) -> bool {
+fn observe(clock: Clock, pool: &Pool, limit: Option<f64>, sent: Moment) -> bool {
     let limit = limit.map(|limit| Limit::try_from(limit).unwrap());
     let endpoint = "i-1".parse().unwrap();
     assert!(clock.now() >= sent);
@@ -69,38 +69,38 @@
     pool.depth().limited
 }
 
-/// Guards against an answer that was under way when the endpoint named its limit, and ends it.
+/// Guards against an answer that was on its way when the endpoint named its limit, and removes it.
 #[tokio::test]
-async fn an_answer_to_an_older_call_ends_no_limit() {
+async fn an_answer_to_an_older_call_removes_no_limit() {
     let (clock, _scheduler, pool) = pool(&[OWN]);
     let before = clock.now();
-    assert!(name(clock, &pool, Some(2.0), before));
-    assert!(!name(clock, &pool, Some(2.0), before));
-    assert!(!name(clock, &pool, None, before));
+    assert!(observe(clock, &pool, Some(2.0), before));
+    assert!(!observe(clock, &pool, Some(2.0), before));
+    assert!(!observe(clock, &pool, None, before));
     assert_eq!(limited(&pool), 1);
     tokio::time::sleep(Duration::from_millis(5)).await;
-    assert!(name(clock, &pool, None, clock.now()));
+    assert!(observe(clock, &pool, None, clock.now()));
     assert_eq!(limited(&pool), 0);
 }
 
-/// Guards against a limit that is held against the next life of an endpoint under the same name.
+/// Guards against a limit that is applied to the next incarnation of an endpoint.
 #[tokio::test]
-async fn an_endpoint_that_starts_again_has_no_limit() {
+async fn a_restarted_endpoint_has_no_limit() {
     let (clock, _scheduler, pool) = pool(&[OWN]);
-    name(clock, &pool, Some(2.0), clock.now());
+    observe(clock, &pool, Some(2.0), clock.now());
     pool.update(vec![desk(1)]);
     assert_eq!(limited(&pool), 1);
     pool.update(vec![desk(2)]);
     assert_eq!(limited(&pool), 0);
 }
 
-/// Guards against old word of a neighbour that takes the place of newer word, and against word that is
-/// passed on and on.
+/// Guards against an old report of a peer that replaces a newer one, and against reports that are passed on
+/// without end.
 #[tokio::test]
-async fn the_newest_word_of_a_limit_holds() {
+async fn the_newest_report_of_a_limit_applies() {
     let (clock, _scheduler, pool) = pool(&[OWN]);
     tokio::time::sleep(Duration::from_millis(20)).await;
-    name(clock, &pool, Some(2.0), clock.now());
+    observe(clock, &pool, Some(2.0), clock.now());
     let reports = pool.limit_reports();
     assert_eq!(reports.len(), 1);
     let old = Report {
@@ -121,59 +121,60 @@
     assert_eq!(pool.limit_reports(), []);
 }
 
-/// Guards against a call that waits for its turn, and gets none since nothing else happens in the pool.
+/// Guards against a call that waits for the limit, and is not sent because nothing else happens in the
+/// pool.
 #[tokio::test]
-async fn a_waiting_call_gets_its_turn() {
+async fn a_waiting_call_is_sent_once_the_limit_allows() {
     let (clock, _scheduler, pool) = pool(&[OWN]);
-    name(clock, &pool, Some(10.0), clock.now());
-    let gone = CancellationToken::new();
+    observe(clock, &pool, Some(10.0), clock.now());
+    let cancel = CancellationToken::new();
     for _ in 0..3 {
         let job = call(clock, Duration::from_secs(10));
-        let permit = pool.acquire(job, &gone).await.unwrap();
+        let permit = pool.acquire(job, &cancel).await.unwrap();
         permit.served(Tokens(1));
     }
 }
 
-/// Guards against a call that is held at a VM that may not send it.
+/// Guards against a call that waits at a VM which may not send it.
 #[tokio::test]
-async fn a_call_is_refused_at_once_where_other_vms_have_the_limit() {
+async fn a_call_is_refused_at_once_if_other_vms_own_the_limit() {
     let (clock, scheduler, pool) = pool(&[OTHER]);
-    name(clock, &pool, Some(0.5), clock.now());
-    let gone = CancellationToken::new();
+    observe(clock, &pool, Some(0.5), clock.now());
+    let cancel = CancellationToken::new();
     let job = || call(clock, Duration::from_secs(10));
-    let refused = pool.acquire(job(), &gone).await.unwrap_err();
+    let refused = pool.acquire(job(), &cancel).await.unwrap_err();
     let Refused::Overloaded { after } = refused else {
         panic!("{refused:?}");
     };
     assert!((0.5..=30.0).contains(&after.as_secs_f64()), "{after:?}");
-    // Its part comes to this one when the other leaves.
+    // This VM gets the share when the other one leaves.
     let zone = "a".parse().unwrap();
     scheduler.set_participants(&Participants::new(OWN, vec![(zone, vec![OWN])]));
-    let permit = pool.acquire(job(), &gone).await.unwrap();
+    let permit = pool.acquire(job(), &cancel).await.unwrap();
     permit.served(Tokens(1));
 }
 
-/// Guards against a call that waits for its whole time where one endpoint is out, and other VMs have the
-/// limit of the other.
+/// Guards against a call that waits for its whole time although one endpoint is ejected, and other VMs own
+/// the limit of the other one.
 #[tokio::test]
-async fn a_call_does_not_wait_for_an_endpoint_that_is_out_beside_one_with_a_limit() {
+async fn a_call_does_not_wait_for_an_ejected_endpoint_beside_one_with_a_limit() {
     let (clock, _scheduler, pool) = pool(&[OTHER]);
     let second = Member {
         endpoint: "i-2".parse().unwrap(),
         ..desk(1)
     };
     pool.update(vec![desk(1), second]);
-    let gone = CancellationToken::new();
+    let cancel = CancellationToken::new();
     for _ in 0..3 {
         let mut job = call(clock, Duration::from_secs(3));
         job.tried = vec!["i-1".parse().unwrap()];
-        let permit = pool.acquire(job, &gone).await.unwrap();
+        let permit = pool.acquire(job, &cancel).await.unwrap();
         permit.failed(&Fault::Failed { status: 500 });
     }
-    name(clock, &pool, Some(1.0), clock.now());
+    observe(clock, &pool, Some(1.0), clock.now());
     let began = clock.now();
     let refused = pool
-        .acquire(call(clock, Duration::from_secs(3)), &gone)
+        .acquire(call(clock, Duration::from_secs(3)), &cancel)
         .await;
     assert!(
         matches!(refused, Err(Refused::Overloaded { .. })),
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -1,4 +1,4 @@
-//! What a pool knows of its endpoints as their list changes.
+//! State that a pool keeps of its endpoints while their list changes.
 
 mod common;
 
@@ -52,12 +52,12 @@
     }
 }
 
-// A VM is started anew while everything runs. It reads the list of endpoints first and the
-// configuration, which says that they are engines and how much memory they have, a moment later. Its
-// estimates were those of a plain service from then on: each prompt seemed read at once, the largest
-// model free, and callers waited for seconds behind what the VM sent there.
+// A starting VM reads the list of endpoints first. The configuration, which says that they are engines and
+// sets their memory, arrives a moment later. If the VM kept treating them as a plain service, each prompt
+// would seem prefilled at once and the largest model free, and callers would wait for seconds behind what
+// the VM sends there.
 #[tokio::test]
-async fn endpoints_that_turn_out_to_be_engines_are_taken_for_engines() {
+async fn an_endpoint_becomes_an_engine_once_its_memory_is_known() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"llm".parse().unwrap());
     pool.update(vec![engine(Some(MEMORY))]);
@@ -88,26 +88,26 @@
     }
 }
 
-/// Fails calls at an endpoint until it is out; `others` are the rest of the pool.
+/// Fails calls at an endpoint until it is ejected; `others` are the rest of the pool.
 async fn eject(pool: &Pool, name: &str, others: &[&str]) {
-    let gone = CancellationToken::new();
+    let cancel = CancellationToken::new();
     for _ in 0..3 {
         let job = Job {
             tried: others.iter().map(|other| other.parse().unwrap()).collect(),
             ..call()
         };
-        let permit = pool.acquire(job, &gone).await.unwrap();
+        let permit = pool.acquire(job, &cancel).await.unwrap();
         assert_eq!(permit.endpoint().as_str(), name);
         permit.failed(&Fault::Failed { status: 500 });
     }
     assert_eq!(pool.depth().ejected, 1);
 }
 
-// One of three endpoints is out when the two others say that they leave. It is all that is left, and
-// gets calls again: before, each call waited for the whole time that its caller had and was told that
-// the time was up, for as long as the ejection lasted.
+// One of three endpoints is ejected when the two others announce that they leave. It is the only one that
+// remains and must get calls again. Otherwise each call would wait until its deadline for as long as the
+// ejection lasts.
 #[tokio::test]
-async fn the_only_endpoint_that_does_not_leave_gets_calls() {
+async fn the_only_endpoint_that_is_not_leaving_gets_calls() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"desk".parse().unwrap());
     pool.update((1..=3).map(|number| desk(number, true)).collect());
@@ -117,10 +117,10 @@
     assert_eq!(permit.unwrap().endpoint().as_str(), "i-1");
 }
 
-// The only endpoint of a version is out for longer than the caller waits; the other one holds another
-// version. The caller hears at once, and when to come back.
+// The only endpoint of a version is ejected for longer than the caller can wait; the other endpoint holds
+// another version. The call is refused at once, with the time after which to retry.
 #[tokio::test]
-async fn a_call_that_only_an_endpoint_that_is_out_could_take_is_refused_at_once() {
+async fn a_call_that_only_an_ejected_endpoint_could_take_is_refused_at_once() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"desk".parse().unwrap());
     let mut other = desk(2, true);
@@ -139,10 +139,11 @@
     assert!(after > Duration::from_secs(3), "{after:?}");
 }
 
-// Of two endpoints one is out when a call can't reach the other. It goes to the one that is out, rather
-// than again to the one that just failed it: three such tries in a row were the caller's whole time.
+// Of two endpoints one is ejected when a call can't reach the other one. The call goes to the ejected
+// endpoint rather than again to the one that just failed it: three such attempts in a row would use up the
+// caller's time.
 #[tokio::test]
-async fn a_call_that_failed_goes_to_an_endpoint_that_is_out_before_it_is_tried_again() {
+async fn a_failed_call_goes_to_an_ejected_endpoint_before_the_one_that_failed_it() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"desk".parse().unwrap());
     pool.update(vec![desk(1, true), desk(2, true)]);
@@ -155,10 +156,10 @@
     assert_eq!(permit.unwrap().endpoint().as_str(), "i-1");
 }
 
-// The same for prompts: an engine that is out is a better chance than the one that has just failed this
-// prompt, and that gets it only if there is none.
+// The same for prompts: an ejected engine is a better choice than the one that just failed this prompt,
+// which gets the prompt only if there is no other engine.
 #[tokio::test]
-async fn a_prompt_that_failed_goes_to_an_engine_that_is_out_before_it_is_tried_again() {
+async fn a_failed_prompt_goes_to_an_ejected_engine_before_the_one_that_failed_it() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"llm".parse().unwrap());
     let other = Member {
@@ -178,64 +179,66 @@
     }
 }
 
-// Calls take longer from one to the next, as the whole machine gets busy. The endpoints of other zones have
-// not been called yet, and were taken for as fast as the own zone's one had been a call ago: an order left
-// its zone for a difference that was not there, met one that was cut off a moment before, and its caller
-// waited for 20 s and got nothing, as an order can't be sent twice.
+// Calls get slower as the whole machine gets busy. The endpoints of other zones have not been called yet,
+// and must not be assumed as fast as the local endpoint was one call ago. An order would then leave its
+// zone for a difference that does not exist. If it reaches an endpoint that was just cut off, its caller
+// waits for 20 s and gets nothing, since an order can't be sent twice.
 //
-// Evidence: the log of a VM whose own desk had answered its last orders in 16, 43 and 37 ms has its next
-// order at the desk of the zone that had been cut off, unanswered for 20.03 s, with no failure before.
+// Evidence: in the log of a VM whose local endpoint had answered its last orders in 16, 43 and 37 ms, the
+// next order went to the endpoint of a zone that had been cut off, and stayed unanswered for 20.03 s, with
+// no failure before.
 #[tokio::test]
-async fn endpoints_of_other_zones_do_not_look_fast_because_nobody_called_them() {
+async fn unmeasured_endpoints_of_other_zones_do_not_look_fast() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"desk".parse().unwrap());
-    let far = |number| Member {
+    let remote = |number| Member {
         distance: Duration::from_millis(10),
         zone: format!("zone-{number}").parse().unwrap(),
         ..desk(number, true)
     };
-    pool.update(vec![desk(1, true), far(2), far(3)]);
-    for takes in [5, 5, 20, 40, 40, 80, 80, 80] {
+    pool.update(vec![desk(1, true), remote(2), remote(3)]);
+    for millis in [5, 5, 20, 40, 40, 80, 80, 80] {
         let job = Job {
             tokens: Tokens(100),
             ..call()
         };
-        let gone = CancellationToken::new();
-        let permit = pool.acquire(job, &gone).await.unwrap();
+        let cancel = CancellationToken::new();
+        let permit = pool.acquire(job, &cancel).await.unwrap();
         assert_eq!(permit.endpoint().as_str(), "i-1");
-        tokio::time::sleep(Duration::from_millis(takes)).await;
+        tokio::time::sleep(Duration::from_millis(millis)).await;
         permit.served(Tokens(100));
     }
 }
 
-// The own zone's endpoint is busy and those of other zones are not: calls go there, known or not.
+// The local endpoint is full and those of other zones are not: calls go there, even if they were never
+// called.
 #[tokio::test]
 async fn calls_leave_their_zone_when_its_endpoint_is_full() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"desk".parse().unwrap());
-    let far = Member {
+    let remote = Member {
         distance: Duration::from_millis(10),
         zone: "b".parse().unwrap(),
         ..desk(2, true)
     };
-    pool.update(vec![desk(1, true), far]);
-    let gone = CancellationToken::new();
+    pool.update(vec![desk(1, true), remote]);
+    let cancel = CancellationToken::new();
     let mut held = Vec::new();
     for _ in 0..200 {
-        let permit = pool.acquire(call(), &gone).await.unwrap();
+        let permit = pool.acquire(call(), &cancel).await.unwrap();
         let left = permit.endpoint().as_str() == "i-2";
         held.push(permit);
         if left {
             return;
         }
     }
-    panic!("200 calls at once, and all at one endpoint");
+    panic!("all of 200 concurrent calls stayed at one endpoint");
 }
 
-// Guards against an engine that seems busy with the calls of another VM for as long as these would have
-// taken, though that VM no longer names it.
+// Guards against an engine that seems busy with another VM's calls for as long as these were to take,
+// although that VM no longer reports a wait there.
 #[tokio::test]
-async fn an_engine_that_another_vm_no_longer_names_takes_no_time_for_it() {
+async fn waits_that_another_vm_no_longer_reports_are_removed() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"llm".parse().unwrap());
     pool.update(vec![engine(Some(MEMORY))]);
@@ -251,9 +254,9 @@
     assert_eq!(wait(), Duration::ZERO);
 }
 
-// Guards against endpoints that lose what is known of them when others come and go around them.
+// Guards against endpoints that lose their state when others join and leave.
 #[tokio::test]
-async fn an_engine_keeps_what_is_known_of_it_when_others_come_and_go() {
+async fn an_engine_keeps_its_state_when_others_join_and_leave() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"llm".parse().unwrap());
     let member = |name: &str| Member {
@@ -273,28 +276,28 @@
     assert!(pool.estimate(&job()).unwrap().wait > Duration::from_secs(10));
 }
 
-/// Guards against an endpoint that is held for sick for what its former life did under the same name.
+/// Guards against an endpoint that stays ejected for failures of its previous incarnation.
 #[tokio::test]
-async fn an_endpoint_that_starts_again_under_its_name_gets_calls() {
+async fn a_restarted_endpoint_gets_calls() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"desk".parse().unwrap());
     let both = vec![desk(1, true), desk(2, true)];
     pool.update(both.clone());
     eject(&pool, "i-1", &["i-2"]).await;
-    // A list that says nothing new takes nothing back.
+    // A list without changes does not undo the ejection.
     pool.update(both);
     assert_eq!(pool.depth().ejected, 1);
-    let again = Member {
+    let restarted = Member {
         incarnation: 2,
         ..desk(1, true)
     };
-    pool.update(vec![again, desk(2, true)]);
+    pool.update(vec![restarted, desk(2, true)]);
     assert_eq!(pool.depth().ejected, 0);
-    let gone = CancellationToken::new();
+    let cancel = CancellationToken::new();
     let job = Job {
         tried: vec!["i-2".parse().unwrap()],
         ..call()
     };
-    let permit = pool.acquire(job, &gone).await.unwrap();
+    let permit = pool.acquire(job, &cancel).await.unwrap();
     assert_eq!(permit.endpoint().as_str(), "i-1");
 }
