--- a/crates/policy/src/reach.rs
+++ b/crates/policy/src/connect.rs
@@ -27,22 +27,22 @@
 
 /// The shortest bound. A VM with a part of a core may be at other work for tens of milliseconds when the
 /// answer comes.
-pub const LEAST: Duration = Duration::from_millis(100);
+pub const MIN_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The longest bound, and the one before any connection was made. A lost packet is sent again after a
 /// second; another endpoint is asked before.
-pub const MOST: Duration = Duration::from_millis(350);
+pub const MAX_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// What connections usually take.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Reach {
+pub struct ConnectTimeout {
     /// Mean and mean deviation, in seconds; none before the first connection.
     usual: Option<(f64, f64)>,
 }
 
-impl Reach {
+impl ConnectTimeout {
     /// A connection was made in `took`.
-    pub fn made(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.usual = Some(match self.usual {
             None => (took, took / 2.0),
@@ -56,11 +56,11 @@
 
     /// How long to wait for the next one.
     #[must_use]
-    pub fn bound(&self) -> Duration {
+    pub fn current(&self) -> Duration {
         let Some((mean, deviation)) = self.usual else {
-            return MOST;
+            return MAX_TIMEOUT;
         };
         let estimate = mean + DEVIATIONS * deviation;
-        number::seconds(estimate * MARGIN).clamp(LEAST, MOST)
+        number::seconds(estimate * MARGIN).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 }
--- a/crates/policy/tests/reach.rs
+++ b/crates/policy/tests/connect.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use pimento_policy::reach::LEAST;
-use pimento_policy::reach::MOST;
-use pimento_policy::reach::Reach;
+use pimento_policy::connect::ConnectTimeout;
+use pimento_policy::connect::MAX_TIMEOUT;
+use pimento_policy::connect::MIN_TIMEOUT;
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -14,33 +14,41 @@
 // be answered in 30 ms by another one.
 #[test]
 fn a_call_with_a_short_target_has_time_for_a_second_endpoint() {
-    let mut reach = Reach::default();
+    let mut timeout = ConnectTimeout::default();
     for _ in 0..50 {
-        reach.made(ms(2));
+        timeout.record(ms(2));
     }
-    assert!(reach.bound() + ms(30) < ms(200), "{:?}", reach.bound());
+    assert!(
+        timeout.current() + ms(30) < ms(200),
+        "{:?}",
+        timeout.current()
+    );
 }
 
 // Endpoints of the own zone answered in a millisecond all day; then the first connection goes to another
 // zone, ten milliseconds away, or to a VM that takes fifty.
 #[test]
 fn a_first_connection_to_a_farther_zone_is_waited_for() {
-    let mut reach = Reach::default();
+    let mut timeout = ConnectTimeout::default();
     for _ in 0..200 {
-        reach.made(ms(1));
+        timeout.record(ms(1));
     }
-    assert!(reach.bound() > ms(60));
+    assert!(timeout.current() > ms(60));
 }
 
 // All endpoints are in another region. The bound follows, and nothing is given up on that would come.
 #[test]
 fn the_bound_grows_with_the_distance() {
-    let mut reach = Reach::default();
-    assert_eq!(reach.bound(), MOST);
+    let mut timeout = ConnectTimeout::default();
+    assert_eq!(timeout.current(), MAX_TIMEOUT);
     for round in 0..100 {
         let took = ms(25 + round % 5);
-        assert!(took < reach.bound());
-        reach.made(took);
+        assert!(took < timeout.current());
+        timeout.record(took);
     }
-    assert!(reach.bound() > LEAST * 2, "{:?}", reach.bound());
+    assert!(
+        timeout.current() > MIN_TIMEOUT * 2,
+        "{:?}",
+        timeout.current()
+    );
 }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -5,7 +5,7 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use pimento_policy::reach::Reach;
+use pimento_policy::connect::ConnectTimeout;
 use pimento_scheduler::Clock;
 use pimento_scheduler::Scheduler;
 use pimento_units::Moment;
@@ -78,7 +78,7 @@
     pub(crate) metrics: Arc<Metrics>,
     rollouts: Arc<Mutex<Rollouts>>,
     /// What connections to endpoints take.
-    reach: Arc<Mutex<Reach>>,
+    reach: Arc<Mutex<ConnectTimeout>>,
     /// The process's clocks.
     pub clock: Clock,
     /// Set when the VM is to leave.
@@ -305,7 +305,7 @@
     }
 
     /// Looks at or adds to what connections to endpoints take. `act` runs under a lock and must be short.
-    pub fn reach<T>(&self, act: impl FnOnce(&mut Reach) -> T) -> T {
+    pub fn reach<T>(&self, act: impl FnOnce(&mut ConnectTimeout) -> T) -> T {
         let mut reach = self.reach.lock().unwrap_or_else(PoisonError::into_inner);
         act(&mut reach)
     }
--- a/crates/relay/src/poison/ended.rs
+++ b/crates/relay/src/poison/ended.rs
@@ -37,7 +37,7 @@
 
 /// Waits until an endpoint is known to have ended; none if it is still there.
 pub async fn look<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry) -> Option<Proof> {
-    let bound = node.reach(|reach| reach.bound());
+    let bound = node.reach(|reach| reach.current());
     if gone::is_refused(entry.address, bound).await {
         return Some(Proof::Refused);
     }
