--- a/crates/policy/src/confidence.rs
+++ b/crates/policy/src/confidence.rs
@@ -22,7 +22,7 @@
 use pimento_units::Moment;
 
 use crate::number;
-use crate::worth::Stake;
+use crate::value::RelativeValue;
 
 /// Figures of a cascade by confidence.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -199,7 +199,7 @@
     /// What the next prompt would wait at the engines.
     pub next: Duration,
     /// What is at stake with it.
-    pub stake: Stake,
+    pub relative: RelativeValue,
 }
 
 impl Config {
@@ -216,9 +216,9 @@
         let passes = passes(answer.confidence);
         let target = answer.target.as_secs_f64().max(f64::MIN_POSITIVE);
         let rise = self.rise * answer.next.as_secs_f64() / target;
-        let stake = answer.stake;
-        let usual = (stake.reading.as_secs_f64() * stake.worth).max(f64::MIN_POSITIVE);
-        let price = self.price * stake.price;
+        let relative = answer.relative;
+        let usual = (relative.prefill.as_secs_f64() * relative.value).max(f64::MIN_POSITIVE);
+        let price = self.price * relative.price;
         let gain = |model: &Larger| {
             let first = spent + model.wait + model.work;
             let in_time = first <= answer.target.mul_f64(self.trust);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -24,4 +24,4 @@
 pub mod session;
 pub mod shift;
 pub mod throttle;
-pub mod worth;
+pub mod value;
--- a/crates/policy/src/worth.rs
+++ b/crates/policy/src/value.rs
@@ -56,18 +56,18 @@
 
 /// What is at stake with one answer, each against the usual one.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Stake {
+pub struct RelativeValue {
     /// Its worth.
-    pub worth: f64,
+    pub value: f64,
     /// What the use of a model costs for its worth.
     pub price: f64,
     /// Reading of a usual prompt as a whole by the largest model.
-    pub reading: Duration,
+    pub prefill: Duration,
 }
 
 /// What is usual among a service's latest requests: sums that forget.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Usual {
+pub struct Baseline {
     worth: f64,
     /// Of the worth's square, so that the usual worth is that of the usual unit of it.
     square: f64,
@@ -76,9 +76,9 @@
     reading: f64,
 }
 
-impl Usual {
+impl Baseline {
     /// Counts a request, of whose prompt the largest model's reading takes `reading`.
-    pub fn count(&mut self, request: &Request, reading: Duration) {
+    pub fn record(&mut self, request: &Request, reading: Duration) {
         let worth = request.worth();
         self.worth = self.worth * KEPT + worth;
         self.square = self.square * KEPT + worth * worth;
@@ -88,14 +88,14 @@
 
     /// What is at stake with a request's answer. One that was counted alone is the usual one.
     #[must_use]
-    pub fn stake(&self, request: &Request) -> Stake {
+    pub fn compare(&self, request: &Request) -> RelativeValue {
         let worth = request.worth();
         let usual = self.square / self.worth.max(LEAST);
         let price = self.paid / self.worth.max(LEAST);
-        Stake {
-            worth: worth / usual.max(LEAST),
+        RelativeValue {
+            value: worth / usual.max(LEAST),
             price: request.paid() / worth / price.max(LEAST),
-            reading: number::seconds(self.reading / self.worth.max(LEAST)),
+            prefill: number::seconds(self.reading / self.worth.max(LEAST)),
         }
     }
 }
--- a/crates/policy/tests/worth.rs
+++ b/crates/policy/tests/value.rs
@@ -6,8 +6,8 @@
 use pimento_policy::confidence::Book;
 use pimento_policy::confidence::Config;
 use pimento_policy::confidence::Larger;
-use pimento_policy::worth::Request;
-use pimento_policy::worth::Usual;
+use pimento_policy::value::Baseline;
+use pimento_policy::value::Request;
 use pimento_units::Moment;
 use pimento_units::Tokens;
 
@@ -39,19 +39,19 @@
 }
 
 /// What is usual where these come as often as each other, `scale` times as large.
-fn usual(kinds: &[Request], scale: u64) -> Usual {
-    let mut usual = Usual::default();
+fn usual(kinds: &[Request], scale: u64) -> Baseline {
+    let mut usual = Baseline::default();
     for _ in 0..500 {
         for kind in kinds {
             let kind = request(kind.prompt.0 * scale, kind.answer.0 * scale, kind.priority);
-            usual.count(&kind, reading(&kind));
+            usual.record(&kind, reading(&kind));
         }
     }
     usual
 }
 
 /// Whether an answer of the small model is dropped for the large one's.
-fn dropped(usual: &Usual, request: &Request, confidence: u8, next: Duration) -> bool {
+fn dropped(usual: &Baseline, request: &Request, confidence: u8, next: Duration) -> bool {
     let now = Moment::ZERO + Duration::from_millis(100);
     let answer = Answer {
         model: SMALL,
@@ -59,7 +59,7 @@
         began: Moment::ZERO,
         target: Duration::from_secs(2),
         next,
-        stake: usual.stake(request),
+        relative: usual.compare(request),
     };
     let larger = Larger {
         model: LARGE,
@@ -73,7 +73,7 @@
 }
 
 /// The largest confidence at which an answer is dropped.
-fn bar(usual: &Usual, request: &Request, wait: u64) -> Option<u8> {
+fn bar(usual: &Baseline, request: &Request, wait: u64) -> Option<u8> {
     let next = Duration::from_millis(wait);
     (0..=100)
         .rev()
@@ -124,10 +124,10 @@
 #[test]
 fn a_request_without_a_size_is_decided_on() {
     let nothing = request(0, 0, 0);
-    let mut usual = Usual::default();
-    usual.count(&nothing, Duration::ZERO);
-    let stake = usual.stake(&nothing);
-    assert!((0.99..1.01).contains(&stake.worth), "{stake:?}");
-    assert!(stake.price.is_finite(), "{stake:?}");
+    let mut usual = Baseline::default();
+    usual.record(&nothing, Duration::ZERO);
+    let relative = usual.compare(&nothing);
+    assert!((0.99..1.01).contains(&relative.value), "{relative:?}");
+    assert!(relative.price.is_finite(), "{relative:?}");
     assert!(dropped(&usual, &nothing, 0, Duration::ZERO));
 }
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -8,7 +8,7 @@
 use pimento_policy::confidence;
 use pimento_policy::confidence::Answer;
 use pimento_policy::confidence::Larger;
-use pimento_policy::worth;
+use pimento_policy::value;
 use pimento_units::id;
 
 use crate::attempts::Attempts;
@@ -32,23 +32,23 @@
 pub struct Book {
     config: confidence::Config,
     seen: Mutex<confidence::Book>,
-    usual: Mutex<worth::Usual>,
+    usual: Mutex<value::Baseline>,
 }
 
 impl Book {
     /// What is at stake with a request's answer. It counts as one more request with its first answer.
-    fn stake(&self, request: &Work, full: Duration, first: bool) -> worth::Stake {
+    fn stake(&self, request: &Work, full: Duration, first: bool) -> value::RelativeValue {
         let (prompt, most) = request.usage().unwrap_or_default();
-        let asked = worth::Request {
+        let asked = value::Request {
             prompt,
             answer: request.ask.length.unwrap_or(most).min(most),
             priority: request.grant.route.priority,
         };
         let mut usual = self.usual.lock().unwrap_or_else(PoisonError::into_inner);
         if first {
-            usual.count(&asked, full);
+            usual.record(&asked, full);
         }
-        usual.stake(&asked)
+        usual.compare(&asked)
     }
 }
 
@@ -138,7 +138,7 @@
         began: request.began,
         target: request.grant.route.target,
         next: next_wait,
-        stake: book.stake(request, full, place == 0),
+        relative: book.stake(request, full, place == 0),
     };
     let now = attempts.node().now();
     let chosen = book.config.choose(&answer, &candidates, &seen, now);
@@ -151,8 +151,8 @@
         waits_ms:? = waits(candidates.iter().map(|larger| larger.wait)),
         reads_ms:? = waits(candidates.iter().map(|larger| larger.work)),
         next_ms = millis(answer.next),
-        worth = answer.stake.worth,
-        price = answer.stake.price,
+        worth = answer.relative.value,
+        price = answer.relative.price,
         larger = chosen.and_then(|chosen| named(place + 1 + chosen));
         "cascade: Weighed larger models."
     );
