--- a/crates/policy/src/confidence.rs
+++ b/crates/policy/src/confidence.rs
@@ -28,28 +28,28 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
     /// What an answer after the target is worth, as a share.
-    pub late: f64,
+    pub late_value: f64,
     /// What the most expensive model must add by its price to an answer that costs the usual for its
     /// worth, as a share of that. At 0.35 one answer in a hundred fewer was of use on whole days, at
     /// 0.17 the price of some was not earned.
-    pub price: f64,
+    pub price_weight: f64,
     /// What reading the usual prompt by the largest model must add to an answer of the usual worth for
     /// each target's length that the next prompt would wait at the engines. At 3.5 one answer in a hundred fewer was of use, at 5
     /// four; at 1.8 others waited for what it gained.
-    pub rise: f64,
+    pub load_weight: f64,
     /// Share of the target that an estimate may take. For prompts that take over half a second to read it
     /// errs by 2 in 100 of the target at the median; a greater margin kept long prompts from a model that
     /// would have been in time.
-    pub trust: f64,
+    pub target_share: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            late: 0.3,
-            price: 0.25,
-            rise: 2.5,
-            trust: 0.95,
+            late_value: 0.3,
+            price_weight: 0.25,
+            load_weight: 2.5,
+            target_share: 0.95,
         }
     }
 }
@@ -124,7 +124,7 @@
 
 /// What was seen of confidences, sorted by the two models.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
+pub struct PassRates {
     rows: Vec<Row>,
 }
 
@@ -133,14 +133,14 @@
     if band < BANDS { band } else { BANDS - 1 }
 }
 
-impl Book {
+impl PassRates {
     fn find(&self, smaller: u64, larger: u64) -> Result<usize, usize> {
         self.rows
             .binary_search_by_key(&(smaller, larger), |row| (row.smaller, row.larger))
     }
 
     /// Learns what a larger model says of a request of which a smaller one had some confidence.
-    pub fn learn(&mut self, smaller: (u64, u8), larger: (u64, u8)) {
+    pub fn record(&mut self, smaller: (u64, u8), larger: (u64, u8)) {
         let place = self.find(smaller.0, larger.0).unwrap_or_else(|place| {
             let row = Row {
                 smaller: smaller.0,
@@ -160,7 +160,7 @@
     }
 
     /// Share of a larger model's answers that pass where a smaller one had this confidence.
-    fn passes(&self, smaller: u64, confidence: u8, larger: &Larger) -> f64 {
+    fn passes(&self, smaller: u64, confidence: u8, larger: &LargerModel) -> f64 {
         let guess = expected(confidence, larger.rank);
         let Ok(place) = self.find(smaller, larger.model) else {
             return guess;
@@ -172,7 +172,7 @@
 
 /// A larger model that might be asked.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Larger {
+pub struct LargerModel {
     /// Hash of the model.
     pub model: u64,
     /// Its place between the smallest model, 0, and the largest, 1.
@@ -182,7 +182,7 @@
     /// Wait for the prompts before it.
     pub wait: Duration,
     /// Reading of what the engine does not keep.
-    pub work: Duration,
+    pub prefill: Duration,
 }
 
 /// The answer at hand, and what the engines are like.
@@ -193,11 +193,11 @@
     /// Its confidence, from 0 to 100.
     pub confidence: u8,
     /// When the request came.
-    pub began: Moment,
+    pub received: Moment,
     /// Time until the first token that the caller is to have.
     pub target: Duration,
     /// What the next prompt would wait at the engines.
-    pub next: Duration,
+    pub next_wait: Duration,
     /// What is at stake with it.
     pub relative: RelativeValue,
 }
@@ -208,23 +208,23 @@
     pub fn choose(
         &self,
         answer: &Answer,
-        larger: &[Larger],
-        book: &Book,
+        larger: &[LargerModel],
+        book: &PassRates,
         now: Moment,
     ) -> Option<usize> {
-        let spent = now.since(answer.began);
+        let spent = now.since(answer.received);
         let passes = passes(answer.confidence);
         let target = answer.target.as_secs_f64().max(f64::MIN_POSITIVE);
-        let rise = self.rise * answer.next.as_secs_f64() / target;
+        let rise = self.load_weight * answer.next_wait.as_secs_f64() / target;
         let relative = answer.relative;
         let usual = (relative.prefill.as_secs_f64() * relative.value).max(f64::MIN_POSITIVE);
-        let price = self.price * relative.price;
-        let gain = |model: &Larger| {
-            let first = spent + model.wait + model.work;
-            let in_time = first <= answer.target.mul_f64(self.trust);
-            let worth = if in_time { 1.0 } else { self.late };
+        let price = self.price_weight * relative.price;
+        let gain = |model: &LargerModel| {
+            let first = spent + model.wait + model.prefill;
+            let in_time = first <= answer.target.mul_f64(self.target_share);
+            let worth = if in_time { 1.0 } else { self.late_value };
             let better = book.passes(answer.model, answer.confidence, model) * worth;
-            let taken = model.work.as_secs_f64() / usual;
+            let taken = model.prefill.as_secs_f64() / usual;
             better - passes - price * model.cost - rise * taken
         };
         let gains = larger.iter().map(gain).enumerate();
--- a/crates/policy/tests/value.rs
+++ b/crates/policy/tests/value.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use pimento_policy::confidence::Answer;
-use pimento_policy::confidence::Book;
 use pimento_policy::confidence::Config;
-use pimento_policy::confidence::Larger;
+use pimento_policy::confidence::LargerModel;
+use pimento_policy::confidence::PassRates;
 use pimento_policy::value::Baseline;
 use pimento_policy::value::Request;
 use pimento_units::Moment;
@@ -56,19 +56,19 @@
     let answer = Answer {
         model: SMALL,
         confidence,
-        began: Moment::ZERO,
+        received: Moment::ZERO,
         target: Duration::from_secs(2),
-        next,
+        next_wait: next,
         relative: usual.compare(request),
     };
-    let larger = Larger {
+    let larger = LargerModel {
         model: LARGE,
         rank: 1.0,
         cost: 1.0,
         wait: Duration::ZERO,
-        work: reading(request),
+        prefill: reading(request),
     };
-    let chosen = Config::default().choose(&answer, &[larger], &Book::default(), now);
+    let chosen = Config::default().choose(&answer, &[larger], &PassRates::default(), now);
     chosen.is_some()
 }
 
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -7,7 +7,7 @@
 use pimento_policy::choice;
 use pimento_policy::confidence;
 use pimento_policy::confidence::Answer;
-use pimento_policy::confidence::Larger;
+use pimento_policy::confidence::LargerModel;
 use pimento_policy::value;
 use pimento_units::id;
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct Book {
     config: confidence::Config,
-    seen: Mutex<confidence::Book>,
+    seen: Mutex<confidence::PassRates>,
     usual: Mutex<value::Baseline>,
 }
 
@@ -109,13 +109,13 @@
     let book = &attempts.node().models;
     let mut seen = book.seen.lock().unwrap_or_else(PoisonError::into_inner);
     if let Some(before) = dropped.take() {
-        seen.learn((before.model, before.confidence), (key(model), confidence));
+        seen.record((before.model, before.confidence), (key(model), confidence));
     }
     let asked = matches!(request.ask.model, Some(Wish::Named(_)));
     if asked || !attempts.again() || !attempts.affords() {
         return None;
     }
-    let mut candidates: Vec<Larger> = Vec::new();
+    let mut candidates: Vec<LargerModel> = Vec::new();
     let (mut full, mut next_wait) = (Duration::ZERO, Duration::ZERO);
     for (rank, larger) in models.iter().enumerate().skip(place + 1) {
         let next = Variant {
@@ -124,20 +124,20 @@
         };
         let estimate = attempts.estimate(&next)?;
         (full, next_wait) = (estimate.full, estimate.next);
-        candidates.push(Larger {
+        candidates.push(LargerModel {
             model: key(larger),
             rank: confidence::rank(rank, models.len()),
             cost: cost(request, larger),
             wait: estimate.wait,
-            work: estimate.work,
+            prefill: estimate.work,
         });
     }
     let answer = Answer {
         model: key(model),
         confidence,
-        began: request.began,
+        received: request.began,
         target: request.grant.route.target,
-        next: next_wait,
+        next_wait,
         relative: book.stake(request, full, place == 0),
     };
     let now = attempts.node().now();
@@ -149,8 +149,8 @@
         confidence,
         since_ms = millis(now.since(request.began)),
         waits_ms:? = waits(candidates.iter().map(|larger| larger.wait)),
-        reads_ms:? = waits(candidates.iter().map(|larger| larger.work)),
-        next_ms = millis(answer.next),
+        reads_ms:? = waits(candidates.iter().map(|larger| larger.prefill)),
+        next_ms = millis(answer.next_wait),
         worth = answer.relative.value,
         price = answer.relative.price,
         larger = chosen.and_then(|chosen| named(place + 1 + chosen));
