--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -123,12 +123,12 @@
             candidate.own = limiter.flying();
             candidate.limit = limiter.limit();
         }
-        if self.health.out() == 0 {
+        if self.health.ejected() == 0 {
             return;
         }
         let states = self.health.states(self.now());
         for (candidate, state) in self.candidates.iter_mut().zip(states) {
-            candidate.usable = state == eject::State::In;
+            candidate.usable = state == eject::State::Active;
         }
     }
 
@@ -153,12 +153,14 @@
         let chosen = self.choose(Some(self.turn % 64)).expect("slots are free");
         assert!(self.limiters[chosen].acquire());
         self.update(chosen);
-        self.health.sent(&self.endpoints[chosen], now);
+        self.health.record_sent(&self.endpoints[chosen], now);
         let took = Duration::from_millis(500);
         let tokens = Tokens(100);
         self.limiters[chosen].release(limit::Outcome::Served { tokens, took });
         self.update(chosen);
-        let served = eject::Outcome::Served { pace: 0.005 };
+        let served = eject::Outcome::Served {
+            seconds_per_token: 0.005,
+        };
         self.health.record(&self.endpoints[chosen], served, now);
         self.gate.served(tokens, took, now);
         self.queue.done(&dispatch);
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -23,42 +23,42 @@
     /// Errors in a row that eject. Two come by chance in a full pool, where a call that was hedged
     /// and lost counts as one; more would leave a hanging endpoint in use for longer, since each of
     /// many nodes learns alone and sends it a call only every few seconds.
-    pub errors: u32,
+    pub consecutive_errors: u32,
     /// Times the pool's median time for a token that ejects. Above the two to one between a full
     /// batch and a middling one.
-    pub slow: f64,
+    pub slow_factor: f64,
     /// Answers that an endpoint must have given before it can be called slow.
-    pub samples: u32,
+    pub min_samples: u32,
     /// Weight of an answer in an endpoint's average.
-    pub weight: f64,
+    pub sample_weight: f64,
     /// The largest share of the pool that is out at once.
-    pub share: f64,
+    pub max_ejected_share: f64,
     /// How long the first ejection lasts.
-    pub first: Duration,
+    pub first_ejection: Duration,
     /// How long any ejection lasts at most.
-    pub longest: Duration,
+    pub longest_ejection: Duration,
     /// Probes in a row that must succeed before an endpoint is back.
-    pub probes: u32,
+    pub probes_to_return: u32,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            errors: 3,
-            slow: 2.5,
-            samples: 3,
-            weight: 0.4,
-            share: 0.34,
-            first: Duration::from_secs(6),
-            longest: Duration::from_secs(30),
-            probes: 3,
+            consecutive_errors: 3,
+            slow_factor: 2.5,
+            min_samples: 3,
+            sample_weight: 0.4,
+            max_ejected_share: 0.34,
+            first_ejection: Duration::from_secs(6),
+            longest_ejection: Duration::from_secs(30),
+            probes_to_return: 3,
         }
     }
 }
 
 /// How long a median holds. It moves with the load of the whole pool, over seconds; to sort
 /// hundreds of endpoints at each answer would cost more than all else.
-pub const FRESH: Duration = Duration::from_millis(250);
+pub const MEDIAN_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Endpoints up to which the others' median is taken for each answer. In a pool of two or three an
 /// endpoint's own times, a moment old, would be half of what it is held against, or all if the other
@@ -71,11 +71,11 @@
     /// Answered, with the seconds for a token that it took.
     Served {
         /// Seconds for a token.
-        pace: f64,
+        seconds_per_token: f64,
     },
     /// Answered, in a time that says nothing of the endpoint's speed, as that of an answer by
     /// whichever model and of whichever length.
-    Answered,
+    AnsweredUntimed,
     /// Failed, cut off, or silent for too long.
     Failed,
     /// It says nothing about health, such as a refusal for overload or a caller that went away.
@@ -86,11 +86,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// In use.
-    In,
+    Active,
     /// Out, but one call may try it now.
     Probe,
     /// Out.
-    Out,
+    Ejected,
 }
 
 #[derive(Debug, Clone)]
@@ -110,7 +110,7 @@
 pub struct Pool {
     config: Config,
     members: Vec<Member>,
-    out: usize,
+    ejected: usize,
     median: Option<f64>,
     measured: Moment,
 }
@@ -137,9 +137,9 @@
     /// ejection the next one may go.
     fn state(&self, now: Moment, longest: Duration) -> State {
         match (self.until, self.probing) {
-            (None, _) => State::In,
-            (Some(until), _) if now < until => State::Out,
-            (Some(_), Some(since)) if now < since + longest => State::Out,
+            (None, _) => State::Active,
+            (Some(until), _) if now < until => State::Ejected,
+            (Some(_), Some(since)) if now < since + longest => State::Ejected,
             (Some(_), _) => State::Probe,
         }
     }
@@ -170,7 +170,7 @@
         Self {
             config,
             members: Vec::new(),
-            out: 0,
+            ejected: 0,
             median: None,
             measured: Moment::ZERO,
         }
@@ -186,16 +186,16 @@
                 *member = self.members[place].clone();
             }
         }
-        self.out = members.iter().filter(|member| member.out()).count();
+        self.ejected = members.iter().filter(|member| member.out()).count();
         self.members = members;
         self.readmit();
     }
 
     /// An endpoint has started again: what its former life did says nothing of it.
-    pub fn renew(&mut self, endpoint: &id::Endpoint) {
+    pub fn reset(&mut self, endpoint: &id::Endpoint) {
         if let Some(place) = self.find(endpoint) {
             let member = &mut self.members[place];
-            self.out -= usize::from(member.out());
+            self.ejected -= usize::from(member.out());
             *member = Member::new(endpoint.clone());
         }
     }
@@ -204,13 +204,13 @@
     /// time ends first goes first. Held to its time, the last endpoint of a pool left all calls
     /// waiting for seconds though it was well.
     fn readmit(&mut self) {
-        while self.out > self.most() {
+        while self.ejected > self.most() {
             let out = self.members.iter_mut().filter(|member| member.out());
             let Some(member) = out.min_by_key(|member| member.until) else {
                 return;
             };
             member.back();
-            self.out -= 1;
+            self.ejected -= 1;
         }
     }
 
@@ -218,38 +218,38 @@
     #[must_use]
     pub fn state(&self, endpoint: &id::Endpoint, now: Moment) -> State {
         let place = self.find(endpoint);
-        place.map_or(State::In, |place| {
-            self.members[place].state(now, self.config.longest)
+        place.map_or(State::Active, |place| {
+            self.members[place].state(now, self.config.longest_ejection)
         })
     }
 
     /// When an endpoint may get calls again; [`Moment::ZERO`] for one that is in use.
     #[must_use]
-    pub fn back(&self, endpoint: &id::Endpoint) -> Moment {
+    pub fn ejected_until(&self, endpoint: &id::Endpoint) -> Moment {
         let place = self.find(endpoint);
         let until = place.and_then(|place| self.members[place].until);
         until.unwrap_or(Moment::ZERO)
     }
 
     /// The states of all endpoints, sorted by endpoint: for a choice among many, where a search for
-    /// each would cost more than the choice itself. While [`out`](Self::out) is zero all are in, and
+    /// each would cost more than the choice itself. While [`ejected`](Self::ejected) is zero all are in, and
     /// it need not be asked.
     pub fn states(&self, now: Moment) -> impl Iterator<Item = State> {
-        let longest = self.config.longest;
+        let longest = self.config.longest_ejection;
         self.members.iter().map(move |m| m.state(now, longest))
     }
 
     /// An endpoint that is due for a probe. To be sent a short, repeatable call before any other
     /// choice is made: by choice alone it would be tried late, or by many calls at once.
     #[must_use]
-    pub fn due(&self, now: Moment) -> Option<&id::Endpoint> {
-        let longest = self.config.longest;
+    pub fn probe_due(&self, now: Moment) -> Option<&id::Endpoint> {
+        let longest = self.config.longest_ejection;
         let due = |member: &&Member| member.state(now, longest) == State::Probe;
         self.members.iter().find(due).map(|member| &member.endpoint)
     }
 
     /// Says that a call is being sent, so that no second probe goes along.
-    pub fn sent(&mut self, endpoint: &id::Endpoint, now: Moment) {
+    pub fn record_sent(&mut self, endpoint: &id::Endpoint, now: Moment) {
         let Some(place) = self.find(endpoint) else {
             return;
         };
@@ -265,12 +265,12 @@
             return;
         };
         self.measure(now);
-        let weight = self.config.weight;
+        let weight = self.config.sample_weight;
         let member = &mut self.members[place];
         let probing = member.probing.take().is_some();
         match outcome {
-            Outcome::Served { pace } => member.learn(pace, weight),
-            Outcome::Answered => member.errors = 0,
+            Outcome::Served { seconds_per_token } => member.learn(seconds_per_token, weight),
+            Outcome::AnsweredUntimed => member.errors = 0,
             Outcome::Failed => member.errors = member.errors.saturating_add(1),
             Outcome::Unknown => return,
         }
@@ -292,26 +292,26 @@
         let out = self.members.iter_mut().filter(|member| member.out());
         if let Some(member) = out.min_by_key(|member| member.until) {
             member.back();
-            self.out -= 1;
+            self.ejected -= 1;
             self.eject(place, now);
         }
     }
 
     /// Endpoints that are out.
     #[must_use]
-    pub const fn out(&self) -> usize {
-        self.out
+    pub const fn ejected(&self) -> usize {
+        self.ejected
     }
 
     /// The pool's median of seconds for a token, over the endpoints that answered, as of the last
-    /// [`FRESH`].
+    /// [`MEDIAN_INTERVAL`].
     #[must_use]
     pub const fn median(&self) -> Option<f64> {
         self.median
     }
 
     fn measure(&mut self, now: Moment) {
-        if self.median.is_none() || now.since(self.measured) >= FRESH {
+        if self.median.is_none() || now.since(self.measured) >= MEDIAN_INTERVAL {
             self.median = self.middle();
             self.measured = now;
         }
@@ -340,38 +340,42 @@
     fn bad(&self, place: usize) -> bool {
         let member = &self.members[place];
         self.failing(place)
-            || (member.samples >= self.config.samples && self.slow(place, member.pace))
+            || (member.samples >= self.config.min_samples && self.slow(place, member.pace))
     }
 
     fn failing(&self, place: usize) -> bool {
-        self.members[place].errors >= self.config.errors
+        self.members[place].errors >= self.config.consecutive_errors
     }
 
     fn slow(&self, place: usize, own: f64) -> bool {
         self.usual(place)
-            .is_some_and(|usual| own > usual * self.config.slow)
+            .is_some_and(|usual| own > usual * self.config.slow_factor)
     }
 
     /// Whether one more may go out.
     fn spare(&self) -> bool {
-        self.out < self.most()
+        self.ejected < self.most()
     }
 
     /// Endpoints that may be out. At least one always may, so that pools of two or three are
     /// protected too, but never the last one.
     fn most(&self) -> usize {
         let total = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
-        let most = crate::number::small(f64::from(total) * self.config.share).max(1);
+        let most = crate::number::small(f64::from(total) * self.config.max_ejected_share).max(1);
         most.min(total.saturating_sub(1)) as usize
     }
 
     fn eject(&mut self, place: usize, now: Moment) {
-        let Config { first, longest, .. } = self.config;
+        let Config {
+            first_ejection,
+            longest_ejection,
+            ..
+        } = self.config;
         let member = &mut self.members[place];
-        self.out += usize::from(!member.out());
-        let lasts = first.saturating_mul(1 << member.ejections.min(16));
+        self.ejected += usize::from(!member.out());
+        let lasts = first_ejection.saturating_mul(1 << member.ejections.min(16));
         member.ejections = member.ejections.saturating_add(1);
-        member.until = Some(now + lasts.min(longest));
+        member.until = Some(now + lasts.min(longest_ejection));
         member.probing = None;
         member.probes = 0;
     }
@@ -379,20 +383,20 @@
     /// A good probe counts towards coming back; a bad one begins a longer ejection.
     fn probed(&mut self, place: usize, outcome: Outcome, now: Moment) {
         let well = match outcome {
-            Outcome::Served { pace } => !self.slow(place, pace),
-            Outcome::Answered => true,
+            Outcome::Served { seconds_per_token } => !self.slow(place, seconds_per_token),
+            Outcome::AnsweredUntimed => true,
             Outcome::Failed | Outcome::Unknown => false,
         };
         if !well {
             self.eject(place, now);
             return;
         }
-        let probes = self.config.probes;
+        let probes = self.config.probes_to_return;
         let member = &mut self.members[place];
         member.probes += 1;
         if member.probes >= probes {
             member.back();
-            self.out -= 1;
+            self.ejected -= 1;
             member.ejections = member.ejections.saturating_sub(1);
         }
     }
--- a/crates/policy/tests/eject.rs
+++ b/crates/policy/tests/eject.rs
@@ -21,8 +21,12 @@
 
 fn served(pool: &mut Pool, number: usize, millis: f64, times: usize, now: Moment) {
     for _ in 0..times {
-        let pace = millis / 1_000.0;
-        pool.record(&endpoint(number), Outcome::Served { pace }, now);
+        let seconds_per_token = millis / 1_000.0;
+        pool.record(
+            &endpoint(number),
+            Outcome::Served { seconds_per_token },
+            now,
+        );
     }
 }
 
@@ -37,7 +41,7 @@
     served(&mut pool, 1, 1.0, 5, begin);
     let later = begin + Duration::from_secs(1);
     served(&mut pool, 1, 6.0, 5, later);
-    assert_eq!(pool.state(&endpoint(1), later), State::In);
+    assert_eq!(pool.state(&endpoint(1), later), State::Active);
 }
 
 // One of three endpoints turns slow and stays so: it goes out, and the others stay.
@@ -55,7 +59,7 @@
         served(&mut pool, 2, 70.0, 1, later);
     }
     let states = [0, 1, 2].map(|number| pool.state(&endpoint(number), later));
-    assert_eq!(states, [State::Out, State::In, State::In]);
+    assert_eq!(states, [State::Ejected, State::Active, State::Active]);
 }
 
 // Answers by models of unlike speed take one second or twenty. They end a row of errors and never
@@ -69,9 +73,9 @@
     for _ in 0..20 {
         pool.record(&endpoint(0), Outcome::Failed, now);
         pool.record(&endpoint(0), Outcome::Failed, now);
-        pool.record(&endpoint(0), Outcome::Answered, now);
+        pool.record(&endpoint(0), Outcome::AnsweredUntimed, now);
     }
-    assert_eq!(pool.state(&endpoint(0), now), State::In);
+    assert_eq!(pool.state(&endpoint(0), now), State::Active);
 }
 
 fn failed(pool: &mut Pool, number: usize, now: Moment) {
@@ -88,10 +92,10 @@
     let mut pool = pool(3);
     let now = Moment::ZERO;
     failed(&mut pool, 0, now);
-    assert_eq!(pool.state(&endpoint(0), now), State::Out);
+    assert_eq!(pool.state(&endpoint(0), now), State::Ejected);
     pool.retain([endpoint(0)]);
-    assert_eq!(pool.state(&endpoint(0), now), State::In);
-    assert_eq!(pool.out(), 0);
+    assert_eq!(pool.state(&endpoint(0), now), State::Active);
+    assert_eq!(pool.ejected(), 0);
 }
 
 // Two of six are out, three of the well ones leave: of the three that stay one may be out, and the
@@ -103,10 +107,10 @@
     let later = begin + Duration::from_secs(2);
     failed(&mut pool, 4, begin);
     failed(&mut pool, 5, later);
-    assert_eq!(pool.out(), 2);
+    assert_eq!(pool.ejected(), 2);
     pool.retain([3, 4, 5].map(endpoint));
     let states = [3, 4, 5].map(|number| pool.state(&endpoint(number), later));
-    assert_eq!(states, [State::In, State::In, State::Out]);
+    assert_eq!(states, [State::Active, State::Active, State::Ejected]);
 }
 
 // An endpoint that is out comes back at a known time; one in use is there.
@@ -115,9 +119,9 @@
     let mut pool = pool(3);
     let now = Moment::ZERO + Duration::from_secs(1);
     failed(&mut pool, 0, now);
-    let first = Config::default().first;
-    assert_eq!(pool.back(&endpoint(0)), now + first);
-    assert_eq!(pool.back(&endpoint(1)), Moment::ZERO);
+    let first = Config::default().first_ejection;
+    assert_eq!(pool.ejected_until(&endpoint(0)), now + first);
+    assert_eq!(pool.ejected_until(&endpoint(1)), Moment::ZERO);
 }
 
 // One of two endpoints is out; then the other one is cut off. The pool kept to the one that no call
@@ -131,8 +135,8 @@
     let later = now + Duration::from_secs(1);
     failed(&mut pool, 1, later);
     let states = [0, 1].map(|number| pool.state(&endpoint(number), later));
-    assert_eq!(states, [State::In, State::Out]);
-    assert_eq!(pool.out(), 1);
+    assert_eq!(states, [State::Active, State::Ejected]);
+    assert_eq!(pool.ejected(), 1);
 }
 
 // A slow one goes out only where the bound has room: what is out may be worse.
@@ -144,5 +148,5 @@
     served(&mut pool, 1, 60.0, 5, now);
     served(&mut pool, 2, 600.0, 8, now);
     let states = [0, 1, 2].map(|number| pool.state(&endpoint(number), now));
-    assert_eq!(states, [State::Out, State::In, State::In]);
+    assert_eq!(states, [State::Ejected, State::Active, State::Active]);
 }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -257,7 +257,7 @@
 
     fn open(&self, place: usize, now: f64) -> bool {
         let state = self.health.state(&self.endpoints[place], moment(now));
-        !self.mechanisms.eject || state == eject::State::In
+        !self.mechanisms.eject || state == eject::State::Active
     }
 
     /// Whether any endpoint has a free slot.
@@ -282,7 +282,7 @@
     /// The endpoint for an attempt.
     pub fn choose(&mut self, arrival: &Arrival, tried: &[usize], now: f64) -> Option<usize> {
         let fits = |e: usize| !tried.contains(&e) && self.limiters[e].room() > 0;
-        let due = self.health.due(moment(now));
+        let due = self.health.probe_due(moment(now));
         let probe = due.and_then(|name| self.endpoints.iter().position(|e| e == name));
         if let Some(probe) =
             probe.filter(|p| self.mechanisms.eject && arrival.class == 0 && fits(*p))
--- a/crates/policy/tests/model/world.rs
+++ b/crates/policy/tests/model/world.rs
@@ -260,7 +260,7 @@
     }
 
     fn measure(&mut self) {
-        let out = self.nodes.iter().map(|node| node.health.out()).max();
+        let out = self.nodes.iter().map(|node| node.health.ejected()).max();
         self.out = self.out.max(out.unwrap_or(0));
         if self.now <= self.end - AFTER {
             self.busy = self.engines.iter().map(|engine| engine.served).sum();
--- a/crates/policy/tests/model/world/attempts.rs
+++ b/crates/policy/tests/model/world/attempts.rs
@@ -32,7 +32,7 @@
             return false;
         };
         let name = sender.endpoint(endpoint).clone();
-        sender.health.sent(&name, moment(self.now));
+        sender.health.record_sent(&name, moment(self.now));
         assert!(
             sender.limiters[endpoint].acquire(),
             "a chosen endpoint has room"
@@ -173,14 +173,18 @@
         let Request { arrival, node, .. } = self.requests[request];
         let tokens = admission::work(Tokens(arrival.input), Tokens(arrival.output));
         let took = Duration::from_secs_f64(self.now - sent);
-        let pace = took.as_secs_f64() / float(tokens.0.max(1));
+        let seconds_per_token = took.as_secs_f64() / float(tokens.0.max(1));
         let served = limit::Outcome::Served { tokens, took };
         let owner = &mut self.nodes[node];
         owner.gate.served(tokens, took, moment(self.now));
         owner.lengths[arrival.class].record(Tokens(arrival.output));
         owner.customers[arrival.customer].success(moment(self.now));
         owner.pool.success(moment(self.now));
-        self.close(attempt, served, eject::Outcome::Served { pace });
+        self.close(
+            attempt,
+            served,
+            eject::Outcome::Served { seconds_per_token },
+        );
         self.settle(request, Answer::Served);
         self.dispatch(node);
     }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -96,19 +96,19 @@
             now = now + Duration::from_millis(after);
             let endpoint = endpoint(place % size);
             let state = pool.state(&endpoint, now);
-            if state == eject::State::Out {
+            if state == eject::State::Ejected {
                 continue;
             }
-            pool.sent(&endpoint, now);
+            pool.record_sent(&endpoint, now);
             if state == eject::State::Probe {
-                assert_eq!(pool.state(&endpoint, now), eject::State::Out, "one probe at a time");
+                assert_eq!(pool.state(&endpoint, now), eject::State::Ejected, "one probe at a time");
             }
-            let outcome = if good { eject::Outcome::Served { pace: 0.05 } } else { eject::Outcome::Failed };
+            let outcome = if good { eject::Outcome::Served { seconds_per_token: 0.05 } } else { eject::Outcome::Failed };
             pool.record(&endpoint, outcome, now);
-            assert!(pool.out() * 3 <= size.max(3) + 1, "{} of {size}", pool.out());
-            assert!(pool.out() < size);
-            let out = pool.states(now).filter(|state| *state != eject::State::In).count();
-            assert_eq!(pool.out(), out);
+            assert!(pool.ejected() * 3 <= size.max(3) + 1, "{} of {size}", pool.ejected());
+            assert!(pool.ejected() < size);
+            let out = pool.states(now).filter(|state| *state != eject::State::Active).count();
+            assert_eq!(pool.ejected(), out);
         }
     }
 
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -100,7 +100,7 @@
             let seat = match former.next_if(same) {
                 Some(known) => {
                     if known.member.life != member.life {
-                        self.health.renew(&member.endpoint);
+                        self.health.reset(&member.endpoint);
                     }
                     refresh(known, member)
                 }
@@ -278,7 +278,7 @@
 
     fn open(&self, version: Option<&id::Version>, now: Moment) -> bool {
         self.seats.iter().any(|seat| {
-            let out = self.health.state(&seat.member.endpoint, now) == eject::State::Out;
+            let out = self.health.state(&seat.member.endpoint, now) == eject::State::Ejected;
             seat.is_open(now) && seat.member.holds(version) && !out && seat.limiter.room() > 0
         })
     }
@@ -299,7 +299,7 @@
         if let Some(limited) = &mut seat.limited {
             limited.take(now);
         }
-        self.health.sent(&seat.member.endpoint, now);
+        self.health.record_sent(&seat.member.endpoint, now);
         let ticket = job.prompt.as_ref().zip(seat.engine.as_mut());
         let ticket = ticket.map(|(prompt, engine)| {
             self.tickets += 1;
@@ -359,10 +359,10 @@
     /// The endpoint that is due for a probe, if this job may be one: a call that may be sent twice.
     /// By choice alone an endpoint that was out would be tried late, or by many calls at once.
     fn probe(&self, job: &Job, now: Moment, usable: impl Fn(usize) -> bool) -> Option<usize> {
-        if !job.repeatable || self.health.out() == 0 {
+        if !job.repeatable || self.health.ejected() == 0 {
             return None;
         }
-        let due = self.health.due(now)?;
+        let due = self.health.probe_due(now)?;
         let place = self.seats.iter().position(|s| &s.member.endpoint == due)?;
         (self.seats[place].limiter.room() > 0 && usable(place)).then_some(place)
     }
@@ -370,7 +370,7 @@
     fn candidates(&self, job: &Job, now: Moment) -> Vec<choice::Candidate> {
         let usual = self.usual();
         let candidate = |seat: &Seat| {
-            let healthy = self.health.state(&seat.member.endpoint, now) != eject::State::Out;
+            let healthy = self.health.state(&seat.member.endpoint, now) != eject::State::Ejected;
             let own = seat.limiter.flying();
             let (others, age) = seat.member.report.map_or((0, Duration::MAX), |(load, at)| {
                 let all = load.running.saturating_add(load.waiting);
@@ -447,7 +447,7 @@
             .iter()
             .filter(|s| s.member.usable && s.member.holds(version));
         let back = |seat: &Seat| {
-            let out = self.health.back(&seat.member.endpoint);
+            let out = self.health.ejected_until(&seat.member.endpoint);
             seat.back.max(out).max(seat.turn(now))
         };
         let earliest = seats.map(back).min()?;
@@ -480,7 +480,7 @@
             waiting: self.stations.iter().map(|s| s.queue.len()).sum(),
             flying: self.seats.iter().map(|s| s.limiter.flying()).sum(),
             slots: usable.clone().map(Seat::slots).sum(),
-            ejected: self.health.out(),
+            ejected: self.health.ejected(),
             limited: usable.clone().filter(|s| s.throttle().is_some()).count(),
             usable: usable.count(),
         }
--- a/crates/scheduler/src/inner/placing.rs
+++ b/crates/scheduler/src/inner/placing.rs
@@ -81,7 +81,7 @@
     fn free(&self, seat: &Seat, job: &Job, now: Moment) -> bool {
         seat.takes(job, now)
             && seat.limiter.room() > 0
-            && self.health.state(&seat.member.endpoint, now) != eject::State::Out
+            && self.health.state(&seat.member.endpoint, now) != eject::State::Ejected
     }
 
     /// What a job with a prompt would meet.
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -99,9 +99,11 @@
         let outcome = limit::Outcome::Served { tokens, took };
         // Answers of engines take as long as their model and their length make them.
         let health = if self.slot.ticket.is_some() {
-            eject::Outcome::Answered
+            eject::Outcome::AnsweredUntimed
         } else {
-            eject::Outcome::Served { pace }
+            eject::Outcome::Served {
+                seconds_per_token: pace,
+            }
         };
         self.end(outcome, health, now);
     }
