--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -105,7 +105,7 @@
             ahead: self.queue.ahead(customer, 1, priority, Tokens(100)),
             slots: u32::try_from(self.limiters.len() * 8).expect("a small number"),
             free: 0,
-            run: self.gate.run(Tokens(100)),
+            run_time: self.gate.run_time(Tokens(100)),
             deadline: self.now() + Duration::from_secs(10),
         };
         self.gate.decide(demand, self.now(), self.turn)
@@ -162,7 +162,7 @@
             seconds_per_token: 0.005,
         };
         self.health.record(&self.endpoints[chosen], served, now);
-        self.gate.served(tokens, took, now);
+        self.gate.record(tokens, took, now);
         self.queue.done(&dispatch);
     }
 }
--- a/crates/policy/examples/proxy.rs
+++ b/crates/policy/examples/proxy.rs
@@ -51,12 +51,12 @@
             ahead: queue.ahead(customer, 1, 0, WORK),
             slots: limits.iter().map(limit::Limiter::limit).sum(),
             free: limits.iter().map(limit::Limiter::room).sum(),
-            run: gate.run(WORK),
+            run_time: gate.run_time(WORK),
             deadline: Moment::ZERO + Duration::from_secs(10),
         };
         match gate.decide(demand, Moment::ZERO, n << 58) {
-            admission::Verdict::Refuse { after } => {
-                println!("{customer}: refused, again in {after:.1?}");
+            admission::Verdict::Refuse { retry_after } => {
+                println!("{customer}: refused, again in {retry_after:.1?}");
             }
             admission::Verdict::Admit { start_by } => {
                 let ticket = queue.enqueue(job(customer, start_by));
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -20,12 +20,12 @@
 /// Prompt tokens that an engine reads in the time in which it generates one. Reading is a product
 /// of large matrices and generating is bound by memory, so that the ratio is about ten on engines
 /// with continuous batching. It only weighs long prompts against long answers.
-pub const PREFILL: u64 = 10;
+pub const PREFILL_RATIO: u64 = 10;
 
 /// Work of a call, in generated tokens.
 #[must_use]
 pub const fn work(input: Tokens, output: Tokens) -> Tokens {
-    Tokens(output.0.saturating_add(input.0 / PREFILL))
+    Tokens(output.0.saturating_add(input.0 / PREFILL_RATIO))
 }
 
 /// The usual length of the answers of one class, as answers are as long as they turn out to be.
@@ -65,32 +65,32 @@
     /// estimates err: a request admitted to the last moment is as often late as not.
     pub headroom: f64,
     /// The same share for a request that comes back when it was told to.
-    pub returning: f64,
+    pub returning_headroom: f64,
     /// Share of the drain by which the refused are called back in.
-    pub kept: f64,
+    pub returning_share: f64,
     /// Half-life of the drain rate's memory.
-    pub memory: Duration,
+    pub half_life: Duration,
     /// Tokens a second that one slot serves, until the first answers were measured.
-    pub pace: f64,
+    pub initial_rate: f64,
     /// The shortest `Retry-After`; the header counts whole seconds.
-    pub soonest: Duration,
+    pub min_retry_after: Duration,
     /// The longest `Retry-After`. A caller told to stay away for longer hears of a recovery late.
-    pub latest: Duration,
+    pub max_retry_after: Duration,
     /// Share of `Retry-After` that is spread at random, so that the refused don't return at once.
-    pub spread: f64,
+    pub jitter: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
             headroom: 0.5,
-            returning: 0.9,
-            kept: 0.3,
-            memory: Duration::from_secs(10),
-            pace: 50.0,
-            soonest: Duration::from_secs(1),
-            latest: Duration::from_mins(2),
-            spread: 0.25,
+            returning_headroom: 0.9,
+            returning_share: 0.3,
+            half_life: Duration::from_secs(10),
+            initial_rate: 50.0,
+            min_retry_after: Duration::from_secs(1),
+            max_retry_after: Duration::from_mins(2),
+            jitter: 0.25,
         }
     }
 }
@@ -104,8 +104,8 @@
     pub slots: u32,
     /// Slots that are free now.
     pub free: u32,
-    /// How long the request itself is expected to run, from [`Gate::run`].
-    pub run: Duration,
+    /// How long the request itself is expected to run, from [`Gate::run_time`].
+    pub run_time: Duration,
     /// When the whole answer must be there.
     pub deadline: Moment,
 }
@@ -121,7 +121,7 @@
     /// It is refused now, not run.
     Refuse {
         /// When to come back.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -141,7 +141,7 @@
     pub fn new(config: Config) -> Self {
         Self {
             config,
-            tokens: config.pace,
+            tokens: config.initial_rate,
             busy: 1.0,
             at: Moment::ZERO,
             called: Moment::ZERO,
@@ -149,8 +149,8 @@
     }
 
     /// Counts an answer of `tokens` that held a slot for `took`.
-    pub fn served(&mut self, tokens: Tokens, took: Duration, now: Moment) {
-        let kept = number::decay(now.since(self.at), self.config.memory);
+    pub fn record(&mut self, tokens: Tokens, took: Duration, now: Moment) {
+        let kept = number::decay(now.since(self.at), self.config.half_life);
         self.at = self.at.max(now);
         self.tokens = self.tokens * kept + number::float(tokens.0);
         self.busy = self.busy * kept + took.as_secs_f64();
@@ -159,25 +159,25 @@
     /// Tokens a second that one busy slot serves. Measured while busy: the rate of answers would
     /// show the demand, not the capacity, as long as slots are idle.
     #[must_use]
-    pub fn pace(&self) -> f64 {
-        let pace = self.tokens / self.busy.max(f64::MIN_POSITIVE);
-        if pace.is_finite() && pace > 0.0 {
-            pace
+    pub fn rate(&self) -> f64 {
+        let rate = self.tokens / self.busy.max(f64::MIN_POSITIVE);
+        if rate.is_finite() && rate > 0.0 {
+            rate
         } else {
-            self.config.pace
+            self.config.initial_rate
         }
     }
 
     /// How long `tokens` hold a slot.
     #[must_use]
-    pub fn run(&self, tokens: Tokens) -> Duration {
-        number::seconds(number::float(tokens.0) / self.pace())
+    pub fn run_time(&self, tokens: Tokens) -> Duration {
+        number::seconds(number::float(tokens.0) / self.rate())
     }
 
     /// How long `work` takes on `slots`.
     #[must_use]
-    pub fn wait(&self, work: Tokens, slots: u32) -> Duration {
-        let rate = self.pace() * f64::from(slots.max(1));
+    pub fn drain_time(&self, work: Tokens, slots: u32) -> Duration {
+        let rate = self.rate() * f64::from(slots.max(1));
         number::seconds(number::float(work.0) / rate)
     }
 
@@ -191,26 +191,26 @@
     /// wait longer than a new one, so that the time it was given is kept; a caller's request id
     /// tells, at any node, that it was made a while ago.
     #[must_use]
-    pub fn welcome(&mut self, demand: Demand, now: Moment, random: u64) -> Verdict {
-        self.judge(demand, self.config.returning, now, random)
+    pub fn decide_returning(&mut self, demand: Demand, now: Moment, random: u64) -> Verdict {
+        self.judge(demand, self.config.returning_headroom, now, random)
     }
 
     fn judge(&mut self, demand: Demand, headroom: f64, now: Moment, random: u64) -> Verdict {
         let whole = demand.deadline.since(now);
-        let slack = whole.mul_f64(headroom).saturating_sub(demand.run);
+        let slack = whole.mul_f64(headroom).saturating_sub(demand.run_time);
         let wait = self.expected(demand);
         if wait <= slack && !whole.is_zero() {
-            let start_by = now + whole.saturating_sub(demand.run);
+            let start_by = now + whole.saturating_sub(demand.run_time);
             return Verdict::Admit { start_by };
         }
-        let after = self.promise(demand, wait.saturating_sub(slack), now, random);
-        Verdict::Refuse { after }
+        let retry_after = self.promise(demand, wait.saturating_sub(slack), now, random);
+        Verdict::Refuse { retry_after }
     }
 
     /// When a request that was given up on while it waited may come back: once the work that is
     /// still ahead of it has drained.
     #[must_use]
-    pub fn again(&mut self, demand: Demand, now: Moment, random: u64) -> Duration {
+    pub fn retry_after(&mut self, demand: Demand, now: Moment, random: u64) -> Duration {
         let wait = self.expected(demand);
         self.promise(demand, wait, now, random)
     }
@@ -219,10 +219,10 @@
     /// the other, by the share of the drain that is kept for them. Told all the same, they would
     /// come all at once and be refused again.
     fn promise(&mut self, demand: Demand, wait: Duration, now: Moment, random: u64) -> Duration {
-        let earliest = (now + wait.max(self.config.soonest)).max(self.called);
-        let latest = now + self.config.latest;
-        let slots = f64::from(demand.slots.max(1)) * self.config.kept.max(0.01);
-        let hold = number::seconds(demand.run.as_secs_f64() / slots);
+        let earliest = (now + wait.max(self.config.min_retry_after)).max(self.called);
+        let latest = now + self.config.max_retry_after;
+        let slots = f64::from(demand.slots.max(1)) * self.config.returning_share.max(0.01);
+        let hold = number::seconds(demand.run_time.as_secs_f64() / slots);
         self.called = (earliest + hold).min(latest);
         self.after(earliest.min(latest).since(now), random)
     }
@@ -231,11 +231,11 @@
         if demand.free > 0 && demand.ahead == Tokens::ZERO {
             return Duration::ZERO;
         }
-        self.wait(demand.ahead, demand.slots)
+        self.drain_time(demand.ahead, demand.slots)
     }
 
     fn after(&self, wait: Duration, random: u64) -> Duration {
-        let spread = 1.0 + self.config.spread * number::unit(random);
-        number::seconds(wait.as_secs_f64() * spread).max(self.config.soonest)
+        let spread = 1.0 + self.config.jitter * number::unit(random);
+        number::seconds(wait.as_secs_f64() * spread).max(self.config.min_retry_after)
     }
 }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -200,7 +200,7 @@
                 .filter(open)
                 .map(|e| self.limiters[e].room())
                 .sum(),
-            run: self.gate.run(job.tokens),
+            run_time: self.gate.run_time(job.tokens),
             deadline: moment(deadline),
         }
     }
@@ -219,13 +219,15 @@
             let demand = self.demand(arrival, deadline, now);
             let random = self.random.bits();
             let verdict = if back {
-                self.gate.welcome(demand, moment(now), random)
+                self.gate.decide_returning(demand, moment(now), random)
             } else {
                 self.gate.decide(demand, moment(now), random)
             };
             match verdict {
                 admission::Verdict::Admit { start_by } => latest = start_by,
-                admission::Verdict::Refuse { after } => return Some(after.as_secs_f64()),
+                admission::Verdict::Refuse { retry_after } => {
+                    return Some(retry_after.as_secs_f64());
+                }
             }
         }
         let ticket = self.queue.enqueue(self.job(arrival, latest));
@@ -244,7 +246,9 @@
     pub fn again(&mut self, arrival: &Arrival, now: f64) -> f64 {
         let demand = self.demand(arrival, now, now);
         let random = self.random.bits();
-        self.gate.again(demand, moment(now), random).as_secs_f64()
+        self.gate
+            .retry_after(demand, moment(now), random)
+            .as_secs_f64()
     }
 
     pub fn slots(&self, now: f64) -> u32 {
--- a/crates/policy/tests/model/world/attempts.rs
+++ b/crates/policy/tests/model/world/attempts.rs
@@ -176,7 +176,7 @@
         let seconds_per_token = took.as_secs_f64() / float(tokens.0.max(1));
         let served = limit::Outcome::Served { tokens, took };
         let owner = &mut self.nodes[node];
-        owner.gate.served(tokens, took, moment(self.now));
+        owner.gate.record(tokens, took, moment(self.now));
         owner.lengths[arrival.class].record(Tokens(arrival.output));
         owner.customers[arrival.customer].success(moment(self.now));
         owner.pool.success(moment(self.now));
@@ -255,7 +255,7 @@
         let failure = retry::Failure {
             repeatable: true,
             attempts,
-            run: owner.gate.run(owner.estimate(&arrival)),
+            run: owner.gate.run_time(owner.estimate(&arrival)),
             deadline: moment(arrival.at + CLASSES[arrival.class].timeout),
         };
         let now = moment(self.now);
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -124,7 +124,7 @@
 
     pub fn run(&self, version: Option<&id::Version>, tokens: Tokens) -> Duration {
         let station = self.stations.iter().find(|s| s.version.as_ref() == version);
-        station.map_or(FIRST_RUN, |s| s.gate.run(tokens))
+        station.map_or(FIRST_RUN, |s| s.gate.run_time(tokens))
     }
 
     /// What the gate has to know; none if no endpoint holds the version.
@@ -151,7 +151,7 @@
             ahead,
             slots,
             free,
-            run: station.gate.run(job.tokens),
+            run_time: station.gate.run_time(job.tokens),
             deadline: job.deadline,
         })
     }
@@ -165,7 +165,7 @@
     ) -> admission::Verdict {
         let station = self.station(job.version.as_ref());
         if job.returning {
-            return station.gate.welcome(demand, now, random);
+            return station.gate.decide_returning(demand, now, random);
         }
         station.gate.decide(demand, now, random)
     }
@@ -199,7 +199,7 @@
             return FIRST_RUN;
         };
         let station = self.station(job.version.as_ref());
-        station.gate.again(demand, now, random)
+        station.gate.retry_after(demand, now, random)
     }
 
     fn slots(&self, version: Option<&id::Version>) -> u32 {
@@ -429,7 +429,7 @@
             station.queue.done(dispatch);
         }
         if let limit::Outcome::Served { tokens, took } = outcome {
-            station.gate.served(tokens, took, now);
+            station.gate.record(tokens, took, now);
         }
     }
 
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -138,7 +138,9 @@
         let verdict = inner.decide(&waiter.job, demand, now, rand::random());
         let start_by = match verdict {
             admission::Verdict::Admit { start_by } => start_by,
-            admission::Verdict::Refuse { after } => return Err(Refused::Overloaded { after }),
+            admission::Verdict::Refuse { retry_after } => {
+                return Err(Refused::Overloaded { after: retry_after });
+            }
         };
         let ticket = inner.enqueue(waiter, start_by);
         inner.pump(&self.shared, now);
