--- a/crates/entry/src/evidence.rs
+++ b/crates/entry/src/evidence.rs
@@ -32,7 +32,7 @@
     passed: u32,
     attempts: u32,
     failed: u32,
-    latency: hedge::Tail,
+    latency: hedge::LatencyHistogram,
 }
 
 /// A version that is not used here.
@@ -138,7 +138,7 @@
             passed: 0,
             attempts: 0,
             failed: 0,
-            latency: hedge::Tail::default(),
+            latency: hedge::LatencyHistogram::default(),
         }
     }
 
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -267,7 +267,7 @@
         let attempt = hedge::Attempt {
             repeatable: true,
             long,
-            left,
+            time_left: left,
         };
         let delay = node.retries.delay(ask.version, attempt);
         ask.trace.attempts += 1;
--- a/crates/entry/src/retries.rs
+++ b/crates/entry/src/retries.rs
@@ -23,7 +23,7 @@
     /// Sorted by pool.
     pools: Vec<(id::Pool, retry::Budget)>,
     /// Sorted by version; versions differ in speed.
-    tails: Vec<(id::Version, hedge::Tail)>,
+    tails: Vec<(id::Version, hedge::LatencyHistogram)>,
 }
 
 fn entry<'a, K: Ord + Clone, V>(
@@ -82,7 +82,7 @@
     #[must_use]
     pub fn delay(&self, version: &id::Version, attempt: hedge::Attempt) -> Option<Duration> {
         let inner = &mut *self.lock();
-        let tail = entry(&mut inner.tails, version, hedge::Tail::default);
+        let tail = entry(&mut inner.tails, version, hedge::LatencyHistogram::default);
         hedge::delay(tail, attempt)
     }
 
@@ -90,13 +90,13 @@
     #[must_use]
     pub fn silence(&self, version: &id::Version) -> Option<Duration> {
         let inner = &mut *self.lock();
-        let tail = entry(&mut inner.tails, version, hedge::Tail::default);
-        hedge::silence(tail)
+        let tail = entry(&mut inner.tails, version, hedge::LatencyHistogram::default);
+        hedge::first_token_timeout(tail)
     }
 
     /// Learns how long a first piece took.
     pub fn first(&self, version: &id::Version, took: Duration, now: Moment) {
         let inner = &mut *self.lock();
-        entry(&mut inner.tails, version, hedge::Tail::default).record(took, now);
+        entry(&mut inner.tails, version, hedge::LatencyHistogram::default).record(took, now);
     }
 }
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -14,7 +14,7 @@
 
 use crate::number;
 
-/// Buckets of a [`Tail`]: from one millisecond in steps of a quarter, the last one holds all above
+/// Buckets of a [`LatencyHistogram`]: from one millisecond in steps of a quarter, the last one holds all above
 /// about 20 minutes.
 const BUCKETS: usize = 64;
 
@@ -24,7 +24,7 @@
 /// The shortest latency told apart, in seconds.
 const SHORTEST: f64 = 0.001;
 
-/// Half-life of a [`Tail`]'s memory.
+/// Half-life of a [`LatencyHistogram`]'s memory.
 const MEMORY: Duration = Duration::from_secs(30);
 
 /// Answers to have seen before a quantile means anything: the 95th percentile of twenty is one.
@@ -42,13 +42,13 @@
 
 /// A decaying histogram of latencies.
 #[derive(Debug, Clone)]
-pub struct Tail {
+pub struct LatencyHistogram {
     counts: [f64; BUCKETS],
     total: f64,
     at: Moment,
 }
 
-impl Default for Tail {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         Self {
             counts: [0.0; BUCKETS],
@@ -58,7 +58,7 @@
     }
 }
 
-impl Tail {
+impl LatencyHistogram {
     /// Counts a latency.
     pub fn record(&mut self, latency: Duration, now: Moment) {
         let kept = number::decay(now.since(self.at), MEMORY);
@@ -103,17 +103,17 @@
     /// Whether it is a long job, whose repetition costs as much as many short ones.
     pub long: bool,
     /// Time left until the whole answer must be there.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// How long to wait for the first token before a second attempt is sent; none if it never is.
 #[must_use]
-pub fn delay(tail: &Tail, attempt: Attempt) -> Option<Duration> {
+pub fn delay(tail: &LatencyHistogram, attempt: Attempt) -> Option<Duration> {
     if !attempt.repeatable || attempt.long {
         return None;
     }
     let delay = tail.quantile(0.95)?.mul_f64(PATIENCE);
-    (delay < attempt.left).then_some(delay)
+    (delay < attempt.time_left).then_some(delay)
 }
 
 /// How long an attempt may go without a first token before it is given up for another one, so that
@@ -121,7 +121,7 @@
 /// paid for: in a burst a full pool is silent, too, and an attempt given up for nothing is an error
 /// to a caller who would have been served. None while too little is known; the deadline bounds it.
 #[must_use]
-pub fn silence(tail: &Tail) -> Option<Duration> {
+pub fn first_token_timeout(tail: &LatencyHistogram) -> Option<Duration> {
     let usual = tail.quantile(0.95)?;
     Some(usual.mul_f64(SILENCE).max(SHORTEST_SILENCE))
 }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -89,7 +89,7 @@
     pub queue: queue::Queue,
     pub limiters: Vec<limit::Limiter>,
     pub health: eject::Pool,
-    pub tails: [hedge::Tail; CLASSES.len()],
+    pub tails: [hedge::LatencyHistogram; CLASSES.len()],
     pub lengths: [admission::Length; CLASSES.len()],
     pub customers: Vec<retry::Budget>,
     pub pool: retry::Budget,
@@ -146,7 +146,7 @@
                 })
                 .collect(),
             health,
-            tails: std::array::from_fn(|_| hedge::Tail::default()),
+            tails: std::array::from_fn(|_| hedge::LatencyHistogram::default()),
             lengths: CLASSES
                 .map(|class| admission::Length::new(Tokens(whole(class.output) as u64))),
             customers: vec![retry::Budget::new(retry::Config::default()); CUSTOMERS],
--- a/crates/policy/tests/model/world/attempts.rs
+++ b/crates/policy/tests/model/world/attempts.rs
@@ -44,11 +44,11 @@
             hedge::Attempt {
                 repeatable: true,
                 long: arrival.class == 2,
-                left: Duration::from_secs_f64(left.max(0.0)),
+                time_left: Duration::from_secs_f64(left.max(0.0)),
             },
         );
         let hedge = hedge.filter(|_| sender.mechanisms.hedge && tried.is_empty());
-        let silence = hedge::silence(&sender.tails[arrival.class]);
+        let silence = hedge::first_token_timeout(&sender.tails[arrival.class]);
         let attempt = self.attempts.len();
         self.attempts.push(Attempt {
             request,
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -136,7 +136,7 @@
     /// A quantile errs by at most one bucket.
     #[test]
     fn tail_is_within_a_bucket(mut millis in vec(1_u64..100_000, 20..200)) {
-        let mut tail = hedge::Tail::default();
+        let mut tail = hedge::LatencyHistogram::default();
         for one in &millis {
             tail.record(Duration::from_millis(*one), Moment::ZERO);
         }
@@ -167,14 +167,14 @@
         customer.affords(now) && pool.affords(now),
         "nothing was drawn"
     );
-    let mut tail = hedge::Tail::default();
+    let mut tail = hedge::LatencyHistogram::default();
     for _ in 0..100 {
         tail.record(Duration::from_millis(100), now);
     }
     let attempt = |repeatable, long| hedge::Attempt {
         repeatable,
         long,
-        left: Duration::from_secs(9),
+        time_left: Duration::from_secs(9),
     };
     assert_eq!(hedge::delay(&tail, attempt(false, false)), None);
     assert_eq!(
