--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -253,11 +253,11 @@
     let failure = retry::Failure {
         repeatable: call.repeatable || fault.not_run(),
         attempts: trace.attempts,
-        run: pool.run(None, WORK),
+        run_time: pool.run(None, WORK),
         deadline: call.identity.deadline,
     };
     if matches!(fault, Fault::Unreachable { .. }) {
-        return retry::elsewhere(failure, now);
+        return retry::can_retry_unsent(failure, now);
     }
     node.retries
         .again(&call.customer, &call.service.pool, failure, now)
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -184,14 +184,14 @@
         let failure = retry::Failure {
             repeatable: true,
             attempts: ask.trace.attempts,
-            run: pool.run(Some(ask.version), self.tokens(ask)),
+            run_time: pool.run(Some(ask.version), self.tokens(ask)),
             deadline: request.identity.deadline,
         };
         if ask.paid.swap(false, Ordering::Relaxed) {
-            return ask.trace.attempts < retry::ATTEMPTS;
+            return ask.trace.attempts < retry::MAX_ATTEMPTS;
         }
         if matches!(fault, Fault::Unreachable { .. }) {
-            return retry::elsewhere(failure, now);
+            return retry::can_retry_unsent(failure, now);
         }
         node.retries
             .again(&request.customer, ask.pool, failure, now)
--- a/crates/entry/src/retries.rs
+++ b/crates/entry/src/retries.rs
@@ -59,7 +59,7 @@
         let inner = &mut *self.lock();
         let customer = entry(&mut inner.customers, customer, budget);
         let pool = entry(&mut inner.pools, pool, budget);
-        retry::again(failure, customer, pool, now)
+        retry::try_retry(failure, customer, pool, now)
     }
 
     /// Takes a hedge, or a retry for an attempt that is about to be given up, out of both budgets, if
@@ -68,7 +68,7 @@
         let inner = &mut *self.lock();
         let customer = entry(&mut inner.customers, customer, budget);
         let pool = entry(&mut inner.pools, pool, budget);
-        customer.affords(now) && pool.withdraw(now) && customer.withdraw(now)
+        customer.can_withdraw(now) && pool.withdraw(now) && customer.withdraw(now)
     }
 
     /// Pays in for a success.
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -19,22 +19,22 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
     /// Retries that one success pays for.
-    pub share: f64,
+    pub retries_per_success: f64,
     /// The most retries saved up.
-    pub cap: f64,
+    pub max_balance: f64,
     /// Retries that come in a second without any success.
-    pub reserve: f64,
+    pub reserve_per_second: f64,
     /// Half-life of what was saved up: an hour of successes must not pay for a storm of retries.
-    pub memory: Duration,
+    pub half_life: Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            share: 0.2,
-            cap: 20.0,
-            reserve: 0.1,
-            memory: Duration::from_secs(10),
+            retries_per_success: 0.2,
+            max_balance: 20.0,
+            reserve_per_second: 0.1,
+            half_life: Duration::from_secs(10),
         }
     }
 }
@@ -61,12 +61,13 @@
     /// Pays in for a success.
     pub fn success(&mut self, now: Moment) {
         self.settle(now);
-        self.balance = (self.balance + self.config.share).min(self.config.cap);
+        self.balance =
+            (self.balance + self.config.retries_per_success).min(self.config.max_balance);
     }
 
     /// Whether a retry or hedge could be paid for now.
     #[must_use]
-    pub fn affords(&self, now: Moment) -> bool {
+    pub fn can_withdraw(&self, now: Moment) -> bool {
         self.balance_at(now) >= 1.0
     }
 
@@ -83,7 +84,7 @@
 
     /// Puts back a retry that was taken out and not made.
     pub fn refund(&mut self) {
-        self.balance = (self.balance + 1.0).min(self.config.cap);
+        self.balance = (self.balance + 1.0).min(self.config.max_balance);
     }
 
     fn settle(&mut self, now: Moment) {
@@ -95,8 +96,8 @@
     /// saves up a storm nor leaves a quiet customer without its one retry.
     fn balance_at(&self, now: Moment) -> f64 {
         let age = now.since(self.at);
-        let above = (self.balance - 1.0).max(0.0) * number::decay(age, self.config.memory);
-        let below = self.balance.min(1.0) + self.config.reserve * age.as_secs_f64();
+        let above = (self.balance - 1.0).max(0.0) * number::decay(age, self.config.half_life);
+        let below = self.balance.min(1.0) + self.config.reserve_per_second * age.as_secs_f64();
         above + below.min(1.0)
     }
 }
@@ -107,7 +108,7 @@
 
 /// Figures of a [`Window`].
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bound {
+pub struct WindowConfig {
     /// Repeats for each request.
     pub share: f64,
     /// Repeats beyond those.
@@ -119,7 +120,7 @@
 /// Requests and repeats of a sliding window.
 #[derive(Debug, Clone)]
 pub struct Window {
-    bound: Bound,
+    config: WindowConfig,
     /// Requests and repeats of each piece.
     pieces: [(u32, u32); PIECES],
     /// Number of the newest piece.
@@ -129,46 +130,46 @@
 impl Window {
     /// An empty window.
     #[must_use]
-    pub const fn new(bound: Bound) -> Self {
+    pub const fn new(config: WindowConfig) -> Self {
         Self {
-            bound,
+            config,
             pieces: [(0, 0); PIECES],
             newest: 0,
         }
     }
 
     /// Sets how many repeats are allowed beyond the share.
-    pub const fn allow(&mut self, extra: f64) {
-        self.bound.extra = extra;
+    pub const fn set_extra(&mut self, extra: f64) {
+        self.config.extra = extra;
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Moment) {
+    pub fn record_request(&mut self, now: Moment) {
         let place = self.turn(now);
         self.pieces[place].0 = self.pieces[place].0.saturating_add(1);
     }
 
     /// Repeats that are within the bound.
     #[must_use]
-    pub fn left(&mut self, now: Moment) -> f64 {
+    pub fn remaining(&mut self, now: Moment) -> f64 {
         self.turn(now);
         let sums = self.pieces.iter().fold((0.0, 0.0), |sums, piece| {
             (sums.0 + f64::from(piece.0), sums.1 + f64::from(piece.1))
         });
         let (requests, repeats) = sums;
-        requests * self.bound.share + self.bound.extra - repeats
+        requests * self.config.share + self.config.extra - repeats
     }
 
     /// Whether a repeat is within the bound.
     #[must_use]
-    pub fn affords(&mut self, now: Moment) -> bool {
-        self.left(now) >= 1.0
+    pub fn can_acquire(&mut self, now: Moment) -> bool {
+        self.remaining(now) >= 1.0
     }
 
     /// Takes a repeat, if it is within the bound.
     #[must_use]
-    pub fn take(&mut self, now: Moment) -> bool {
-        if !self.affords(now) {
+    pub fn try_acquire(&mut self, now: Moment) -> bool {
+        if !self.can_acquire(now) {
             return false;
         }
         let place = self.turn(now);
@@ -178,7 +179,7 @@
 
     /// Moves on to the present piece.
     fn turn(&mut self, now: Moment) -> usize {
-        let length = self.bound.span.as_nanos() / PIECES as u128;
+        let length = self.config.span.as_nanos() / PIECES as u128;
         let length = u64::try_from(length).unwrap_or(u64::MAX).max(1);
         let number = now.nanos() / length;
         let passed = number.saturating_sub(self.newest).min(PIECES as u64);
@@ -199,21 +200,22 @@
     /// Attempts made so far, the failed one included.
     pub attempts: u32,
     /// How long another attempt is expected to take.
-    pub run: Duration,
+    pub run_time: Duration,
     /// When the whole answer must be there.
     pub deadline: Moment,
 }
 
 /// The most attempts of one request. The third gains little: two endpoints failing one request
 /// mostly fail for a cause that the third one shares.
-pub const ATTEMPTS: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 
 /// Whether a failed request is tried again; takes a retry out of both budgets if so.
 #[must_use]
-pub fn again(failure: Failure, customer: &mut Budget, pool: &mut Budget, now: Moment) -> bool {
-    let useful =
-        failure.repeatable && failure.attempts < ATTEMPTS && now + failure.run <= failure.deadline;
-    if !useful || !customer.affords(now) {
+pub fn try_retry(failure: Failure, customer: &mut Budget, pool: &mut Budget, now: Moment) -> bool {
+    let useful = failure.repeatable
+        && failure.attempts < MAX_ATTEMPTS
+        && now + failure.run_time <= failure.deadline;
+    if !useful || !customer.can_withdraw(now) {
         return false;
     }
     pool.withdraw(now) && customer.withdraw(now)
@@ -224,6 +226,6 @@
 /// for it: when a zone is lost, a budget is empty after the first calls to each of its endpoints,
 /// and callers would get errors while the other zones are well.
 #[must_use]
-pub fn elsewhere(failure: Failure, now: Moment) -> bool {
-    failure.attempts < ATTEMPTS && now + failure.run <= failure.deadline
+pub fn can_retry_unsent(failure: Failure, now: Moment) -> bool {
+    failure.attempts < MAX_ATTEMPTS && now + failure.run_time <= failure.deadline
 }
--- a/crates/policy/tests/model/world/attempts.rs
+++ b/crates/policy/tests/model/world/attempts.rs
@@ -255,17 +255,17 @@
         let failure = retry::Failure {
             repeatable: true,
             attempts,
-            run: owner.gate.run_time(owner.estimate(&arrival)),
+            run_time: owner.gate.run_time(owner.estimate(&arrival)),
             deadline: moment(arrival.at + CLASSES[arrival.class].timeout),
         };
         let now = moment(self.now);
         if !owner.mechanisms.budget {
-            return attempts < retry::ATTEMPTS;
+            return attempts < retry::MAX_ATTEMPTS;
         }
         if !reached {
-            return retry::elsewhere(failure, now);
+            return retry::can_retry_unsent(failure, now);
         }
-        retry::again(
+        retry::try_retry(
             failure,
             &mut owner.customers[arrival.customer],
             &mut owner.pool,
@@ -309,7 +309,7 @@
         let Request { arrival, node, .. } = self.requests[request];
         let now = moment(self.now);
         let owner = &mut self.nodes[node];
-        if !owner.customers[arrival.customer].affords(now) || !owner.pool.withdraw(now) {
+        if !owner.customers[arrival.customer].can_withdraw(now) || !owner.pool.withdraw(now) {
             return;
         }
         let paid = owner.customers[arrival.customer].withdraw(now);
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -127,8 +127,8 @@
             } else {
                 retries += u32::from(budget.withdraw(now));
             }
-            let reserve = config.reserve * now.since(Moment::ZERO).as_secs_f64();
-            let most = 1.0 + config.share * f64::from(successes) + reserve;
+            let reserve = config.reserve_per_second * now.since(Moment::ZERO).as_secs_f64();
+            let most = 1.0 + config.retries_per_success * f64::from(successes) + reserve;
             assert!(f64::from(retries) <= most + 1e-6, "{retries} retries, {most} allowed");
         }
     }
@@ -159,12 +159,12 @@
     let failure = retry::Failure {
         repeatable: false,
         attempts: 1,
-        run: Duration::from_secs(1),
+        run_time: Duration::from_secs(1),
         deadline: Moment::from_millis(60_000),
     };
-    assert!(!retry::again(failure, &mut customer, &mut pool, now));
+    assert!(!retry::try_retry(failure, &mut customer, &mut pool, now));
     assert!(
-        customer.affords(now) && pool.affords(now),
+        customer.can_withdraw(now) && pool.can_withdraw(now),
         "nothing was drawn"
     );
     let mut tail = hedge::LatencyHistogram::default();
@@ -195,17 +195,17 @@
     let failure = retry::Failure {
         repeatable: true,
         attempts: 1,
-        run: Duration::from_secs(1),
+        run_time: Duration::from_secs(1),
         deadline: Moment::from_millis(60_000),
     };
-    assert!(!retry::again(failure, &mut customer, &mut pool, now));
-    assert!(customer.affords(now), "the customer's retry is kept");
+    assert!(!retry::try_retry(failure, &mut customer, &mut pool, now));
+    assert!(customer.can_withdraw(now), "the customer's retry is kept");
     let late = retry::Failure {
         deadline: Moment::from_millis(500),
         ..failure
     };
     assert!(
-        !retry::elsewhere(late, now),
+        !retry::can_retry_unsent(late, now),
         "no attempt that can't end in time"
     );
 }
--- a/crates/relay/src/repeats.rs
+++ b/crates/relay/src/repeats.rs
@@ -3,8 +3,8 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-use pimento_policy::retry::Bound;
 use pimento_policy::retry::Window;
+use pimento_policy::retry::WindowConfig;
 use pimento_units::Moment;
 use pimento_units::id;
 
@@ -53,18 +53,18 @@
         let extra = state.extra;
         let found = state.windows.binary_search_by(|(known, _)| known.cmp(pool));
         let place = found.unwrap_or_else(|place| {
-            let bound = Bound {
+            let config = WindowConfig {
                 share: self.config.share * USED,
                 extra,
                 span: self.config.window,
             };
             state
                 .windows
-                .insert(place, (pool.clone(), Window::new(bound)));
+                .insert(place, (pool.clone(), Window::new(config)));
             place
         });
         let window = &mut state.windows[place].1;
-        window.allow(extra);
+        window.set_extra(extra);
         act(window)
     }
 
@@ -76,13 +76,13 @@
 
     /// Counts a request.
     pub fn arrived(&self, pool: &id::Pool, now: Moment) {
-        self.with(pool, |window| window.request(now));
+        self.with(pool, |window| window.record_request(now));
     }
 
     /// Takes a repeat out, if there is one.
     #[must_use]
     pub fn take(&self, pool: &id::Pool, now: Moment) -> bool {
-        self.with(pool, |window| window.take(now))
+        self.with(pool, |window| window.try_acquire(now))
     }
 
     /// Repeats that are left, by pool.
@@ -91,14 +91,14 @@
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let windows = state.windows.iter_mut();
         windows
-            .map(|(pool, window)| (pool.clone(), window.left(now)))
+            .map(|(pool, window)| (pool.clone(), window.remaining(now)))
             .collect()
     }
 
     /// Whether a repeat could be paid for.
     #[must_use]
     pub fn affords(&self, pool: &id::Pool, now: Moment) -> bool {
-        self.with(pool, |window| window.affords(now))
+        self.with(pool, |window| window.can_acquire(now))
     }
 }
 
