--- a/crates/control/src/rollout/decide.rs
+++ b/crates/control/src/rollout/decide.rs
@@ -12,7 +12,7 @@
 use pimento_policy::rollout::Counts;
 use pimento_policy::rollout::Evidence;
 use pimento_policy::rollout::Verdict;
-use pimento_policy::rollout::judge;
+use pimento_policy::rollout::evaluate;
 use pimento_units::Revision;
 use pimento_units::id;
 use pimento_wire::operators;
@@ -64,10 +64,10 @@
         "rollout: {} in stage {}: {} of {} samples",
         rollout.to,
         rollout.stage,
-        new.samples(),
+        new.ratings(),
         rollout.gate.samples
     );
-    match judge(&new, &old, &rollout.gate, in_stage) {
+    match evaluate(&new, &old, &rollout.gate, in_stage) {
         Verdict::Wait => None,
         Verdict::Advance => Some(Step::Advance),
         Verdict::Withdraw(cause) => Some(Step::Withdraw(cause)),
@@ -87,7 +87,7 @@
             attempts: evidence.attempts,
             failed: evidence.failed,
             // An entry VM that has too few samples for a percentile says 0.
-            pace: (evidence.latency_ms > 0).then(|| f64::from(evidence.latency_ms)),
+            mean_time: (evidence.latency_ms > 0).then(|| f64::from(evidence.latency_ms)),
         }));
     }
     sum
--- a/crates/entry/src/evidence.rs
+++ b/crates/entry/src/evidence.rs
@@ -67,7 +67,7 @@
     pub fn rated(&self, version: &id::Version, pass: bool, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
-        entry.decayed.rated(pass, now);
+        entry.decayed.record_rating(pass, now);
         entry.rated = entry.rated.saturating_add(1);
         entry.passed = entry.passed.saturating_add(u32::from(pass));
     }
@@ -76,7 +76,7 @@
     pub fn served(&self, version: &id::Version, took: Duration, pace: f64, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
-        entry.decayed.served(pace, now);
+        entry.decayed.record_answer(pace, now);
         entry.attempts = entry.attempts.saturating_add(1);
         entry.latency.record(took, now);
     }
@@ -85,7 +85,7 @@
     pub fn failed(&self, version: &id::Version, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
-        entry.decayed.failed(now);
+        entry.decayed.record_failure(now);
         entry.attempts = entry.attempts.saturating_add(1);
         entry.failed = entry.failed.saturating_add(1);
     }
@@ -109,7 +109,7 @@
         for rollout in state.rollouts().filter(|r| r.status == Status::Running) {
             let old = inner.entry(&rollout.from).decayed;
             let new = inner.entry(&rollout.to).decayed;
-            let verdict = rollout::judge(&new, &old, &rollout.gate, Duration::ZERO);
+            let verdict = rollout::evaluate(&new, &old, &rollout.gate, Duration::ZERO);
             let Verdict::Withdraw(cause) = verdict else {
                 continue;
             };
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -59,7 +59,7 @@
     pub failed: u32,
     /// Time that an answered attempt took, in any measure that is the same for all versions; none
     /// if it is not known.
-    pub pace: Option<f64>,
+    pub mean_time: Option<f64>,
 }
 
 impl From<Counts> for Evidence {
@@ -67,13 +67,13 @@
         let answered = f64::from(counts.attempts.saturating_sub(counts.failed));
         // Attempts of unknown time must not count as instant ones: a version beside them would seem
         // endlessly slow.
-        let timed = counts.pace.map_or(0.0, |_| answered);
+        let timed = counts.mean_time.map_or(0.0, |_| answered);
         Self {
             rated: f64::from(counts.rated),
             passed: f64::from(counts.passed),
             attempts: f64::from(counts.attempts),
             failed: f64::from(counts.failed),
-            seconds: counts.pace.unwrap_or(0.0) * timed,
+            seconds: counts.mean_time.unwrap_or(0.0) * timed,
             timed,
             at: Moment::ZERO,
         }
@@ -104,14 +104,14 @@
 
 impl Evidence {
     /// Counts a rating.
-    pub fn rated(&mut self, pass: bool, now: Moment) {
+    pub fn record_rating(&mut self, pass: bool, now: Moment) {
         self.age(now);
         self.rated += 1.0;
         self.passed += if pass { 1.0 } else { 0.0 };
     }
 
     /// Counts an attempt that was answered, with the seconds for a token that it took.
-    pub fn served(&mut self, pace: f64, now: Moment) {
+    pub fn record_answer(&mut self, pace: f64, now: Moment) {
         self.age(now);
         self.attempts += 1.0;
         self.seconds += pace;
@@ -119,7 +119,7 @@
     }
 
     /// Counts an attempt that failed by the version's or its engine's fault.
-    pub fn failed(&mut self, now: Moment) {
+    pub fn record_failure(&mut self, now: Moment) {
         self.age(now);
         self.attempts += 1.0;
         self.failed += 1.0;
@@ -138,7 +138,7 @@
 
     /// Ratings that it rests on.
     #[must_use]
-    pub const fn samples(&self) -> f64 {
+    pub const fn ratings(&self) -> f64 {
         self.rated
     }
 
@@ -165,7 +165,7 @@
 
     /// The share of failed attempts.
     #[must_use]
-    pub fn errors(&self) -> f64 {
+    pub fn error_rate(&self) -> f64 {
         self.failed / self.attempts.max(f64::MIN_POSITIVE)
     }
 
@@ -176,12 +176,12 @@
 
 /// Judges the new version by the evidence on it and on the one that it replaces.
 #[must_use]
-pub fn judge(new: &Evidence, old: &Evidence, gate: &Gate, in_stage: Duration) -> Verdict {
-    if let Some(cause) = fault(new, old, gate) {
+pub fn evaluate(new: &Evidence, old: &Evidence, gate: &Gate, in_stage: Duration) -> Verdict {
+    if let Some(cause) = regression(new, old, gate) {
         return Verdict::Withdraw(cause);
     }
     let enough = new.rated >= f64::from(gate.samples) && in_stage >= gate.dwell.duration();
-    let good = new.quality() >= wanted(old, gate) && new.errors() <= gate.errors.value();
+    let good = new.quality() >= wanted(old, gate) && new.error_rate() <= gate.errors.value();
     if enough && good {
         Verdict::Advance
     } else {
@@ -191,7 +191,7 @@
 
 /// Whether the evidence shows the new version to be worse than the gate allows.
 #[must_use]
-pub fn fault(new: &Evidence, old: &Evidence, gate: &Gate) -> Option<Cause> {
+pub fn regression(new: &Evidence, old: &Evidence, gate: &Gate) -> Option<Cause> {
     let (_, best) = wilson(new.passed, new.rated);
     if new.rated >= FEWEST && best < wanted(old, gate) {
         return Some(Cause::Quality);
@@ -230,7 +230,7 @@
 /// Whether `session` uses the version that comes in at this weight. Once true for a weight, it is
 /// true for every higher one.
 #[must_use]
-pub fn moves(session: id::Session, to: &id::Version, weight: Share) -> bool {
+pub fn uses_new_version(session: id::Session, to: &id::Version, weight: Share) -> bool {
     let (high, low) = session.0.as_u64_pair();
     let version = xxhash_rust::xxh3::xxh3_64(to.as_str().as_bytes());
     let place = number::mix(number::mix(high, low), version);
@@ -255,7 +255,7 @@
         let next = rollouts.iter().find(|rollout| {
             let counts = !settled || rollout.status == Status::Done;
             let applies = counts && rollout.from == *current && allowed(&rollout.to);
-            applies && moves(session, &rollout.to, rollout.weight())
+            applies && uses_new_version(session, &rollout.to, rollout.weight())
         });
         match next {
             Some(rollout) => current = &rollout.to,
--- a/crates/policy/src/shift.rs
+++ b/crates/policy/src/shift.rs
@@ -160,7 +160,7 @@
 
 /// Times are compared within a route only: routes differ in them.
 fn fault(tally: &Tally, timed: bool) -> Option<Cause> {
-    let errors = part((ERRORS + tally.old.errors()).min(1.0));
+    let errors = part((ERRORS + tally.old.error_rate()).min(1.0));
     let gate = Gate {
         samples: SAMPLES,
         quality: Share::ZERO,
@@ -168,5 +168,5 @@
         latency: if timed { LATENCY } else { u32::MAX },
         dwell: Span::ZERO,
     };
-    rollout::fault(&tally.new, &tally.old, &gate)
+    rollout::regression(&tally.new, &tally.old, &gate)
 }
--- a/crates/policy/tests/versions.rs
+++ b/crates/policy/tests/versions.rs
@@ -140,7 +140,7 @@
     #[test]
     fn weights_are_monotone(number in any::<u128>(), low in 0_u32..=1_000_000, more in 0_u32..=1_000_000) {
         let high = low.saturating_add(more).min(1_000_000);
-        let moves = |weight| rollout::moves(session(number), &name("small@2"), Share::from_parts(weight));
+        let moves = |weight| rollout::uses_new_version(session(number), &name("small@2"), Share::from_parts(weight));
         assert!(!moves(low) || moves(high));
         assert!(moves(1_000_000) && !moves(0));
     }
@@ -190,7 +190,7 @@
 fn weight_is_the_share_of_sessions() {
     let moved = (0..10_000_u128)
         .filter(|n| {
-            rollout::moves(
+            rollout::uses_new_version(
                 session(n * 7_919),
                 &name("small@2"),
                 Share::from_parts(100_000),
@@ -238,11 +238,11 @@
     let mut evidence = Evidence::default();
     let now = Moment::ZERO;
     for number in 0..passed + failed {
-        evidence.rated(number < passed, now);
-        evidence.served(pace, now);
+        evidence.record_rating(number < passed, now);
+        evidence.record_answer(pace, now);
     }
     for _ in 0..errors {
-        evidence.failed(now);
+        evidence.record_failure(now);
     }
     evidence
 }
@@ -253,7 +253,7 @@
 fn gate_waits_advances_and_withdraws() {
     let old = evidence(190, 10, 0, 0.05);
     let long = Duration::from_mins(2);
-    let judge = |new: &Evidence, time| rollout::judge(new, &old, &gate(), time);
+    let judge = |new: &Evidence, time| rollout::evaluate(new, &old, &gate(), time);
     assert_eq!(
         judge(&evidence(10, 0, 0, 0.05), long),
         Verdict::Wait,
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -215,7 +215,7 @@
         if phase.keeps() && (used.is_some() || rollout.keeps(session)) {
             return Some(old.clone());
         }
-        let moves = rollout::moves(place(session), target, phase.weight());
+        let moves = rollout::uses_new_version(place(session), target, phase.weight());
         Some(if moves { target } else { old }.clone())
     }
 
@@ -257,7 +257,7 @@
     /// Whether the trial's share would move a session.
     fn tried(&self, session: u64, target: &id::Version) -> bool {
         let share = self.config.share(self.exposure.share);
-        rollout::moves(place(session), target, share)
+        rollout::uses_new_version(place(session), target, share)
     }
 
     /// Sessions that used the old version here and that other VMs were not told of yet, each with its
--- a/crates/relay/src/rollouts/announcement.rs
+++ b/crates/relay/src/rollouts/announcement.rs
@@ -56,7 +56,7 @@
             passed: 0,
             attempts: self.attempts,
             failed: self.failed,
-            pace,
+            mean_time: pace,
         })
     }
 }
