--- a/crates/policy/src/shift.rs
+++ b/crates/policy/src/shift.rs
@@ -27,16 +27,16 @@
 pub struct Config {
     /// Part of the exposure allowed that the trial uses. The rest is for repeats of what failed
     /// there and for the seconds of the ramp until a fault is seen that shows only under load.
-    pub trial: f64,
+    pub trial_exposure: f64,
     /// Part of the time until the deadline that the trial lasts. Sessions may change their version
     /// in the second half only.
-    pub half: f64,
+    pub trial_time: f64,
     /// Time from the order until the trial begins. Sessions go from node to node, so that each must
     /// know which of them used the old version before; that takes word between zones and within one,
     /// a second at most.
-    pub before: Duration,
+    pub observation: Duration,
     /// How much longer the trial lasts, as nodes read an order at slightly different times.
-    pub settle: Duration,
+    pub clock_margin: Duration,
     /// How long the share takes to rise to the whole. Much shorter, and a fault under load is met
     /// by everybody before the first evidence of it is shared; much longer, and calls to the old
     /// version have no time to end.
@@ -46,10 +46,10 @@
 impl Default for Config {
     fn default() -> Self {
         Self {
-            trial: 0.6,
-            half: 0.5,
-            before: Duration::from_millis(1_500),
-            settle: Duration::from_millis(400),
+            trial_exposure: 0.6,
+            trial_time: 0.5,
+            observation: Duration::from_millis(1_500),
+            clock_margin: Duration::from_millis(400),
             ramp: Duration::from_millis(2_500),
         }
     }
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Phase {
     /// None but those who used the new version already; nodes learn who is known.
-    Before,
+    Observation,
     /// A small share uses the new version; nobody who is known changes.
     Trial(Share),
     /// The share rises; sessions change to the new version, not back.
@@ -71,17 +71,17 @@
 impl Config {
     /// The share of sessions that the trial uses.
     #[must_use]
-    pub fn share(&self, exposure: f64) -> Share {
-        part((exposure * self.trial).clamp(0.0, 1.0))
+    pub fn trial_share(&self, exposure: f64) -> Share {
+        part((exposure * self.trial_exposure).clamp(0.0, 1.0))
     }
 
     /// Where a shift is whose order is `age` old and must be done after `lasts`.
     #[must_use]
     pub fn phase(&self, age: Duration, lasts: Duration, exposure: f64) -> Phase {
-        let trial = lasts.mul_f64(self.half) + self.settle;
-        let share = (exposure * self.trial).clamp(0.0, 1.0);
-        if age < self.before {
-            return Phase::Before;
+        let trial = lasts.mul_f64(self.trial_time) + self.clock_margin;
+        let share = (exposure * self.trial_exposure).clamp(0.0, 1.0);
+        if age < self.observation {
+            return Phase::Observation;
         }
         if age < trial {
             return Phase::Trial(part(share));
@@ -97,15 +97,15 @@
 impl Phase {
     /// Whether a session that is known keeps its version.
     #[must_use]
-    pub const fn keeps(self) -> bool {
-        matches!(self, Self::Before | Self::Trial(_))
+    pub const fn pins_known_sessions(self) -> bool {
+        matches!(self, Self::Observation | Self::Trial(_))
     }
 
     /// The share of sessions that use the new version.
     #[must_use]
     pub const fn weight(self) -> Share {
         match self {
-            Self::Before => Share::ZERO,
+            Self::Observation => Share::ZERO,
             Self::Trial(share) | Self::Ramp(share) => share,
             Self::Moved => Share::ONE,
         }
@@ -118,7 +118,7 @@
 
 /// Evidence of one route on both versions.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Tally {
+pub struct RouteEvidence {
     /// On the new version.
     pub new: Evidence,
     /// On the old one.
@@ -143,8 +143,8 @@
 /// Whether the new version is bad: on one of the routes, or on all together. `failing` is the number
 /// of its endpoints that failed a request, `endpoints` how many it has.
 #[must_use]
-pub fn verdict(tallies: &[Tally], failing: usize, endpoints: usize) -> Option<Cause> {
-    let mut all = Tally {
+pub fn regression(tallies: &[RouteEvidence], failing: usize, endpoints: usize) -> Option<Cause> {
+    let mut all = RouteEvidence {
         new: Evidence::default(),
         old: Evidence::default(),
     };
@@ -159,7 +159,7 @@
 }
 
 /// Times are compared within a route only: routes differ in them.
-fn fault(tally: &Tally, timed: bool) -> Option<Cause> {
+fn fault(tally: &RouteEvidence, timed: bool) -> Option<Cause> {
     let errors = part((ERRORS + tally.old.error_rate()).min(1.0));
     let gate = Gate {
         samples: SAMPLES,
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -212,7 +212,7 @@
         if used == Some(target) {
             return Some(target.clone());
         }
-        if phase.keeps() && (used.is_some() || rollout.keeps(session)) {
+        if phase.pins_known_sessions() && (used.is_some() || rollout.keeps(session)) {
             return Some(old.clone());
         }
         let moves = rollout::uses_new_version(place(session), target, phase.weight());
@@ -245,7 +245,7 @@
             return;
         };
         let target = rollout.target();
-        let kept = target != version && self.phase(rollout, now).keeps();
+        let kept = target != version && self.phase(rollout, now).pins_known_sessions();
         if !kept || !self.tried(session, target) {
             return;
         }
@@ -256,7 +256,7 @@
 
     /// Whether the trial's share would move a session.
     fn tried(&self, session: u64, target: &id::Version) -> bool {
-        let share = self.config.share(self.exposure.share);
+        let share = self.config.trial_share(self.exposure.share);
         rollout::uses_new_version(place(session), target, share)
     }
 
--- a/crates/relay/src/rollouts/progress.rs
+++ b/crates/relay/src/rollouts/progress.rs
@@ -180,14 +180,14 @@
     }
 
     /// The evidence of all VMs, for each route.
-    fn tallies(&self) -> Vec<shift::Tally> {
+    fn tallies(&self) -> Vec<shift::RouteEvidence> {
         let mut routes = self.routes.clone();
         for said in self.peers.iter().flat_map(|peer| &peer.said.routes) {
             let route = find(&mut routes, &said.name);
             route.new.add(&said.new);
             route.old.add(&said.old);
         }
-        let tally = |route: &Route| shift::Tally {
+        let tally = |route: &Route| shift::RouteEvidence {
             new: route.new.evidence(),
             old: route.old.evidence(),
         };
@@ -223,7 +223,7 @@
         let cause = if told {
             Some(CompactString::const_new("another VM says so"))
         } else {
-            let cause = shift::verdict(&self.tallies(), self.failing(), endpoints);
+            let cause = shift::regression(&self.tallies(), self.failing(), endpoints);
             cause.map(|cause| CompactString::from(format!("{cause:?}")))
         };
         if let Some(cause) = cause {
