--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -176,7 +176,7 @@
 
     fn head(&self, work: &Work<'_>, pins: &[Pin], version: &Version) -> Head {
         let request = &work.funded.bound.request;
-        let kept = pins.iter().all(|pin| pin.kept);
+        let kept = pins.iter().all(|pin| pin.was_pinned);
         let token = match &request.token {
             Some(token) if kept => token.clone(),
             _ => {
--- a/crates/entry/src/filter/contract.rs
+++ b/crates/entry/src/filter/contract.rs
@@ -97,7 +97,7 @@
         View {
             state,
             age: self.0.state.age(),
-            bound: self.0.config.stale_bound,
+            max_age: self.0.config.stale_bound,
             quarantined,
         }
     }
--- a/crates/policy/src/session.rs
+++ b/crates/policy/src/session.rs
@@ -28,7 +28,7 @@
     /// How long ago it was last known to be current.
     pub age: Duration,
     /// Up to what age versions in roll-out are used.
-    pub bound: Duration,
+    pub max_age: Duration,
     /// Versions that this node does not use on its own evidence, sorted.
     pub quarantined: &'a [id::Version],
 }
@@ -39,12 +39,12 @@
     /// The version.
     pub version: id::Version,
     /// Whether the session had it before. If not, the caller gets a new token.
-    pub kept: bool,
+    pub was_pinned: bool,
 }
 
 impl View<'_> {
     fn stale(&self) -> bool {
-        self.age > self.bound
+        self.age > self.max_age
     }
 
     /// Whether new work of `class` may go to `version`.
@@ -92,14 +92,14 @@
             .find(|pin| line.contains(pin) && view.usable(class, pin));
         let version = pinned.or_else(|| assigned(session, root, &line, &rollouts, class, view));
         let Some(version) = version else { continue };
-        let kept = pinned.is_some();
+        let was_pinned = pinned.is_some();
         match chosen.binary_search_by(|pin| pin.version.cmp(version)) {
             Ok(_) => {}
             Err(place) => chosen.insert(
                 place,
                 Pin {
                     version: version.clone(),
-                    kept,
+                    was_pinned,
                 },
             ),
         }
--- a/crates/policy/tests/versions.rs
+++ b/crates/policy/tests/versions.rs
@@ -117,7 +117,7 @@
     View {
         state,
         age: Duration::ZERO,
-        bound: Duration::from_secs(30),
+        max_age: Duration::from_secs(30),
         quarantined: &[],
     }
 }
@@ -210,11 +210,11 @@
     let pin = [name("small@1")];
     let kept = session::versions(session(1), &pin, &class, &view(&serving));
     assert_eq!(kept.len(), 1);
-    assert!(kept[0].kept && kept[0].version == pin[0]);
+    assert!(kept[0].was_pinned && kept[0].version == pin[0]);
     assert_eq!(used(session(1), &[], &class, &view(&serving)), ["small@2"]);
     let withdrawn = state(&[("small@1", false), ("small@2", true)], &rollouts);
     let moved = session::versions(session(1), &pin, &class, &view(&withdrawn));
-    assert!(!moved[0].kept && moved[0].version == name("small@2"));
+    assert!(!moved[0].was_pinned && moved[0].version == name("small@2"));
 }
 
 // A node that this version fails at leaves it at once on its own evidence, before the log says so.
