--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -54,7 +54,7 @@
 fn end(endpoint: &Endpoint) -> Crash {
     let incarnation = endpoint.incarnation();
     Crash {
-        endpoint: choice::key(endpoint.name.as_str()),
+        endpoint: choice::hash(endpoint.name.as_str()),
         life: (incarnation > 0).then_some(incarnation),
     }
 }
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -58,14 +58,14 @@
         health.retain(endpoints.iter().cloned());
         let limiter = limit::Limiter::new(limit::Config::default());
         let candidate = |(place, endpoint): (usize, &id::Endpoint)| Candidate {
-            key: choice::key(endpoint.as_str()),
+            key: choice::hash(endpoint.as_str()),
             usable: true,
             distance: Duration::from_millis(if place % 3 == 0 { 0 } else { 10 }),
             own: 0,
             limit: 8,
             others: u32::try_from(place % 7).expect("a small number"),
-            age: Duration::from_millis(300),
-            run: Duration::from_millis(500),
+            report_age: Duration::from_millis(300),
+            run_time: Duration::from_millis(500),
         };
         let mut node = Self {
             gate: admission::Gate::new(admission::Config::default()),
--- a/crates/policy/examples/proxy.rs
+++ b/crates/policy/examples/proxy.rs
@@ -17,15 +17,15 @@
 
 fn candidate(place: usize, limiter: &limit::Limiter) -> choice::Candidate {
     choice::Candidate {
-        key: choice::key(["a", "b", "c"][place]),
+        key: choice::hash(["a", "b", "c"][place]),
         usable: true,
         distance: Duration::ZERO,
         own: limiter.flying(),
         limit: limiter.limit(),
         others: 0,
-        age: Duration::ZERO,
+        report_age: Duration::ZERO,
         // The third takes three times as long.
-        run: Duration::from_secs([4, 4, 12][place]),
+        run_time: Duration::from_secs([4, 4, 12][place]),
     }
 }
 
@@ -65,7 +65,7 @@
         }
     }
     for n in 0_u64.. {
-        let random = choice::key(&n.to_string());
+        let random = choice::hash(&n.to_string());
         let candidates = [0, 1, 2].map(|place| candidate(place, &limits[place]));
         let chosen = choice::choose(&candidates, None, random, &choice::Config::default());
         let Some(place) = chosen else { break };
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -24,20 +24,20 @@
 pub struct Config {
     /// Times the mean load that an endpoint may have and still take a prefix that belongs to it. A
     /// prompt read anew costs more than the wait behind half as many calls again.
-    pub bound: f64,
+    pub load_factor: f64,
     /// Age at which a load report counts half.
-    pub trust: Duration,
+    pub half_weight_age: Duration,
     /// Share of an endpoint's expected wait that must be saved in another zone beyond the link's
     /// own delay: a link between zones costs more than the wait alone shows.
-    pub spill: f64,
+    pub spill_margin: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            bound: 1.5,
-            trust: Duration::from_millis(500),
-            spill: 0.2,
+            load_factor: 1.5,
+            half_weight_age: Duration::from_millis(500),
+            spill_margin: 0.2,
         }
     }
 }
@@ -45,7 +45,7 @@
 /// An endpoint that might take the attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Hash of the endpoint's name, the same at every node ([`key`]).
+    /// Hash of the endpoint's name, the same at every node ([`hash`]).
     pub key: u64,
     /// Whether it may be chosen: not tried before, not ejected, not leaving, holds the version.
     pub usable: bool,
@@ -58,14 +58,14 @@
     /// Calls of other nodes, running or waiting, by its last report.
     pub others: u32,
     /// Age of that report.
-    pub age: Duration,
+    pub report_age: Duration,
     /// How long a call of ordinary size takes there.
-    pub run: Duration,
+    pub run_time: Duration,
 }
 
 /// The hash of an endpoint's name, for [`Candidate::key`].
 #[must_use]
-pub fn key(name: &str) -> u64 {
+pub fn hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
@@ -83,13 +83,13 @@
             return own;
         }
         let trust = seconds(trust);
-        own + f64::from(self.others) * trust / (trust + seconds(self.age))
+        own + f64::from(self.others) * trust / (trust + seconds(self.report_age))
     }
 
     /// Expected work before and during a call, in seconds.
     fn score(&self, trust: Duration) -> f64 {
         let full = self.load(trust) / f64::from(self.limit.max(1));
-        self.run.as_secs_f64() * (1.0 + full)
+        self.run_time.as_secs_f64() * (1.0 + full)
     }
 }
 
@@ -105,10 +105,15 @@
     if let Some(found) = prefix.and_then(|prefix| affine(candidates, prefix, config)) {
         return Some(found);
     }
-    let near = two(candidates, random, config.trust, |c| c.distance.is_zero());
-    let far = two(candidates, number::mix(random, 1), config.trust, |c| {
-        !c.distance.is_zero()
+    let near = two(candidates, random, config.half_weight_age, |c| {
+        c.distance.is_zero()
     });
+    let far = two(
+        candidates,
+        number::mix(random, 1),
+        config.half_weight_age,
+        |c| !c.distance.is_zero(),
+    );
     match (near, far) {
         (Some(near), Some(far)) if spills(&candidates[near], &candidates[far], config) => Some(far),
         (Some(near), _) => Some(near),
@@ -117,8 +122,8 @@
 }
 
 fn spills(near: &Candidate, far: &Candidate, config: &Config) -> bool {
-    let saved = near.score(config.trust) - far.score(config.trust);
-    let price = far.distance.as_secs_f64() + config.spill * near.run.as_secs_f64();
+    let saved = near.score(config.half_weight_age) - far.score(config.half_weight_age);
+    let price = far.distance.as_secs_f64() + config.spill_margin * near.run_time.as_secs_f64();
     saved > price
 }
 
@@ -131,13 +136,13 @@
 /// The first in rendezvous order whose load is within the bound, in whatever zone: each zone with
 /// an order of its own would hold each prefix once more, and caches are small.
 fn affine(candidates: &[Candidate], prefix: u64, config: &Config) -> Option<usize> {
-    let most = (config.bound * mean(candidates, config.trust)).ceil();
+    let most = (config.load_factor * mean(candidates, config.half_weight_age)).ceil();
     let mut best = None;
     for (place, candidate) in candidates.iter().enumerate() {
         let rank = number::mix(candidate.key, prefix);
         let higher = best.is_none_or(|(highest, _)| rank > highest);
         // The load is looked at last, since few candidates rank higher than all before them.
-        if higher && candidate.open() && candidate.load(config.trust) <= most {
+        if higher && candidate.open() && candidate.load(config.half_weight_age) <= most {
             best = Some((rank, place));
         }
     }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -318,7 +318,7 @@
     fn policy(&mut self, arrival: &Arrival, open: &[usize], now: f64) -> Option<usize> {
         let random = self.random.bits();
         let candidate = |e: usize| choice::Candidate {
-            key: choice::key(self.endpoints[e].as_str()),
+            key: choice::hash(self.endpoints[e].as_str()),
             usable: open.contains(&e),
             distance: if e % 3 == self.zone {
                 Duration::ZERO
@@ -328,8 +328,8 @@
             own: self.limiters[e].flying(),
             limit: self.limiters[e].limit(),
             others: self.seen[e].others,
-            age: Duration::from_secs_f64((now - self.seen[e].at).max(0.0)),
-            run: Duration::from_secs_f64(self.limiters[e].pace() * 100.0),
+            report_age: Duration::from_secs_f64((now - self.seen[e].at).max(0.0)),
+            run_time: Duration::from_secs_f64(self.limiters[e].pace() * 100.0),
         };
         let candidates: Vec<choice::Candidate> = (0..ENDPOINTS).map(candidate).collect();
         choice::choose(
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -38,8 +38,8 @@
             own,
             limit,
             others,
-            age: Duration::from_millis(age),
-            run: Duration::from_millis(500),
+            report_age: Duration::from_millis(age),
+            run_time: Duration::from_millis(500),
         };
         drawn.into_iter().map(candidate).collect()
     })
@@ -216,14 +216,14 @@
 fn prefix_stays_with_its_endpoint() {
     let make = |names: &[usize]| -> Vec<Candidate> {
         let candidate = |number: &usize| Candidate {
-            key: choice::key(endpoint(*number).as_str()),
+            key: choice::hash(endpoint(*number).as_str()),
             usable: true,
             distance: Duration::ZERO,
             own: 0,
             limit: 8,
             others: 0,
-            age: Duration::ZERO,
-            run: Duration::from_millis(500),
+            report_age: Duration::ZERO,
+            run_time: Duration::from_millis(500),
         };
         names.iter().map(candidate).collect()
     };
@@ -254,8 +254,8 @@
         own,
         limit: 8,
         others: 0,
-        age: Duration::ZERO,
-        run: Duration::from_millis(run),
+        report_age: Duration::ZERO,
+        run_time: Duration::from_millis(run),
     };
     let config = choice::Config::default();
     let chosen = |near: Candidate, far: Candidate| {
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -86,7 +86,7 @@
 }
 
 fn key(model: &id::Version) -> u64 {
-    choice::key(model.as_str())
+    choice::hash(model.as_str())
 }
 
 fn waits(times: impl Iterator<Item = Duration>) -> Vec<u64> {
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -186,7 +186,7 @@
     async fn answer(&self, message: Message, from: SocketAddr) {
         let near = message.zone == self.node.config.zone;
         let starts = near && message.standing == Standing::Starting;
-        let teller = starts.then(|| choice::key(message.node.as_str()));
+        let teller = starts.then(|| choice::hash(message.node.as_str()));
         self.take(message, from);
         let reads = *self.zone.lead.borrow() != Lead::Led;
         if let Some(teller) = teller
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn told_of(node: id::Node, zone: id::Zone, address: SocketAddr, now: Moment) -> Self {
         Self {
-            key: choice::key(node.as_str()),
+            key: choice::hash(node.as_str()),
             node,
             zone,
             address,
@@ -152,14 +152,14 @@
             let stays = peer.standing != Standing::Leaving;
             stays && (peer.zone != *zone || alone || peer.lives(now))
         };
-        let mut zones = vec![(zone.clone(), vec![choice::key(own.as_str())])];
+        let mut zones = vec![(zone.clone(), vec![choice::hash(own.as_str())])];
         for peer in self.peers.iter().filter(shares) {
             match zones.iter_mut().find(|(known, _)| *known == peer.zone) {
                 Some((_, vms)) => vms.push(peer.key),
                 None => zones.push((peer.zone.clone(), vec![peer.key])),
             }
         }
-        Sharers::new(choice::key(own.as_str()), zones)
+        Sharers::new(choice::hash(own.as_str()), zones)
     }
 
     /// The VMs of a zone.
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -226,7 +226,7 @@
         return;
     };
     let crash = Crash {
-        endpoint: choice::key(endpoint.as_str()),
+        endpoint: choice::hash(endpoint.as_str()),
         life: Some(member.entry.born),
     };
     let step = node.poison.lock().breaks.broke(digest, crash);
--- a/crates/relay/src/rollouts/progress.rs
+++ b/crates/relay/src/rollouts/progress.rs
@@ -169,7 +169,7 @@
     /// Counts a request of a route on one of the versions.
     pub fn count(&mut self, route: &str, new: bool, endpoint: &id::Endpoint, outcome: Outcome) {
         if new && outcome == Outcome::Failed {
-            let hash = choice::key(endpoint.as_str());
+            let hash = choice::hash(endpoint.as_str());
             if let Err(place) = self.failing.binary_search(&hash) {
                 self.failing.insert(place, hash);
             }
--- a/crates/relay/src/work.rs
+++ b/crates/relay/src/work.rs
@@ -68,7 +68,7 @@
         });
         let parts: Vec<engine::Part> = parts.collect();
         (!parts.is_empty()).then(|| Prompt {
-            model: choice::key(model.as_str()),
+            model: choice::hash(model.as_str()),
             parts,
         })
     }
@@ -83,7 +83,7 @@
 /// Bits for a request's draws, from its id.
 #[must_use]
 pub fn random(ask: &Ask) -> u64 {
-    choice::key(&ask.id)
+    choice::hash(&ask.id)
 }
 
 /// The digest of a request's customer, host, method, path and body. Nobody can make another customer's
--- a/crates/relay/tests/all/peers.rs
+++ b/crates/relay/tests/all/peers.rs
@@ -143,8 +143,8 @@
 }
 
 fn of(names: &[&str]) -> Sharers {
-    let keys = names.iter().map(|name| choice::key(name));
-    Sharers::new(choice::key("b"), vec![(zone(), keys.collect())])
+    let keys = names.iter().map(|name| choice::hash(name));
+    Sharers::new(choice::hash("b"), vec![(zone(), keys.collect())])
 }
 
 /// Guards against a VM that hears nobody and takes what endpoints take for itself, and against one that
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -383,8 +383,8 @@
                 own,
                 limit: seat.limiter.limit(),
                 others,
-                age,
-                run: ordinary(seat.limiter.pace(), usual),
+                report_age: age,
+                run_time: ordinary(seat.limiter.pace(), usual),
             }
         };
         self.seats.iter().map(candidate).collect()
--- a/crates/scheduler/src/seat.rs
+++ b/crates/scheduler/src/seat.rs
@@ -142,7 +142,7 @@
 pub(crate) fn seat(member: Member) -> Seat {
     let shape = Shape::of(&member);
     Seat {
-        key: choice::key(member.endpoint.as_str()),
+        key: choice::hash(member.endpoint.as_str()),
         limiter: limiter(shape),
         shape,
         refusals: 0,
--- a/crates/scheduler/src/sharers.rs
+++ b/crates/scheduler/src/sharers.rs
@@ -32,7 +32,7 @@
         if let Ok(place) = self.zones.binary_search_by(|(known, _)| known.cmp(zone)) {
             return &self.zones[place].1;
         }
-        let weight = |zone: &id::Zone| choice::key(zone.as_str()) ^ endpoint;
+        let weight = |zone: &id::Zone| choice::hash(zone.as_str()) ^ endpoint;
         let other = self.zones.iter().max_by_key(|(zone, _)| weight(zone));
         other.map_or(&[], |(_, vms)| vms)
     }
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -239,7 +239,7 @@
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"llm".parse().unwrap());
     pool.update(vec![engine(Some(MEMORY))]);
-    let key = pimento_policy::choice::key("i-1");
+    let key = pimento_policy::choice::hash("i-1");
     let wait = || pool.estimate(&job()).unwrap().wait;
     let busy = Duration::from_secs(20);
     pool.hear(1, &[(key, busy)]);
@@ -261,7 +261,7 @@
         ..engine(Some(MEMORY))
     };
     pool.update(vec![member("i-5"), member("i-3"), member("i-1")]);
-    let key = pimento_policy::choice::key("i-3");
+    let key = pimento_policy::choice::hash("i-3");
     let busy = Duration::from_secs(20);
     pool.hear(1, &[(key, busy)]);
     for others in [["i-0", "i-4"], ["i-2", "i-9"], ["i-1", "i-5"]] {
