--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -253,7 +253,7 @@
             let mut balances = self.shared.balances();
             let balance = self.shared.balance(&mut balances, customer, period);
             balance.borrowed += lent;
-            balance.grants.accepted(lent);
+            balance.grants.add(lent);
         }
         self.free(customer, period) >= most
     }
@@ -264,8 +264,8 @@
     pub fn lend(&self, customer: &id::Customer, period: u64, amount: Money) -> Money {
         let mut balances = self.shared.balances();
         let balance = self.shared.balance(&mut balances, customer, period);
-        let half = Money::from_micros(balance.grants.free().micros() / 2);
-        let lent = balance.grants.give_back(amount.min(half));
+        let half = Money::from_micros(balance.grants.available().micros() / 2);
+        let lent = balance.grants.release(amount.min(half));
         balance.lent += lent;
         lent
     }
@@ -273,7 +273,7 @@
     fn free(&self, customer: &id::Customer, period: u64) -> Money {
         let mut balances = self.shared.balances();
         let balance = self.shared.balance(&mut balances, customer, period);
-        balance.grants.free()
+        balance.grants.available()
     }
 
     /// Gives back what is not set aside, and waits until that is written or `deadline`.
@@ -283,8 +283,8 @@
             let returns = balances.iter_mut().map(|balance| {
                 // What peers lent can't be returned under this name; the fold would refuse it all.
                 let granted = self.shared.granted(&balance.customer, balance.period);
-                let amount = balance.grants.free().min(granted);
-                let amount = balance.grants.give_back(amount);
+                let amount = balance.grants.available().min(granted);
+                let amount = balance.grants.release(amount);
                 balance.returning += amount;
                 (balance.customer.clone(), balance.period, amount)
             });
@@ -329,7 +329,7 @@
             .shared
             .balance(&mut balances, customer, period)
             .grants
-            .free()
+            .available()
     }
 
     fn ask_ahead(&self, account: Account<'_>, nodes: u32) {
--- a/crates/coordination/src/grants/shared.rs
+++ b/crates/coordination/src/grants/shared.rs
@@ -99,7 +99,7 @@
         let left = self.left(customer, period, limit);
         let mut balances = self.balances();
         let balance = self.balance(&mut balances, customer, period);
-        let amount = balance.grants.ask(left, nodes, self.now())?;
+        let amount = balance.grants.request(left, nodes, self.now())?;
         Some(Grant {
             id: id::Record(Uuid::now_v7()),
             customer: customer.clone(),
@@ -128,7 +128,7 @@
         let mut balances = self.balances();
         let balance = self.balance(&mut balances, &customer, period);
         // Also where the answer is not known: a grant that is accepted later is found by reading.
-        balance.grants.refused();
+        balance.grants.request_done();
         read.is_some()
     }
 
@@ -172,7 +172,7 @@
         let known = self.grants.granted() + self.returning + self.lent;
         match total.checked_sub(known) {
             Some(Money::ZERO) => {}
-            Some(more) => self.grants.accepted(more),
+            Some(more) => self.grants.add(more),
             // A return was read.
             None => {
                 let kept = self.grants.granted() + self.lent;
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -23,30 +23,30 @@
 pub struct Config {
     /// Parts that each node's share of what is left is cut into: two halves it with each grant, so
     /// that the last money is granted in small pieces to those who spend it.
-    pub parts: u32,
+    pub grant_divisor: u32,
     /// Spending that is asked for ahead. A node that is cut off from the log lives on this, and
     /// the log is out for long stretches.
-    pub ahead: Duration,
+    pub lookahead: Duration,
     /// Calls of the largest size seen that are asked for ahead, whatever the rate of spending: a
     /// quiet node must be able to serve its zone alone from one moment to the next.
-    pub calls: u32,
+    pub min_calls: u32,
     /// The smallest grant worth a record on the log, while that much is left.
-    pub least: Money,
+    pub min_grant: Money,
     /// Half-life of the measured rate of spending.
-    pub memory: Duration,
+    pub half_life: Duration,
     /// Times the spending ahead that is kept before the rest counts as surplus.
-    pub keep: u32,
+    pub surplus_factor: u32,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            parts: 2,
-            ahead: Duration::from_mins(15),
-            calls: 64,
-            least: Money::from_micros(10_000),
-            memory: Duration::from_secs(30),
-            keep: 4,
+            grant_divisor: 2,
+            lookahead: Duration::from_mins(15),
+            min_calls: 64,
+            min_grant: Money::from_micros(10_000),
+            half_life: Duration::from_secs(30),
+            surplus_factor: 4,
         }
     }
 }
@@ -74,7 +74,7 @@
     granted: Money,
     spent: Money,
     reserved: Money,
-    asked: Option<Money>,
+    requested: Option<Money>,
     unmet: Money,
     largest: Money,
     rate: f64,
@@ -90,7 +90,7 @@
             granted: Money::ZERO,
             spent: Money::ZERO,
             reserved: Money::ZERO,
-            asked: None,
+            requested: None,
             unmet: Money::ZERO,
             largest: Money::ZERO,
             rate: 0.0,
@@ -99,20 +99,20 @@
     }
 
     /// The fold accepted a grant to this node, whether or not this life of it asked.
-    pub fn accepted(&mut self, amount: Money) {
+    pub fn add(&mut self, amount: Money) {
         self.granted += amount;
-        self.asked = None;
+        self.requested = None;
         self.unmet = Money::ZERO;
     }
 
     /// The fold refused the grant asked for, or it can't have been written.
-    pub const fn refused(&mut self) {
-        self.asked = None;
+    pub const fn request_done(&mut self) {
+        self.requested = None;
     }
 
     /// What may still be reserved.
     #[must_use]
-    pub fn free(&self) -> Money {
+    pub fn available(&self) -> Money {
         self.granted - self.spent - self.reserved
     }
 
@@ -131,7 +131,7 @@
     /// Sets aside the most that a call can cost; none if the grants don't cover it.
     pub fn reserve(&mut self, most: Money) -> Option<Reservation> {
         self.largest = self.largest.max(most);
-        if most > self.free() {
+        if most > self.available() {
             self.unmet = self.unmet.max(most);
             return None;
         }
@@ -150,7 +150,7 @@
         let charge = cost.min(amount);
         self.reserved = self.reserved - amount;
         self.spent += charge;
-        let kept = number::decay(now.since(self.at), self.config.memory);
+        let kept = number::decay(now.since(self.at), self.config.half_life);
         self.at = self.at.max(now);
         self.rate = self.rate * kept + number::float(charge.micros()) / self.mean_age();
         charge
@@ -158,51 +158,53 @@
 
     /// How much to ask for now, if anything; `left` is the limit less all accepted grants, `nodes`
     /// the number of live nodes. At most one ask is out at a time: after its answer, or once it
-    /// can't have been written ([`refused`](Self::refused)), the next may follow.
-    pub fn ask(&mut self, left: Money, nodes: u32, now: Moment) -> Option<Money> {
-        let pieces = u64::from(self.config.parts.max(1)) * u64::from(nodes.max(1));
+    /// can't have been written ([`request_done`](Self::request_done)), the next may follow.
+    pub fn request(&mut self, left: Money, nodes: u32, now: Moment) -> Option<Money> {
+        let pieces = u64::from(self.config.grant_divisor.max(1)) * u64::from(nodes.max(1));
         let share = left.scale(1, pieces);
         // A node that holds its share of what is left asks for no more, however long that would
         // last: what it holds is lost to the others if it dies, and near the limit they need it.
         let wanted = self.needed(now).min(share.max(self.floor()));
-        if self.asked.is_some() || left == Money::ZERO || self.free() >= wanted {
+        if self.requested.is_some() || left == Money::ZERO || self.available() >= wanted {
             return None;
         }
-        let missing = wanted - self.free();
+        let missing = wanted - self.available();
         let amount = share.min(missing + missing).max(self.floor()).min(left);
-        self.asked = Some(amount);
+        self.requested = Some(amount);
         Some(amount)
     }
 
     /// What this node will hardly need and may give back, so that others can spend it.
     #[must_use]
     pub fn surplus(&self, now: Moment) -> Money {
-        let keep = self.needed(now).scale(u64::from(self.config.keep), 1);
-        self.free() - keep
+        let keep = self
+            .needed(now)
+            .scale(u64::from(self.config.surplus_factor), 1);
+        self.available() - keep
     }
 
     /// Gives back up to `amount`; what is given back can't be reserved any more. Gives the amount
     /// for the record, to be called before that is written.
-    pub fn give_back(&mut self, amount: Money) -> Money {
-        let returned = amount.min(self.free());
+    pub fn release(&mut self, amount: Money) -> Money {
+        let returned = amount.min(self.available());
         self.granted = self.granted - returned;
         returned
     }
 
     /// What should be free: spending ahead, and the largest call that could not be reserved.
     fn needed(&self, now: Moment) -> Money {
-        let rate = self.rate * number::decay(now.since(self.at), self.config.memory);
-        let ahead = number::whole(rate * self.config.ahead.as_secs_f64());
-        let calls = self.largest.scale(u64::from(self.config.calls), 1);
+        let rate = self.rate * number::decay(now.since(self.at), self.config.half_life);
+        let ahead = number::whole(rate * self.config.lookahead.as_secs_f64());
+        let calls = self.largest.scale(u64::from(self.config.min_calls), 1);
         self.floor().max(Money::from_micros(ahead)).max(calls)
     }
 
     fn floor(&self) -> Money {
-        self.config.least.max(self.unmet)
+        self.config.min_grant.max(self.unmet)
     }
 
     /// Seconds that a decaying sum with this half-life spans.
     fn mean_age(&self) -> f64 {
-        self.config.memory.as_secs_f64().max(f64::MIN_POSITIVE) / std::f64::consts::LN_2
+        self.config.half_life.as_secs_f64().max(f64::MIN_POSITIVE) / std::f64::consts::LN_2
     }
 }
--- a/crates/policy/tests/model/spend.rs
+++ b/crates/policy/tests/model/spend.rs
@@ -65,11 +65,11 @@
                 refused += 1;
             }
             let reaches = !(cut && number == 0);
-            if let Some(amount) = node.ask(fold.left(), NODES, now).filter(|_| reaches) {
+            if let Some(amount) = node.request(fold.left(), NODES, now).filter(|_| reaches) {
                 if fold.grant(amount) {
-                    node.accepted(amount);
+                    node.add(amount);
                 } else {
-                    node.refused();
+                    node.request_done();
                 }
             }
             let total: Money = fold.granted;
@@ -77,7 +77,7 @@
         }
     }
     let spent: Money = nodes.iter().map(Grants::spent).sum();
-    let unspent: Money = nodes.iter().map(Grants::free).sum();
+    let unspent: Money = nodes.iter().map(Grants::available).sum();
     Run {
         spent,
         stranded: unspent,
--- a/crates/policy/tests/spend.rs
+++ b/crates/policy/tests/spend.rs
@@ -40,10 +40,10 @@
 fn one_ask_is_out_at_a_time() {
     let mut node = Grants::new(Config::default());
     let now = Moment::ZERO;
-    assert!(node.ask(money(1_000_000), NODES, now).is_some());
-    assert!(node.ask(money(1_000_000), NODES, now).is_none());
-    node.refused();
-    assert!(node.ask(money(1_000_000), NODES, now).is_some());
+    assert!(node.request(money(1_000_000), NODES, now).is_some());
+    assert!(node.request(money(1_000_000), NODES, now).is_none());
+    node.request_done();
+    assert!(node.request(money(1_000_000), NODES, now).is_some());
 }
 
 // A call that costs more than it could have been charged is our loss, not the customer's: the charge
@@ -51,14 +51,14 @@
 #[test]
 fn charge_stops_at_the_reservation() {
     let mut node = Grants::new(Config::default());
-    node.accepted(money(1_000));
+    node.add(money(1_000));
     let reservation = node.reserve(money(600)).expect("covered");
     assert!(node.reserve(money(600)).is_none(), "the rest is set aside");
     assert_eq!(
         node.settle(reservation, money(5_000), Moment::ZERO),
         money(600)
     );
-    assert_eq!(node.free(), money(400));
+    assert_eq!(node.available(), money(400));
 }
 
 // What a node gives back is gone before the record is written, so that it can't spend it while
@@ -66,10 +66,10 @@
 #[test]
 fn given_back_is_not_spent() {
     let mut node = Grants::new(Config::default());
-    node.accepted(money(1_000_000));
+    node.add(money(1_000_000));
     let surplus = node.surplus(Moment::ZERO);
     assert!(surplus > Money::ZERO);
-    assert_eq!(node.give_back(surplus), surplus);
+    assert_eq!(node.release(surplus), surplus);
     assert!(node.reserve(surplus).is_none());
 }
 
@@ -91,14 +91,14 @@
         let mut open = Vec::new();
         for (step, amount) in steps {
             match step {
-                0 => { node.accepted(money(amount)); granted += amount; }
+                0 => { node.add(money(amount)); granted += amount; }
                 1 => open.extend(node.reserve(money(amount))),
                 2 => if let Some(reservation) = open.pop() { node.settle(reservation, money(amount), Moment::ZERO); },
-                _ => granted -= node.give_back(money(amount)).micros(),
+                _ => granted -= node.release(money(amount)).micros(),
             }
             let aside: u64 = open.iter().map(|r| r.amount().micros()).sum();
             assert!(node.spent().micros() + aside <= granted);
-            assert_eq!(node.spent().micros() + aside + node.free().micros(), granted);
+            assert_eq!(node.spent().micros() + aside + node.available().micros(), granted);
         }
         if late {
             for reservation in open { node.settle(reservation, Money::MAX, Moment::ZERO); }
