--- a/crates/entry/src/estimate.rs
+++ b/crates/entry/src/estimate.rs
@@ -121,7 +121,7 @@
     ) -> (f64, f64) {
         self.with(customer, class, |entry| {
             let estimate = entry.estimate(version);
-            (estimate.mean(now), estimate.lower(now))
+            (estimate.mean(now), estimate.lower_bound(now))
         })
     }
 
@@ -135,7 +135,7 @@
         now: Moment,
     ) {
         self.with(customer, class, |entry| {
-            entry.estimate(version).rated(pass, now);
+            entry.estimate(version).record(pass, now);
         });
     }
 }
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -151,9 +151,9 @@
             let untried = course.tried.binary_search(&version.id).is_err();
             Candidate {
                 cost: version.price.of(input, output),
-                run: pool.run(Some(&version.id), input + output),
+                run_time: pool.run(Some(&version.id), input + output),
                 mean,
-                lower,
+                lower_bound: lower,
                 usable: untried && mean > course.short && pool.holds(Some(&version.id)),
             }
         };
@@ -168,9 +168,9 @@
         Terms {
             target: request.class.quality,
             budget: work.funded.fund.most,
-            left: request.identity.deadline.since(now),
-            rating,
-            second: node.config.second_worth,
+            time_left: request.identity.deadline.since(now),
+            rating_time: rating,
+            cost_per_second: node.config.second_worth,
         }
     }
 
@@ -297,7 +297,7 @@
 
     /// Rates some of the answers that were released unrated, so that the estimate stays true.
     fn sample(&self, subject: Subject) {
-        if self.0.rater.is_none() || !cascade::sampled(rand::random()) {
+        if self.0.rater.is_none() || !cascade::should_sample(rand::random()) {
             return;
         }
         let Some(node) = self.0.shared() else {
@@ -330,7 +330,7 @@
     /// Whether the answer would be released without a rating, now that none can be had.
     fn enough(&self) -> bool {
         let terms = Terms {
-            rating: None,
+            rating_time: None,
             budget: Money::MAX,
             ..self.terms
         };
--- a/crates/policy/src/cascade.rs
+++ b/crates/policy/src/cascade.rs
@@ -24,23 +24,23 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
     /// Ratings that the configured quality counts for.
-    pub prior: f64,
+    pub prior_weight: f64,
     /// The most ratings remembered: the newest ones push older ones out, so that a version that
     /// turns bad is noticed within about as many ratings, however long it was good.
     pub window: f64,
     /// Half-life of ratings when none come in.
-    pub memory: Duration,
+    pub half_life: Duration,
     /// Standard deviations between the mean and the lower bound; 1.28 is one-sided 90%.
-    pub caution: f64,
+    pub deviations: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            prior: 4.0,
+            prior_weight: 4.0,
             window: 100.0,
-            memory: Duration::from_mins(10),
-            caution: 1.28,
+            half_life: Duration::from_mins(10),
+            deviations: 1.28,
         }
     }
 }
@@ -70,8 +70,8 @@
     }
 
     /// Counts a rating.
-    pub fn rated(&mut self, pass: bool, now: Moment) {
-        let aged = number::decay(now.since(self.at), self.config.memory);
+    pub fn record(&mut self, pass: bool, now: Moment) {
+        let aged = number::decay(now.since(self.at), self.config.half_life);
         let room = 1.0 - 1.0 / self.config.window.max(1.0);
         self.at = self.at.max(now);
         self.passed *= aged * room;
@@ -92,23 +92,23 @@
 
     /// A share that the true one is hardly below.
     #[must_use]
-    pub fn lower(&self, now: Moment) -> f64 {
+    pub fn lower_bound(&self, now: Moment) -> f64 {
         let (passed, failed) = self.counts(now);
         let total = passed + failed;
         let variance = passed * failed / (total * total * (total + 1.0));
-        (passed / total - self.config.caution * variance.sqrt()).max(0.0)
+        (passed / total - self.config.deviations * variance.sqrt()).max(0.0)
     }
 
     /// Ratings that the estimate rests on, without the prior.
     #[must_use]
-    pub fn weight(&self, now: Moment) -> f64 {
-        let kept = number::decay(now.since(self.at), self.config.memory);
+    pub fn ratings(&self, now: Moment) -> f64 {
+        let kept = number::decay(now.since(self.at), self.config.half_life);
         (self.passed + self.failed) * kept
     }
 
     fn counts(&self, now: Moment) -> (f64, f64) {
-        let kept = number::decay(now.since(self.at), self.config.memory);
-        let prior = self.config.prior.max(2.0);
+        let kept = number::decay(now.since(self.at), self.config.half_life);
+        let prior = self.config.prior_weight.max(2.0);
         let quality = self.quality.clamp(0.01, 0.99);
         (
             self.passed * kept + prior * quality,
@@ -123,11 +123,11 @@
     /// What the request is expected to cost there.
     pub cost: Money,
     /// How long it is expected to take there, waiting included.
-    pub run: Duration,
+    pub run_time: Duration,
     /// Expected share that passes ([`Estimate::mean`]).
     pub mean: f64,
-    /// Its lower bound ([`Estimate::lower`]).
-    pub lower: f64,
+    /// Its lower bound ([`Estimate::lower_bound`]).
+    pub lower_bound: f64,
     /// Whether it may be used now: has endpoints, and was not tried for this request.
     pub usable: bool,
 }
@@ -140,11 +140,11 @@
     /// The most that the steps may still cost together.
     pub budget: Money,
     /// Time left.
-    pub left: Duration,
+    pub time_left: Duration,
     /// How long a rating takes; none if the rating service is out.
-    pub rating: Option<Duration>,
+    pub rating_time: Option<Duration>,
     /// What a second of waiting is worth; zero to weigh cost only.
-    pub second: Money,
+    pub cost_per_second: Money,
 }
 
 /// How an answer is released.
@@ -168,12 +168,12 @@
 /// Share of unrated answers that are rated afterwards, so that the estimate which they were
 /// released on stays true. At one in five a version that turns bad is found by its first one or two
 /// failures, within about ten answers of a customer's class (measured in `docs/MEASUREMENTS.md`).
-pub const SAMPLE: f64 = 0.2;
+pub const SAMPLED_SHARE: f64 = 0.2;
 
 /// Whether an answer released unrated is rated afterwards.
 #[must_use]
-pub fn sampled(random: u64) -> bool {
-    number::unit(random) < SAMPLE
+pub fn should_sample(random: u64) -> bool {
+    number::unit(random) < SAMPLED_SHARE
 }
 
 /// The next step; none if no candidate fits the budget. Called again after a failed rating with
@@ -182,7 +182,7 @@
 pub fn plan(candidates: &[Candidate], terms: &Terms) -> Option<Plan> {
     let sure = sure(candidates, terms);
     let chain = terms
-        .rating
+        .rating_time
         .and_then(|rating| chain(candidates, terms, rating));
     match (sure, chain) {
         (Some((price, step)), Some((rival, _))) if price <= rival => Some(unrated(step)),
@@ -203,24 +203,24 @@
 }
 
 fn open(candidates: &[Candidate], terms: &Terms) -> impl Iterator<Item = (usize, Candidate)> {
-    let (budget, left) = (terms.budget, terms.left);
+    let (budget, left) = (terms.budget, terms.time_left);
     candidates
         .iter()
         .copied()
         .enumerate()
-        .filter(move |(_, c)| c.usable && c.cost <= budget && c.run <= left)
+        .filter(move |(_, c)| c.usable && c.cost <= budget && c.run_time <= left)
 }
 
 /// Cost and the worth of the time, in millionths.
 fn price(candidate: &Candidate, rating: Duration, terms: &Terms) -> f64 {
-    let time = (candidate.run + rating).as_secs_f64();
-    number::float(candidate.cost.micros()) + time * number::float(terms.second.micros())
+    let time = (candidate.run_time + rating).as_secs_f64();
+    number::float(candidate.cost.micros()) + time * number::float(terms.cost_per_second.micros())
 }
 
 /// The cheapest candidate whose estimate meets the target without a rating.
 fn sure(candidates: &[Candidate], terms: &Terms) -> Option<(f64, usize)> {
     open(candidates, terms)
-        .filter(|(_, c)| c.lower >= terms.target.value())
+        .filter(|(_, c)| c.lower_bound >= terms.target.value())
         .map(|(step, c)| (price(&c, Duration::ZERO, terms), step))
         .min_by(|one, other| one.0.total_cmp(&other.0))
 }
@@ -235,7 +235,7 @@
             .then(other.1.cost.cmp(&one.1.cost))
     };
     let late = Terms {
-        left: Duration::MAX,
+        time_left: Duration::MAX,
         ..*terms
     };
     let fitting = open(candidates, terms).max_by(by_mean);
@@ -251,7 +251,7 @@
     let end = price(&top, rating, terms);
     let mut cheapest = (end, last);
     for (step, candidate) in open(candidates, terms) {
-        let fits = candidate.run + rating + top.run <= terms.left
+        let fits = candidate.run_time + rating + top.run_time <= terms.time_left
             && candidate.cost + top.cost <= terms.budget;
         if step == last || candidate.cost >= top.cost || !fits {
             continue;
@@ -274,9 +274,9 @@
     first: &Candidate,
     end: f64,
 ) -> f64 {
-    let left = terms.left.saturating_sub(first.run + rating);
+    let left = terms.time_left.saturating_sub(first.run_time + rating);
     open(candidates, terms)
-        .filter(|(_, c)| c.cost > first.cost && c.mean > first.mean && c.run + rating <= left)
+        .filter(|(_, c)| c.cost > first.cost && c.mean > first.mean && c.run_time + rating <= left)
         .map(|(_, c)| price(&c, rating, terms) + (1.0 - c.mean) * end)
         .fold(end, f64::min)
 }
--- a/crates/policy/tests/model/quality.rs
+++ b/crates/policy/tests/model/quality.rs
@@ -227,9 +227,9 @@
             let terms = Terms {
                 target: Share::try_from(TARGET).expect("a share"),
                 budget: Money::from_micros(40_000),
-                left: Duration::from_secs_f64((20.0 - time).max(0.0)),
-                rating: self.rating(at),
-                second,
+                time_left: Duration::from_secs_f64((20.0 - time).max(0.0)),
+                rating_time: self.rating(at),
+                cost_per_second: second,
             };
             let candidates = self.candidates(kind, usable, at);
             let Some(plan) = cascade::plan(&candidates, &terms) else {
@@ -240,16 +240,16 @@
             step.time += time;
             usable[plan.step] = false;
             let place = kind * VERSIONS.len() + plan.step;
-            let rating = terms.rating.unwrap_or_default().as_secs_f64();
+            let rating = terms.rating_time.unwrap_or_default().as_secs_f64();
             if plan.release == Release::Unrated {
-                if terms.rating.is_some() && cascade::sampled(self.random.bits()) {
-                    self.estimates[place].rated(step.good, moment(at));
+                if terms.rating_time.is_some() && cascade::should_sample(self.random.bits()) {
+                    self.estimates[place].record(step.good, moment(at));
                 }
                 return step;
             }
             step.time += rating;
             step.rated = true;
-            self.estimates[place].rated(step.good, moment(at));
+            self.estimates[place].record(step.good, moment(at));
             if step.good || usable == [false; VERSIONS.len()] {
                 return step;
             }
@@ -262,9 +262,9 @@
             let estimate = &self.estimates[kind * VERSIONS.len() + version];
             Candidate {
                 cost: Money::from_micros(VERSIONS[version].cost),
-                run: Duration::from_secs_f64(VERSIONS[version].run),
+                run_time: Duration::from_secs_f64(VERSIONS[version].run),
                 mean: estimate.mean(moment(at)),
-                lower: estimate.lower(moment(at)),
+                lower_bound: estimate.lower_bound(moment(at)),
                 usable: usable[version],
             }
         })
--- a/crates/policy/tests/quality.rs
+++ b/crates/policy/tests/quality.rs
@@ -72,9 +72,9 @@
 fn candidate(cost: u64, seconds: u64, mean: f64, lower: f64) -> Candidate {
     Candidate {
         cost: Money::from_micros(cost),
-        run: Duration::from_secs(seconds),
+        run_time: Duration::from_secs(seconds),
         mean,
-        lower,
+        lower_bound: lower,
         usable: true,
     }
 }
@@ -83,9 +83,9 @@
     Terms {
         target: Share::try_from(0.9).expect("a share"),
         budget: Money::from_micros(1_000),
-        left: Duration::from_mins(1),
-        rating: Some(Duration::from_secs(1)),
-        second: Money::ZERO,
+        time_left: Duration::from_mins(1),
+        rating_time: Some(Duration::from_secs(1)),
+        cost_per_second: Money::ZERO,
     }
 }
 
@@ -100,7 +100,7 @@
         "the cheap one first, rated"
     );
     let out = Terms {
-        rating: None,
+        rating_time: None,
         ..terms()
     };
     assert_eq!(
@@ -109,7 +109,7 @@
         "without ratings the one that is sure"
     );
     let hurry = Terms {
-        left: Duration::from_secs(6),
+        time_left: Duration::from_secs(6),
         ..terms()
     };
     assert_eq!(
@@ -118,7 +118,7 @@
         "no time for a second step"
     );
     let late = Terms {
-        left: Duration::from_secs(2),
+        time_left: Duration::from_secs(2),
         ..terms()
     };
     assert_eq!(
@@ -150,7 +150,7 @@
     let mut at = 0;
     let mut rate = |estimate: &mut Estimate, pass| {
         at += 100;
-        estimate.rated(pass, Moment::from_millis(at));
+        estimate.record(pass, Moment::from_millis(at));
         Moment::from_millis(at)
     };
     for _ in 0..1_000 {
@@ -160,7 +160,10 @@
     for _ in 0..5 {
         now = rate(&mut estimate, false);
     }
-    assert!(estimate.lower(now) < 0.95, "five failures in a row show");
+    assert!(
+        estimate.lower_bound(now) < 0.95,
+        "five failures in a row show"
+    );
     for _ in 0..100 {
         now = rate(&mut estimate, false);
     }
