--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -54,7 +54,7 @@
     /// The length to expect, at most what the caller allows.
     #[must_use]
     pub fn expect(&self, most: Tokens) -> Tokens {
-        Tokens(number::whole(self.mean).max(1)).min(most)
+        Tokens(number::floor(self.mean).max(1)).min(most)
     }
 }
 
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -194,7 +194,7 @@
     /// What should be free: spending ahead, and the largest call that could not be reserved.
     fn needed(&self, now: Moment) -> Money {
         let rate = self.rate * number::decay(now.since(self.at), self.config.half_life);
-        let ahead = number::whole(rate * self.config.lookahead.as_secs_f64());
+        let ahead = number::floor(rate * self.config.lookahead.as_secs_f64());
         let calls = self.largest.scale(u64::from(self.config.min_calls), 1);
         self.floor().max(Money::from_micros(ahead)).max(calls)
     }
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -361,7 +361,8 @@
     /// protected too, but never the last one.
     fn most(&self) -> usize {
         let total = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
-        let most = crate::number::small(f64::from(total) * self.config.max_ejected_share).max(1);
+        let most =
+            crate::number::floor_u32(f64::from(total) * self.config.max_ejected_share).max(1);
         most.min(total.saturating_sub(1)) as usize
     }
 
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -92,7 +92,7 @@
 
 fn bucket(latency: Duration) -> usize {
     let steps = (latency.as_secs_f64() / SHORTEST).max(1.0).log(STEP).ceil();
-    usize::try_from(number::whole(steps)).map_or(BUCKETS - 1, |at| at.min(BUCKETS - 1))
+    usize::try_from(number::floor(steps)).map_or(BUCKETS - 1, |at| at.min(BUCKETS - 1))
 }
 
 /// What is known of an attempt that may be hedged.
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -166,7 +166,7 @@
     /// The limit now.
     #[must_use]
     pub fn limit(&self) -> u32 {
-        number::small(self.limit + self.config.round).max(1)
+        number::floor_u32(self.limit + self.config.round).max(1)
     }
 
     /// Free slots.
--- a/crates/policy/src/number.rs
+++ b/crates/policy/src/number.rs
@@ -17,13 +17,13 @@
     clippy::cast_sign_loss,
     reason = "a float to integer cast saturates, which is what is wanted at both ends"
 )]
-pub(crate) const fn whole(value: f64) -> u64 {
+pub(crate) const fn floor(value: f64) -> u64 {
     value as u64
 }
 
 /// A number rounded down to a small count.
-pub(crate) fn small(value: f64) -> u32 {
-    u32::try_from(whole(value)).unwrap_or(u32::MAX)
+pub(crate) fn floor_u32(value: f64) -> u32 {
+    u32::try_from(floor(value)).unwrap_or(u32::MAX)
 }
 
 /// A length of time in seconds; negative, endless and NaN lengths are cut to a representable one.
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -214,7 +214,7 @@
             .ok()
             .map(|place| self.lanes[place].ahead(customer, weight, tokens, self.config.quantum));
         let work = number::float(waiting.0) + own.unwrap_or(0.0);
-        Tokens(number::whole(work / self.part(priority)))
+        Tokens(number::floor(work / self.part(priority)))
     }
 
     /// The part of the drain that a class and those before it can count on.
@@ -256,7 +256,7 @@
     }
 
     fn most_long(&self, slots: u32) -> u32 {
-        number::small(f64::from(slots) * self.config.long_share).max(1)
+        number::floor_u32(f64::from(slots) * self.config.long_share).max(1)
     }
 
     fn place(&self, priority: u8) -> Result<usize, usize> {
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -103,7 +103,7 @@
     if !sharers.contains(&own) {
         return 0.0;
     }
-    let most = number::small(limit.0 * TURN.as_secs_f64()).saturating_add(1);
+    let most = number::floor_u32(limit.0 * TURN.as_secs_f64()).saturating_add(1);
     let count = u32::try_from(sharers.len()).unwrap_or(u32::MAX);
     let owners = most.min(count);
     let weight = |vm: u64| number::mix(endpoint, vm);
