--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -89,7 +89,7 @@
     pub queue: queue::Queue,
     pub limiters: Vec<limit::Limiter>,
     pub health: eject::Pool,
-    pub tails: [hedge::Tail; CLASSES.len()],
+    pub tails: [hedge::LatencyHistogram; CLASSES.len()],
     pub lengths: [admission::Length; CLASSES.len()],
     pub customers: Vec<retry::Budget>,
     pub pool: retry::Budget,
@@ -146,7 +146,7 @@
                 })
                 .collect(),
             health,
-            tails: std::array::from_fn(|_| hedge::Tail::default()),
+            tails: std::array::from_fn(|_| hedge::LatencyHistogram::default()),
             lengths: CLASSES
                 .map(|class| admission::Length::new(Tokens(whole(class.output) as u64))),
             customers: vec![retry::Budget::new(retry::Config::default()); CUSTOMERS],
@@ -200,7 +200,7 @@
                 .filter(open)
                 .map(|e| self.limiters[e].room())
                 .sum(),
-            run: self.gate.run(job.tokens),
+            run_time: self.gate.run_time(job.tokens),
             deadline: moment(deadline),
         }
     }
@@ -219,13 +219,15 @@
             let demand = self.demand(arrival, deadline, now);
             let random = self.random.bits();
             let verdict = if back {
-                self.gate.welcome(demand, moment(now), random)
+                self.gate.decide_returning(demand, moment(now), random)
             } else {
                 self.gate.decide(demand, moment(now), random)
             };
             match verdict {
                 admission::Verdict::Admit { start_by } => latest = start_by,
-                admission::Verdict::Refuse { after } => return Some(after.as_secs_f64()),
+                admission::Verdict::Refuse { retry_after } => {
+                    return Some(retry_after.as_secs_f64());
+                }
             }
         }
         let ticket = self.queue.enqueue(self.job(arrival, latest));
@@ -244,7 +246,9 @@
     pub fn again(&mut self, arrival: &Arrival, now: f64) -> f64 {
         let demand = self.demand(arrival, now, now);
         let random = self.random.bits();
-        self.gate.again(demand, moment(now), random).as_secs_f64()
+        self.gate
+            .retry_after(demand, moment(now), random)
+            .as_secs_f64()
     }
 
     pub fn slots(&self, now: f64) -> u32 {
@@ -257,7 +261,7 @@
 
     fn open(&self, place: usize, now: f64) -> bool {
         let state = self.health.state(&self.endpoints[place], moment(now));
-        !self.mechanisms.eject || state == eject::State::In
+        !self.mechanisms.eject || state == eject::State::Active
     }
 
     /// Whether any endpoint has a free slot.
@@ -282,7 +286,7 @@
     /// The endpoint for an attempt.
     pub fn choose(&mut self, arrival: &Arrival, tried: &[usize], now: f64) -> Option<usize> {
         let fits = |e: usize| !tried.contains(&e) && self.limiters[e].room() > 0;
-        let due = self.health.due(moment(now));
+        let due = self.health.probe_due(moment(now));
         let probe = due.and_then(|name| self.endpoints.iter().position(|e| e == name));
         if let Some(probe) =
             probe.filter(|p| self.mechanisms.eject && arrival.class == 0 && fits(*p))
@@ -314,7 +318,7 @@
     fn policy(&mut self, arrival: &Arrival, open: &[usize], now: f64) -> Option<usize> {
         let random = self.random.bits();
         let candidate = |e: usize| choice::Candidate {
-            key: choice::key(self.endpoints[e].as_str()),
+            key: choice::hash(self.endpoints[e].as_str()),
             usable: open.contains(&e),
             distance: if e % 3 == self.zone {
                 Duration::ZERO
@@ -324,8 +328,8 @@
             own: self.limiters[e].flying(),
             limit: self.limiters[e].limit(),
             others: self.seen[e].others,
-            age: Duration::from_secs_f64((now - self.seen[e].at).max(0.0)),
-            run: Duration::from_secs_f64(self.limiters[e].pace() * 100.0),
+            report_age: Duration::from_secs_f64((now - self.seen[e].at).max(0.0)),
+            run_time: Duration::from_secs_f64(self.limiters[e].pace() * 100.0),
         };
         let candidates: Vec<choice::Candidate> = (0..ENDPOINTS).map(candidate).collect();
         choice::choose(
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -7,8 +7,8 @@
 use pimento_policy::choice;
 use pimento_policy::confidence;
 use pimento_policy::confidence::Answer;
-use pimento_policy::confidence::Larger;
-use pimento_policy::worth;
+use pimento_policy::confidence::LargerModel;
+use pimento_policy::value;
 use pimento_units::id;
 
 use crate::attempts::Attempts;
@@ -31,24 +31,24 @@
 #[derive(Debug, Default)]
 pub struct Book {
     config: confidence::Config,
-    seen: Mutex<confidence::Book>,
-    usual: Mutex<worth::Usual>,
+    seen: Mutex<confidence::PassRates>,
+    usual: Mutex<value::Baseline>,
 }
 
 impl Book {
     /// What is at stake with a request's answer. It counts as one more request with its first answer.
-    fn stake(&self, request: &Work, full: Duration, first: bool) -> worth::Stake {
+    fn stake(&self, request: &Work, full: Duration, first: bool) -> value::RelativeValue {
         let (prompt, most) = request.usage().unwrap_or_default();
-        let asked = worth::Request {
+        let asked = value::Request {
             prompt,
             answer: request.ask.length.unwrap_or(most).min(most),
             priority: request.grant.route.priority,
         };
         let mut usual = self.usual.lock().unwrap_or_else(PoisonError::into_inner);
         if first {
-            usual.count(&asked, full);
+            usual.record(&asked, full);
         }
-        usual.stake(&asked)
+        usual.compare(&asked)
     }
 }
 
@@ -86,7 +86,7 @@
 }
 
 fn key(model: &id::Version) -> u64 {
-    choice::key(model.as_str())
+    choice::hash(model.as_str())
 }
 
 fn waits(times: impl Iterator<Item = Duration>) -> Vec<u64> {
@@ -109,13 +109,13 @@
     let book = &attempts.node().models;
     let mut seen = book.seen.lock().unwrap_or_else(PoisonError::into_inner);
     if let Some(before) = dropped.take() {
-        seen.learn((before.model, before.confidence), (key(model), confidence));
+        seen.record((before.model, before.confidence), (key(model), confidence));
     }
     let asked = matches!(request.ask.model, Some(Wish::Named(_)));
     if asked || !attempts.again() || !attempts.affords() {
         return None;
     }
-    let mut candidates: Vec<Larger> = Vec::new();
+    let mut candidates: Vec<LargerModel> = Vec::new();
     let (mut full, mut next_wait) = (Duration::ZERO, Duration::ZERO);
     for (rank, larger) in models.iter().enumerate().skip(place + 1) {
         let next = Variant {
@@ -124,21 +124,21 @@
         };
         let estimate = attempts.estimate(&next)?;
         (full, next_wait) = (estimate.full, estimate.next);
-        candidates.push(Larger {
+        candidates.push(LargerModel {
             model: key(larger),
             rank: confidence::rank(rank, models.len()),
             cost: cost(request, larger),
             wait: estimate.wait,
-            work: estimate.work,
+            prefill: estimate.work,
         });
     }
     let answer = Answer {
         model: key(model),
         confidence,
-        began: request.began,
+        received: request.began,
         target: request.grant.route.target,
-        next: next_wait,
-        stake: book.stake(request, full, place == 0),
+        next_wait,
+        relative: book.stake(request, full, place == 0),
     };
     let now = attempts.node().now();
     let chosen = book.config.choose(&answer, &candidates, &seen, now);
@@ -149,10 +149,10 @@
         confidence,
         since_ms = millis(now.since(request.began)),
         waits_ms:? = waits(candidates.iter().map(|larger| larger.wait)),
-        reads_ms:? = waits(candidates.iter().map(|larger| larger.work)),
-        next_ms = millis(answer.next),
-        worth = answer.stake.worth,
-        price = answer.stake.price,
+        reads_ms:? = waits(candidates.iter().map(|larger| larger.prefill)),
+        next_ms = millis(answer.next_wait),
+        worth = answer.relative.value,
+        price = answer.relative.price,
         larger = chosen.and_then(|chosen| named(place + 1 + chosen));
         "cascade: Weighed larger models."
     );
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -212,10 +212,10 @@
         if used == Some(target) {
             return Some(target.clone());
         }
-        if phase.keeps() && (used.is_some() || rollout.keeps(session)) {
+        if phase.pins_known_sessions() && (used.is_some() || rollout.keeps(session)) {
             return Some(old.clone());
         }
-        let moves = rollout::moves(place(session), target, phase.weight());
+        let moves = rollout::uses_new_version(place(session), target, phase.weight());
         Some(if moves { target } else { old }.clone())
     }
 
@@ -245,7 +245,7 @@
             return;
         };
         let target = rollout.target();
-        let kept = target != version && self.phase(rollout, now).keeps();
+        let kept = target != version && self.phase(rollout, now).pins_known_sessions();
         if !kept || !self.tried(session, target) {
             return;
         }
@@ -256,8 +256,8 @@
 
     /// Whether the trial's share would move a session.
     fn tried(&self, session: u64, target: &id::Version) -> bool {
-        let share = self.config.share(self.exposure.share);
-        rollout::moves(place(session), target, share)
+        let share = self.config.trial_share(self.exposure.share);
+        rollout::uses_new_version(place(session), target, share)
     }
 
     /// Sessions that used the old version here and that other VMs were not told of yet, each with its
