--- a/crates/policy/examples/proxy.rs
+++ b/crates/policy/examples/proxy.rs
@@ -20,7 +20,7 @@
         key: choice::hash(["a", "b", "c"][place]),
         usable: true,
         distance: Duration::ZERO,
-        own: limiter.flying(),
+        own: limiter.in_flight(),
         limit: limiter.limit(),
         others: 0,
         report_age: Duration::ZERO,
@@ -48,9 +48,9 @@
     for n in 0_u64..18 {
         let customer = &names[usize::from(n >= 14)];
         let demand = admission::Demand {
-            ahead: queue.ahead(customer, 1, 0, WORK),
+            ahead: queue.work_ahead(customer, 1, 0, WORK),
             slots: limits.iter().map(limit::Limiter::limit).sum(),
-            free: limits.iter().map(limit::Limiter::room).sum(),
+            free: limits.iter().map(limit::Limiter::free).sum(),
             run_time: gate.run_time(WORK),
             deadline: Moment::ZERO + Duration::from_secs(10),
         };
