--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use pimento_units::id;
 
-use crate::paces::Paces;
+use crate::timings::Timings;
 
 /// The settings of one entry VM.
 #[derive(Debug, Clone, PartialEq)]
@@ -32,7 +32,7 @@
     /// What must hold, with its figures.
     pub bounds: Bounds,
     /// How topics of the log are read, so that the bounds hold.
-    pub paces: Paces,
+    pub timings: Timings,
 }
 
 /// What must hold, with its figures.
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -12,9 +12,9 @@
 
 mod exchange;
 mod fold;
-mod pace;
 mod read;
 mod start;
+mod timing;
 mod view;
 
 use std::sync::Arc;
@@ -34,14 +34,14 @@
 pub use self::fold::Fold;
 pub use self::fold::Told;
 pub use self::fold::Touch;
-use self::pace::AT_ONCE;
-pub use self::pace::Gait;
-use self::pace::LED_PAUSE;
-pub use self::pace::Lead;
-pub use self::pace::Pace;
-use self::pace::SUCCESSION;
-pub use self::pace::longest_pause;
-pub use self::pace::patience;
+use self::timing::AT_ONCE;
+use self::timing::LED_PAUSE;
+pub use self::timing::Lead;
+pub use self::timing::Polling;
+use self::timing::SUCCESSION;
+pub use self::timing::Timing;
+pub use self::timing::answer_timeout;
+pub use self::timing::max_backoff;
 pub use self::view::Part;
 pub use self::view::View;
 use crate::boot;
@@ -80,7 +80,7 @@
 pub struct Follower<F, L> {
     topic: Topic,
     log: L,
-    pace: Pace,
+    timing: Timing,
     zone: Zone,
     calls: Calls,
     began: Moment,
@@ -97,7 +97,7 @@
         Self {
             topic: self.topic,
             log: self.log.clone(),
-            pace: self.pace,
+            timing: self.timing,
             zone: self.zone.clone(),
             calls: self.calls.clone(),
             began: self.began,
@@ -115,7 +115,7 @@
     pub fn start(
         log: L,
         topic: Topic,
-        pace: Pace,
+        timing: Timing,
         zone: Zone,
         calls: Calls,
         fold: F,
@@ -125,7 +125,7 @@
         let follower = Self {
             topic,
             log,
-            pace,
+            timing,
             zone,
             calls,
             began: boot::now(),
@@ -264,7 +264,9 @@
             // otherwise wait for the next word, or until its trust is used up.
             let whole = role == Lead::Led && (!self.lacks().await || self.take_over().await);
             if whole && self.trusts() {
-                let left = self.age().map(|age| self.pace.trust.saturating_sub(age));
+                let left = self
+                    .age()
+                    .map(|age| self.timing.max_proof_age.saturating_sub(age));
                 tokio::select! {
                     () = self.nudge.notified() => continue,
                     _ = lead.changed() => continue,
@@ -279,23 +281,23 @@
             if role == Lead::Led && self.next().is_none() && self.take_snapshot().await {
                 continue;
             }
-            let gait = match role {
-                Lead::Alone => self.pace.alone,
-                Lead::Leading => self.pace.leading,
+            let polling = match role {
+                Lead::Alone => self.timing.alone,
+                Lead::Leading => self.timing.leading,
                 Lead::Led => AT_ONCE,
             };
-            match self.read(gait.wait, self.reason(role)).await {
+            match self.read(polling.wait, self.reason(role)).await {
                 Ok(whole) => {
                     pause = FIRST_PAUSE;
                     self.zone.answered();
                     if whole {
-                        tokio::time::sleep(gait.pause).await;
+                        tokio::time::sleep(polling.pause).await;
                     }
                 }
                 Err(failure) => {
                     failure.log("Not read");
                     self.zone.failed(failure.kind, boot::now());
-                    self.stumble(role, gait);
+                    self.stumble(role, polling);
                     if blind {
                         continue;
                     }
@@ -308,7 +310,7 @@
                         () = self.rest(role, pause.mul_f64(share)) => {}
                         _ = lead.changed() => {}
                     }
-                    pause = (pause * 2).min(self.longest(role));
+                    pause = (pause * 2).min(self.max_backoff(role));
                 }
             }
         }
@@ -371,13 +373,13 @@
             () = tokio::time::sleep_until(end) => return,
             () = self.nudge.notified() => {}
         }
-        let sooner = Instant::now() + self.longest(role);
+        let sooner = Instant::now() + self.max_backoff(role);
         tokio::time::sleep_until(end.min(sooner)).await;
     }
 
     /// The longest pause after failed reads.
-    fn longest(&self, role: Lead) -> Duration {
-        longest_pause(role, self.zone.stamps().len(), self.lock().lacks())
+    fn max_backoff(&self, role: Lead) -> Duration {
+        max_backoff(role, self.zone.stamps().len(), self.lock().lacks())
     }
 
     /// Whether this VM reads by itself, and its reads are answered.
@@ -389,7 +391,8 @@
 
     /// Whether what another VM proved is young enough.
     fn trusts(&self) -> bool {
-        self.age().is_some_and(|age| age < self.pace.trust)
+        self.age()
+            .is_some_and(|age| age < self.timing.max_proof_age)
     }
 
     /// Applies what is new; whether the view now holds all up to the end.
@@ -431,10 +434,10 @@
     /// A read failed. A VM that another one reads for is in touch by that one's word, which may be as
     /// old as the trust in it: judged by its own reads alone it would fall out of touch and back
     /// several times a second while the log turns it away.
-    fn stumble(&self, role: Lead, gait: Gait) {
+    fn stumble(&self, role: Lead, polling: Polling) {
         let usual = match role {
-            Lead::Led => self.pace.trust,
-            Lead::Alone | Lead::Leading => gait.wait + gait.pause,
+            Lead::Led => self.timing.max_proof_age,
+            Lead::Alone | Lead::Leading => polling.wait + polling.pause,
         };
         let now = boot::now();
         let mut inner = self.lock();
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -10,7 +10,7 @@
 use super::Follower;
 use super::exchange::Exchange;
 use super::exchange::Failure;
-use super::pace::patience;
+use super::timing::answer_timeout;
 use crate::calls::Reason;
 use crate::passage;
 use crate::topic::Batch;
@@ -33,10 +33,10 @@
         let stamps = self.zone.stamps();
         let exchange = Exchange::new(self.topic);
         let progress = &exchange.progress;
-        let patience = self.pace.patience;
+        let timeout = self.timing.timeout;
         self.calls.count(self.topic, Reason::Confirm);
         let answer = self.log.read(self.topic, next, Duration::ZERO, progress);
-        let answer = progress.wait(answer, patience, patience).await;
+        let answer = progress.wait(answer, timeout, timeout).await;
         match self.count(&exchange, answer) {
             Ok(Ok(batch)) => {
                 self.take(&batch, exchange.sent, stamps);
@@ -64,16 +64,16 @@
         let Some(progress) = reading.filter(|progress| progress.received().bytes > 0) else {
             return;
         };
-        let patience = self.pace.patience;
-        if progress.wait(ended, patience, patience).await.is_err() {
+        let timeout = self.timing.timeout;
+        if progress.wait(ended, timeout, timeout).await.is_err() {
             log::debug!("follower: An answer stopped coming, asking anew.");
         }
     }
 
     /// How long the next answer may take to begin and to go on.
-    fn patience(&self) -> Duration {
+    fn answer_timeout(&self) -> Duration {
         let inner = self.lock();
-        patience(&self.pace, inner.lacks(), inner.silent)
+        answer_timeout(&self.timing, inner.lacks(), inner.silent)
     }
 
     /// Waits for an answer to this follower itself, whose first bytes may take `first`.
@@ -82,10 +82,10 @@
         exchange: &Exchange,
         answer: impl Future<Output = T>,
         first: Duration,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<T, Silent> {
         self.lock().reading = Some(exchange.progress.clone());
-        let waited = exchange.progress.wait(answer, first, patience).await;
+        let waited = exchange.progress.wait(answer, first, timeout).await;
         self.lock().reading = None;
         waited
     }
@@ -97,8 +97,8 @@
         };
         let exchange = Exchange::new(self.topic);
         let answer = passage::fetch(reader, self.topic, next, &exchange.progress);
-        let patience = self.pace.patience;
-        let problem = match self.wait(&exchange, answer, patience, patience).await {
+        let timeout = self.timing.timeout;
+        let problem = match self.wait(&exchange, answer, timeout, timeout).await {
             Ok(Ok(part)) => {
                 exchange.answered();
                 self.hand(part);
@@ -128,8 +128,8 @@
                 Some(next) => self.log.read(self.topic, next, wait, progress).await,
             }
         };
-        let patience = self.patience();
-        let answer = self.wait(&exchange, answer, wait + patience, patience);
+        let timeout = self.answer_timeout();
+        let answer = self.wait(&exchange, answer, wait + timeout, timeout);
         let answer = self.count(&exchange, answer.await);
         let whole = match &answer {
             Ok(Ok(batch)) => self.take(batch, exchange.sent, stamps),
--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -27,8 +27,8 @@
         let exchange = Exchange::new(self.topic);
         let progress = &exchange.progress;
         let answer = snapshot::fetch(reader, self.zone.deployment(), topic, progress);
-        let patience = self.pace.patience;
-        let answer = self.wait(&exchange, answer, FIRST + patience, patience);
+        let timeout = self.timing.timeout;
+        let answer = self.wait(&exchange, answer, FIRST + timeout, timeout);
         let problem = match answer.await {
             Ok(Ok(snapshot)) => {
                 exchange.answered();
--- a/crates/relay/src/follow/pace.rs
+++ b/crates/relay/src/follow/timing.rs
@@ -4,7 +4,7 @@
 
 /// One way of reading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Gait {
+pub struct Polling {
     /// How long a read waits for records at the log.
     pub wait: Duration,
     /// Pause between reads. On a topic on which many write, a read that waits would be answered for
@@ -14,19 +14,19 @@
 
 /// How a topic is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Pace {
+pub struct Timing {
     /// By a VM that reads for itself.
-    pub alone: Gait,
+    pub alone: Polling,
     /// By a VM that reads for others as well, whose proofs reach them later.
-    pub leading: Gait,
+    pub leading: Polling,
     /// A VM that others read for reads by itself once its proof is this old.
-    pub trust: Duration,
+    pub max_proof_age: Duration,
     /// How long an answer may take to begin, beyond the wait, and to go on.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// How a VM reads that knows of something new, or that nobody reads for any more.
-pub const AT_ONCE: Gait = Gait {
+pub const AT_ONCE: Polling = Polling {
     wait: Duration::ZERO,
     pause: Duration::ZERO,
 };
@@ -74,18 +74,18 @@
 /// the log can do. Where nothing is known to be missing, a longer patience would only let the return of a
 /// log that was out go unnoticed for longer.
 #[must_use]
-pub fn patience(pace: &Pace, lacks: bool, silent: u32) -> Duration {
+pub fn answer_timeout(timing: &Timing, lacks: bool, silent: u32) -> Duration {
     if !lacks {
-        return pace.patience;
+        return timing.timeout;
     }
-    pace.patience * (1 << silent.min(DOUBLINGS))
+    timing.timeout * (1 << silent.min(DOUBLINGS))
 }
 
 /// The longest pause after failed reads of a VM in this role, where it knows of this many others in its
 /// zone. A view that lacks a change is read for sooner: nobody else's read can make up for its own, and
 /// its callers are refused once it has lacked the change for too long.
 #[must_use]
-pub fn longest_pause(role: Lead, others: usize, lacks: bool) -> Duration {
+pub fn max_backoff(role: Lead, others: usize, lacks: bool) -> Duration {
     if role != Lead::Led {
         return LONGEST_PAUSE;
     }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -142,11 +142,11 @@
     pub fn start(config: Config, platform: P, log: L, token: &CancellationToken) -> Self {
         let zone = Zone::starting(&config);
         let calls = Calls::default();
-        let paces = config.paces;
+        let timings = config.timings;
         let operators = Follower::start(
             log.clone(),
             Topic::Operators,
-            paces.operators,
+            timings.operators,
             zone.clone(),
             calls.clone(),
             Operators::new(platform.clone()),
@@ -155,7 +155,7 @@
         let directory = Follower::start(
             log.clone(),
             Topic::Endpoints,
-            paces.endpoints,
+            timings.endpoints,
             zone.clone(),
             calls.clone(),
             Directory::new(platform.clone()),
@@ -164,7 +164,7 @@
         let bars = Follower::start(
             log.clone(),
             Topic::Poison,
-            paces.poison,
+            timings.poison,
             zone.clone(),
             calls.clone(),
             Bars::default(),
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -33,8 +33,8 @@
 use crate::fleet::Word;
 use crate::follow::Fold;
 use crate::follow::Follower;
-use crate::follow::Gait;
-use crate::follow::Pace;
+use crate::follow::Polling;
+use crate::follow::Timing;
 use crate::follow::Told;
 use crate::node::Node;
 use crate::operators::Order;
@@ -60,14 +60,14 @@
 const LONGEST: Duration = Duration::from_millis(1_500);
 
 /// How the entry VMs' own topic is read while a roll-out is under way.
-const FLEET: Pace = Pace {
+const FLEET: Timing = Timing {
     alone: SECONDLY,
     leading: SECONDLY,
-    trust: Duration::ZERO,
-    patience: Duration::from_millis(450),
+    max_proof_age: Duration::ZERO,
+    timeout: Duration::from_millis(450),
 };
 
-const SECONDLY: Gait = Gait {
+const SECONDLY: Polling = Polling {
     wait: Duration::ZERO,
     pause: Duration::from_secs(1),
 };
--- a/crates/relay/src/paces.rs
+++ b/crates/relay/src/timings.rs
@@ -9,8 +9,8 @@
 use snafu::Snafu;
 
 use crate::config::Bounds;
-use crate::follow::Gait;
-use crate::follow::Pace;
+use crate::follow::Polling;
+use crate::follow::Timing;
 
 /// The longest bounds that are made use of. Beyond, callers would learn of new endpoints and of changes
 /// later than they need to for calls saved that are few.
@@ -46,28 +46,28 @@
 
 /// How the topic of requests under which endpoints ended is read. VMs tell each other of them besides, so
 /// that a read that fell silent may go unnoticed for some seconds.
-const POISON_WAIT: Gait = Gait {
+const POISON_WAIT: Polling = Polling {
     wait: Duration::from_secs(5),
     pause: Duration::ZERO,
 };
-const POISON: Pace = Pace {
+const POISON: Timing = Timing {
     alone: POISON_WAIT,
     leading: POISON_WAIT,
-    trust: Duration::from_secs(20),
-    patience: PATIENCE,
+    max_proof_age: Duration::from_secs(20),
+    timeout: PATIENCE,
 };
 
 /// How the topics that all VMs read are read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Paces {
+pub struct Timings {
     /// The operators' topic. Changes are rare, so that a read may wait for one.
-    pub operators: Pace,
+    pub operators: Timing,
     /// The endpoints' topic. Each endpoint writes about once a second; a read that waits would be
     /// answered for each.
-    pub endpoints: Pace,
+    pub endpoints: Timing,
     /// The topic of requests under which endpoints ended. Records are rare and come at once to a read
     /// that waits.
-    pub poison: Pace,
+    pub poison: Timing,
 }
 
 /// A bound that can't be held.
@@ -91,7 +91,7 @@
     },
 }
 
-impl TryFrom<&Bounds> for Paces {
+impl TryFrom<&Bounds> for Timings {
     type Error = Error;
 
     fn try_from(bounds: &Bounds) -> Result<Self, Error> {
@@ -103,40 +103,40 @@
     }
 }
 
-fn operators(bounds: &Bounds) -> Result<Pace, Error> {
+fn operators(bounds: &Bounds) -> Result<Timing, Error> {
     let revoke = bounds.revoke.map(|revoke| revoke.mul_f64(REVOKED));
     let bound = bounds.apply.min(revoke.unwrap_or(bounds.apply));
     if bound < SHORTEST_CHANGE {
         return Err(Error::Change { bound });
     }
     let bound = bound.min(LONGEST_CHANGE);
-    let waits = |part: f64| Gait {
+    let waits = |part: f64| Polling {
         wait: bound.mul_f64(part),
         pause: Duration::ZERO,
     };
-    Ok(Pace {
+    Ok(Timing {
         alone: waits(CHANGE_ALONE),
         leading: waits(CHANGE_LEADING),
-        trust: bound.mul_f64(CHANGE_TRUST),
-        patience: bound.mul_f64(CHANGE_PATIENCE).min(PATIENCE),
+        max_proof_age: bound.mul_f64(CHANGE_TRUST),
+        timeout: bound.mul_f64(CHANGE_PATIENCE).min(PATIENCE),
     })
 }
 
-fn endpoints(bounds: &Bounds) -> Result<Pace, Error> {
+fn endpoints(bounds: &Bounds) -> Result<Timing, Error> {
     let bound = bounds.leaving;
     if bound < SHORTEST_LEAVING {
         return Err(Error::Leaving { bound });
     }
     let bound = bound.min(LONGEST_LEAVING);
-    let pauses = |part: f64| Gait {
+    let pauses = |part: f64| Polling {
         wait: Duration::ZERO,
         pause: bound.mul_f64(part),
     };
-    let trust = bound.mul_f64(LEAVING_TRUST);
-    Ok(Pace {
+    let max_proof_age = bound.mul_f64(LEAVING_TRUST);
+    Ok(Timing {
         alone: pauses(LEAVING_ALONE),
         leading: pauses(LEAVING_LEADING),
-        trust,
-        patience: bound.saturating_sub(trust + RETRY).min(PATIENCE),
+        max_proof_age,
+        timeout: bound.saturating_sub(max_proof_age + RETRY).min(PATIENCE),
     })
 }
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -9,9 +9,9 @@
 use pimento_relay::config::Retry;
 use pimento_relay::follow::Fold;
 use pimento_relay::follow::Follower;
-use pimento_relay::follow::Gait;
 use pimento_relay::follow::Lead;
-use pimento_relay::follow::Pace;
+use pimento_relay::follow::Polling;
+use pimento_relay::follow::Timing;
 use pimento_relay::follow::Told;
 use pimento_relay::follow::Touch;
 use pimento_relay::topic::Record;
@@ -25,16 +25,16 @@
 /// Longer than anything here takes.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-pub const QUICK: Gait = Gait {
+pub const QUICK: Polling = Polling {
     wait: Duration::from_millis(20),
     pause: Duration::ZERO,
 };
 
-pub const PACE: Pace = Pace {
+pub const TIMING: Timing = Timing {
     alone: QUICK,
     leading: QUICK,
-    trust: Duration::from_mins(1),
-    patience: Duration::from_millis(200),
+    max_proof_age: Duration::from_mins(1),
+    timeout: Duration::from_millis(200),
 };
 
 /// Keeps all records, what was known when each came, and how often touch was lost.
@@ -83,21 +83,21 @@
 
 impl Fixture {
     pub fn new() -> Self {
-        Self::with(PACE)
+        Self::with(TIMING)
     }
 
-    pub fn with(pace: Pace) -> Self {
-        Self::over(Memory::new(), pace)
+    pub fn with(timing: Timing) -> Self {
+        Self::over(Memory::new(), timing)
     }
 
-    pub fn over(log: Memory, pace: Pace) -> Self {
+    pub fn over(log: Memory, timing: Timing) -> Self {
         let zone = Zone::default();
         let token = CancellationToken::new();
         let calls = Calls::default();
         let follower = Follower::start(
             log.clone(),
             Topic::Endpoints,
-            pace,
+            timing,
             zone.clone(),
             calls.clone(),
             All::default(),
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -5,18 +5,18 @@
 use pimento_relay::boot;
 use pimento_relay::calls::Reason;
 use pimento_relay::follow::Lead;
-use pimento_relay::follow::Pace;
 use pimento_relay::follow::Part;
 use pimento_relay::follow::Proof;
+use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
 use pimento_relay::zone::Stamp;
 use pimento_units::Moment;
 use pimento_units::Offset;
 
 use crate::fixture::Fixture;
-use crate::fixture::PACE;
 use crate::fixture::PATIENCE;
 use crate::fixture::QUICK;
+use crate::fixture::TIMING;
 use crate::log::Mood;
 
 #[tokio::test]
@@ -62,7 +62,7 @@
         .await;
     fixture.log.set(Mood::Silent);
     let silent = boot::now();
-    tokio::time::sleep(PACE.patience + QUICK.wait * 3).await;
+    tokio::time::sleep(TIMING.timeout + QUICK.wait * 3).await;
     assert!(fixture.follower.proven().unwrap() <= silent);
     assert!(!fixture.follower.confirm(boot::now()).await);
     fixture.log.set(Mood::Well);
@@ -342,11 +342,11 @@
 // word, and every entry that ended meanwhile seemed to have been ended by an outage.
 #[tokio::test]
 async fn a_vm_that_is_turned_away_is_in_touch_by_anothers_word() {
-    let pace = Pace {
-        trust: Duration::from_millis(1_500),
-        ..PACE
+    let timing = Timing {
+        max_proof_age: Duration::from_millis(1_500),
+        ..TIMING
     };
-    let fixture = Fixture::with(pace);
+    let fixture = Fixture::with(timing);
     fixture.led().await;
     fixture.log.set(Mood::Down);
     for _ in 0..4 {
--- a/crates/relay/tests/all/large.rs
+++ b/crates/relay/tests/all/large.rs
@@ -6,12 +6,12 @@
 use pimento_relay::boot;
 use pimento_relay::follow::Lead;
 use pimento_relay::follow::Proof;
-use pimento_relay::follow::longest_pause;
-use pimento_relay::follow::patience;
+use pimento_relay::follow::answer_timeout;
+use pimento_relay::follow::max_backoff;
 use pimento_units::Offset;
 
 use crate::fixture::Fixture;
-use crate::fixture::PACE;
+use crate::fixture::TIMING;
 use crate::log::Memory;
 use crate::log::Mood;
 
@@ -24,7 +24,7 @@
     fixture
         .until("a proof", |f| f.follower.proven().is_some())
         .await;
-    fixture.log.set(Mood::Long(PACE.patience / 4));
+    fixture.log.set(Mood::Long(TIMING.timeout / 4));
     fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
     assert!(fixture.follower.confirm(boot::now()).await);
@@ -102,7 +102,7 @@
     fixture
         .until("a proof", |f| f.follower.proven().is_some())
         .await;
-    let pause = PACE.patience / 4;
+    let pause = TIMING.timeout / 4;
     fixture.log.set(Mood::Long(pause));
     tokio::time::sleep(pause * 2).await;
     fixture.log.put("a", Some("1"));
@@ -119,19 +119,19 @@
 #[test]
 fn a_vm_that_lacks_a_change_rests_less() {
     for others in [0, 5, 16, 400] {
-        let rests = longest_pause(Lead::Led, others, false);
-        let lacks = longest_pause(Lead::Led, others, true);
+        let rests = max_backoff(Lead::Led, others, false);
+        let lacks = max_backoff(Lead::Led, others, true);
         assert!(lacks <= rests, "{others}: {lacks:?}, {rests:?}");
         assert!(lacks <= Duration::from_millis(1_200), "{lacks:?}");
     }
-    let large = longest_pause(Lead::Led, 16, false);
-    let small = longest_pause(Lead::Led, 2, false);
+    let large = max_backoff(Lead::Led, 16, false);
+    let small = max_backoff(Lead::Led, 2, false);
     assert!(
         large > small,
         "a large zone asks a log that is out less often"
     );
     for role in [Lead::Alone, Lead::Leading] {
-        assert!(longest_pause(role, 16, false) < small);
+        assert!(max_backoff(role, 16, false) < small);
     }
 }
 
@@ -143,7 +143,7 @@
 async fn a_log_that_is_busy_with_a_change_is_waited_for_longer() {
     let fixture = Fixture::new();
     fixture.led().await;
-    fixture.log.set(Mood::Busy(PACE.patience * 3));
+    fixture.log.set(Mood::Busy(TIMING.timeout * 3));
     let next = fixture.log.put("a", Some("1"));
     fixture.follower.vouch(Proof {
         changed: next,
@@ -157,8 +157,8 @@
 async fn a_log_that_is_busy_with_starts_is_waited_for_longer() {
     let log = Memory::new();
     log.put("a", Some("1"));
-    log.set(Mood::Busy(PACE.patience * 3));
-    let fixture = Fixture::over(log, PACE);
+    log.set(Mood::Busy(TIMING.timeout * 3));
+    let fixture = Fixture::over(log, TIMING);
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
@@ -166,12 +166,12 @@
 #[test]
 fn only_a_view_that_lacks_something_waits_longer() {
     for silent in 0..10 {
-        assert_eq!(patience(&PACE, false, silent), PACE.patience);
-        assert!(patience(&PACE, true, silent) <= patience(&PACE, true, silent + 1));
-        assert!(patience(&PACE, true, silent) <= PACE.patience * 4);
+        assert_eq!(answer_timeout(&TIMING, false, silent), TIMING.timeout);
+        assert!(answer_timeout(&TIMING, true, silent) <= answer_timeout(&TIMING, true, silent + 1));
+        assert!(answer_timeout(&TIMING, true, silent) <= TIMING.timeout * 4);
     }
-    assert_eq!(patience(&PACE, true, 0), PACE.patience);
-    assert_eq!(patience(&PACE, true, 1), PACE.patience * 2);
+    assert_eq!(answer_timeout(&TIMING, true, 0), TIMING.timeout);
+    assert_eq!(answer_timeout(&TIMING, true, 1), TIMING.timeout * 2);
 }
 
 /// Keys of the records that another VM can have from an offset on.
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -1,4 +1,4 @@
-//! A small model of the reading of the log in one zone: the real choice of who reads, the real paces and
+//! A small model of the reading of the log in one zone: the real choice of who reads, the real timings and
 //! the real knowledge of refused reads, over a network and a log that are steps of a loop.
 //!
 //! It is walked exhaustively over the moment at which something goes wrong, and checks that whoever can
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 use pimento_relay::follow::Lead;
-use pimento_relay::follow::Pace;
+use pimento_relay::follow::Timing;
 use pimento_relay::neighbours::peers::Peer;
 use pimento_relay::neighbours::peers::Peers;
 use pimento_relay::neighbours::peers::Standing;
 use pimento_relay::neighbours::tell::period;
-use pimento_relay::paces::Paces;
+use pimento_relay::timings::Timings;
 use pimento_relay::zone::Failure;
 use pimento_relay::zone::Reach;
 use pimento_relay::zone::Zone;
@@ -88,7 +88,7 @@
 
 struct Model {
     now: Moment,
-    pace: Pace,
+    timing: Timing,
     bound: Duration,
     vms: Vec<Vm>,
     words: Vec<(usize, Word)>,
@@ -135,7 +135,7 @@
         };
         Self {
             now: start,
-            pace: Paces::try_from(&bounds(millis, millis, Some(5_000)))
+            timing: Timings::try_from(&bounds(millis, millis, Some(5_000)))
                 .unwrap()
                 .endpoints,
             bound,
@@ -150,8 +150,8 @@
 
     fn trust(&self) -> Duration {
         match self.mutant {
-            Mutant::Trusting => self.pace.trust * 2,
-            _ => self.pace.trust,
+            Mutant::Trusting => self.timing.max_proof_age * 2,
+            _ => self.timing.max_proof_age,
         }
     }
 
@@ -192,7 +192,7 @@
 
     /// A read ends.
     fn finish(&mut self, place: usize) {
-        let (now, gaits) = (self.now, self.pace);
+        let (now, polling) = (self.now, self.timing);
         let vm = &mut self.vms[place];
         let Some((sent, ends, stamps)) = vm.read.take_if(|(_, ends, _)| *ends <= now) else {
             return;
@@ -204,12 +204,12 @@
                 vm.proofs = stamps;
                 vm.failures = 0;
                 vm.zone.answered();
-                let gait = if vm.lead == Lead::Alone {
-                    gaits.alone
+                let polling = if vm.lead == Lead::Alone {
+                    polling.alone
                 } else {
-                    gaits.leading
+                    polling.leading
                 };
-                vm.due = now + gait.pause;
+                vm.due = now + polling.pause;
                 if vm.lead == Lead::Leading {
                     vm.said = Moment::ZERO;
                 }
@@ -271,7 +271,7 @@
             return;
         }
         let takes = if vm.way == Way::Silent {
-            self.pace.patience
+            self.timing.timeout
         } else {
             ANSWER
         };
--- a/crates/relay/tests/all/paces.rs
+++ b/crates/relay/tests/all/timings.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use pimento_relay::config::Bounds;
-use pimento_relay::paces::Error;
-use pimento_relay::paces::Paces;
+use pimento_relay::timings::Error;
+use pimento_relay::timings::Timings;
 
 use crate::fixture::bounds;
 
@@ -35,11 +35,17 @@
 #[test]
 fn a_leaving_endpoint_is_known_in_time_though_a_read_gets_no_answer() {
     for bounds in grid() {
-        let pace = Paces::try_from(&bounds).unwrap().endpoints;
-        let lost = pace.patience + RETRY + ANSWER;
-        assert!(pace.trust + lost <= bounds.leaving + ANSWER, "{bounds:?}");
-        assert!(pace.alone.pause + lost <= bounds.leaving, "{bounds:?}");
-        assert!(pace.leading.pause + lost <= pace.trust, "{bounds:?}");
+        let timing = Timings::try_from(&bounds).unwrap().endpoints;
+        let lost = timing.timeout + RETRY + ANSWER;
+        assert!(
+            timing.max_proof_age + lost <= bounds.leaving + ANSWER,
+            "{bounds:?}"
+        );
+        assert!(timing.alone.pause + lost <= bounds.leaving, "{bounds:?}");
+        assert!(
+            timing.leading.pause + lost <= timing.max_proof_age,
+            "{bounds:?}"
+        );
     }
 }
 
@@ -48,13 +54,16 @@
 #[test]
 fn a_change_is_known_in_time_though_a_read_gets_no_answer() {
     for bounds in grid() {
-        let pace = Paces::try_from(&bounds).unwrap().operators;
-        let lost = pace.patience * 2 + RETRY;
-        assert!(pace.alone.wait + lost <= bounds.apply, "{bounds:?}");
+        let timing = Timings::try_from(&bounds).unwrap().operators;
+        let lost = timing.timeout * 2 + RETRY;
+        assert!(timing.alone.wait + lost <= bounds.apply, "{bounds:?}");
         if let Some(revoke) = bounds.revoke {
             let ready = revoke.mul_f64(READY);
-            assert!(pace.trust + pace.patience + RETRY <= ready, "{bounds:?}");
-            assert!(pace.alone.wait * 2 + lost <= ready, "{bounds:?}");
+            assert!(
+                timing.max_proof_age + timing.timeout + RETRY <= ready,
+                "{bounds:?}"
+            );
+            assert!(timing.alone.wait * 2 + lost <= ready, "{bounds:?}");
         }
     }
 }
@@ -62,23 +71,23 @@
 // Guards against paying for reads that a longer bound does not ask for.
 #[test]
 fn longer_bounds_are_read_for_less_often() {
-    let short = Paces::try_from(&bounds(2_000, 2_000, Some(5_000))).unwrap();
-    let long = Paces::try_from(&bounds(4_000, 4_000, Some(5_000))).unwrap();
+    let short = Timings::try_from(&bounds(2_000, 2_000, Some(5_000))).unwrap();
+    let long = Timings::try_from(&bounds(4_000, 4_000, Some(5_000))).unwrap();
     assert_eq!(
         long.endpoints.leading.pause,
         short.endpoints.leading.pause * 2
     );
-    let longest = Paces::try_from(&bounds(60_000, 60_000, None)).unwrap();
+    let longest = Timings::try_from(&bounds(60_000, 60_000, None)).unwrap();
     assert_eq!(longest.endpoints, long.endpoints);
 }
 
 // Guards against a system that starts with bounds which it then breaks.
 #[test]
 fn bounds_that_cannot_be_held_are_refused() {
-    let leaving = Paces::try_from(&bounds(500, 2_000, None));
+    let leaving = Timings::try_from(&bounds(500, 2_000, None));
     assert!(matches!(leaving, Err(Error::Leaving { .. })));
-    let change = Paces::try_from(&bounds(2_000, 900, None));
+    let change = Timings::try_from(&bounds(2_000, 900, None));
     assert!(matches!(change, Err(Error::Change { .. })));
-    let revoke = Paces::try_from(&bounds(2_000, 2_000, Some(2_000)));
+    let revoke = Timings::try_from(&bounds(2_000, 2_000, Some(2_000)));
     assert!(matches!(revoke, Err(Error::Change { .. })));
 }
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -4,8 +4,8 @@
 
 use pimento_relay::boot;
 use pimento_relay::follow::Lead;
-use pimento_relay::follow::Pace;
 use pimento_relay::follow::Proof;
+use pimento_relay::follow::Timing;
 use pimento_relay::zone::Failure;
 use pimento_relay::zone::Reach;
 use pimento_relay::zone::Stamp;
@@ -14,15 +14,15 @@
 use pimento_units::Moment;
 
 use crate::fixture::Fixture;
-use crate::fixture::PACE;
 use crate::fixture::PATIENCE;
 use crate::fixture::QUICK;
+use crate::fixture::TIMING;
 use crate::log::Mood;
 
 /// A proof is trusted for so short a time that the VM has to read by itself.
-const DISTRUSTING: Pace = Pace {
-    trust: Duration::from_millis(50),
-    ..PACE
+const DISTRUSTING: Timing = Timing {
+    max_proof_age: Duration::from_millis(50),
+    ..TIMING
 };
 
 /// VMs of the zone, so many that a turn comes once in a dozen seconds.
