--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -12,9 +12,9 @@
 
 use crate::codec::Codec;
 use crate::endpoint::Entry;
+use crate::follow::Connectivity;
 use crate::follow::Fold;
-use crate::follow::Told;
-use crate::follow::Touch;
+use crate::follow::RecordContext;
 use crate::topic::Record;
 
 /// How long after the log's return an entry that vanished may still come back: endpoints renew
@@ -117,12 +117,12 @@
         }
     }
 
-    fn remove(&mut self, id: &id::Endpoint, told: Told) {
+    fn remove(&mut self, id: &id::Endpoint, context: RecordContext) {
         let Ok(place) = self.members.binary_search_by(|m| m.entry.id.cmp(id)) else {
             return;
         };
         let renewal = self.regained.map(|regained| regained + RENEWAL);
-        match renewal.filter(|until| told.at < *until) {
+        match renewal.filter(|until| context.received < *until) {
             Some(until) if !self.members[place].entry.leaving => {
                 log::info!(
                     endpoint = id.as_str();
@@ -147,13 +147,13 @@
 }
 
 impl<C: Codec> Fold for Directory<C> {
-    fn apply(&mut self, record: &Record, told: Told) -> bool {
+    fn apply(&mut self, record: &Record, context: RecordContext) -> bool {
         let Ok(id) = record.key.parse::<id::Endpoint>() else {
             log::warn!("directory: {:?} names no endpoint.", record.key);
             return false;
         };
         let Some(value) = &record.value else {
-            self.remove(&id, told);
+            self.remove(&id, context);
             return true;
         };
         match self.codec.endpoint(&record.key, value) {
@@ -171,10 +171,10 @@
         }
     }
 
-    fn touch(&mut self, touch: Touch) {
-        match touch {
-            Touch::Lost => self.lost = true,
-            Touch::Regained(at) => {
+    fn connectivity_changed(&mut self, connectivity: Connectivity) {
+        match connectivity {
+            Connectivity::Lost => self.lost = true,
+            Connectivity::Restored(at) => {
                 if self.lost {
                     self.regained = Some(at);
                 }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -31,9 +31,9 @@
 use tokio_util::sync::CancellationToken;
 
 pub use self::exchange::Tally;
+pub use self::fold::Connectivity;
 pub use self::fold::Fold;
-pub use self::fold::Told;
-pub use self::fold::Touch;
+pub use self::fold::RecordContext;
 use self::timing::AT_ONCE;
 use self::timing::LED_PAUSE;
 pub use self::timing::Lead;
@@ -386,7 +386,7 @@
     #[must_use]
     pub fn reads(&self) -> bool {
         let reads = *self.zone.lead.borrow() != Lead::Led || !self.trusts();
-        reads && self.lock().touch.is_some()
+        reads && self.lock().connected_since.is_some()
     }
 
     /// Whether what another VM proved is young enough.
@@ -424,9 +424,9 @@
 
     /// Notes that a read was answered, here or at a VM that vouches for this one.
     fn regain(&self, inner: &mut View<F>, now: Moment) {
-        if inner.touch.is_none() {
-            inner.touch = Some(now);
-            inner.fold.touch(Touch::Regained(now));
+        if inner.connected_since.is_none() {
+            inner.connected_since = Some(now);
+            inner.fold.connectivity_changed(Connectivity::Restored(now));
             log::info!(topic = self.topic.as_str(); "follower: The log is in touch.");
         }
     }
@@ -444,8 +444,8 @@
         let silent = inner
             .proven
             .is_none_or(|proven| now.since(proven) > OUT_OF_TOUCH + usual);
-        if silent && inner.touch.take().is_some() {
-            inner.fold.touch(Touch::Lost);
+        if silent && inner.connected_since.take().is_some() {
+            inner.fold.connectivity_changed(Connectivity::Lost);
             log::warn!(topic = self.topic.as_str(); "follower: The log is out of touch.");
         }
     }
--- a/crates/relay/src/follow/fold.rs
+++ b/crates/relay/src/follow/fold.rs
@@ -8,29 +8,29 @@
 pub trait Fold: Send + 'static {
     /// Takes a record that is newer than all others seen of its key. Whether the view changed in a
     /// way that others must hear of soon.
-    fn apply(&mut self, record: &Record, told: Told) -> bool;
+    fn apply(&mut self, record: &Record, context: RecordContext) -> bool;
 
     /// The follower lost touch with the log for so long that what it knows may be out of date, or
     /// is in touch again.
-    fn touch(&mut self, _touch: Touch) {}
+    fn connectivity_changed(&mut self, _connectivity: Connectivity) {}
 }
 
 /// How a record came to be known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
+pub struct RecordContext {
     /// When.
-    pub at: Moment,
+    pub received: Moment,
     /// Since when reads have been answered without a long break.
-    pub touch: Moment,
+    pub connected_since: Moment,
     /// Whether it was there when the topic was first read.
-    pub first: bool,
+    pub initial: bool,
 }
 
 /// Whether reads are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Touch {
+pub enum Connectivity {
     /// Not any more.
     Lost,
     /// Again, since this moment.
-    Regained(Moment),
+    Restored(Moment),
 }
--- a/crates/relay/src/follow/view.rs
+++ b/crates/relay/src/follow/view.rs
@@ -7,8 +7,8 @@
 
 use super::Fold;
 use super::Proof;
+use super::RecordContext;
 use super::Tally;
-use super::Told;
 use crate::recent;
 use crate::recent::Recent;
 use crate::snapshot::Snapshot;
@@ -67,7 +67,7 @@
     /// Other VMs' stamps that had come by then.
     pub stamps: Vec<Stamp>,
     /// Since when reads are answered; none while they are not.
-    pub touch: Option<Moment>,
+    pub connected_since: Option<Moment>,
 }
 
 impl<F: Fold> View<F> {
@@ -90,7 +90,7 @@
             tally: Tally::default(),
             proven: None,
             stamps: Vec::new(),
-            touch: None,
+            connected_since: None,
         }
     }
 
@@ -102,12 +102,12 @@
             Ok(place) => self.seen[place].1 = record.offset,
             Err(place) => self.seen.insert(place, (record.key.clone(), record.offset)),
         }
-        let told = Told {
-            at: now,
-            touch: self.touch.unwrap_or(now),
-            first: self.proven.is_none(),
+        let context = RecordContext {
+            received: now,
+            connected_since: self.connected_since.unwrap_or(now),
+            initial: self.proven.is_none(),
         };
-        let changed = self.fold.apply(record, told);
+        let changed = self.fold.apply(record, context);
         if changed {
             self.changed = self.changed.max(record.offset.next());
             self.recent.push(record);
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -10,7 +10,7 @@
 use crate::codec::Operator;
 use crate::codec::Rollout;
 use crate::follow::Fold;
-use crate::follow::Told;
+use crate::follow::RecordContext;
 use crate::node::millis;
 use crate::table::Table;
 use crate::topic::Record;
@@ -70,7 +70,7 @@
 }
 
 impl<C: Codec> Fold for Operators<C> {
-    fn apply(&mut self, record: &Record, told: Told) -> bool {
+    fn apply(&mut self, record: &Record, context: RecordContext) -> bool {
         let Some(value) = &record.value else {
             log::warn!("operators: {} was dropped, what it said holds.", record.key);
             return false;
@@ -100,8 +100,8 @@
                 self.order(Order {
                     rollout,
                     offset: record.offset,
-                    read: told.at,
-                    first: told.first,
+                    read: context.received,
+                    first: context.initial,
                 });
             }
             Ok(Operator::Other) => {}
--- a/crates/relay/src/poison/bars.rs
+++ b/crates/relay/src/poison/bars.rs
@@ -7,7 +7,7 @@
 use pimento_units::Moment;
 
 use crate::follow::Fold;
-use crate::follow::Told;
+use crate::follow::RecordContext;
 use crate::topic::Record;
 
 /// A barred request.
@@ -64,7 +64,7 @@
 }
 
 impl Fold for Bars {
-    fn apply(&mut self, record: &Record, told: Told) -> bool {
+    fn apply(&mut self, record: &Record, context: RecordContext) -> bool {
         let Ok(digest) = record.key.parse::<Digest>() else {
             log::warn!("poison: {:?} is no digest.", record.key);
             return false;
@@ -90,7 +90,7 @@
             digest:%;
             "poison: A bar is on the log."
         );
-        let until = told.at + lasts;
+        let until = context.received + lasts;
         match place {
             Ok(place) => self.bars[place].until = until,
             Err(place) => self.bars.insert(place, Bar { digest, until }),
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -34,8 +34,8 @@
 use crate::follow::Fold;
 use crate::follow::Follower;
 use crate::follow::Polling;
+use crate::follow::RecordContext;
 use crate::follow::Timing;
-use crate::follow::Told;
 use crate::node::Node;
 use crate::operators::Order;
 use crate::pools;
@@ -82,7 +82,7 @@
 }
 
 impl Fold for Words {
-    fn apply(&mut self, record: &Record, _: Told) -> bool {
+    fn apply(&mut self, record: &Record, _: RecordContext) -> bool {
         self.news.extend(fleet::read(record));
         true
     }
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -7,13 +7,13 @@
 use pimento_relay::config::Bounds;
 use pimento_relay::config::Exposure;
 use pimento_relay::config::Retry;
+use pimento_relay::follow::Connectivity;
 use pimento_relay::follow::Fold;
 use pimento_relay::follow::Follower;
 use pimento_relay::follow::Lead;
 use pimento_relay::follow::Polling;
+use pimento_relay::follow::RecordContext;
 use pimento_relay::follow::Timing;
-use pimento_relay::follow::Told;
-use pimento_relay::follow::Touch;
 use pimento_relay::topic::Record;
 use pimento_relay::topic::Topic;
 use pimento_relay::zone::Zone;
@@ -39,16 +39,16 @@
 
 /// Keeps all records, what was known when each came, and how often touch was lost.
 #[derive(Debug, Default)]
-pub struct All(pub Vec<(CompactString, Offset, Told)>, pub usize);
+pub struct All(pub Vec<(CompactString, Offset, RecordContext)>, pub usize);
 
 impl Fold for All {
-    fn apply(&mut self, record: &Record, told: Told) -> bool {
-        self.0.push((record.key.clone(), record.offset, told));
+    fn apply(&mut self, record: &Record, context: RecordContext) -> bool {
+        self.0.push((record.key.clone(), record.offset, context));
         true
     }
 
-    fn touch(&mut self, touch: Touch) {
-        self.1 += usize::from(touch == Touch::Lost);
+    fn connectivity_changed(&mut self, connectivity: Connectivity) {
+        self.1 += usize::from(connectivity == Connectivity::Lost);
     }
 }
 
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -149,10 +149,10 @@
         stamp: boot::now(),
     });
     fixture.until("a ended", |f| f.keys().len() == 2).await;
-    let touch = fixture.follower.view(|all| all.0[1].2.touch);
+    let connected_since = fixture.follower.view(|all| all.0[1].2.connected_since);
     assert!(
-        touch <= vouched,
-        "in touch since {touch}, vouched {vouched}"
+        connected_since <= vouched,
+        "in touch since {connected_since}, vouched {vouched}"
     );
 }
 
