--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -42,7 +42,7 @@
 pub use self::timing::Timing;
 pub use self::timing::answer_timeout;
 pub use self::timing::max_backoff;
-pub use self::view::Part;
+pub use self::view::RecordRange;
 pub use self::view::View;
 use crate::boot;
 use crate::calls::Calls;
@@ -218,8 +218,8 @@
 
     /// Takes records of another VM. They wait until the view holds all before them; if what lacks does
     /// not come, the next word of that VM makes this one read.
-    pub fn hand(&self, part: Part) {
-        let changed = self.lock().hand(part, boot::now());
+    pub fn receive(&self, range: RecordRange) {
+        let changed = self.lock().receive(range, boot::now());
         if changed {
             self.changed.send_modify(|count| *count += 1);
         }
@@ -227,7 +227,7 @@
 
     /// Another VM read up to the end after it had this VM's stamp. If nothing that this VM has not
     /// read changed the view, that proves its own; otherwise it reads at once.
-    pub fn vouch(&self, proof: Proof) {
+    pub fn receive_proof(&self, proof: Proof) {
         // A stamp of an earlier life may be in use still, and after a restart of the VM it is one of
         // a time to come: the view would seem young until then.
         let possible = self.began <= proof.stamp && proof.stamp <= boot::now();
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -99,9 +99,9 @@
         let answer = passage::fetch(reader, self.topic, next, &exchange.progress);
         let timeout = self.timing.timeout;
         let problem = match self.wait(&exchange, answer, timeout, timeout).await {
-            Ok(Ok(part)) => {
+            Ok(Ok(range)) => {
                 exchange.answered();
-                self.hand(part);
+                self.receive(range);
                 None
             }
             Ok(Err(error)) => Some(error.to_string()),
--- a/crates/relay/src/follow/view.rs
+++ b/crates/relay/src/follow/view.rs
@@ -22,7 +22,7 @@
 
 /// Records of another VM: all that change the view between two offsets.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct RecordRange {
     /// The first offset.
     pub from: Offset,
     /// The offset after the last.
@@ -47,7 +47,7 @@
     /// The newest of each key that has a value, sorted by key: what a VM that starts needs.
     pub newest: Vec<Record>,
     /// Parts that came before those that go first, sorted by where they begin.
-    ahead: Vec<Part>,
+    ahead: Vec<RecordRange>,
     /// The offset up to which another VM knows of changes.
     wanted: Offset,
     /// When that was heard first.
@@ -158,29 +158,29 @@
         changed
     }
 
-    /// Takes a part once the view holds all before it; whether the view changed. Datagrams overtake each
+    /// Takes a range once the view holds all before it; whether the view changed. Datagrams overtake each
     /// other within milliseconds. Without keeping those that came early, each VM of a zone read the log
     /// for itself when some dozen endpoints registered at once.
-    pub fn hand(&mut self, part: Part, now: Moment) -> bool {
-        let place = self.ahead.partition_point(|known| known.from <= part.from);
-        self.ahead.insert(place, part);
+    pub fn receive(&mut self, range: RecordRange, now: Moment) -> bool {
+        let place = self.ahead.partition_point(|known| known.from <= range.from);
+        self.ahead.insert(place, range);
         let mut changed = false;
-        while let Some(part) = self.fitting() {
-            for record in &part.records {
+        while let Some(range) = self.fitting() {
+            for record in &range.records {
                 changed |= self.apply(record, now);
             }
-            self.reach(part.to);
+            self.reach(range.to);
         }
         let next = self.next;
-        self.ahead.retain(|part| Some(part.to) > next);
+        self.ahead.retain(|range| Some(range.to) > next);
         self.ahead.truncate(AHEAD);
         changed
     }
 
-    /// A part that goes on where the view ends.
-    fn fitting(&mut self) -> Option<Part> {
+    /// A range that goes on where the view ends.
+    fn fitting(&mut self) -> Option<RecordRange> {
         let next = self.next?;
-        let fits = |part: &Part| part.from <= next && next < part.to;
+        let fits = |range: &RecordRange| range.from <= next && next < range.to;
         let place = self.ahead.iter().position(fits)?;
         Some(self.ahead.remove(place))
     }
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -43,7 +43,7 @@
 use crate::border::Border;
 use crate::codec::Codec;
 use crate::follow::Lead;
-use crate::follow::Part;
+use crate::follow::RecordRange;
 use crate::node::Node;
 use crate::passage::Passage;
 use crate::passage::Shared;
@@ -268,11 +268,11 @@
             topic, from, to, ..
         } = *passage;
         let records = passage.records();
-        let part = Part { from, to, records };
+        let range = RecordRange { from, to, records };
         match topic {
-            Shared::Operators => self.node.operators.hand(part),
-            Shared::Endpoints => self.node.directory.hand(part),
-            Shared::Poison => self.node.bars.hand(part),
+            Shared::Operators => self.node.operators.receive(range),
+            Shared::Endpoints => self.node.directory.receive(range),
+            Shared::Poison => self.node.bars.receive(range),
         }
     }
 
@@ -284,13 +284,13 @@
     /// What another VM read proves to this one.
     fn vouch(&self, proofs: Proofs) {
         if let Some(proof) = proofs.operators {
-            self.node.operators.vouch(message::read(proof));
+            self.node.operators.receive_proof(message::read(proof));
         }
         if let Some(proof) = proofs.endpoints {
-            self.node.directory.vouch(message::read(proof));
+            self.node.directory.receive_proof(message::read(proof));
         }
         if let Some(proof) = proofs.poison {
-            self.node.bars.vouch(message::read(proof));
+            self.node.bars.receive_proof(message::read(proof));
         }
     }
 
--- a/crates/relay/src/passage.rs
+++ b/crates/relay/src/passage.rs
@@ -31,7 +31,7 @@
 
 use crate::call::Connection;
 use crate::call::Message;
-use crate::follow::Part;
+use crate::follow::RecordRange;
 use crate::topic::Record;
 use crate::topic::Topic;
 
@@ -218,7 +218,7 @@
     topic: Topic,
     from: Offset,
     progress: &Progress,
-) -> Result<Part, Error> {
+) -> Result<RecordRange, Error> {
     let path = format!("{PATH}{}/{from}", topic.as_str());
     let passage = Passage::unpack(&get(address, path, progress).await?)?;
     let Passage {
@@ -228,7 +228,7 @@
         return Err(Error::Elsewhere { from: begins });
     }
     let records = passage.records();
-    Ok(Part { from, to, records })
+    Ok(RecordRange { from, to, records })
 }
 
 /// What another VM answers at a path. `progress` counts what comes of it.
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -5,8 +5,8 @@
 use pimento_relay::boot;
 use pimento_relay::calls::Reason;
 use pimento_relay::follow::Lead;
-use pimento_relay::follow::Part;
 use pimento_relay::follow::Proof;
+use pimento_relay::follow::RecordRange;
 use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
 use pimento_relay::zone::Stamp;
@@ -82,7 +82,7 @@
     let calls = fixture.log.calls();
     let stamp = boot::now();
     tokio::time::sleep(Duration::from_millis(50)).await;
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp,
     });
@@ -99,7 +99,7 @@
     let before = fixture.follower.proven();
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp,
     });
@@ -115,7 +115,7 @@
     fixture.led().await;
     let before = fixture.follower.proven();
     for stamp in [boot::now() + PATIENCE, Moment::ZERO] {
-        fixture.follower.vouch(Proof {
+        fixture.follower.receive_proof(Proof {
             changed: Offset::default(),
             stamp,
         });
@@ -137,14 +137,14 @@
     fixture.zone.lead.send_replace(Lead::Led);
     fixture.log.set(Mood::Well);
     let back = boot::now();
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: back,
     });
     let vouched = boot::now();
     tokio::time::sleep(Duration::from_millis(300)).await;
     let next = fixture.log.put("a", None);
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
@@ -179,8 +179,8 @@
     (parts.expect("all records are kept"), to)
 }
 
-const fn part(from: Offset, to: Offset, records: Vec<Record>) -> Part {
-    Part { from, to, records }
+const fn range(from: Offset, to: Offset, records: Vec<Record>) -> RecordRange {
+    RecordRange { from, to, records }
 }
 
 // Dozens of endpoints register at once, and their records take several datagrams, which overtake each
@@ -205,22 +205,22 @@
         changed: to,
         stamp: boot::now(),
     };
-    own.follower.vouch(word);
+    own.follower.receive_proof(word);
     let mut begins = from;
     let mut sent = Vec::new();
     for records in parts {
         let ends = records.last().map_or(to, |record| record.offset.next());
-        sent.push(part(begins, ends, records));
+        sent.push(range(begins, ends, records));
         begins = ends;
     }
-    for part in sent.into_iter().rev() {
-        own.follower.hand(part);
+    for range in sent.into_iter().rev() {
+        own.follower.receive(range);
     }
     assert_eq!(own.keys(), keys);
     // The word is looked at again once what came beside it had its time.
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(own.log.calls(), calls);
-    own.follower.vouch(word);
+    own.follower.receive_proof(word);
     assert_eq!(own.follower.proven(), Some(word.stamp));
 }
 
@@ -242,8 +242,8 @@
     other.log.put("a", None);
     other.until("three", |f| f.keys() == ["a", "b", "a"]).await;
     let (parts, to) = handed(&other, from);
-    own.follower.hand(part(from, to, parts.concat()));
-    own.follower.vouch(Proof { changed: to, stamp });
+    own.follower.receive(range(from, to, parts.concat()));
+    own.follower.receive_proof(Proof { changed: to, stamp });
     assert_eq!(own.keys(), ["a", "b", "a"]);
     assert_eq!(own.follower.proven(), Some(stamp));
     assert_eq!(own.log.calls(), calls);
@@ -263,9 +263,9 @@
         value: Some(bytes::Bytes::from_static(b"1")),
     };
     let to = own.log.put("d", Some("1"));
-    own.follower.hand(part(from, to, vec![record]));
+    own.follower.receive(range(from, to, vec![record]));
     assert!(own.keys().is_empty());
-    own.follower.vouch(Proof {
+    own.follower.receive_proof(Proof {
         changed: to,
         stamp: boot::now(),
     });
@@ -288,7 +288,7 @@
     own.led().await;
     let before = own.keys();
     let (parts, to) = handed(&other, Offset(0));
-    own.follower.hand(part(Offset(0), to, parts.concat()));
+    own.follower.receive(range(Offset(0), to, parts.concat()));
     assert_eq!(own.keys(), before);
     assert_eq!(own.follower.next(), Some(Offset(2)));
 }
@@ -325,7 +325,7 @@
     fixture.log.set(Mood::Down);
     let calls = fixture.log.calls();
     for _ in 0..100 {
-        fixture.follower.vouch(Proof {
+        fixture.follower.receive_proof(Proof {
             changed: next,
             stamp: boot::now(),
         });
@@ -350,7 +350,7 @@
     fixture.led().await;
     fixture.log.set(Mood::Down);
     for _ in 0..4 {
-        fixture.follower.vouch(Proof {
+        fixture.follower.receive_proof(Proof {
             changed: Offset::default(),
             stamp: boot::now(),
         });
@@ -370,7 +370,7 @@
     let next = fixture.log.put("a", Some("1"));
     fixture.log.set(Mood::Down);
     let calls = fixture.log.calls();
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
@@ -387,7 +387,7 @@
     let fixture = Fixture::new();
     fixture.led().await;
     let next = fixture.log.put("a", Some("1"));
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
@@ -415,9 +415,9 @@
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
     let changed = next;
-    fixture.follower.vouch(Proof { changed, stamp });
+    fixture.follower.receive_proof(Proof { changed, stamp });
     assert!(fixture.follower.proven() < Some(stamp));
-    fixture.follower.hand(Part {
+    fixture.follower.receive(RecordRange {
         from,
         to: next,
         records: vec![Record {
@@ -446,7 +446,7 @@
     let mut begins = from;
     for records in parts {
         let ends = records.last().unwrap().offset.next();
-        own.follower.hand(part(begins, ends, records));
+        own.follower.receive(range(begins, ends, records));
         begins = ends;
     }
     assert_eq!(own.follower.next(), Some(to));
--- a/crates/relay/tests/all/large.rs
+++ b/crates/relay/tests/all/large.rs
@@ -56,7 +56,7 @@
 async fn word_of_records_that_do_not_exist_is_dropped() {
     let fixture = Fixture::new();
     fixture.led().await;
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: Offset(1_000),
         stamp: boot::now(),
     });
@@ -80,7 +80,7 @@
     let next = fixture.log.put("a", Some("1"));
     let told = boot::now();
     for _ in 0..3 {
-        fixture.follower.vouch(Proof {
+        fixture.follower.receive_proof(Proof {
             changed: next,
             stamp: boot::now(),
         });
@@ -145,7 +145,7 @@
     fixture.led().await;
     fixture.log.set(Mood::Busy(TIMING.timeout * 3));
     let next = fixture.log.put("a", Some("1"));
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -58,7 +58,7 @@
     // The one that goes on trying tells that the log is back, which ends the waiting.
     fixture.log.set(Mood::Well);
     let stamp = boot::now();
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp,
     });
@@ -112,7 +112,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let next = fixture.log.put("a", Some("1"));
     fixture.zone.set_state(State::default());
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
