--- a/crates/relay/src/passage.rs
+++ b/crates/relay/src/bundle.rs
@@ -35,19 +35,19 @@
 use crate::topic::Record;
 use crate::topic::Topic;
 
-/// The most bytes that a passage may unpack to, as the log's own answers: a few bytes that unpack without
+/// The most bytes that a bundle may unpack to, as the log's own answers: a few bytes that unpack without
 /// end would fill a small VM's memory.
 const LARGEST: u64 = 16 << 20;
 
 /// How long a connection to a VM of the same zone may take to be made.
 const CONNECT: Duration = Duration::from_millis(200);
 
-/// Where passages are asked for; the topic's name and the offset follow.
+/// Where bundles are asked for; the topic's name and the offset follow.
 pub const PATH: &str = "/records/";
 
 /// A topic that one VM of a zone reads for the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shared {
+pub enum SharedTopic {
     /// The operators' records.
     Operators,
     /// The endpoints' records.
@@ -56,10 +56,10 @@
     Poison,
 }
 
-impl Shared {
+impl SharedTopic {
     /// The topic of this name; none if it is not read for others.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         let all = [Self::Operators, Self::Endpoints, Self::Poison];
         all.into_iter()
             .find(|shared| shared.topic().as_str() == name)
@@ -76,7 +76,7 @@
     }
 }
 
-impl TryFrom<Topic> for Shared {
+impl TryFrom<Topic> for SharedTopic {
     type Error = Topic;
 
     fn try_from(topic: Topic) -> Result<Self, Topic> {
@@ -91,9 +91,9 @@
 
 /// All records between two offsets of a topic that changed the teller's view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Passage {
+pub struct Bundle {
     /// The topic.
-    pub topic: Shared,
+    pub topic: SharedTopic,
     /// Whoever has all records before this one can take them.
     pub from: Offset,
     /// The offset up to which these are all.
@@ -102,15 +102,20 @@
     pub records: Vec<(Offset, CompactString, Option<Bytes>)>,
 }
 
-impl Passage {
+impl Bundle {
     /// Passages of records that come in parts, up to an offset.
     #[must_use]
-    pub fn list(topic: Shared, from: Offset, parts: Vec<Vec<Record>>, to: Offset) -> Vec<Self> {
+    pub fn from_chunks(
+        topic: SharedTopic,
+        from: Offset,
+        parts: Vec<Vec<Record>>,
+        to: Offset,
+    ) -> Vec<Self> {
         let count = parts.len();
         let mut begins = from;
-        let passages = parts.into_iter().enumerate().map(|(place, records)| {
+        let bundles = parts.into_iter().enumerate().map(|(place, records)| {
             let ends = records.last().map_or(begins, |last| last.offset.next());
-            let passage = Self {
+            let bundle = Self {
                 topic,
                 from: begins,
                 to: if place + 1 == count { to } else { ends },
@@ -119,10 +124,10 @@
                     .map(|r| (r.offset, r.key, r.value))
                     .collect(),
             };
-            begins = passage.to;
-            passage
+            begins = bundle.to;
+            bundle
         });
-        passages.collect()
+        bundles.collect()
     }
 
     /// The records.
@@ -138,7 +143,7 @@
     }
 }
 
-/// Why a passage could not be had from another VM.
+/// Why a bundle could not be had from another VM.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The VM did not answer, or broke off.
@@ -155,7 +160,7 @@
     },
     /// The VM does not have what was asked for.
     #[snafu(display("status {status}"))]
-    Missing {
+    Status {
         /// What it answered.
         status: StatusCode,
     },
@@ -164,46 +169,46 @@
     TooLarge,
     /// What came can't be unpacked.
     #[snafu(display("{source}"))]
-    Packed {
+    Compression {
         /// Why.
         source: io::Error,
     },
-    /// What was unpacked is no passage.
+    /// What was unpacked is no bundle.
     #[snafu(display("{source}"))]
     Unreadable {
         /// Why.
         source: postcard::Error,
     },
-    /// The passage is of another place than was asked for.
+    /// The bundle is of another place than was asked for.
     #[snafu(display("it begins at {from}"))]
-    Elsewhere {
+    WrongStart {
         /// Where it begins.
         from: Offset,
     },
 }
 
-impl Passage {
-    /// The passage as it goes over a connection.
+impl Bundle {
+    /// The bundle as it goes over a connection.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreadable`] or [`Error::Packed`].
+    /// [`Error::Unreadable`] or [`Error::Compression`].
     pub fn pack(&self) -> Result<Bytes, Error> {
         let bytes = postcard::to_stdvec(self).context(UnreadableSnafu)?;
         let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
-        packer.write_all(&bytes).context(PackedSnafu)?;
-        Ok(packer.finish().context(PackedSnafu)?.into())
+        packer.write_all(&bytes).context(CompressionSnafu)?;
+        Ok(packer.finish().context(CompressionSnafu)?.into())
     }
 
-    /// The passage that was packed.
+    /// The bundle that was packed.
     ///
     /// # Errors
     ///
-    /// [`Error::Packed`] or [`Error::Unreadable`].
+    /// [`Error::Compression`] or [`Error::Unreadable`].
     pub fn unpack(packed: &[u8]) -> Result<Self, Error> {
         let mut bytes = Vec::new();
         let mut unpacked = DeflateDecoder::new(packed).take(LARGEST);
-        unpacked.read_to_end(&mut bytes).context(PackedSnafu)?;
+        unpacked.read_to_end(&mut bytes).context(CompressionSnafu)?;
         postcard::from_bytes(&bytes).context(UnreadableSnafu)
     }
 }
@@ -220,14 +225,14 @@
     progress: &Progress,
 ) -> Result<RecordRange, Error> {
     let path = format!("{PATH}{}/{from}", topic.as_str());
-    let passage = Passage::unpack(&get(address, path, progress).await?)?;
-    let Passage {
+    let bundle = Bundle::unpack(&get(address, path, progress).await?)?;
+    let Bundle {
         from: begins, to, ..
-    } = passage;
+    } = bundle;
     if begins != from {
-        return Err(Error::Elsewhere { from: begins });
+        return Err(Error::WrongStart { from: begins });
     }
-    let records = passage.records();
+    let records = bundle.records();
     Ok(RecordRange { from, to, records })
 }
 
@@ -250,7 +255,7 @@
     let mut call = call.map_err(|fault| Error::Call { fault })?;
     if call.head.status != StatusCode::OK {
         let status = call.head.status;
-        return Err(Error::Missing { status });
+        return Err(Error::Status { status });
     }
     let mut packed = Vec::new();
     while let Some(piece) = call
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -11,8 +11,8 @@
 use super::exchange::Exchange;
 use super::exchange::Failure;
 use super::timing::answer_timeout;
+use crate::bundle;
 use crate::calls::Reason;
-use crate::passage;
 use crate::topic::Batch;
 use crate::topic::Error;
 use crate::topic::Log;
@@ -96,7 +96,7 @@
             return false;
         };
         let exchange = Exchange::new(self.topic);
-        let answer = passage::fetch(reader, self.topic, next, &exchange.progress);
+        let answer = bundle::fetch(reader, self.topic, next, &exchange.progress);
         let timeout = self.timing.timeout;
         let problem = match self.wait(&exchange, answer, timeout, timeout).await {
             Ok(Ok(range)) => {
--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -8,8 +8,8 @@
 use super::Follower;
 use super::exchange::Exchange;
 use crate::boot;
+use crate::bundle::SharedTopic;
 use crate::node::millis;
-use crate::passage::Shared;
 use crate::snapshot;
 use crate::snapshot::Snapshot;
 use crate::topic::Log;
@@ -21,7 +21,8 @@
 impl<F: Fold, L: Log> Follower<F, L> {
     /// Takes the view of the VM that reads for this one; false if the log must be read.
     pub(super) async fn take_snapshot(&self) -> bool {
-        let (Some(reader), Ok(topic)) = (self.zone.reader(), Shared::try_from(self.topic)) else {
+        let (Some(reader), Ok(topic)) = (self.zone.reader(), SharedTopic::try_from(self.topic))
+        else {
             return false;
         };
         let exchange = Exchange::new(self.topic);
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -41,12 +41,12 @@
 use self::peers::Standing;
 use crate::boot;
 use crate::border::Border;
+use crate::bundle::Bundle;
+use crate::bundle::SharedTopic;
 use crate::codec::Codec;
 use crate::follow::Lead;
 use crate::follow::RecordRange;
 use crate::node::Node;
-use crate::passage::Passage;
-use crate::passage::Shared;
 use crate::rollouts::announcement::Kept;
 use crate::rollouts::announcement::Said;
 use crate::topic::Log;
@@ -234,8 +234,8 @@
                 node: teller,
                 at: message.stamp,
             });
-            for passage in &message.passages {
-                self.hand(passage);
+            for bundle in &message.passages {
+                self.hand(bundle);
             }
             self.vouch(message.proofs);
             for what in message.rollouts {
@@ -263,16 +263,16 @@
     }
 
     /// Takes records that another VM read.
-    fn hand(&self, passage: &Passage) {
-        let Passage {
+    fn hand(&self, bundle: &Bundle) {
+        let Bundle {
             topic, from, to, ..
-        } = *passage;
-        let records = passage.records();
+        } = *bundle;
+        let records = bundle.records();
         let range = RecordRange { from, to, records };
         match topic {
-            Shared::Operators => self.node.operators.receive(range),
-            Shared::Endpoints => self.node.directory.receive(range),
-            Shared::Poison => self.node.bars.receive(range),
+            SharedTopic::Operators => self.node.operators.receive(range),
+            SharedTopic::Endpoints => self.node.directory.receive(range),
+            SharedTopic::Poison => self.node.bars.receive(range),
         }
     }
 
--- a/crates/relay/src/neighbours/message.rs
+++ b/crates/relay/src/neighbours/message.rs
@@ -11,8 +11,8 @@
 
 use super::limit::Told;
 use super::peers::Standing;
+use crate::bundle::Bundle;
 use crate::follow::Proof;
-use crate::passage::Passage;
 use crate::poison::Word;
 use crate::rollouts::announcement::Announcement;
 use crate::rollouts::announcement::Kept;
@@ -29,7 +29,7 @@
     /// What the teller says of its reads of the log.
     pub standing: Standing,
     /// Records that changed the teller's views of the log. They are taken before the proofs.
-    pub passages: Vec<Passage>,
+    pub passages: Vec<Bundle>,
     /// What the teller's last reads of the log prove to whom it tells this.
     pub proofs: Proofs,
     /// What the teller says of roll-outs, if that is due.
--- a/crates/relay/src/neighbours/news.rs
+++ b/crates/relay/src/neighbours/news.rs
@@ -2,7 +2,7 @@
 
 use super::limit::Told;
 use super::message::Read;
-use crate::passage::Passage;
+use crate::bundle::Bundle;
 use crate::poison::Word;
 use crate::rollouts::announcement::Announcement;
 use crate::rollouts::announcement::Kept;
@@ -32,7 +32,7 @@
     /// Requests under which endpoints ended.
     pub poison: Vec<Word>,
     /// Records of the log.
-    pub passages: Vec<Passage>,
+    pub passages: Vec<Bundle>,
 }
 
 impl News {
@@ -76,5 +76,5 @@
     /// Requests under which endpoints ended.
     pub poison: &'a [Word],
     /// Records of the log.
-    pub passages: &'a [Passage],
+    pub passages: &'a [Bundle],
 }
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -17,20 +17,20 @@
 
 use crate::boot;
 use crate::border::Border;
+use crate::bundle::Bundle;
+use crate::bundle::PATH;
+use crate::bundle::SharedTopic;
 use crate::codec::Codec;
 use crate::node::Node;
-use crate::passage::PATH;
-use crate::passage::Passage;
-use crate::passage::Shared;
 use crate::snapshot;
 use crate::snapshot::Snapshot;
 use crate::topic::Log;
 use crate::topic::Record;
 
-/// A passage that was packed, for the VMs that ask for it next: those of a zone lack the same.
+/// A bundle that was packed, for the VMs that ask for it next: those of a zone lack the same.
 #[derive(Debug, Clone)]
 struct Packed {
-    topic: Shared,
+    topic: SharedTopic,
     from: Offset,
     to: Offset,
     bytes: Bytes,
@@ -70,24 +70,24 @@
 }
 
 /// The topic whose view a path asks for.
-fn view(path: &str) -> Option<Shared> {
-    Shared::named(path.strip_prefix(snapshot::PATH)?)
+fn view(path: &str) -> Option<SharedTopic> {
+    SharedTopic::from_name(path.strip_prefix(snapshot::PATH)?)
 }
 
 /// What a path asks for.
-fn asked(path: &str) -> Option<(Shared, Offset)> {
+fn asked(path: &str) -> Option<(SharedTopic, Offset)> {
     let (topic, from) = path.strip_prefix(PATH)?.split_once('/')?;
-    Some((Shared::named(topic)?, Offset(from.parse().ok()?)))
+    Some((SharedTopic::from_name(topic)?, Offset(from.parse().ok()?)))
 }
 
 impl<P: Border + Codec, L: Log> Records<P, L> {
     /// The view of a topic, for a VM that asks for it now; none if there is none yet.
-    async fn view(&self, topic: Shared) -> Option<Bytes> {
+    async fn view(&self, topic: SharedTopic) -> Option<Bytes> {
         let asked = boot::now();
         let view = match topic {
-            Shared::Operators => self.node.operators.snapshot(asked).await,
-            Shared::Endpoints => self.node.directory.snapshot(asked).await,
-            Shared::Poison => self.node.bars.snapshot(asked).await,
+            SharedTopic::Operators => self.node.operators.snapshot(asked).await,
+            SharedTopic::Endpoints => self.node.directory.snapshot(asked).await,
+            SharedTopic::Poison => self.node.bars.snapshot(asked).await,
         };
         let Snapshot { records, to, age } = view?;
         let packed = self.pack(topic, Offset::default(), records, to)?;
@@ -101,25 +101,31 @@
     }
 
     /// The records from an offset on, packed; none if one is missing here.
-    fn packed(&self, topic: Shared, from: Offset) -> Option<Bytes> {
+    fn packed(&self, topic: SharedTopic, from: Offset) -> Option<Bytes> {
         let (records, to) = match topic {
-            Shared::Operators => self.node.operators.all(from),
-            Shared::Endpoints => self.node.directory.all(from),
-            Shared::Poison => self.node.bars.all(from),
+            SharedTopic::Operators => self.node.operators.all(from),
+            SharedTopic::Endpoints => self.node.directory.all(from),
+            SharedTopic::Poison => self.node.bars.all(from),
         };
         self.pack(topic, from, records?, to)
     }
 
     /// These records, packed.
-    fn pack(&self, topic: Shared, from: Offset, records: Vec<Record>, to: Offset) -> Option<Bytes> {
+    fn pack(
+        &self,
+        topic: SharedTopic,
+        from: Offset,
+        records: Vec<Record>,
+        to: Offset,
+    ) -> Option<Bytes> {
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
         let fits = |packed: &&Packed| (packed.topic, packed.from, packed.to) == (topic, from, to);
         if let Some(packed) = last.as_ref().filter(fits) {
             return Some(packed.bytes.clone());
         }
         let parts = vec![records];
-        let passage = Passage::list(topic, from, parts, to).pop()?;
-        match passage.pack() {
+        let bundle = Bundle::from_chunks(topic, from, parts, to).pop()?;
+        match bundle.pack() {
             Ok(bytes) => {
                 log::info!(
                     topic = topic.topic().as_str(),
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/tell.rs
@@ -15,9 +15,9 @@
 use super::news::News;
 use crate::boot;
 use crate::border::Border;
+use crate::bundle::Bundle;
+use crate::bundle::SharedTopic;
 use crate::codec::Codec;
-use crate::passage::Passage;
-use crate::passage::Shared;
 use crate::rollouts::Rollouts;
 use crate::topic::Log;
 
@@ -59,7 +59,7 @@
 
 impl<P: Border + Codec, L: Log> Neighbours<P, L> {
     /// Records that the zone was not told of yet, if this VM reads for it.
-    fn passages(&self) -> Vec<Passage> {
+    fn passages(&self) -> Vec<Bundle> {
         let told = self.lock().told.take();
         if !self.leads() {
             return Vec::new();
@@ -78,16 +78,16 @@
         }
         // Where records are missing, or too large, the others read by themselves.
         let list = |topic, from, parts: Option<_>, to| {
-            Passage::list(topic, from, parts.unwrap_or_default(), to)
+            Bundle::from_chunks(topic, from, parts.unwrap_or_default(), to)
         };
-        let mut passages = list(Shared::Operators, from.operators, changed, operators);
+        let mut passages = list(SharedTopic::Operators, from.operators, changed, operators);
         passages.extend(list(
-            Shared::Endpoints,
+            SharedTopic::Endpoints,
             from.endpoints,
             registered,
             endpoints,
         ));
-        passages.extend(list(Shared::Poison, from.poison, barred, poison));
+        passages.extend(list(SharedTopic::Poison, from.poison, barred, poison));
         passages
     }
 
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -24,9 +24,9 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-use crate::passage;
-use crate::passage::Passage;
-use crate::passage::Shared;
+use crate::bundle;
+use crate::bundle::Bundle;
+use crate::bundle::SharedTopic;
 use crate::topic::Record;
 
 /// Where snapshots are asked for; the topic's name follows.
@@ -61,7 +61,7 @@
     #[snafu(display("{source}"))]
     Call {
         /// Why.
-        source: passage::Error,
+        source: bundle::Error,
     },
     /// It is cut or altered.
     #[snafu(display("it is not what was sent"))]
@@ -74,21 +74,21 @@
     },
     /// It is of another system.
     #[snafu(display("it is of the deployment {deployment}"))]
-    Foreign {
+    WrongDeployment {
         /// Which.
         deployment: CompactString,
     },
     /// It is of another topic, or does not begin at the topic's first record.
     #[snafu(display("it is of {topic:?} from {from}"))]
-    Elsewhere {
+    WrongContent {
         /// The topic.
-        topic: Shared,
+        topic: SharedTopic,
         /// Where it begins.
         from: Offset,
     },
 }
 
-/// A snapshot as bytes. `packed` is a packed passage that holds all records from the first on.
+/// A snapshot as bytes. `packed` is a packed bundle that holds all records from the first on.
 ///
 /// # Errors
 ///
@@ -110,7 +110,7 @@
 /// # Errors
 ///
 /// Any but [`Error::Call`], except for what can't be unpacked.
-pub fn open(deployment: &str, topic: Shared, sealed: &[u8]) -> Result<Snapshot, Error> {
+pub fn open(deployment: &str, topic: SharedTopic, sealed: &[u8]) -> Result<Snapshot, Error> {
     let (digest, bytes) = sealed.split_at_checked(DIGEST).ok_or(Error::Digest)?;
     if blake3::hash(bytes).as_bytes() != digest {
         return Err(Error::Digest);
@@ -118,16 +118,16 @@
     let envelope: Envelope = postcard::from_bytes(bytes).context(UnreadableSnafu)?;
     if envelope.deployment != deployment {
         let deployment = envelope.deployment;
-        return Err(Error::Foreign { deployment });
+        return Err(Error::WrongDeployment { deployment });
     }
-    let passage = Passage::unpack(&envelope.packed).context(CallSnafu)?;
-    if passage.topic != topic || passage.from != Offset::default() {
-        let Passage { topic, from, .. } = passage;
-        return Err(Error::Elsewhere { topic, from });
+    let bundle = Bundle::unpack(&envelope.packed).context(CallSnafu)?;
+    if bundle.topic != topic || bundle.from != Offset::default() {
+        let Bundle { topic, from, .. } = bundle;
+        return Err(Error::WrongContent { topic, from });
     }
     Ok(Snapshot {
-        records: passage.records(),
-        to: passage.to,
+        records: bundle.records(),
+        to: bundle.to,
         age: envelope.age,
     })
 }
@@ -140,11 +140,11 @@
 pub async fn fetch(
     address: SocketAddr,
     deployment: &str,
-    topic: Shared,
+    topic: SharedTopic,
     progress: &Progress,
 ) -> Result<Snapshot, Error> {
     let path = format!("{PATH}{}", topic.topic().as_str());
-    let sealed = passage::get(address, path, progress).await;
+    let sealed = bundle::get(address, path, progress).await;
     open(deployment, topic, &sealed.context(CallSnafu)?)
 }
 
--- a/crates/relay/tests/all/main.rs
+++ b/crates/relay/tests/all/main.rs
@@ -1,11 +1,11 @@
 //! Tests of the relay's parts over its public surface.
 
+mod bundle;
 mod fixture;
 mod follow;
 mod large;
 mod log;
 mod model;
-mod passage;
 mod peers;
 mod rollouts;
 mod snapshot;
--- a/crates/relay/tests/all/snapshot.rs
+++ b/crates/relay/tests/all/snapshot.rs
@@ -4,9 +4,9 @@
 
 use bytes::Bytes;
 use pimento_relay::boot;
+use pimento_relay::bundle::Bundle;
+use pimento_relay::bundle::SharedTopic;
 use pimento_relay::follow::View;
-use pimento_relay::passage::Passage;
-use pimento_relay::passage::Shared;
 use pimento_relay::snapshot;
 use pimento_relay::snapshot::Error;
 use pimento_relay::snapshot::Snapshot;
@@ -21,37 +21,37 @@
 const HERE: &str = "10.0.0.1:8223";
 const AGE: Duration = Duration::from_millis(70);
 
-fn passage() -> Passage {
-    Passage {
-        topic: Shared::Operators,
+fn bundle() -> Bundle {
+    Bundle {
+        topic: SharedTopic::Operators,
         from: Offset::default(),
         to: Offset(9),
         records: vec![(Offset(3), "config".into(), Some(Bytes::from("routes")))],
     }
 }
 
-fn sealed(passage: &Passage) -> Bytes {
-    snapshot::seal(HERE, AGE, passage.pack().unwrap()).unwrap()
+fn sealed(bundle: &Bundle) -> Bytes {
+    snapshot::seal(HERE, AGE, bundle.pack().unwrap()).unwrap()
 }
 
 #[test]
 fn a_snapshot_comes_back_as_it_was_sealed() {
-    let opened = snapshot::open(HERE, Shared::Operators, &sealed(&passage())).unwrap();
-    assert_eq!(opened.records, passage().records());
+    let opened = snapshot::open(HERE, SharedTopic::Operators, &sealed(&bundle())).unwrap();
+    assert_eq!(opened.records, bundle().records());
     assert_eq!((opened.to, opened.age), (Offset(9), AGE));
 }
 
 // Guards against a VM that starts with a view which was cut off or altered on its way.
 #[test]
 fn a_snapshot_that_was_cut_or_altered_is_refused() {
-    let whole = sealed(&passage());
+    let whole = sealed(&bundle());
     for length in 0..whole.len() {
-        assert!(snapshot::open(HERE, Shared::Operators, &whole[..length]).is_err());
+        assert!(snapshot::open(HERE, SharedTopic::Operators, &whole[..length]).is_err());
     }
     for place in 0..whole.len() {
         let mut altered = whole.to_vec();
         altered[place] ^= 1;
-        let opened = snapshot::open(HERE, Shared::Operators, &altered);
+        let opened = snapshot::open(HERE, SharedTopic::Operators, &altered);
         assert!(matches!(opened, Err(Error::Digest)), "at {place}");
     }
 }
@@ -60,29 +60,29 @@
 // before.
 #[test]
 fn a_snapshot_of_another_deployment_is_refused() {
-    let opened = snapshot::open("10.0.0.2:8223", Shared::Operators, &sealed(&passage()));
-    assert!(matches!(opened, Err(Error::Foreign { .. })));
+    let opened = snapshot::open("10.0.0.2:8223", SharedTopic::Operators, &sealed(&bundle()));
+    assert!(matches!(opened, Err(Error::WrongDeployment { .. })));
 }
 
 // Guards against a view that lacks the records before its beginning, or is of another topic.
 #[test]
 fn a_snapshot_of_a_part_or_another_topic_is_refused() {
-    let opened = snapshot::open(HERE, Shared::Endpoints, &sealed(&passage()));
-    assert!(matches!(opened, Err(Error::Elsewhere { .. })));
-    let part = Passage {
+    let opened = snapshot::open(HERE, SharedTopic::Endpoints, &sealed(&bundle()));
+    assert!(matches!(opened, Err(Error::WrongContent { .. })));
+    let part = Bundle {
         from: Offset(2),
-        ..passage()
+        ..bundle()
     };
-    let opened = snapshot::open(HERE, Shared::Operators, &sealed(&part));
-    assert!(matches!(opened, Err(Error::Elsewhere { .. })));
+    let opened = snapshot::open(HERE, SharedTopic::Operators, &sealed(&part));
+    assert!(matches!(opened, Err(Error::WrongContent { .. })));
 }
 
 // Guards against a snapshot that fills a small VM's memory.
 #[test]
 fn a_snapshot_that_unpacks_without_end_is_refused() {
-    let mut long = passage();
+    let mut long = bundle();
     long.records[0].2 = Some(Bytes::from(vec![0; 64 << 20]));
-    assert!(snapshot::open(HERE, Shared::Operators, &sealed(&long)).is_err());
+    assert!(snapshot::open(HERE, SharedTopic::Operators, &sealed(&long)).is_err());
 }
 
 // Guards against a view that seems younger than it is on a VM whose clock began after it was proven.
