--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -30,7 +30,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-pub use self::exchange::Tally;
+pub use self::exchange::ReadCounts;
 pub use self::fold::Connectivity;
 pub use self::fold::Fold;
 pub use self::fold::RecordContext;
@@ -151,33 +151,33 @@
     }
 
     /// Changes the view by something that is not on the topic.
-    pub fn amend<T>(&self, change: impl FnOnce(&mut F) -> T) -> T {
+    pub fn modify<T>(&self, change: impl FnOnce(&mut F) -> T) -> T {
         change(&mut self.lock().fold)
     }
 
     /// When the topic was last known to hold nothing newer than the view, on the clock of
     /// [`boot::now`]; none before the first read.
     #[must_use]
-    pub fn proven(&self) -> Option<Moment> {
-        self.lock().proven
+    pub fn proven_at(&self) -> Option<Moment> {
+        self.lock().proven_at
     }
 
     /// How long ago that was.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
-        self.proven().map(|proven| boot::now().since(proven))
+        self.proven_at().map(|proven| boot::now().since(proven))
     }
 
     /// The offset after the last record applied.
     #[must_use]
-    pub fn next(&self) -> Option<Offset> {
+    pub fn next_offset(&self) -> Option<Offset> {
         self.lock().next
     }
 
     /// How the reads so far went.
     #[must_use]
-    pub fn tally(&self) -> Tally {
-        self.lock().tally
+    pub fn read_counts(&self) -> ReadCounts {
+        self.lock().read_counts
     }
 
     /// For how long another VM has known of a change that this view lacks; none while it lacks none
@@ -203,17 +203,17 @@
     /// in parts that fit a datagram each, and the offset after the last of them; no parts if they
     /// must read by themselves.
     #[must_use]
-    pub fn since(&self, from: Offset) -> (Option<Vec<Vec<Record>>>, Offset) {
+    pub fn chunks_from(&self, from: Offset) -> (Option<Vec<Vec<Record>>>, Offset) {
         let inner = self.lock();
-        (inner.recent.since(from), inner.changed)
+        (inner.recent.chunks_from(from), inner.changed)
     }
 
     /// All records from `from` on that changed the view, with the offset after the last of them; none if
     /// one is not kept.
     #[must_use]
-    pub fn all(&self, from: Offset) -> (Option<Vec<Record>>, Offset) {
+    pub fn records_from(&self, from: Offset) -> (Option<Vec<Record>>, Offset) {
         let inner = self.lock();
-        (inner.recent.all(from), inner.changed)
+        (inner.recent.records_from(from), inner.changed)
     }
 
     /// Takes records of another VM. They wait until the view holds all before them; if what lacks does
@@ -274,11 +274,11 @@
                 }
             }
             let state = self.zone.state();
-            let blind = state.blind && role == Lead::Led && self.next().is_some();
+            let blind = state.blind && role == Lead::Led && self.next_offset().is_some();
             if (blind || state.doubtful && succeeds) && self.hesitate(role, &mut lead).await {
                 continue;
             }
-            if role == Lead::Led && self.next().is_none() && self.take_snapshot().await {
+            if role == Lead::Led && self.next_offset().is_none() && self.take_snapshot().await {
                 continue;
             }
             let polling = match role {
@@ -384,7 +384,7 @@
 
     /// Whether this VM reads by itself, and its reads are answered.
     #[must_use]
-    pub fn reads(&self) -> bool {
+    pub fn is_reading(&self) -> bool {
         let reads = *self.zone.lead.borrow() != Lead::Led || !self.trusts();
         reads && self.lock().connected_since.is_some()
     }
@@ -410,8 +410,8 @@
             let topic = self.topic.as_str();
             log::warn!(topic; "follower: Another VM told of records that the log does not hold.");
         }
-        if whole && inner.proven < Some(sent) {
-            inner.proven = Some(sent);
+        if whole && inner.proven_at < Some(sent) {
+            inner.proven_at = Some(sent);
             inner.stamps = stamps;
             self.zone.proved.notify_one();
         }
@@ -442,7 +442,7 @@
         let now = boot::now();
         let mut inner = self.lock();
         let silent = inner
-            .proven
+            .proven_at
             .is_none_or(|proven| now.since(proven) > OUT_OF_TOUCH + usual);
         if silent && inner.connected_since.take().is_some() {
             inner.fold.connectivity_changed(Connectivity::Lost);
--- a/crates/relay/src/follow/exchange.rs
+++ b/crates/relay/src/follow/exchange.rs
@@ -19,7 +19,7 @@
 
 /// How many reads of a topic went which way, and what came.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ReadCounts {
     /// Reads that were answered.
     pub answered: u64,
     /// Reads that the log refused, or whose connection broke.
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -24,10 +24,10 @@
     pub async fn confirm(&self, moment: Moment) -> bool {
         let _one = self.confirming.lock().await;
         self.settled().await;
-        if self.proven().is_some_and(|proven| proven >= moment) {
+        if self.proven_at().is_some_and(|proven| proven >= moment) {
             return true;
         }
-        let Some(next) = self.next() else {
+        let Some(next) = self.next_offset() else {
             return false;
         };
         let stamps = self.zone.stamps();
@@ -40,7 +40,8 @@
         match self.count(&exchange, answer) {
             Ok(Ok(batch)) => {
                 self.take(&batch, exchange.sent, stamps);
-                self.proven().is_some_and(|proven| proven >= exchange.sent)
+                self.proven_at()
+                    .is_some_and(|proven| proven >= exchange.sent)
             }
             Ok(Err(error)) => {
                 exchange.refused(&error).log("Not confirmed");
@@ -92,7 +93,7 @@
 
     /// Takes what the view lacks from the VM that reads for this one; whether it lacks nothing more.
     pub(super) async fn take_over(&self) -> bool {
-        let (Some(reader), Some(next)) = (self.zone.reader(), self.next()) else {
+        let (Some(reader), Some(next)) = (self.zone.reader(), self.next_offset()) else {
             return false;
         };
         let exchange = Exchange::new(self.topic);
@@ -121,7 +122,7 @@
         let stamps = self.zone.stamps();
         let exchange = Exchange::new(self.topic);
         let progress = &exchange.progress;
-        let next = self.next();
+        let next = self.next_offset();
         let answer = async {
             match next {
                 None => self.log.newest(self.topic, progress).await,
@@ -158,12 +159,12 @@
         answer: Result<Result<Batch, Error>, Silent>,
     ) -> Result<Result<Batch, Error>, Failure> {
         let mut inner = self.lock();
-        let tally = &mut inner.tally;
-        tally.bytes += exchange.progress.received().bytes;
+        let read_counts = &mut inner.read_counts;
+        read_counts.bytes += exchange.progress.received().bytes;
         match &answer {
-            Ok(Ok(_) | Err(Error::Gone { .. })) => tally.answered += 1,
-            Ok(Err(_)) => tally.failed += 1,
-            Err(_) => tally.given_up += 1,
+            Ok(Ok(_) | Err(Error::Gone { .. })) => read_counts.answered += 1,
+            Ok(Err(_)) => read_counts.failed += 1,
+            Err(_) => read_counts.given_up += 1,
         }
         inner.silent = match &answer {
             Ok(Ok(_)) => 0,
--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -66,7 +66,7 @@
             self.zone.failed(zone::Failure::Unanswered, boot::now());
         }
         let inner = self.lock();
-        let age = asked.since(inner.proven?);
+        let age = asked.since(inner.proven_at?);
         let mut records = inner.newest.clone();
         let to = inner.next?;
         drop(inner);
@@ -81,7 +81,7 @@
                 let ended = self.ended.notified();
                 tokio::pin!(ended);
                 ended.as_mut().enable();
-                if self.proven().is_some() {
+                if self.proven_at().is_some() {
                     return;
                 }
                 ended.await;
--- a/crates/relay/src/follow/view.rs
+++ b/crates/relay/src/follow/view.rs
@@ -7,8 +7,8 @@
 
 use super::Fold;
 use super::Proof;
+use super::ReadCounts;
 use super::RecordContext;
-use super::Tally;
 use crate::recent;
 use crate::recent::Recent;
 use crate::snapshot::Snapshot;
@@ -61,9 +61,9 @@
     /// Reads in a row of which nothing came in time.
     pub silent: u32,
     /// How the reads so far went.
-    pub tally: Tally,
+    pub read_counts: ReadCounts,
     /// When the last read that reached the end was sent.
-    pub proven: Option<Moment>,
+    pub proven_at: Option<Moment>,
     /// Other VMs' stamps that had come by then.
     pub stamps: Vec<Stamp>,
     /// Since when reads are answered; none while they are not.
@@ -87,8 +87,8 @@
             behind: None,
             reading: None,
             silent: 0,
-            tally: Tally::default(),
-            proven: None,
+            read_counts: ReadCounts::default(),
+            proven_at: None,
             stamps: Vec::new(),
             connected_since: None,
         }
@@ -105,7 +105,7 @@
         let context = RecordContext {
             received: now,
             connected_since: self.connected_since.unwrap_or(now),
-            initial: self.proven.is_none(),
+            initial: self.proven_at.is_none(),
         };
         let changed = self.fold.apply(record, context);
         if changed {
@@ -132,7 +132,7 @@
     /// Takes another VM's view whole, which is proven as of a moment of the own clock.
     pub fn adopt(&mut self, snapshot: &Snapshot, proven: Option<Moment>, now: Moment) {
         self.replace(&snapshot.records, snapshot.to, now);
-        self.proven = self.proven.max(proven);
+        self.proven_at = self.proven_at.max(proven);
     }
 
     /// Takes the records that follow those which the view holds; whether it changed.
@@ -204,7 +204,7 @@
     fn redeem(&mut self) {
         let holds = |proof: &Proof| self.next.is_some_and(|next| next >= proof.changed);
         if let Some(proof) = self.promised.filter(holds) {
-            self.proven = self.proven.max(Some(proof.stamp));
+            self.proven_at = self.proven_at.max(Some(proof.stamp));
             self.promised = None;
         }
     }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -237,12 +237,12 @@
         self.behind
             .with_label_values(&[topic])
             .set(behind.as_secs_f64());
-        let tally = follower.tally();
+        let reads = follower.read_counts();
         let figures = [
-            ("answered", tally.answered),
-            ("failed", tally.failed),
-            ("given_up", tally.given_up),
-            ("bytes", tally.bytes),
+            ("answered", reads.answered),
+            ("failed", reads.failed),
+            ("given_up", reads.given_up),
+            ("bytes", reads.bytes),
         ];
         for (name, count) in figures {
             self.reads
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -103,9 +103,9 @@
     /// The records from an offset on, packed; none if one is missing here.
     fn packed(&self, topic: SharedTopic, from: Offset) -> Option<Bytes> {
         let (records, to) = match topic {
-            SharedTopic::Operators => self.node.operators.all(from),
-            SharedTopic::Endpoints => self.node.directory.all(from),
-            SharedTopic::Poison => self.node.bars.all(from),
+            SharedTopic::Operators => self.node.operators.records_from(from),
+            SharedTopic::Endpoints => self.node.directory.records_from(from),
+            SharedTopic::Poison => self.node.bars.records_from(from),
         };
         self.pack(topic, from, records?, to)
     }
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/tell.rs
@@ -65,9 +65,9 @@
             return Vec::new();
         }
         let from = told.unwrap_or_default();
-        let (changed, operators) = self.node.operators.since(from.operators);
-        let (registered, endpoints) = self.node.directory.since(from.endpoints);
-        let (barred, poison) = self.node.bars.since(from.poison);
+        let (changed, operators) = self.node.operators.chunks_from(from.operators);
+        let (registered, endpoints) = self.node.directory.chunks_from(from.endpoints);
+        let (barred, poison) = self.node.bars.chunks_from(from.poison);
         self.lock().told = Some(Ends {
             operators,
             endpoints,
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -261,7 +261,7 @@
     /// Whether the VM takes requests.
     #[must_use]
     pub fn ready(&self) -> bool {
-        let read = self.directory.proven().is_some();
+        let read = self.directory.proven_at().is_some();
         let leaving = self.leaving.is_cancelled();
         let fresh = [self.within(READY), self.caught_up(READY)];
         let fresh = fresh.iter().all(|known| *known == Freshness::Fresh);
@@ -272,7 +272,7 @@
     /// trusted.
     #[must_use]
     pub fn reads(&self) -> bool {
-        self.operators.reads()
+        self.operators.is_reading()
     }
 
     /// What this VM says of itself, without roll-outs.
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -38,7 +38,7 @@
             _ = endpoints.changed() => {}
             _ = operators.changed() => {}
             () = tokio::time::sleep(pause) => {
-                node.directory.amend(|view| view.sweep(boot::now()));
+                node.directory.modify(|view| view.sweep(boot::now()));
             }
         }
     }
--- a/crates/relay/src/recent.rs
+++ b/crates/relay/src/recent.rs
@@ -83,15 +83,15 @@
 
     /// The records from `from` on; none if one is missing.
     #[must_use]
-    pub fn all(&self, from: Offset) -> Option<Vec<Record>> {
+    pub fn records_from(&self, from: Offset) -> Option<Vec<Record>> {
         let records = self.records.iter().filter(|r| r.offset >= from);
         (from >= self.from).then(|| records.cloned().collect())
     }
 
     /// The same in parts that fit a datagram each; none also if one is too large for that.
     #[must_use]
-    pub fn since(&self, from: Offset) -> Option<Vec<Vec<Record>>> {
-        let records = self.all(from)?;
+    pub fn chunks_from(&self, from: Offset) -> Option<Vec<Vec<Record>>> {
+        let records = self.records_from(from)?;
         if records.iter().any(|record| size(record) > LARGEST) {
             return None;
         }
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -234,7 +234,7 @@
         let Some((fleet, _)) = &self.fleet else {
             return;
         };
-        let news = fleet.amend(|words| std::mem::take(&mut words.news));
+        let news = fleet.modify(|words| std::mem::take(&mut words.news));
         let now = boot::now();
         let own = &self.node.config.node;
         let said = news.iter().flat_map(|(_, word)| &word.rollouts);
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -127,7 +127,7 @@
 
     /// Lets another VM read for this one.
     pub async fn led(&self) {
-        self.until("a first proof", |f| f.follower.proven().is_some())
+        self.until("a first proof", |f| f.follower.proven_at().is_some())
             .await;
         self.zone.lead.send_replace(Lead::Led);
         let mut calls = self.log.calls();
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -58,16 +58,16 @@
 async fn a_read_without_an_answer_proves_nothing() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     fixture.log.set(Mood::Silent);
     let silent = boot::now();
     tokio::time::sleep(TIMING.timeout + QUICK.wait * 3).await;
-    assert!(fixture.follower.proven().unwrap() <= silent);
+    assert!(fixture.follower.proven_at().unwrap() <= silent);
     assert!(!fixture.follower.confirm(boot::now()).await);
     fixture.log.set(Mood::Well);
     fixture
-        .until("a new proof", |f| f.follower.proven().unwrap() > silent)
+        .until("a new proof", |f| f.follower.proven_at().unwrap() > silent)
         .await;
 }
 
@@ -86,7 +86,7 @@
         changed: next,
         stamp,
     });
-    assert_eq!(fixture.follower.proven(), Some(stamp));
+    assert_eq!(fixture.follower.proven_at(), Some(stamp));
     assert_eq!(fixture.log.calls(), calls);
 }
 
@@ -96,14 +96,14 @@
 async fn word_of_a_change_is_no_proof_but_makes_the_vm_read() {
     let fixture = Fixture::new();
     fixture.led().await;
-    let before = fixture.follower.proven();
+    let before = fixture.follower.proven_at();
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
     fixture.follower.receive_proof(Proof {
         changed: next,
         stamp,
     });
-    assert_eq!(fixture.follower.proven(), before);
+    assert_eq!(fixture.follower.proven_at(), before);
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
@@ -113,13 +113,13 @@
 async fn a_stamp_of_another_life_proves_nothing() {
     let fixture = Fixture::new();
     fixture.led().await;
-    let before = fixture.follower.proven();
+    let before = fixture.follower.proven_at();
     for stamp in [boot::now() + PATIENCE, Moment::ZERO] {
         fixture.follower.receive_proof(Proof {
             changed: Offset::default(),
             stamp,
         });
-        assert_eq!(fixture.follower.proven(), before);
+        assert_eq!(fixture.follower.proven_at(), before);
     }
 }
 
@@ -161,7 +161,7 @@
 async fn a_proof_names_a_stamp_that_came_before_the_read() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     let node = 7;
     assert_eq!(fixture.follower.proof(node), None);
@@ -175,7 +175,7 @@
 
 /// What another VM that reads for this one has read since `from`.
 fn handed(other: &Fixture, from: Offset) -> (Vec<Vec<Record>>, Offset) {
-    let (parts, to) = other.follower.since(from);
+    let (parts, to) = other.follower.chunks_from(from);
     (parts.expect("all records are kept"), to)
 }
 
@@ -192,7 +192,7 @@
     let own = Fixture::new();
     own.led().await;
     let calls = own.log.calls();
-    let from = own.follower.next().unwrap();
+    let from = own.follower.next_offset().unwrap();
     let long = "x".repeat(500);
     let keys: Vec<String> = (0..6).map(|number| format!("k{number}")).collect();
     for key in &keys {
@@ -221,7 +221,7 @@
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(own.log.calls(), calls);
     own.follower.receive_proof(word);
-    assert_eq!(own.follower.proven(), Some(word.stamp));
+    assert_eq!(own.follower.proven_at(), Some(word.stamp));
 }
 
 // Dozens of endpoints are replaced. One VM of the zone reads so and hands the records on: the others
@@ -236,7 +236,7 @@
     }
     own.led().await;
     let calls = own.log.calls();
-    let from = own.follower.next().unwrap();
+    let from = own.follower.next_offset().unwrap();
     let stamp = boot::now();
     other.log.put("b", Some("1"));
     other.log.put("a", None);
@@ -245,7 +245,7 @@
     own.follower.receive(range(from, to, parts.concat()));
     own.follower.receive_proof(Proof { changed: to, stamp });
     assert_eq!(own.keys(), ["a", "b", "a"]);
-    assert_eq!(own.follower.proven(), Some(stamp));
+    assert_eq!(own.follower.proven_at(), Some(stamp));
     assert_eq!(own.log.calls(), calls);
 }
 
@@ -277,20 +277,22 @@
 #[tokio::test]
 async fn records_that_come_late_take_nothing_back() {
     let other = Fixture::new();
-    other.until("read", |f| f.follower.next().is_some()).await;
+    other
+        .until("read", |f| f.follower.next_offset().is_some())
+        .await;
     other.log.put("a", Some("1"));
     other.until("a", |f| f.keys() == ["a"]).await;
     let own = Fixture::new();
     own.log.put("a", Some("1"));
     own.log.put("a", None);
-    own.until("read", |f| f.follower.next() == Some(Offset(2)))
+    own.until("read", |f| f.follower.next_offset() == Some(Offset(2)))
         .await;
     own.led().await;
     let before = own.keys();
     let (parts, to) = handed(&other, Offset(0));
     own.follower.receive(range(Offset(0), to, parts.concat()));
     assert_eq!(own.keys(), before);
-    assert_eq!(own.follower.next(), Some(Offset(2)));
+    assert_eq!(own.follower.next_offset(), Some(Offset(2)));
 }
 
 // A record is too large to be handed on, or so many changed that some are no longer kept. Whoever
@@ -298,17 +300,19 @@
 #[tokio::test]
 async fn records_that_are_not_kept_are_not_handed_on() {
     let other = Fixture::new();
-    other.until("read", |f| f.follower.next().is_some()).await;
+    other
+        .until("read", |f| f.follower.next_offset().is_some())
+        .await;
     let large: &'static str = Box::leak("x".repeat(9_000).into_boxed_str());
     other.log.put("large", Some(large));
     other.until("large", |f| f.keys() == ["large"]).await;
-    assert_eq!(other.follower.since(Offset(0)).0, None);
-    assert!(other.follower.since(Offset(1)).0.is_some());
+    assert_eq!(other.follower.chunks_from(Offset(0)).0, None);
+    assert!(other.follower.chunks_from(Offset(1)).0.is_some());
     for _ in 0..2_000 {
         other.log.put("b", Some("1"));
     }
     other.until("all", |f| f.keys().len() == 2_001).await;
-    assert_eq!(other.follower.since(Offset(1)).0, None);
+    assert_eq!(other.follower.chunks_from(Offset(1)).0, None);
     let (parts, to) = handed(&other, Offset(1_990));
     let offsets: Vec<u64> = parts.concat().iter().map(|r| r.offset.0).collect();
     assert_eq!(offsets, (1_990..2_001).collect::<Vec<u64>>());
@@ -411,12 +415,12 @@
     let fixture = Fixture::new();
     fixture.led().await;
     fixture.log.set(Mood::Silent);
-    let from = fixture.follower.next().unwrap();
+    let from = fixture.follower.next_offset().unwrap();
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
     let changed = next;
     fixture.follower.receive_proof(Proof { changed, stamp });
-    assert!(fixture.follower.proven() < Some(stamp));
+    assert!(fixture.follower.proven_at() < Some(stamp));
     fixture.follower.receive(RecordRange {
         from,
         to: next,
@@ -426,7 +430,7 @@
             value: Some("1".into()),
         }],
     });
-    assert_eq!(fixture.follower.proven(), Some(stamp));
+    assert_eq!(fixture.follower.proven_at(), Some(stamp));
 }
 
 // Guards against each VM of a zone reading the log when all endpoints of a service are replaced at once.
@@ -435,7 +439,7 @@
     let other = Fixture::new();
     let own = Fixture::new();
     own.led().await;
-    let from = own.follower.next().unwrap();
+    let from = own.follower.next_offset().unwrap();
     for place in 0..400 {
         other.log.put(&format!("old-{place}"), None);
         other.log.put(&format!("new-{place}"), Some("1"));
@@ -449,7 +453,7 @@
         own.follower.receive(range(begins, ends, records));
         begins = ends;
     }
-    assert_eq!(own.follower.next(), Some(to));
+    assert_eq!(own.follower.next_offset(), Some(to));
     assert_eq!(own.keys().len(), 800);
     assert_eq!(own.log.calls(), calls);
 }
--- a/crates/relay/tests/all/large.rs
+++ b/crates/relay/tests/all/large.rs
@@ -22,13 +22,13 @@
 async fn an_answer_that_keeps_coming_is_waited_for() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     fixture.log.set(Mood::Long(TIMING.timeout / 4));
     fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
     assert!(fixture.follower.confirm(boot::now()).await);
-    assert_eq!(fixture.follower.tally().given_up, 0);
+    assert_eq!(fixture.follower.read_counts().given_up, 0);
 }
 
 // An answer begins and then nothing more of it comes: its connection fell silent. The read is given up
@@ -37,11 +37,11 @@
 async fn an_answer_that_stops_coming_is_given_up() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     fixture.log.set(Mood::Broken);
     fixture
-        .until("reads given up", |f| f.follower.tally().given_up > 1)
+        .until("reads given up", |f| f.follower.read_counts().given_up > 1)
         .await;
     assert!(!fixture.follower.confirm(boot::now()).await);
     fixture.log.set(Mood::Well);
@@ -100,7 +100,7 @@
 async fn a_confirmation_does_not_fetch_what_is_coming() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     let pause = TIMING.timeout / 4;
     fixture.log.set(Mood::Long(pause));
@@ -176,7 +176,7 @@
 
 /// Keys of the records that another VM can have from an offset on.
 fn kept(fixture: &Fixture, from: u64) -> Option<Vec<CompactString>> {
-    let (records, _) = fixture.follower.all(Offset(from));
+    let (records, _) = fixture.follower.records_from(Offset(from));
     Some(records?.into_iter().map(|record| record.key).collect())
 }
 
@@ -185,7 +185,9 @@
 #[tokio::test]
 async fn one_large_record_is_kept_for_those_that_lack_it() {
     let fixture = Fixture::new();
-    fixture.until("read", |f| f.follower.next().is_some()).await;
+    fixture
+        .until("read", |f| f.follower.next_offset().is_some())
+        .await;
     let large: &'static str = Box::leak("x".repeat(9_000).into_boxed_str());
     for (key, value) in [("a", "1"), ("config", large), ("b", "1"), ("config", large)] {
         fixture.log.put(key, Some(value));
@@ -193,7 +195,7 @@
     fixture.until("four", |f| f.keys().len() == 4).await;
     let all = ["a", "b", "config"].map(CompactString::from);
     assert_eq!(kept(&fixture, 0).unwrap(), all);
-    assert_eq!(fixture.follower.since(Offset(0)).0, None);
+    assert_eq!(fixture.follower.chunks_from(Offset(0)).0, None);
     fixture.log.put("other", Some(large));
     fixture.until("five", |f| f.keys().len() == 5).await;
     assert_eq!(kept(&fixture, 3), None);
--- a/crates/relay/tests/all/snapshot.rs
+++ b/crates/relay/tests/all/snapshot.rs
@@ -105,7 +105,7 @@
     fixture.log.put("b", Some("1"));
     fixture.log.put("b", None);
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     fixture.led().await;
     let calls = fixture.log.calls();
@@ -145,7 +145,7 @@
     let keys: Vec<&str> = view.newest.iter().map(|r| r.key.as_str()).collect();
     assert_eq!(keys, ["new", "stays"]);
     assert_eq!(view.next, Some(Offset(9)));
-    assert_eq!(view.proven, Some(now));
+    assert_eq!(view.proven_at, Some(now));
 }
 
 // Guards against an old view being taken for a young one while the log is out, and against asking a log
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -62,7 +62,7 @@
         changed: next,
         stamp,
     });
-    assert_eq!(fixture.follower.proven(), Some(stamp));
+    assert_eq!(fixture.follower.proven_at(), Some(stamp));
 }
 
 // Guards against a zone whose VMs succeed each other at a log that is out as fast as it says no.
@@ -106,7 +106,7 @@
 async fn word_of_a_change_ends_the_waiting_for_a_turn() {
     let fixture = Fixture::with(DISTRUSTING);
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     make_blind(&fixture);
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -127,7 +127,7 @@
 async fn a_vm_that_another_one_reads_for_takes_a_refusal_as_meant() {
     let fixture = Fixture::with(DISTRUSTING);
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     fixture.log.set(Mood::Down);
     tokio::time::sleep(QUICK.wait * 2).await;
