--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -255,7 +255,7 @@
         let mut lead = self.zone.lead.subscribe();
         let mut pause = FIRST_PAUSE;
         let mut before = Lead::default();
-        self.zone.introduced().await;
+        self.zone.wait_for_discovery().await;
         loop {
             let role = *lead.borrow_and_update();
             let succeeds = role == Lead::Leading && before != role;
@@ -273,9 +273,10 @@
                     () = tokio::time::sleep(left.unwrap_or_default()) => continue,
                 }
             }
-            let state = self.zone.state();
-            let blind = state.blind && role == Lead::Led && self.next_offset().is_some();
-            if (blind || state.doubtful && succeeds) && self.hesitate(role, &mut lead).await {
+            let state = self.zone.log_state();
+            let blind = state.no_able_reader && role == Lead::Led && self.next_offset().is_some();
+            if (blind || state.outage_suspected && succeeds) && self.hesitate(role, &mut lead).await
+            {
                 continue;
             }
             if role == Lead::Led && self.next_offset().is_none() && self.take_snapshot().await {
@@ -289,14 +290,14 @@
             match self.read(polling.wait, self.reason(role)).await {
                 Ok(whole) => {
                     pause = FIRST_PAUSE;
-                    self.zone.answered();
+                    self.zone.read_answered();
                     if whole {
                         tokio::time::sleep(polling.pause).await;
                     }
                 }
                 Err(failure) => {
                     failure.log("Not read");
-                    self.zone.failed(failure.kind, boot::now());
+                    self.zone.read_failed(failure.kind, boot::now());
                     self.stumble(role, polling);
                     if blind {
                         continue;
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -93,7 +93,7 @@
 
     /// Takes what the view lacks from the VM that reads for this one; whether it lacks nothing more.
     pub(super) async fn take_over(&self) -> bool {
-        let (Some(reader), Some(next)) = (self.zone.reader(), self.next_offset()) else {
+        let (Some(reader), Some(next)) = (self.zone.leader_address(), self.next_offset()) else {
             return false;
         };
         let exchange = Exchange::new(self.topic);
--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -21,8 +21,10 @@
 impl<F: Fold, L: Log> Follower<F, L> {
     /// Takes the view of the VM that reads for this one; false if the log must be read.
     pub(super) async fn take_snapshot(&self) -> bool {
-        let (Some(reader), Ok(topic)) = (self.zone.reader(), SharedTopic::try_from(self.topic))
-        else {
+        let (Some(reader), Ok(topic)) = (
+            self.zone.leader_address(),
+            SharedTopic::try_from(self.topic),
+        ) else {
             return false;
         };
         let exchange = Exchange::new(self.topic);
@@ -61,9 +63,10 @@
     /// nothing was read yet.
     pub async fn snapshot(&self, asked: Moment) -> Option<Snapshot> {
         self.first_read().await;
-        let out = self.zone.reach(boot::now()) == zone::Reach::Out;
+        let out = self.zone.reachability(boot::now()) == zone::Reachability::Unreachable;
         if !out && !self.confirm(asked).await {
-            self.zone.failed(zone::Failure::Unanswered, boot::now());
+            self.zone
+                .read_failed(zone::Failure::Unanswered, boot::now());
         }
         let inner = self.lock();
         let age = asked.since(inner.proven_at?);
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -50,7 +50,7 @@
 use crate::rollouts::announcement::Kept;
 use crate::rollouts::announcement::Said;
 use crate::topic::Log;
-use crate::zone::Reach;
+use crate::zone::Reachability;
 use crate::zone::Stamp;
 use crate::zone::Zone;
 
@@ -151,7 +151,7 @@
     /// Whether another VM reads the log for this one, and has read it.
     fn is_led_by_able(&self) -> bool {
         let role = self.role();
-        !role.state.blind && role.lead == Lead::Led
+        !role.state.no_able_reader && role.lead == Lead::Led
     }
 
     /// Who reads the log for whom, by what is known now.
@@ -230,7 +230,7 @@
             self.node.rollouts(|r| r.keep(*kept));
         }
         if near {
-            self.zone.heard(Stamp {
+            self.zone.record_stamp(Stamp {
                 node: teller,
                 at: message.stamp,
             });
@@ -305,15 +305,15 @@
         drop(inner);
         self.node.scheduler.share(&sharers);
         self.zone
-            .keep(|node| peers.iter().any(|peer| peer.key == node));
+            .retain_stamps(|node| peers.iter().any(|peer| peer.key == node));
         peers
     }
 
     /// Settles who reads the log for whom.
     fn settle(&self) {
         let role = self.role();
-        self.zone.read_by(role.reader);
-        self.zone.set_state(role.state);
+        self.zone.set_leader_address(role.reader);
+        self.zone.set_log_state(role.state);
         let lead = role.lead;
         let settle = |known: &mut Lead| {
             let changed = *known != lead;
@@ -332,11 +332,11 @@
         }
         let ages = [self.node.operators.age(), self.node.directory.age()];
         let young = |age: &Option<Duration>| age.is_some_and(|age| age < BLIND);
-        match self.zone.reach(boot::now()) {
-            Reach::Out => Standing::Unable,
-            Reach::Answered if ages.iter().any(Option::is_none) => Standing::Starting,
-            Reach::Answered if ages.iter().all(young) => Standing::Able,
-            Reach::Answered | Reach::Untested => Standing::Untested,
+        match self.zone.reachability(boot::now()) {
+            Reachability::Unreachable => Standing::Unable,
+            Reachability::Reachable if ages.iter().any(Option::is_none) => Standing::Starting,
+            Reachability::Reachable if ages.iter().all(young) => Standing::Able,
+            Reachability::Reachable | Reachability::Untested => Standing::Untested,
         }
     }
 }
--- a/crates/relay/src/neighbours/meet.rs
+++ b/crates/relay/src/neighbours/meet.rs
@@ -84,7 +84,7 @@
             log::info!("neighbours: No VM of the zone has read the log yet.");
         }
         self.settle();
-        self.zone.introduce();
+        self.zone.finish_discovery();
     }
 
     /// Reads where the others are and what they learnt. Whether this VM's own word is there and true.
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::follow::Lead;
-use crate::zone::State;
+use crate::zone::LogState;
 
 /// A VM that said nothing for this long reads for nobody. Three datagrams with nothing new.
 pub const LIVING: Duration = Duration::from_millis(1_300);
@@ -99,7 +99,7 @@
     /// The VM that reads for this one.
     pub reader: Option<SocketAddr>,
     /// How the reads of the zone go.
-    pub state: State,
+    pub state: LogState,
 }
 
 /// All other VMs, sorted by name.
@@ -183,7 +183,7 @@
             return Role {
                 lead: Lead::Alone,
                 reader: None,
-                state: State::default(),
+                state: LogState::default(),
             };
         }
         let unable = |(standing, ..): &&(Standing, &id::Node, Option<SocketAddr>)| {
@@ -199,9 +199,9 @@
         Role {
             lead: address.map_or(Lead::Leading, |_| Lead::Led),
             reader: address,
-            state: State {
-                blind: !able,
-                doubtful: all.iter().filter(unable).count() >= SEVERAL,
+            state: LogState {
+                no_able_reader: !able,
+                outage_suspected: all.iter().filter(unable).count() >= SEVERAL,
             },
         }
     }
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/tell.rs
@@ -109,7 +109,7 @@
                 () = self.node.poison.told.notified() => false,
                 () = self.node.limited.notified() => true,
                 () = self.zone.proved.notified() => self.leads(),
-                () = self.zone.stopped.notified() => true,
+                () = self.zone.unreachable.notified() => true,
             };
             let news = self.news();
             let now = boot::now();
--- a/crates/relay/src/zone.rs
+++ b/crates/relay/src/zone.rs
@@ -42,13 +42,13 @@
 
 /// Whether own reads are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// They are, or none was made yet.
-    Answered,
+    Reachable,
     /// The last ones were not, some time ago; none was made since.
     Untested,
     /// The last ones were not, just now.
-    Out,
+    Unreachable,
 }
 
 /// How the own reads go.
@@ -62,24 +62,24 @@
 
 /// How the reads of a zone go.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct State {
+pub struct LogState {
     /// Nobody is known whose reads are answered.
-    pub blind: bool,
+    pub no_able_reader: bool,
     /// Several VMs were turned away just now, so that the next one may be as well.
-    pub doubtful: bool,
+    pub outage_suspected: bool,
 }
 
 /// How long a VM that starts anew waits for its neighbours before it reads the log by itself. They are
 /// found by one call of the log, and answer within milliseconds.
-const INTRODUCED: Duration = Duration::from_millis(300);
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The same when the whole system starts for the first time. All VMs say at once where they are, which the
 /// log takes one after the other, and nobody has callers yet.
-const FIRST_INTRODUCED: Duration = Duration::from_millis(1_500);
+const FIRST_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Whether a VM that starts has met its neighbours.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Introduction {
+pub enum Discovery {
     /// Not yet.
     Pending,
     /// It has, or there are none.
@@ -92,36 +92,36 @@
 pub struct Zone {
     deployment: CompactString,
     /// How long the VM waits to meet its neighbours.
-    patience: Duration,
+    discovery_timeout: Duration,
     stamps: Arc<Mutex<Vec<Stamp>>>,
     /// Who reads for whom.
     pub lead: Arc<watch::Sender<Lead>>,
     /// Told of each read that proves something.
     pub proved: Arc<Notify>,
     /// Where the VM that reads for this one takes calls.
-    reader: Arc<Mutex<Option<SocketAddr>>>,
+    leader_address: Arc<Mutex<Option<SocketAddr>>>,
     reads: Arc<Mutex<Reads>>,
-    introduced: Arc<watch::Sender<Introduction>>,
+    discovery: Arc<watch::Sender<Discovery>>,
     /// Told when own reads are not answered any more.
-    pub stopped: Arc<Notify>,
-    state: Arc<Mutex<State>>,
+    pub unreachable: Arc<Notify>,
+    log_state: Arc<Mutex<LogState>>,
 }
 
 impl Zone {
     /// The zone of a VM that starts and is yet to meet the others.
     #[must_use]
     pub fn starting(config: &Config) -> Self {
-        let patience = if config.first_start {
-            FIRST_INTRODUCED
+        let discovery_timeout = if config.first_start {
+            FIRST_DISCOVERY_TIMEOUT
         } else {
-            INTRODUCED
+            DISCOVERY_TIMEOUT
         };
         let zone = Self {
             deployment: config.deployment.clone(),
-            patience,
+            discovery_timeout,
             ..Self::default()
         };
-        zone.introduced.send_replace(Introduction::Pending);
+        zone.discovery.send_replace(Discovery::Pending);
         zone
     }
 
@@ -132,22 +132,25 @@
     }
 
     /// The VM has met its neighbours.
-    pub fn introduce(&self) {
-        self.introduced.send_replace(Introduction::Done);
+    pub fn finish_discovery(&self) {
+        self.discovery.send_replace(Discovery::Done);
     }
 
     /// Waits until it has, up to a bound.
-    pub async fn introduced(&self) {
-        let mut introduced = self.introduced.subscribe();
-        let done = introduced.wait_for(|state| *state == Introduction::Done);
-        if tokio::time::timeout(self.patience, done).await.is_err() {
+    pub async fn wait_for_discovery(&self) {
+        let mut discovery = self.discovery.subscribe();
+        let done = discovery.wait_for(|state| *state == Discovery::Done);
+        if tokio::time::timeout(self.discovery_timeout, done)
+            .await
+            .is_err()
+        {
             log::info!("follower: Starts without having met the VMs of its zone.");
         }
     }
 
     /// Takes another VM's stamp. Datagrams may overtake each other; a VM that started anew begins
     /// with a lower one only if its machine did, too.
-    pub fn heard(&self, stamp: Stamp) {
+    pub fn record_stamp(&self, stamp: Stamp) {
         let mut stamps = self.stamps.lock().unwrap_or_else(PoisonError::into_inner);
         match stamps.iter_mut().find(|known| known.node == stamp.node) {
             Some(known) => *known = stamp,
@@ -163,58 +166,70 @@
     }
 
     /// Notes which VM reads for this one; none if this one reads itself.
-    pub fn read_by(&self, reader: Option<SocketAddr>) {
-        *self.reader.lock().unwrap_or_else(PoisonError::into_inner) = reader;
+    pub fn set_leader_address(&self, reader: Option<SocketAddr>) {
+        *self
+            .leader_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = reader;
     }
 
     /// Where the VM that reads for this one takes calls.
     #[must_use]
-    pub fn reader(&self) -> Option<SocketAddr> {
-        *self.reader.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn leader_address(&self) -> Option<SocketAddr> {
+        *self
+            .leader_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// An own read was answered.
-    pub fn answered(&self) {
+    pub fn read_answered(&self) {
         *self.reads.lock().unwrap_or_else(PoisonError::into_inner) = Reads::default();
     }
 
     /// An own read failed.
-    pub fn failed(&self, failure: Failure, now: Moment) {
+    pub fn read_failed(&self, failure: Failure, now: Moment) {
         let mut reads = self.reads.lock().unwrap_or_else(PoisonError::into_inner);
         reads.unanswered += 1;
         if failure == Failure::Refused || reads.unanswered >= LOST {
             let stopped = reads.out.is_none();
             reads.out = Some(now);
             if stopped {
-                self.stopped.notify_one();
+                self.unreachable.notify_one();
             }
         }
     }
 
     /// Whether own reads are answered.
     #[must_use]
-    pub fn reach(&self, now: Moment) -> Reach {
+    pub fn reachability(&self, now: Moment) -> Reachability {
         let reads = self.reads.lock().unwrap_or_else(PoisonError::into_inner);
         match reads.out {
-            None => Reach::Answered,
-            Some(out) if now.since(out) >= DISTRUST => Reach::Untested,
-            Some(_) => Reach::Out,
+            None => Reachability::Reachable,
+            Some(out) if now.since(out) >= DISTRUST => Reachability::Untested,
+            Some(_) => Reachability::Unreachable,
         }
     }
 
     /// Notes how the reads of the zone go.
-    pub fn set_state(&self, state: State) {
-        *self.state.lock().unwrap_or_else(PoisonError::into_inner) = state;
+    pub fn set_log_state(&self, state: LogState) {
+        *self
+            .log_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = state;
     }
 
     /// How the reads of the zone go.
     #[must_use]
-    pub fn state(&self) -> State {
-        *self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn log_state(&self) -> LogState {
+        *self
+            .log_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Forgets the stamps of VMs that are gone.
-    pub fn keep(&self, live: impl Fn(u64) -> bool) {
+    pub fn retain_stamps(&self, live: impl Fn(u64) -> bool) {
         let mut stamps = self.stamps.lock().unwrap_or_else(PoisonError::into_inner);
         stamps.retain(|stamp| live(stamp.node));
     }
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -166,7 +166,7 @@
     let node = 7;
     assert_eq!(fixture.follower.proof(node), None);
     let at = Moment::from_millis(1_234);
-    fixture.zone.heard(Stamp { node, at });
+    fixture.zone.record_stamp(Stamp { node, at });
     fixture
         .until("a proof for it", |f| f.follower.proof(node).is_some())
         .await;
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -15,7 +15,7 @@
 use pimento_relay::neighbours::tell::period;
 use pimento_relay::timings::Timings;
 use pimento_relay::zone::Failure;
-use pimento_relay::zone::Reach;
+use pimento_relay::zone::Reachability;
 use pimento_relay::zone::Zone;
 use pimento_units::Moment;
 use pimento_units::id;
@@ -203,7 +203,7 @@
                 vm.proven = sent;
                 vm.proofs = stamps;
                 vm.failures = 0;
-                vm.zone.answered();
+                vm.zone.read_answered();
                 let polling = if vm.lead == Lead::Alone {
                     polling.alone
                 } else {
@@ -221,7 +221,7 @@
                     Failure::Unanswered
                 };
                 vm.failures += 1;
-                vm.zone.failed(failure, now);
+                vm.zone.read_failed(failure, now);
                 let pause = Duration::from_millis(50) * (1 << vm.failures.min(4)) / 2;
                 vm.due = now + pause.min(SUCCESSION);
             }
@@ -233,9 +233,9 @@
         let (now, late) = (self.now, self.mutant == Mutant::Late);
         let vm = &mut self.vms[place];
         let young = now.since(vm.proven) < BLIND;
-        let standing = match vm.zone.reach(now) {
-            Reach::Out if !late => Standing::Unable,
-            Reach::Untested if !late => Standing::Untested,
+        let standing = match vm.zone.reachability(now) {
+            Reachability::Unreachable if !late => Standing::Unable,
+            Reachability::Untested if !late => Standing::Untested,
             _ if young => Standing::Able,
             _ => Standing::Untested,
         };
@@ -245,7 +245,7 @@
         vm.standing = standing;
         let role = vm.peers.role(&vm.name, &zone(), standing, now);
         if role.lead == Lead::Leading && vm.lead != Lead::Leading {
-            let doubt = if role.state.doubtful {
+            let doubt = if role.state.outage_suspected {
                 SUCCESSION
             } else {
                 Duration::ZERO
@@ -253,7 +253,7 @@
             vm.due = now + doubt;
         }
         vm.lead = role.lead;
-        vm.zone.set_state(role.state);
+        vm.zone.set_log_state(role.state);
     }
 
     /// A read begins.
@@ -266,7 +266,8 @@
         let trusts = now.since(vm.proven) < trust;
         // Turns by chance are played as turns by name.
         let turn = now.since(Moment::ZERO).as_millis() / SUCCESSION.as_millis();
-        let waits = vm.zone.state().blind && usize::try_from(turn).unwrap() % count != place;
+        let waits =
+            vm.zone.log_state().no_able_reader && usize::try_from(turn).unwrap() % count != place;
         if vm.read.is_some() || vm.due > now || led && (trusts || waits) {
             return;
         }
--- a/crates/relay/tests/all/peers.rs
+++ b/crates/relay/tests/all/peers.rs
@@ -93,10 +93,10 @@
 fn a_zone_doubts_the_log_when_several_are_turned_away() {
     let away = Standing::Unable;
     let two = spoken(&[("a", away), ("b", away), ("c", Standing::Able)]);
-    assert!(!role(&two, "d", Standing::Able).state.doubtful);
+    assert!(!role(&two, "d", Standing::Able).state.outage_suspected);
     let three = spoken(&[("a", away), ("b", away), ("c", away), ("d", Standing::Able)]);
     let doubts = role(&three, "e", Standing::Able);
-    assert!(doubts.state.doubtful && !doubts.state.blind);
+    assert!(doubts.state.outage_suspected && !doubts.state.no_able_reader);
     let leaving = [
         ("a", Standing::Leaving),
         ("b", Standing::Leaving),
@@ -104,7 +104,7 @@
     ];
     let leaving = role(&spoken(&leaving), "d", Standing::Able);
     assert_eq!(leaving.lead, Lead::Leading);
-    assert!(!leaving.state.doubtful);
+    assert!(!leaving.state.outage_suspected);
 }
 
 // Guards against VMs that wait for their turn though another one reads for them, and past the bounds.
@@ -112,10 +112,10 @@
 fn a_zone_is_blind_only_if_nobody_is_able() {
     let away = Standing::Unable;
     let last = spoken(&[("a", away), ("b", away), ("c", Standing::Able)]);
-    assert!(!role(&last, "d", away).state.blind);
+    assert!(!role(&last, "d", away).state.no_able_reader);
     let none = spoken(&[("a", away), ("b", Standing::Untested), ("c", away)]);
     let role = role(&none, "d", away);
-    assert!(role.state.blind);
+    assert!(role.state.no_able_reader);
     // The one that did not try lately does.
     assert_eq!(role.reader, Some(address(2)));
 }
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -7,9 +7,9 @@
 use pimento_relay::follow::Proof;
 use pimento_relay::follow::Timing;
 use pimento_relay::zone::Failure;
-use pimento_relay::zone::Reach;
+use pimento_relay::zone::LogState;
+use pimento_relay::zone::Reachability;
 use pimento_relay::zone::Stamp;
-use pimento_relay::zone::State;
 use pimento_relay::zone::Zone;
 use pimento_units::Moment;
 
@@ -32,11 +32,11 @@
 fn make_blind(fixture: &Fixture) {
     for node in 0..MANY {
         let at = Moment::ZERO;
-        fixture.zone.heard(Stamp { node, at });
+        fixture.zone.record_stamp(Stamp { node, at });
     }
-    fixture.zone.set_state(State {
-        blind: true,
-        doubtful: true,
+    fixture.zone.set_log_state(LogState {
+        no_able_reader: true,
+        outage_suspected: true,
     });
     fixture.zone.lead.send_replace(Lead::Led);
 }
@@ -70,9 +70,9 @@
 async fn a_successor_hesitates_when_several_were_turned_away() {
     let fixture = Fixture::new();
     fixture.led().await;
-    fixture.zone.set_state(State {
-        blind: false,
-        doubtful: true,
+    fixture.zone.set_log_state(LogState {
+        no_able_reader: false,
+        outage_suspected: true,
     });
     let calls = fixture.log.calls();
     fixture.zone.lead.send_replace(Lead::Leading);
@@ -88,16 +88,16 @@
 fn one_lost_answer_is_no_outage_and_a_refusal_is() {
     let now = boot::now();
     let zone = Zone::default();
-    zone.failed(Failure::Unanswered, now);
-    assert_eq!(zone.reach(now), Reach::Answered);
-    zone.failed(Failure::Unanswered, now);
-    assert_eq!(zone.reach(now), Reach::Out);
-    zone.answered();
-    assert_eq!(zone.reach(now), Reach::Answered);
-    zone.failed(Failure::Refused, now);
-    assert_eq!(zone.reach(now), Reach::Out);
+    zone.read_failed(Failure::Unanswered, now);
+    assert_eq!(zone.reachability(now), Reachability::Reachable);
+    zone.read_failed(Failure::Unanswered, now);
+    assert_eq!(zone.reachability(now), Reachability::Unreachable);
+    zone.read_answered();
+    assert_eq!(zone.reachability(now), Reachability::Reachable);
+    zone.read_failed(Failure::Refused, now);
+    assert_eq!(zone.reachability(now), Reachability::Unreachable);
     // It stays in doubt until a read is answered.
-    assert_eq!(zone.reach(now + PATIENCE), Reach::Untested);
+    assert_eq!(zone.reachability(now + PATIENCE), Reachability::Untested);
 }
 
 // Guards against leaving endpoints that get requests past the bound: a VM that waited for its turn at a
@@ -111,7 +111,7 @@
     make_blind(&fixture);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let next = fixture.log.put("a", Some("1"));
-    fixture.zone.set_state(State::default());
+    fixture.zone.set_log_state(LogState::default());
     fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
