--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -18,7 +18,7 @@
 
 /// What a VM says.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct VmRecord {
     /// Its zone.
     pub zone: id::Zone,
     /// Where it takes datagrams.
@@ -26,14 +26,14 @@
     /// How fast models read: seconds for a token, by the models' hashes. A VM that starts knows them
     /// from others; after a start of all VMs at once it would place prompts by guesses, just when
     /// callers come back all together.
-    pub paces: Vec<(u64, f64)>,
+    pub seconds_per_token: Vec<(u64, f64)>,
     /// What it and the VMs that it reads the log for saw of roll-outs.
     pub rollouts: Vec<Said>,
 }
 
-impl Word {
+impl VmRecord {
     /// Says it on the log; whether that is known to have succeeded.
-    pub async fn say(&self, node: &id::Node, log: &impl Log) -> bool {
+    pub async fn publish(&self, node: &id::Node, log: &impl Log) -> bool {
         let value = match postcard::to_stdvec(self) {
             Ok(value) => value,
             Err(error) => {
@@ -58,7 +58,7 @@
 
 /// Reads a VM's word; none if it can't be read.
 #[must_use]
-pub fn read(record: &Record) -> Option<(id::Node, Word)> {
+pub fn decode(record: &Record) -> Option<(id::Node, VmRecord)> {
     let value = record.value.as_ref()?;
     let Ok(node) = record.key.parse() else {
         log::warn!("fleet: {:?} names no VM.", record.key);
--- a/crates/relay/src/neighbours/meet.rs
+++ b/crates/relay/src/neighbours/meet.rs
@@ -14,7 +14,7 @@
 use crate::calls::Reason;
 use crate::codec::Codec;
 use crate::fleet;
-use crate::fleet::Word;
+use crate::fleet::VmRecord;
 use crate::follow::Lead;
 use crate::topic::Log;
 use crate::topic::Topic;
@@ -97,7 +97,7 @@
             match progress.wait(newest, CALL, CALL).await {
                 Ok(Ok(batch)) => {
                     let mut known = false;
-                    for (node, word) in batch.records.iter().filter_map(fleet::read) {
+                    for (node, word) in batch.records.iter().filter_map(fleet::decode) {
                         known |= self.is_own(&node, &word);
                         self.meet_one(node, word);
                     }
@@ -111,14 +111,14 @@
     }
 
     /// Whether a word is this VM's own and still true. What a former life said of roll-outs is not.
-    fn is_own(&self, node: &id::Node, word: &Word) -> bool {
+    fn is_own(&self, node: &id::Node, word: &VmRecord) -> bool {
         let config = &self.node.config;
         let place = word.zone == config.zone && word.address == config.peer_listen;
         *node == config.node && place && word.rollouts.is_empty()
     }
 
-    fn meet_one(&self, node: id::Node, word: Word) {
-        self.node.scheduler.seed(&word.paces);
+    fn meet_one(&self, node: id::Node, word: VmRecord) {
+        self.node.scheduler.seed(&word.seconds_per_token);
         if node != self.node.config.node {
             let now = boot::now();
             let peer = Peer::told_of(node, word.zone, word.address, now);
@@ -132,7 +132,7 @@
         loop {
             tokio::time::sleep(LEARNT).await;
             let word = self.node.word();
-            let known = !word.paces.is_empty();
+            let known = !word.seconds_per_token.is_empty();
             let alone = *self.zone.lead.borrow() != Lead::Led;
             if known && alone && self.node.say(&word, &self.log).await {
                 return;
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -22,7 +22,7 @@
 use crate::codec::Codec;
 use crate::config::Config;
 use crate::directory::Directory;
-use crate::fleet::Word;
+use crate::fleet::VmRecord;
 use crate::follow::Follower;
 use crate::metrics::Metrics;
 use crate::neighbours;
@@ -277,19 +277,19 @@
 
     /// What this VM says of itself, without roll-outs.
     #[must_use]
-    pub fn word(&self) -> Word {
-        Word {
+    pub fn word(&self) -> VmRecord {
+        VmRecord {
             zone: self.config.zone.clone(),
             address: self.config.peer_listen,
-            paces: self.paces(),
+            seconds_per_token: self.paces(),
             rollouts: Vec::new(),
         }
     }
 
     /// Says a word on the log; whether that is known to have succeeded.
-    pub async fn say(&self, word: &Word, log: &impl Log) -> bool {
+    pub async fn say(&self, word: &VmRecord, log: &impl Log) -> bool {
         self.calls.count(Topic::Fleet, Reason::Word);
-        word.say(&self.config.node, log).await
+        word.publish(&self.config.node, log).await
     }
 
     /// How fast models read.
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -30,7 +30,7 @@
 use crate::codec::Stage;
 use crate::codec::Status;
 use crate::fleet;
-use crate::fleet::Word;
+use crate::fleet::VmRecord;
 use crate::follow::Fold;
 use crate::follow::Follower;
 use crate::follow::Polling;
@@ -78,12 +78,12 @@
 /// The VMs' words that were not yet taken in, in the order of their arrival.
 #[derive(Debug, Default)]
 struct Words {
-    news: Vec<(id::Node, Word)>,
+    news: Vec<(id::Node, VmRecord)>,
 }
 
 impl Fold for Words {
     fn apply(&mut self, record: &Record, _: RecordContext) -> bool {
-        self.news.extend(fleet::read(record));
+        self.news.extend(fleet::decode(record));
         true
     }
 }
@@ -266,7 +266,7 @@
             node: node.clone(),
             what: what.clone(),
         }));
-        let word = Word {
+        let word = VmRecord {
             rollouts,
             ..self.node.word()
         };
