--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -48,7 +48,7 @@
 
     /// Takes a neighbour's view that was asked for at `sent`.
     fn adopt(&self, snapshot: &Snapshot, sent: Moment) {
-        let proven = snapshot::proven(sent, snapshot.age);
+        let proven = snapshot::proven_at(sent, snapshot.age);
         let mut inner = self.lock();
         self.regain(&mut inner, boot::now());
         inner.adopt(snapshot, proven, boot::now());
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -91,7 +91,7 @@
         };
         let Snapshot { records, to, age } = view?;
         let packed = self.pack(topic, Offset::default(), records, to)?;
-        match snapshot::seal(&self.node.config.deployment, age, packed) {
+        match snapshot::encode(&self.node.config.deployment, age, packed) {
             Ok(sealed) => Some(sealed),
             Err(error) => {
                 log::error!("neighbours: A view can't be handed on: {error}.");
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -93,7 +93,7 @@
 /// # Errors
 ///
 /// [`Error::Unreadable`].
-pub fn seal(deployment: &str, age: Duration, packed: Bytes) -> Result<Bytes, Error> {
+pub fn encode(deployment: &str, age: Duration, packed: Bytes) -> Result<Bytes, Error> {
     let envelope = Envelope {
         deployment: deployment.into(),
         age,
@@ -110,7 +110,7 @@
 /// # Errors
 ///
 /// Any but [`Error::Call`], except for what can't be unpacked.
-pub fn open(deployment: &str, topic: SharedTopic, sealed: &[u8]) -> Result<Snapshot, Error> {
+pub fn decode(deployment: &str, topic: SharedTopic, sealed: &[u8]) -> Result<Snapshot, Error> {
     let (digest, bytes) = sealed.split_at_checked(DIGEST).ok_or(Error::Digest)?;
     if blake3::hash(bytes).as_bytes() != digest {
         return Err(Error::Digest);
@@ -145,13 +145,13 @@
 ) -> Result<Snapshot, Error> {
     let path = format!("{PATH}{}", topic.topic().as_str());
     let sealed = bundle::get(address, path, progress).await;
-    open(deployment, topic, &sealed.context(CallSnafu)?)
+    decode(deployment, topic, &sealed.context(CallSnafu)?)
 }
 
 /// The moment as of which a view is proven that was `age` old when it was asked for at `sent`; none if
 /// that was before the clock began.
 #[must_use]
-pub fn proven(sent: Moment, age: Duration) -> Option<Moment> {
+pub fn proven_at(sent: Moment, age: Duration) -> Option<Moment> {
     let since_boot = sent.since(Moment::ZERO);
     since_boot.checked_sub(age).map(|at| Moment::ZERO + at)
 }
--- a/crates/relay/tests/all/snapshot.rs
+++ b/crates/relay/tests/all/snapshot.rs
@@ -31,12 +31,12 @@
 }
 
 fn sealed(bundle: &Bundle) -> Bytes {
-    snapshot::seal(HERE, AGE, bundle.pack().unwrap()).unwrap()
+    snapshot::encode(HERE, AGE, bundle.pack().unwrap()).unwrap()
 }
 
 #[test]
 fn a_snapshot_comes_back_as_it_was_sealed() {
-    let opened = snapshot::open(HERE, SharedTopic::Operators, &sealed(&bundle())).unwrap();
+    let opened = snapshot::decode(HERE, SharedTopic::Operators, &sealed(&bundle())).unwrap();
     assert_eq!(opened.records, bundle().records());
     assert_eq!((opened.to, opened.age), (Offset(9), AGE));
 }
@@ -46,12 +46,12 @@
 fn a_snapshot_that_was_cut_or_altered_is_refused() {
     let whole = sealed(&bundle());
     for length in 0..whole.len() {
-        assert!(snapshot::open(HERE, SharedTopic::Operators, &whole[..length]).is_err());
+        assert!(snapshot::decode(HERE, SharedTopic::Operators, &whole[..length]).is_err());
     }
     for place in 0..whole.len() {
         let mut altered = whole.to_vec();
         altered[place] ^= 1;
-        let opened = snapshot::open(HERE, SharedTopic::Operators, &altered);
+        let opened = snapshot::decode(HERE, SharedTopic::Operators, &altered);
         assert!(matches!(opened, Err(Error::Digest)), "at {place}");
     }
 }
@@ -60,20 +60,20 @@
 // before.
 #[test]
 fn a_snapshot_of_another_deployment_is_refused() {
-    let opened = snapshot::open("10.0.0.2:8223", SharedTopic::Operators, &sealed(&bundle()));
+    let opened = snapshot::decode("10.0.0.2:8223", SharedTopic::Operators, &sealed(&bundle()));
     assert!(matches!(opened, Err(Error::WrongDeployment { .. })));
 }
 
 // Guards against a view that lacks the records before its beginning, or is of another topic.
 #[test]
 fn a_snapshot_of_a_part_or_another_topic_is_refused() {
-    let opened = snapshot::open(HERE, SharedTopic::Endpoints, &sealed(&bundle()));
+    let opened = snapshot::decode(HERE, SharedTopic::Endpoints, &sealed(&bundle()));
     assert!(matches!(opened, Err(Error::WrongContent { .. })));
     let part = Bundle {
         from: Offset(2),
         ..bundle()
     };
-    let opened = snapshot::open(HERE, SharedTopic::Operators, &sealed(&part));
+    let opened = snapshot::decode(HERE, SharedTopic::Operators, &sealed(&part));
     assert!(matches!(opened, Err(Error::WrongContent { .. })));
 }
 
@@ -82,7 +82,7 @@
 fn a_snapshot_that_unpacks_without_end_is_refused() {
     let mut long = bundle();
     long.records[0].2 = Some(Bytes::from(vec![0; 64 << 20]));
-    assert!(snapshot::open(HERE, SharedTopic::Operators, &sealed(&long)).is_err());
+    assert!(snapshot::decode(HERE, SharedTopic::Operators, &sealed(&long)).is_err());
 }
 
 // Guards against a view that seems younger than it is on a VM whose clock began after it was proven.
@@ -90,10 +90,10 @@
 fn a_view_older_than_the_clock_is_proven_by_nothing() {
     let sent = Moment::ZERO + Duration::from_secs(1);
     assert_eq!(
-        snapshot::proven(sent, AGE),
+        snapshot::proven_at(sent, AGE),
         Some(Moment::ZERO + Duration::from_millis(930))
     );
-    assert_eq!(snapshot::proven(sent, Duration::from_secs(2)), None);
+    assert_eq!(snapshot::proven_at(sent, Duration::from_secs(2)), None);
 }
 
 // Guards against the view of a reader that is a second old being taken for one of the moment of asking:
