--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -23,9 +23,9 @@
     /// A caller uses something that the view does not know.
     Confirm,
     /// It looks for the other VMs.
-    Meet,
+    Discovery,
     /// It tells the other VMs of itself.
-    Word,
+    Announcement,
     /// It looks for what operators were told, or tells them.
     Status,
 }
@@ -41,8 +41,8 @@
             Self::Lacking => "lacking",
             Self::Unproven => "unproven",
             Self::Confirm => "confirm",
-            Self::Meet => "meet",
-            Self::Word => "word",
+            Self::Discovery => "meet",
+            Self::Announcement => "word",
             Self::Status => "status",
         }
     }
@@ -61,12 +61,12 @@
 
 /// The counts. Clones share them.
 #[derive(Debug, Clone, Default)]
-pub struct Calls {
+pub struct LogCalls {
     /// Sorted by topic and reason.
     counts: Arc<Mutex<Vec<Count>>>,
 }
 
-impl Calls {
+impl LogCalls {
     /// Counts a call that is made now.
     pub fn count(&self, topic: Topic, reason: Reason) {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -45,7 +45,7 @@
 pub use self::view::RecordRange;
 pub use self::view::View;
 use crate::boot;
-use crate::calls::Calls;
+use crate::calls::LogCalls;
 use crate::calls::Reason;
 use crate::topic::Batch;
 use crate::topic::Log;
@@ -82,7 +82,7 @@
     log: L,
     timing: Timing,
     zone: Zone,
-    calls: Calls,
+    calls: LogCalls,
     began: Moment,
     inner: Arc<Mutex<View<F>>>,
     nudge: Arc<Notify>,
@@ -117,7 +117,7 @@
         topic: Topic,
         timing: Timing,
         zone: Zone,
-        calls: Calls,
+        calls: LogCalls,
         fold: F,
         token: CancellationToken,
     ) -> Self {
--- a/crates/relay/src/neighbours/meet.rs
+++ b/crates/relay/src/neighbours/meet.rs
@@ -91,7 +91,7 @@
     async fn read_words(&self) -> bool {
         let mut pause = PAUSE;
         loop {
-            self.node.calls.count(Topic::Fleet, Reason::Meet);
+            self.node.calls.count(Topic::Fleet, Reason::Discovery);
             let progress = Progress::default();
             let newest = self.log.newest(Topic::Fleet, &progress);
             match progress.wait(newest, CALL, CALL).await {
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -16,7 +16,7 @@
 
 use crate::boot;
 use crate::border::Border;
-use crate::calls::Calls;
+use crate::calls::LogCalls;
 use crate::calls::Reason;
 use crate::cascade;
 use crate::codec::Codec;
@@ -72,8 +72,8 @@
     pub repeats: Arc<Repeats>,
     /// What was seen of models' confidences.
     pub(crate) models: Arc<cascade::Book>,
-    /// Calls of the log by why they were made.
-    pub(crate) calls: Calls,
+    /// LogCalls of the log by why they were made.
+    pub(crate) calls: LogCalls,
     /// Counters and histograms.
     pub(crate) metrics: Arc<Metrics>,
     rollouts: Arc<Mutex<Rollouts>>,
@@ -141,7 +141,7 @@
     /// Starts to follow the log.
     pub fn start(config: Config, platform: P, log: L, token: &CancellationToken) -> Self {
         let zone = Zone::starting(&config);
-        let calls = Calls::default();
+        let calls = LogCalls::default();
         let timings = config.timings;
         let operators = Follower::start(
             log.clone(),
@@ -288,7 +288,7 @@
 
     /// Says a word on the log; whether that is known to have succeeded.
     pub async fn say(&self, word: &VmRecord, log: &impl Log) -> bool {
-        self.calls.count(Topic::Fleet, Reason::Word);
+        self.calls.count(Topic::Fleet, Reason::Announcement);
         word.publish(&self.config.node, log).await
     }
 
--- a/crates/relay/src/poison/keep.rs
+++ b/crates/relay/src/poison/keep.rs
@@ -97,7 +97,7 @@
             return done();
         }
     };
-    node.calls.count(Topic::Poison, Reason::Word);
+    node.calls.count(Topic::Poison, Reason::Announcement);
     let key = digest.to_string();
     let append = log.append(Topic::Poison, &key, value, None);
     let problem = match tokio::time::timeout(CALL, append).await {
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use compact_str::CompactString;
-use pimento_relay::calls::Calls;
+use pimento_relay::calls::LogCalls;
 use pimento_relay::config::Bounds;
 use pimento_relay::config::Exposure;
 use pimento_relay::config::Retry;
@@ -75,7 +75,7 @@
 
 pub struct Fixture {
     pub log: Memory,
-    pub calls: Calls,
+    pub calls: LogCalls,
     pub zone: Zone,
     pub follower: Follower<All, Memory>,
     _token: tokio_util::sync::DropGuard,
@@ -93,7 +93,7 @@
     pub fn over(log: Memory, timing: Timing) -> Self {
         let zone = Zone::default();
         let token = CancellationToken::new();
-        let calls = Calls::default();
+        let calls = LogCalls::default();
         let follower = Follower::start(
             log.clone(),
             Topic::Endpoints,
