--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -27,7 +27,7 @@
     /// The entry.
     pub entry: Entry,
     /// Until when it counts although its entry vanished.
-    pub until: Option<Moment>,
+    pub grace_end: Option<Moment>,
 }
 
 /// The endpoints, folded from their records.
@@ -68,28 +68,31 @@
 
     /// Whether new work may be sent to an endpoint.
     #[must_use]
-    pub fn usable(&self, id: &id::Endpoint, now: Moment) -> bool {
-        self.member(id).is_some_and(|member| member.usable(now))
+    pub fn is_usable(&self, id: &id::Endpoint, now: Moment) -> bool {
+        self.member(id).is_some_and(|member| member.is_usable(now))
     }
 
     /// Forgets endpoints whose entries did not come back. Whether any was.
-    pub fn sweep(&mut self, now: Moment) -> bool {
+    pub fn remove_expired(&mut self, now: Moment) -> bool {
         let before = self.members.len();
         self.members
-            .retain(|member| member.until.is_none_or(|until| now < until));
+            .retain(|member| member.grace_end.is_none_or(|until| now < until));
         self.members.len() != before
     }
 
-    /// When [`sweep`](Self::sweep) has something to do next.
+    /// When [`remove_expired`](Self::remove_expired) has something to do next.
     #[must_use]
-    pub fn next_sweep(&self) -> Option<Moment> {
-        self.members.iter().filter_map(|member| member.until).min()
+    pub fn next_expiry(&self) -> Option<Moment> {
+        self.members
+            .iter()
+            .filter_map(|member| member.grace_end)
+            .min()
     }
 
     /// Takes an entry; whether it says more than that its endpoint lives.
     fn renew(&mut self, entry: Entry, offset: Offset) -> bool {
         let known = self.member(&entry.id);
-        let same = known.is_some_and(|member| member.until.is_none() && member.entry == entry);
+        let same = known.is_some_and(|member| member.grace_end.is_none() && member.entry == entry);
         if same {
             return false;
         }
@@ -109,7 +112,10 @@
     }
 
     fn put(&mut self, entry: Entry) {
-        let member = Member { entry, until: None };
+        let member = Member {
+            entry,
+            grace_end: None,
+        };
         let find = |known: &Member| known.entry.id.cmp(&member.entry.id);
         match self.members.binary_search_by(find) {
             Ok(place) => self.members[place] = member,
@@ -128,7 +134,7 @@
                     endpoint = id.as_str();
                     "directory: The entry vanished while the log was out, kept for a moment."
                 );
-                self.members[place].until = Some(until);
+                self.members[place].grace_end = Some(until);
             }
             _ => {
                 log::info!(endpoint = id.as_str(); "directory: Endpoint gone.");
@@ -141,8 +147,8 @@
 impl Member {
     /// Whether new work may be sent to it.
     #[must_use]
-    pub fn usable(&self, now: Moment) -> bool {
-        !self.entry.leaving && self.until.is_none_or(|until| now < until)
+    pub fn is_usable(&self, now: Moment) -> bool {
+        !self.entry.leaving && self.grace_end.is_none_or(|until| now < until)
     }
 }
 
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -255,7 +255,7 @@
     #[must_use]
     pub fn usable(&self, endpoint: &id::Endpoint) -> bool {
         let now = boot::now();
-        self.directory.view(|view| view.usable(endpoint, now))
+        self.directory.view(|view| view.is_usable(endpoint, now))
     }
 
     /// Whether the VM takes requests.
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -31,14 +31,14 @@
     let mut operators = node.operators.changes();
     loop {
         refresh(&node);
-        let sweep = node.directory.view(directory::Directory::next_sweep);
+        let sweep = node.directory.view(directory::Directory::next_expiry);
         let now = boot::now();
         let pause = sweep.map_or(Duration::from_hours(1), |at| at.since(now));
         tokio::select! {
             _ = endpoints.changed() => {}
             _ = operators.changed() => {}
             () = tokio::time::sleep(pause) => {
-                node.directory.modify(|view| view.sweep(boot::now()));
+                node.directory.modify(|view| view.remove_expired(boot::now()));
             }
         }
     }
@@ -107,7 +107,7 @@
         endpoint: entry.id.clone(),
         zone: entry.zone.clone(),
         address: entry.address,
-        usable: member.usable(now),
+        usable: member.is_usable(now),
         distance: if near { Duration::ZERO } else { FAR },
         versions: Some(vec![entry.version.clone()]),
         report: Some((report, Moment::ZERO)),
