--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,14 +1,14 @@
-//! Follows a topic of the log: what is read is applied in offset order, each record once, and its
-//! age is proven.
+//! Follows a topic of the log. Records are applied once, in offset order, and the age of the resulting
+//! view is known.
 //!
-//! A read proves that nothing newer was there when it was *sent*: its answer may be late, and the
-//! topic may have moved since. Reads are given up after a bound and made on another connection, as
-//! a connection may fall silent for good.
+//! A read proves that the view held everything at the time when the read was *sent*: the answer may be
+//! late, and the topic may have grown since. Reads that get no answer are given up after a timeout and
+//! retried on another connection, because a connection may fall silent for good.
 //!
-//! In a zone one VM reads for the others ([`Lead`]), which then make no calls while nothing changes.
-//! What it tells them proves their view only as of a moment of their own clock: it names their newest
-//! stamp that had come to it before it sent the read. A datagram that was delayed, by the network or
-//! by a VM that was suspended, can therefore never make a view look younger than it is.
+//! In each zone one VM, the leader, reads for the others ([`Lead`]), which make no calls while nothing
+//! changes. The leader's proof dates another VM's view by that VM's own clock: it names the last stamp
+//! which the leader had received from that VM before it sent the read. A datagram that was delayed, by
+//! the network or by a suspended VM, can therefore never make a view look younger than it is.
 
 mod exchange;
 mod fold;
@@ -35,10 +35,10 @@
 pub use self::fold::Fold;
 pub use self::fold::RecordContext;
 use self::timing::AT_ONCE;
-use self::timing::LED_PAUSE;
+use self::timing::LED_BACKOFF;
 pub use self::timing::Lead;
 pub use self::timing::Polling;
-use self::timing::SUCCESSION;
+use self::timing::TURN;
 pub use self::timing::Timing;
 pub use self::timing::answer_timeout;
 pub use self::timing::max_backoff;
@@ -55,25 +55,26 @@
 use crate::zone::Stamp;
 use crate::zone::Zone;
 
-/// What a VM that reads can tell another one.
+/// What a VM that reads the log proves to another VM: a view that holds everything before `changed` was
+/// up to date at `stamp`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Proof {
-    /// The offset after the last record that changed the view.
+    /// The offset after the last record that changed the sender's view.
     pub changed: Offset,
-    /// The other VM's newest stamp that had come before the proving read was sent.
+    /// The last stamp of the receiving VM that had reached the sender before it sent the read.
     pub stamp: Moment,
 }
 
-/// After this long without an answered read the log counts as out of touch: two reads that were
-/// given up, at the shortest bounds in use.
-const OUT_OF_TOUCH: Duration = Duration::from_millis(1_200);
+/// Time without an answered read, beyond the usual time between reads, after which the log counts as
+/// disconnected. It is the time that two reads without an answer take at the shortest bounds in use.
+const DISCONNECTED_AFTER: Duration = Duration::from_millis(1_200);
 
-/// The first pause after a failed read; an answer that was lost is often a single event.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// The first pause after a failed read. It is short because a lost answer is often a single event.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How long records may come after the word that tells of them: datagrams that were sent together
-/// arrive within some milliseconds.
-const LATE: Duration = Duration::from_millis(25);
+/// How long records may arrive after the proof that mentions them. Datagrams that were sent together
+/// arrive within some milliseconds of each other.
+const REORDERING: Duration = Duration::from_millis(25);
 
 /// Follows one topic. Clones share the view.
 #[derive(Debug)]
@@ -83,13 +84,15 @@
     timing: Timing,
     zone: Zone,
     calls: LogCalls,
-    began: Moment,
+    started: Moment,
     inner: Arc<Mutex<View<F>>>,
-    nudge: Arc<Notify>,
+    /// Notified when another VM's proof arrives.
+    wake: Arc<Notify>,
     changed: Arc<watch::Sender<u64>>,
+    /// Held during a confirming read, so that callers share it.
     confirming: Arc<tokio::sync::Mutex<()>>,
-    /// Told of the end of each own read.
-    ended: Arc<Notify>,
+    /// Notified at the end of each read of the follower's own task.
+    read_ended: Arc<Notify>,
 }
 
 impl<F, L: Clone> Clone for Follower<F, L> {
@@ -100,18 +103,18 @@
             timing: self.timing,
             zone: self.zone.clone(),
             calls: self.calls.clone(),
-            began: self.began,
-            nudge: Arc::clone(&self.nudge),
+            started: self.started,
+            wake: Arc::clone(&self.wake),
             inner: Arc::clone(&self.inner),
             changed: Arc::clone(&self.changed),
             confirming: Arc::clone(&self.confirming),
-            ended: Arc::clone(&self.ended),
+            read_ended: Arc::clone(&self.read_ended),
         }
     }
 }
 
 impl<F: Fold, L: Log> Follower<F, L> {
-    /// Follows `topic` until `token`. Reads are counted in `calls`.
+    /// Follows `topic` until `token` is cancelled. Reads are counted in `calls`.
     pub fn start(
         log: L,
         topic: Topic,
@@ -128,12 +131,12 @@
             timing,
             zone,
             calls,
-            began: boot::now(),
-            nudge: Arc::default(),
+            started: boot::now(),
+            wake: Arc::default(),
             inner: Arc::new(Mutex::new(inner)),
             changed: Arc::new(watch::Sender::new(0)),
             confirming: Arc::default(),
-            ended: Arc::default(),
+            read_ended: Arc::default(),
         };
         let reader = follower.clone();
         tokio::spawn(async move { token.run_until_cancelled(reader.run()).await });
@@ -141,28 +144,29 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, View<F>> {
-        // A panic in a fold is a bug; going on with what was folded beats refusing all.
+        // A panic in a fold is a bug. Serving with the state before it beats refusing every request.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks at the view. `look` runs under a lock and must be short.
+    /// Calls `look` with the view. `look` runs under a lock and must be short.
     pub fn view<T>(&self, look: impl FnOnce(&F) -> T) -> T {
         look(&self.lock().fold)
     }
 
-    /// Changes the view by something that is not on the topic.
+    /// Changes the view by something that does not come from the topic. `change` runs under a lock and
+    /// must be short.
     pub fn modify<T>(&self, change: impl FnOnce(&mut F) -> T) -> T {
         change(&mut self.lock().fold)
     }
 
-    /// When the topic was last known to hold nothing newer than the view, on the clock of
-    /// [`boot::now`]; none before the first read.
+    /// The latest moment, on the clock of [`boot::now`], at which the view is known to have held the whole
+    /// topic; none before the first read.
     #[must_use]
     pub fn proven_at(&self) -> Option<Moment> {
         self.lock().proven_at
     }
 
-    /// How long ago that was.
+    /// The time since [`proven_at`](Self::proven_at).
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
         self.proven_at().map(|proven| boot::now().since(proven))
@@ -174,21 +178,22 @@
         self.lock().next
     }
 
-    /// How the reads so far went.
+    /// Outcomes of the reads so far.
     #[must_use]
     pub fn read_counts(&self) -> ReadCounts {
         self.lock().read_counts
     }
 
-    /// For how long another VM has known of a change that this view lacks; none while it lacks none
-    /// that anybody told of.
+    /// For how long the view has lacked a change that another VM announced; none if it lacks no announced
+    /// change.
     #[must_use]
     pub fn behind(&self) -> Option<Duration> {
-        let since = self.lock().behind?;
+        let since = self.lock().behind_since?;
         Some(boot::now().since(since))
     }
 
-    /// What this VM can tell another one; none if it has not heard of it before its last read.
+    /// The proof for another VM; none if no stamp of it had arrived before the last read that reached the
+    /// end of the topic.
     #[must_use]
     pub fn proof(&self, node: u64) -> Option<Proof> {
         let inner = self.lock();
@@ -199,25 +204,25 @@
         })
     }
 
-    /// What others lack that have all records before `from`: the records that changed the view since,
-    /// in parts that fit a datagram each, and the offset after the last of them; no parts if they
-    /// must read by themselves.
+    /// The records from `from` on that changed the view, in chunks that fit a datagram each, and the offset
+    /// after the last of them. No chunks if a record is no longer cached or too large for a datagram; the
+    /// other VMs must read it themselves then.
     #[must_use]
     pub fn chunks_from(&self, from: Offset) -> (Option<Vec<Vec<Record>>>, Offset) {
         let inner = self.lock();
         (inner.recent.chunks_from(from), inner.changed)
     }
 
-    /// All records from `from` on that changed the view, with the offset after the last of them; none if
-    /// one is not kept.
+    /// The records from `from` on that changed the view, and the offset after the last of them. No records
+    /// if one of them is no longer cached.
     #[must_use]
     pub fn records_from(&self, from: Offset) -> (Option<Vec<Record>>, Offset) {
         let inner = self.lock();
         (inner.recent.records_from(from), inner.changed)
     }
 
-    /// Takes records of another VM. They wait until the view holds all before them; if what lacks does
-    /// not come, the next word of that VM makes this one read.
+    /// Receives records from another VM. They are buffered until the view holds everything before them. If
+    /// the records in between do not arrive, that VM's next proof makes this one read.
     pub fn receive(&self, range: RecordRange) {
         let changed = self.lock().receive(range, boot::now());
         if changed {
@@ -225,27 +230,27 @@
         }
     }
 
-    /// Another VM read up to the end after it had this VM's stamp. If nothing that this VM has not
-    /// read changed the view, that proves its own; otherwise it reads at once.
+    /// Receives the proof of another VM, which read up to the end of the topic after it had this VM's stamp.
+    /// It proves this VM's view if the view lacks no change; otherwise this VM reads at once.
     pub fn receive_proof(&self, proof: Proof) {
-        // A stamp of an earlier life may be in use still, and after a restart of the VM it is one of
-        // a time to come: the view would seem young until then.
-        let possible = self.began <= proof.stamp && proof.stamp <= boot::now();
+        // Another VM may still use a stamp of an earlier incarnation. If the machine restarted since, that
+        // stamp may lie in the future, and the view would seem young until then.
+        let possible = self.started <= proof.stamp && proof.stamp <= boot::now();
         if !possible {
             return;
         }
         let mut inner = self.lock();
-        inner.want(proof, boot::now());
-        self.nudge.notify_one();
-        if inner.lacks() {
+        inner.receive_proof(proof, boot::now());
+        self.wake.notify_one();
+        if inner.lacks_changes() {
             return;
         }
-        // The log is back as of now, and not only when this VM next reads it: until then an endpoint
-        // that leaves would count as one whose entry the outage had ended.
-        self.regain(&mut inner, boot::now());
+        // The log is reachable as of now, not only once this VM reads it again. Until then the entry of an
+        // endpoint that leaves would seem to have expired because of the outage.
+        self.mark_connected(&mut inner, boot::now());
     }
 
-    /// Tells of each change of the view.
+    /// A channel that is notified of each change of the view.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
@@ -253,33 +258,35 @@
 
     async fn run(self) {
         let mut lead = self.zone.lead.subscribe();
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         let mut before = Lead::default();
         self.zone.wait_for_discovery().await;
         loop {
             let role = *lead.borrow_and_update();
             let succeeds = role == Lead::Leading && before != role;
             before = role;
-            // A view that lacks a change is read for until it has it: a VM whose read was refused would
-            // otherwise wait for the next word, or until its trust is used up.
-            let whole = role == Lead::Led && (!self.lacks().await || self.take_over().await);
-            if whole && self.trusts() {
+            // A view that lacks a change is read until it has the change. Otherwise a VM whose read was
+            // refused would wait for the next proof, or until its last proof is too old.
+            let whole = role == Lead::Led
+                && (!self.lacks_changes().await || self.fetch_from_leader().await);
+            if whole && self.has_recent_proof() {
                 let left = self
                     .age()
                     .map(|age| self.timing.max_proof_age.saturating_sub(age));
                 tokio::select! {
-                    () = self.nudge.notified() => continue,
+                    () = self.wake.notified() => continue,
                     _ = lead.changed() => continue,
                     () = tokio::time::sleep(left.unwrap_or_default()) => continue,
                 }
             }
             let state = self.zone.log_state();
-            let blind = state.no_able_reader && role == Lead::Led && self.next_offset().is_some();
-            if (blind || state.outage_suspected && succeeds) && self.hesitate(role, &mut lead).await
-            {
+            let take_turns =
+                state.no_able_reader && role == Lead::Led && self.next_offset().is_some();
+            let hesitate = take_turns || state.outage_suspected && succeeds;
+            if hesitate && self.wait_for_turn(role, &mut lead).await {
                 continue;
             }
-            if role == Lead::Led && self.next_offset().is_none() && self.take_snapshot().await {
+            if role == Lead::Led && self.next_offset().is_none() && self.fetch_snapshot().await {
                 continue;
             }
             let polling = match role {
@@ -289,54 +296,53 @@
             };
             match self.read(polling.wait, self.reason(role)).await {
                 Ok(whole) => {
-                    pause = FIRST_PAUSE;
+                    backoff = INITIAL_BACKOFF;
                     self.zone.read_answered();
                     if whole {
                         tokio::time::sleep(polling.pause).await;
                     }
                 }
                 Err(failure) => {
-                    failure.log("Not read");
+                    failure.log("Read of the log failed");
                     self.zone.read_failed(failure.kind, boot::now());
-                    self.stumble(role, polling);
-                    if blind {
+                    self.check_disconnected(role, polling);
+                    if take_turns {
                         continue;
                     }
                     if role == Lead::Led && failure.kind == zone::Failure::Refused {
                         // A lost answer is often a single event, a refusal is not.
-                        pause = pause.max(LED_PAUSE);
+                        backoff = backoff.max(LED_BACKOFF);
                     }
                     let share = rand::random_range(0.5..=1.0);
                     tokio::select! {
-                        () = self.rest(role, pause.mul_f64(share)) => {}
+                        () = self.back_off(role, backoff.mul_f64(share)) => {}
                         _ = lead.changed() => {}
                     }
-                    pause = (pause * 2).min(self.max_backoff(role));
+                    backoff = (backoff * 2).min(self.max_backoff(role));
                 }
             }
         }
     }
 
-    /// Waits before a read that the log would most likely turn away; whether something came up
-    /// meanwhile.
+    /// Waits before a read that the log would most likely refuse. Returns true if a proof arrived or the
+    /// role changed meanwhile, so that the read may no longer be needed.
     ///
-    /// The log turns away one VM of a zone or all of them, and each can know it of itself alone. If all
-    /// tried at once whenever it happens, and went on trying, most of what the log is asked would be in
-    /// vain. So they try one after the other, and the first that is answered vouches for the others. A
-    /// VM that another one reads for takes its turn by chance, if nobody is known whose reads are
-    /// answered.
-    async fn hesitate(&self, role: Lead, lead: &mut watch::Receiver<Lead>) -> bool {
+    /// The log may refuse one VM of a zone or all of them, and a VM learns this only for itself. If all VMs
+    /// retried at once, most calls would be in vain. They try one after the other instead, and the first
+    /// that is answered proves the views of the others. While no VM of the zone is known to get answers, a
+    /// VM that is led takes its turn after a random time.
+    async fn wait_for_turn(&self, role: Lead, lead: &mut watch::Receiver<Lead>) -> bool {
         let pause = if role == Lead::Led {
-            self.stumble(role, AT_ONCE);
+            self.check_disconnected(role, AT_ONCE);
             let others = u32::try_from(self.zone.stamps().len()).unwrap_or(u32::MAX);
-            let all = SUCCESSION.saturating_mul(others.saturating_add(1));
+            let all = TURN.saturating_mul(others.saturating_add(1));
             all.mul_f64(rand::random_range(0.0..=1.0))
         } else {
-            SUCCESSION
+            TURN
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => false,
-            () = self.nudge.notified() => true,
+            () = self.wake.notified() => true,
             _ = lead.changed() => {
                 lead.mark_changed();
                 true
@@ -344,72 +350,73 @@
         }
     }
 
-    /// Why a VM in this role reads now.
+    /// The reason under which a read in this role is counted.
     fn reason(&self, role: Lead) -> Reason {
         let inner = self.lock();
         match role {
             _ if inner.next.is_none() => Reason::Start,
             Lead::Leading => Reason::Leading,
             Lead::Alone => Reason::Alone,
-            Lead::Led if inner.lacks() => Reason::Lacking,
+            Lead::Led if inner.lacks_changes() => Reason::Lacking,
             Lead::Led => Reason::Unproven,
         }
     }
 
-    /// Whether the view lacks what another VM knows of, and still does after what was handed on beside
-    /// that word had time to come.
-    async fn lacks(&self) -> bool {
-        if self.lock().lacks() {
-            tokio::time::sleep(LATE).await;
+    /// Whether the view lacks an announced change. Waits first for records that were sent together with
+    /// the announcement.
+    async fn lacks_changes(&self) -> bool {
+        if self.lock().lacks_changes() {
+            tokio::time::sleep(REORDERING).await;
         }
-        self.lock().lacks()
+        self.lock().lacks_changes()
     }
 
-    /// Pauses after a failed read. Word of a change doesn't end the pause, as it comes several times a
-    /// second, also while the log turns this VM away and serves the one that reads for it. It cuts
-    /// short one that was meant for a view that lacks nothing.
-    async fn rest(&self, role: Lead, pause: Duration) {
-        let end = Instant::now() + pause;
+    /// Waits after a failed read. A proof does not end the wait: proofs arrive several times a second, also
+    /// while the log refuses this VM and serves its leader. It only shortens the wait to the limit for a
+    /// view that lacks changes.
+    async fn back_off(&self, role: Lead, backoff: Duration) {
+        let end = Instant::now() + backoff;
         tokio::select! {
             () = tokio::time::sleep_until(end) => return,
-            () = self.nudge.notified() => {}
+            () = self.wake.notified() => {}
         }
         let sooner = Instant::now() + self.max_backoff(role);
         tokio::time::sleep_until(end.min(sooner)).await;
     }
 
-    /// The longest pause after failed reads.
+    /// The longest wait after failed reads.
     fn max_backoff(&self, role: Lead) -> Duration {
-        max_backoff(role, self.zone.stamps().len(), self.lock().lacks())
+        max_backoff(role, self.zone.stamps().len(), self.lock().lacks_changes())
     }
 
-    /// Whether this VM reads by itself, and its reads are answered.
+    /// Whether this VM reads the log itself, and its reads are answered.
     #[must_use]
     pub fn is_reading(&self) -> bool {
-        let reads = *self.zone.lead.borrow() != Lead::Led || !self.trusts();
+        let reads = *self.zone.lead.borrow() != Lead::Led || !self.has_recent_proof();
         reads && self.lock().connected_since.is_some()
     }
 
-    /// Whether what another VM proved is young enough.
-    fn trusts(&self) -> bool {
+    /// Whether the last proof is recent enough to need no own read.
+    fn has_recent_proof(&self) -> bool {
         self.age()
             .is_some_and(|age| age < self.timing.max_proof_age)
     }
 
-    /// Applies what is new; whether the view now holds all up to the end.
-    fn take(&self, batch: &Batch, sent: Moment, stamps: Vec<Stamp>) -> bool {
+    /// Applies the answer of a read that was sent at `sent`. Returns whether the view now holds everything
+    /// up to the end of the topic.
+    fn apply(&self, batch: &Batch, sent: Moment, stamps: Vec<Stamp>) -> bool {
         let now = boot::now();
         let mut inner = self.lock();
-        self.regain(&mut inner, now);
+        self.mark_connected(&mut inner, now);
         let changed = if inner.next.is_none() {
             inner.replace(&batch.records, batch.end, now)
         } else {
             inner.extend(batch, now)
         };
         let whole = inner.next >= Some(batch.end);
-        if whole && inner.refute(sent) {
+        if whole && inner.drop_false_announcement(sent) {
             let topic = self.topic.as_str();
-            log::warn!(topic; "follower: Another VM told of records that the log does not hold.");
+            log::warn!(topic; "follower: Another VM announced records that the log does not hold.");
         }
         if whole && inner.proven_at < Some(sent) {
             inner.proven_at = Some(sent);
@@ -423,20 +430,21 @@
         whole
     }
 
-    /// Notes that a read was answered, here or at a VM that vouches for this one.
-    fn regain(&self, inner: &mut View<F>, now: Moment) {
+    /// Records that a read was answered, by this VM or by one that proved this VM's view.
+    fn mark_connected(&self, inner: &mut View<F>, now: Moment) {
         if inner.connected_since.is_none() {
             inner.connected_since = Some(now);
             inner.fold.connectivity_changed(Connectivity::Restored(now));
-            log::info!(topic = self.topic.as_str(); "follower: The log is in touch.");
+            log::info!(topic = self.topic.as_str(); "follower: Connected to the log.");
         }
     }
 
-    /// A read failed. A VM that another one reads for is in touch by that one's word, which may be as
-    /// old as the trust in it: judged by its own reads alone it would fall out of touch and back
-    /// several times a second while the log turns it away.
-    fn stumble(&self, role: Lead, polling: Polling) {
-        let usual = match role {
+    /// Marks the log as disconnected if the view has not been proven for too long. Called after a failed
+    /// read. A VM that is led stays connected through its leader's proofs, which may be as old as
+    /// `max_proof_age`. By its own reads alone it would disconnect and reconnect several times a second
+    /// while the log refuses it.
+    fn check_disconnected(&self, role: Lead, polling: Polling) {
+        let interval = match role {
             Lead::Led => self.timing.max_proof_age,
             Lead::Alone | Lead::Leading => polling.wait + polling.pause,
         };
@@ -444,10 +452,10 @@
         let mut inner = self.lock();
         let silent = inner
             .proven_at
-            .is_none_or(|proven| now.since(proven) > OUT_OF_TOUCH + usual);
+            .is_none_or(|proven| now.since(proven) > DISCONNECTED_AFTER + interval);
         if silent && inner.connected_since.take().is_some() {
             inner.fold.connectivity_changed(Connectivity::Lost);
-            log::warn!(topic = self.topic.as_str(); "follower: The log is out of touch.");
+            log::warn!(topic = self.topic.as_str(); "follower: Disconnected from the log.");
         }
     }
 }
--- a/crates/relay/src/follow/exchange.rs
+++ b/crates/relay/src/follow/exchange.rs
@@ -1,4 +1,4 @@
-//! One read of a topic, as log lines and metrics tell of it.
+//! A single read of a topic: its progress, its outcome, and the log lines about it.
 
 use std::time::Duration;
 
@@ -14,47 +14,47 @@
 use crate::topic::Topic;
 use crate::zone;
 
-/// An answer of this many bytes is told of in a line of its own: usual ones are a tenth of it.
+/// Answers of this many bytes get a log line; usual ones are a tenth of it.
 const LARGE: u64 = 64 << 10;
 
-/// How many reads of a topic went which way, and what came.
+/// How many reads of a topic had which outcome, and how many bytes they received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadCounts {
     /// Reads that were answered.
     pub answered: u64,
     /// Reads that the log refused, or whose connection broke.
     pub failed: u64,
-    /// Reads that were given up.
+    /// Reads that timed out.
     pub given_up: u64,
-    /// Bytes of answers, those of reads that were given up included.
+    /// Bytes of answers, including those of reads that timed out.
     pub bytes: u64,
 }
 
-/// A read under way.
+/// A read in progress.
 #[derive(Debug)]
 pub struct Exchange {
     topic: Topic,
     /// When it was sent.
     pub sent: Moment,
-    /// What has come of its answer.
+    /// What has arrived of its answer.
     pub progress: Progress,
 }
 
-/// A read that gave nothing.
+/// A failed read.
 #[derive(Debug)]
 pub struct Failure {
     topic: Topic,
     reason: CompactString,
-    /// How it ended.
+    /// What the failure says about the log.
     pub kind: zone::Failure,
     received: Received,
     took: Duration,
-    /// How long nothing had come.
+    /// Time without any data before the failure.
     silent: Duration,
 }
 
 impl Exchange {
-    /// A read that is sent now.
+    /// Starts a read that is sent now.
     pub fn new(topic: Topic) -> Self {
         Self {
             topic,
@@ -63,17 +63,17 @@
         }
     }
 
-    /// Tells of an answer that was large enough to take time.
+    /// Logs an answer that was large enough to take time.
     pub fn answered(&self) {
         let bytes = self.progress.received().bytes;
         if bytes >= LARGE {
             let topic = self.topic.as_str();
             let took_ms = millis(boot::now().since(self.sent));
-            log::info!(topic, bytes, took_ms; "follower: A large answer was read.");
+            log::info!(topic, bytes, took_ms; "follower: Read a large answer.");
         }
     }
 
-    /// The log answered with an error, or the connection broke.
+    /// The failure of a read that the log answered with an error, or whose connection broke.
     pub fn refused(&self, error: &Error) -> Failure {
         let kind = match error {
             Error::Refused { .. } => zone::Failure::Refused,
@@ -82,12 +82,12 @@
         self.failed(kind, error.to_string())
     }
 
-    /// Nothing came in time.
+    /// The failure of a read that timed out.
     pub fn given_up(&self, silent: Silent) -> Failure {
         self.failed(zone::Failure::Unanswered, silent.to_string())
     }
 
-    /// The read failed.
+    /// The failure of this read.
     pub fn failed(&self, kind: zone::Failure, reason: impl Into<CompactString>) -> Failure {
         let received = self.progress.received();
         let took = boot::now().since(self.sent);
@@ -103,8 +103,8 @@
 }
 
 impl Failure {
-    /// Says so. What had come, and since when nothing, tells a log that is silent from an answer that
-    /// takes long.
+    /// Logs the failure. The bytes received and the time since the last of them tell a silent log from an
+    /// answer that takes long.
     pub fn log(&self, what: &str) {
         log::warn!(
             topic = self.topic.as_str(),
--- a/crates/relay/src/follow/fold.rs
+++ b/crates/relay/src/follow/fold.rs
@@ -1,36 +1,36 @@
-//! What a topic's records are folded into.
+//! State that is built up from a topic's records.
 
 use pimento_units::Moment;
 
 use crate::topic::Record;
 
-/// A view that is folded from a topic's records.
+/// State that is built up from a topic's records.
 pub trait Fold: Send + 'static {
-    /// Takes a record that is newer than all others seen of its key. Whether the view changed in a
-    /// way that others must hear of soon.
+    /// Applies a record that is newer than all earlier ones of its key. Returns whether the state changed
+    /// in a way that other VMs must learn of soon.
     fn apply(&mut self, record: &Record, context: RecordContext) -> bool;
 
-    /// The follower lost touch with the log for so long that what it knows may be out of date, or
-    /// is in touch again.
+    /// Called when the log has been unreachable for so long that the state may be out of date, and when
+    /// it is reachable again.
     fn connectivity_changed(&mut self, _connectivity: Connectivity) {}
 }
 
-/// How a record came to be known.
+/// The circumstances under which a record arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RecordContext {
-    /// When.
+    /// When it arrived.
     pub received: Moment,
-    /// Since when reads have been answered without a long break.
+    /// Since when the log has been reachable without a long interruption.
     pub connected_since: Moment,
-    /// Whether it was there when the topic was first read.
+    /// Whether it was on the topic when the topic was first read.
     pub initial: bool,
 }
 
-/// Whether reads are answered.
+/// Whether the log is reachable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Connectivity {
-    /// Not any more.
+    /// It no longer is.
     Lost,
-    /// Again, since this moment.
+    /// It is again, since this moment.
     Restored(Moment),
 }
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -1,4 +1,4 @@
-//! The reads of a follower: its own ones, and those that confirm the view for a caller.
+//! The reads of a follower: those of its own task, and those that confirm the view for a caller.
 
 use std::future::Future;
 use std::time::Duration;
@@ -19,11 +19,11 @@
 use crate::zone;
 
 impl<F: Fold, L: Log> Follower<F, L> {
-    /// Reads once more, now, unless the view is younger than `moment` already. Those who ask at the
-    /// same time share one read. False if it could not be read.
+    /// Reads the log now, unless the view is already proven as of `moment` or later. Concurrent callers
+    /// share one read. Returns false if the log could not be read.
     pub async fn confirm(&self, moment: Moment) -> bool {
-        let _one = self.confirming.lock().await;
-        self.settled().await;
+        let _confirming = self.confirming.lock().await;
+        self.wait_for_running_read().await;
         if self.proven_at().is_some_and(|proven| proven >= moment) {
             return true;
         }
@@ -39,45 +39,46 @@
         let answer = progress.wait(answer, timeout, timeout).await;
         match self.count(&exchange, answer) {
             Ok(Ok(batch)) => {
-                self.take(&batch, exchange.sent, stamps);
+                self.apply(&batch, exchange.sent, stamps);
                 self.proven_at()
                     .is_some_and(|proven| proven >= exchange.sent)
             }
             Ok(Err(error)) => {
-                exchange.refused(&error).log("Not confirmed");
+                exchange.refused(&error).log("Could not confirm the view");
                 false
             }
             Err(failure) => {
-                failure.log("Not confirmed");
+                failure.log("Could not confirm the view");
                 false
             }
         }
     }
 
-    /// Waits until an answer that is coming to this follower's own read is there. A second read would
-    /// ask for the same records, and the two would share the link: a large configuration would take
+    /// Waits for the follower's own read to end if its answer has begun to arrive. A second read would ask
+    /// for the same records and share the link with the first, so that a large configuration would take
     /// twice as long just when callers ask for what it adds.
-    async fn settled(&self) {
-        let ended = self.ended.notified();
+    async fn wait_for_running_read(&self) {
+        let ended = self.read_ended.notified();
         tokio::pin!(ended);
         ended.as_mut().enable();
-        let reading = self.lock().reading.clone();
-        let Some(progress) = reading.filter(|progress| progress.received().bytes > 0) else {
+        let running = self.lock().running_read.clone();
+        let Some(progress) = running.filter(|progress| progress.received().bytes > 0) else {
             return;
         };
         let timeout = self.timing.timeout;
         if progress.wait(ended, timeout, timeout).await.is_err() {
-            log::debug!("follower: An answer stopped coming, asking anew.");
+            log::debug!("follower: An answer stopped arriving, reading again.");
         }
     }
 
-    /// How long the next answer may take to begin and to go on.
+    /// The longest time without data before the next answer begins, beyond its wait, and within it.
     fn answer_timeout(&self) -> Duration {
         let inner = self.lock();
-        answer_timeout(&self.timing, inner.lacks(), inner.silent)
+        answer_timeout(&self.timing, inner.lacks_changes(), inner.unanswered_reads)
     }
 
-    /// Waits for an answer to this follower itself, whose first bytes may take `first`.
+    /// Waits for the answer to a read of the follower's own task. `first` is the longest time before its
+    /// first bytes, `timeout` the longest gap after them.
     pub(super) async fn wait<T>(
         &self,
         exchange: &Exchange,
@@ -85,19 +86,20 @@
         first: Duration,
         timeout: Duration,
     ) -> Result<T, Silent> {
-        self.lock().reading = Some(exchange.progress.clone());
+        self.lock().running_read = Some(exchange.progress.clone());
         let waited = exchange.progress.wait(answer, first, timeout).await;
-        self.lock().reading = None;
+        self.lock().running_read = None;
         waited
     }
 
-    /// Takes what the view lacks from the VM that reads for this one; whether it lacks nothing more.
-    pub(super) async fn take_over(&self) -> bool {
-        let (Some(reader), Some(next)) = (self.zone.leader_address(), self.next_offset()) else {
+    /// Fetches the records that the view lacks from the VM that reads for this one. Returns whether the
+    /// view lacks no announced change afterwards.
+    pub(super) async fn fetch_from_leader(&self) -> bool {
+        let (Some(leader), Some(next)) = (self.zone.leader_address(), self.next_offset()) else {
             return false;
         };
         let exchange = Exchange::new(self.topic);
-        let answer = bundle::fetch(reader, self.topic, next, &exchange.progress);
+        let answer = bundle::fetch(leader, self.topic, next, &exchange.progress);
         let timeout = self.timing.timeout;
         let problem = match self.wait(&exchange, answer, timeout, timeout).await {
             Ok(Ok(range)) => {
@@ -108,15 +110,15 @@
             Ok(Err(error)) => Some(error.to_string()),
             Err(silent) => Some(silent.to_string()),
         };
-        self.ended.notify_waiters();
+        self.read_ended.notify_waiters();
         if let Some(problem) = problem {
             let failure = exchange.failed(zone::Failure::Unanswered, problem);
-            failure.log("Not taken over from a neighbour");
+            failure.log("Could not fetch records from a neighbour");
         }
-        !self.lock().lacks()
+        !self.lock().lacks_changes()
     }
 
-    /// Reads once; whether the end was reached.
+    /// Reads once. Returns whether the view holds everything up to the end of the topic.
     pub(super) async fn read(&self, wait: Duration, reason: Reason) -> Result<bool, Failure> {
         self.calls.count(self.topic, reason);
         let stamps = self.zone.stamps();
@@ -133,17 +135,17 @@
         let answer = self.wait(&exchange, answer, wait + timeout, timeout);
         let answer = self.count(&exchange, answer.await);
         let whole = match &answer {
-            Ok(Ok(batch)) => self.take(batch, exchange.sent, stamps),
+            Ok(Ok(batch)) => self.apply(batch, exchange.sent, stamps),
             _ => false,
         };
-        self.ended.notify_waiters();
+        self.read_ended.notify_waiters();
         match answer? {
             Ok(_) => Ok(whole),
             Err(Error::Gone { oldest }) => {
                 log::info!(
                     topic = self.topic.as_str(),
                     oldest = oldest.0;
-                    "follower: History is gone, reading the newest of each key."
+                    "follower: The log has dropped older records, reading the newest record of each key."
                 );
                 self.lock().next = None;
                 Ok(false)
@@ -152,24 +154,24 @@
         }
     }
 
-    /// Counts how a read ended. An error is a read that was given up.
+    /// Counts the outcome of a read. An error is a read that timed out.
     fn count(
         &self,
         exchange: &Exchange,
         answer: Result<Result<Batch, Error>, Silent>,
     ) -> Result<Result<Batch, Error>, Failure> {
         let mut inner = self.lock();
-        let read_counts = &mut inner.read_counts;
-        read_counts.bytes += exchange.progress.received().bytes;
+        let counts = &mut inner.read_counts;
+        counts.bytes += exchange.progress.received().bytes;
         match &answer {
-            Ok(Ok(_) | Err(Error::Gone { .. })) => read_counts.answered += 1,
-            Ok(Err(_)) => read_counts.failed += 1,
-            Err(_) => read_counts.given_up += 1,
+            Ok(Ok(_) | Err(Error::Gone { .. })) => counts.answered += 1,
+            Ok(Err(_)) => counts.failed += 1,
+            Err(_) => counts.given_up += 1,
         }
-        inner.silent = match &answer {
+        inner.unanswered_reads = match &answer {
             Ok(Ok(_)) => 0,
-            Ok(Err(_)) => inner.silent,
-            Err(_) => inner.silent.saturating_add(1),
+            Ok(Err(_)) => inner.unanswered_reads,
+            Err(_) => inner.unanswered_reads.saturating_add(1),
         };
         drop(inner);
         if let Ok(Ok(_)) = &answer {
--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -1,4 +1,4 @@
-//! Beginning with what another VM knows.
+//! Starting with the view of another VM instead of reading the whole topic.
 
 use std::time::Duration;
 
@@ -16,22 +16,21 @@
 use crate::zone;
 
 /// How long a VM that is asked for its view waits for its own first read.
-const FIRST: Duration = Duration::from_millis(400);
+const FIRST_READ: Duration = Duration::from_millis(400);
 
 impl<F: Fold, L: Log> Follower<F, L> {
-    /// Takes the view of the VM that reads for this one; false if the log must be read.
-    pub(super) async fn take_snapshot(&self) -> bool {
-        let (Some(reader), Ok(topic)) = (
-            self.zone.leader_address(),
-            SharedTopic::try_from(self.topic),
-        ) else {
+    /// Fetches and adopts the view of the VM that reads for this one. Returns false if the log must be read
+    /// instead.
+    pub(super) async fn fetch_snapshot(&self) -> bool {
+        let leader = self.zone.leader_address();
+        let (Some(leader), Ok(topic)) = (leader, SharedTopic::try_from(self.topic)) else {
             return false;
         };
         let exchange = Exchange::new(self.topic);
         let progress = &exchange.progress;
-        let answer = snapshot::fetch(reader, self.zone.deployment(), topic, progress);
+        let answer = snapshot::fetch(leader, self.zone.deployment(), topic, progress);
         let timeout = self.timing.timeout;
-        let answer = self.wait(&exchange, answer, FIRST + timeout, timeout);
+        let answer = self.wait(&exchange, answer, FIRST_READ + timeout, timeout);
         let problem = match answer.await {
             Ok(Ok(snapshot)) => {
                 exchange.answered();
@@ -42,29 +41,29 @@
             Err(silent) => silent.to_string(),
         };
         let failure = exchange.failed(zone::Failure::Unanswered, problem);
-        failure.log("No view taken from a neighbour");
+        failure.log("Could not fetch a neighbour's view");
         false
     }
 
-    /// Takes a neighbour's view that was asked for at `sent`.
+    /// Adopts a neighbour's view that was requested at `sent`.
     fn adopt(&self, snapshot: &Snapshot, sent: Moment) {
         let proven = snapshot::proven_at(sent, snapshot.age);
         let mut inner = self.lock();
-        self.regain(&mut inner, boot::now());
+        self.mark_connected(&mut inner, boot::now());
         inner.adopt(snapshot, proven, boot::now());
         drop(inner);
         let records = snapshot.records.len();
         let age_ms = millis(snapshot.age);
-        log::info!(topic = self.topic.as_str(), records, age_ms; "follower: Begins with a neighbour's view.");
+        log::info!(topic = self.topic.as_str(), records, age_ms; "follower: Adopted a neighbour's view.");
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// The view for a VM that asked for it at `asked`, read once more if the log can be read; none if
-    /// nothing was read yet.
+    /// The view for a VM that asked for it at `asked`; none if nothing was read yet. The log is read once
+    /// more before, unless it is unreachable.
     pub async fn snapshot(&self, asked: Moment) -> Option<Snapshot> {
-        self.first_read().await;
-        let out = self.zone.reachability(boot::now()) == zone::Reachability::Unreachable;
-        if !out && !self.confirm(asked).await {
+        self.wait_for_first_read().await;
+        let unreachable = self.zone.reachability(boot::now()) == zone::Reachability::Unreachable;
+        if !unreachable && !self.confirm(asked).await {
             self.zone
                 .read_failed(zone::Failure::Unanswered, boot::now());
         }
@@ -77,11 +76,11 @@
         Some(Snapshot { records, to, age })
     }
 
-    /// Waits for the first read, up to a bound.
-    async fn first_read(&self) {
+    /// Waits up to [`FIRST_READ`] until there is a view.
+    async fn wait_for_first_read(&self) {
         let read = async {
             loop {
-                let ended = self.ended.notified();
+                let ended = self.read_ended.notified();
                 tokio::pin!(ended);
                 ended.as_mut().enable();
                 if self.proven_at().is_some() {
@@ -90,8 +89,8 @@
                 ended.await;
             }
         };
-        if tokio::time::timeout(FIRST, read).await.is_err() {
-            log::debug!("follower: Asked for a view before there is one.");
+        if tokio::time::timeout(FIRST_READ, read).await.is_err() {
+            log::debug!("follower: A VM asked for the view before the first read.");
         }
     }
 }
--- a/crates/relay/src/follow/timing.rs
+++ b/crates/relay/src/follow/timing.rs
@@ -1,31 +1,31 @@
-//! How often and how patiently a topic is read.
+//! Intervals and timeouts of the reads of a topic.
 
 use std::time::Duration;
 
-/// One way of reading.
+/// How often a topic is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Polling {
-    /// How long a read waits for records at the log.
+    /// How long the log holds a read open until there are records.
     pub wait: Duration,
-    /// Pause between reads. On a topic on which many write, a read that waits would be answered for
-    /// each record.
+    /// Pause between reads. On a topic with many writers, a read that waits at the log would be answered
+    /// for each record.
     pub pause: Duration,
 }
 
-/// How a topic is read.
+/// Intervals and timeouts of the reads of a topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// By a VM that reads for itself.
+    /// Polling of a VM that reads for itself.
     pub alone: Polling,
-    /// By a VM that reads for others as well, whose proofs reach them later.
+    /// Polling of a VM that also reads for others, which receive its proofs later.
     pub leading: Polling,
-    /// A VM that others read for reads by itself once its proof is this old.
+    /// A VM that is led reads the log itself once its last proof is this old.
     pub max_proof_age: Duration,
-    /// How long an answer may take to begin, beyond the wait, and to go on.
+    /// The longest time without data before an answer begins, beyond the wait, and within an answer.
     pub timeout: Duration,
 }
 
-/// How a VM reads that knows of something new, or that nobody reads for any more.
+/// Polling of a VM that is led but must read itself, because it lacks a change or its proof is too old.
 pub const AT_ONCE: Polling = Polling {
     wait: Duration::ZERO,
     pause: Duration::ZERO,
@@ -34,7 +34,7 @@
 /// Who reads for whom among the VMs of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Lead {
-    /// Nobody else is there.
+    /// There are no other VMs.
     #[default]
     Alone,
     /// This VM reads for the others.
@@ -43,55 +43,55 @@
     Led,
 }
 
-/// The longest pause after failed reads. It bounds how long a log that is back goes unnoticed, and
-/// the bounds on configuration and on leaving endpoints are two seconds.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+/// The longest wait after failed reads. It bounds how long the recovery of the log goes unnoticed; the
+/// bounds on changes of the configuration and on leaving endpoints are two seconds.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// The same for a VM that another one reads for, which tells it as soon as the log is back. All calls
-/// are paid for, also those that are refused.
-pub const LED_PAUSE: Duration = Duration::from_millis(1_200);
+/// The longest wait of a VM that is led, whose leader reports as soon as the log is reachable again. All
+/// calls are paid for, including refused ones.
+pub const LED_BACKOFF: Duration = Duration::from_millis(1_200);
 
-/// VMs of a zone up to which that pause stands. In larger zones it grows with their number, up to four
-/// times, so that all of them together ask no more often: the first that is answered vouches for the
-/// others.
-const FEW: u32 = 3;
-const MANY: u32 = 4;
+/// Number of other VMs in a zone up to which [`LED_BACKOFF`] applies unchanged. In larger zones it grows
+/// in proportion, up to [`MAX_FACTOR`] times, so that all VMs together call the log no more often. The
+/// first that is answered proves the views of the others.
+const SMALL_ZONE: u32 = 3;
+const MAX_FACTOR: u32 = 4;
 
-/// Time between the VMs of a zone that try whether the log is back, one after the other, when it
-/// turned several of them away.
-pub const SUCCESSION: Duration = Duration::from_millis(400);
+/// Time between the attempts of the VMs of a zone, which try one after the other whether the log is
+/// reachable again after it refused several of them.
+pub const TURN: Duration = Duration::from_millis(400);
 
-/// Doublings of the patience with a log that is known to be busy.
-const DOUBLINGS: u32 = 2;
+/// How often the timeout doubles while the log is busy.
+const MAX_DOUBLINGS: u32 = 2;
 
-/// How long an answer may take to begin, beyond its wait, and to go on, after so many reads in a row of
-/// which nothing came.
+/// The timeout of the next read, after `unanswered` reads in a row timed out.
 ///
-/// A view that lacks something that is on the log is one of many that ask for it at once, when a large
-/// configuration was written or VMs start together, and the log answers one after the other. Each that
-/// gives up before its turn asks anew, while the log works on for those that gave up: it stays busy with
-/// answers for nobody, and no VM gets its own. With twice the time after each the demand falls below what
-/// the log can do. Where nothing is known to be missing, a longer patience would only let the return of a
-/// log that was out go unnoticed for longer.
+/// It doubles after each of them, up to four times the normal timeout, if the view `lacks` changes. Many
+/// VMs read the same records at once when a large configuration was written or when VMs start together,
+/// and the log answers them one after the other. A VM that gives up before its turn asks again, while the
+/// log still works on the abandoned answer: the log stays busy with answers that nobody waits for, and no
+/// VM gets one. Doubling brings the demand below the capacity of the log. A view that is not known to lack
+/// anything keeps the normal timeout, because a longer one would only delay noticing that the log is
+/// reachable again.
 #[must_use]
-pub fn answer_timeout(timing: &Timing, lacks: bool, silent: u32) -> Duration {
+pub fn answer_timeout(timing: &Timing, lacks: bool, unanswered: u32) -> Duration {
     if !lacks {
         return timing.timeout;
     }
-    timing.timeout * (1 << silent.min(DOUBLINGS))
+    timing.timeout * (1 << unanswered.min(MAX_DOUBLINGS))
 }
 
-/// The longest pause after failed reads of a VM in this role, where it knows of this many others in its
-/// zone. A view that lacks a change is read for sooner: nobody else's read can make up for its own, and
-/// its callers are refused once it has lacked the change for too long.
+/// The longest wait after failed reads of a VM in this role, which knows `others` other VMs in its zone.
+/// It is shorter if the view `lacks` a change: no other VM's read can replace its own, and it refuses
+/// callers once it has lacked the change for too long.
 #[must_use]
 pub fn max_backoff(role: Lead, others: usize, lacks: bool) -> Duration {
     if role != Lead::Led {
-        return LONGEST_PAUSE;
+        return MAX_BACKOFF;
     }
     if lacks {
-        return LED_PAUSE;
+        return LED_BACKOFF;
     }
     let others = u32::try_from(others).unwrap_or(u32::MAX);
-    LED_PAUSE * (others / FEW).clamp(1, MANY)
+    LED_BACKOFF * (others / SMALL_ZONE).clamp(1, MAX_FACTOR)
 }
--- a/crates/relay/src/follow/view.rs
+++ b/crates/relay/src/follow/view.rs
@@ -1,4 +1,4 @@
-//! A topic's view: each record applied once and in order.
+//! The view of a topic, to which each record is applied once and in order.
 
 use compact_str::CompactString;
 use pimento_progress::Progress;
@@ -16,11 +16,11 @@
 use crate::topic::Record;
 use crate::zone::Stamp;
 
-/// Parts kept that came before those that go first: what a hundred endpoints that register at once take.
-/// Beyond, the VM reads by itself.
-const AHEAD: usize = 64;
+/// Ranges buffered until the records before them arrive: as many as a hundred endpoints need that register
+/// at once. If more arrive early, the VM reads the log itself.
+const MAX_EARLY: usize = 64;
 
-/// Records of another VM: all that change the view between two offsets.
+/// Records from another VM: all those between two offsets that changed its view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordRange {
     /// The first offset.
@@ -31,42 +31,43 @@
     pub records: Vec<Record>,
 }
 
-/// A view with its place in the topic, and how it is proven.
+/// The state built from a topic, with its position on the topic and what proves its age.
 #[derive(Debug)]
 pub struct View<F> {
-    /// What the records are folded into.
+    /// The state built from the records.
     pub fold: F,
     /// Newest offset of each key, sorted by key.
     pub seen: Vec<(CompactString, Offset)>,
-    /// Where to read on; none before the first read.
+    /// The offset of the next read; none before the first read.
     pub next: Option<Offset>,
     /// The offset after the last record that changed the view.
     pub changed: Offset,
-    /// The last of those records.
+    /// The most recent of the records that changed the view.
     pub recent: Recent,
-    /// The newest of each key that has a value, sorted by key: what a VM that starts needs.
+    /// The newest record of each key that has a value, sorted by key, for VMs that start.
     pub newest: Vec<Record>,
-    /// Parts that came before those that go first, sorted by where they begin.
-    ahead: Vec<RecordRange>,
-    /// The offset up to which another VM knows of changes.
-    wanted: Offset,
-    /// When that was heard first.
-    heard: Moment,
-    /// The newest proof whose changes the view may lack yet.
-    promised: Option<Proof>,
-    /// Since when the view lacks some of them.
-    pub behind: Option<Moment>,
-    /// What has come of the own read that is under way.
-    pub reading: Option<Progress>,
-    /// Reads in a row of which nothing came in time.
-    pub silent: u32,
-    /// How the reads so far went.
+    /// Ranges that arrived before the records that precede them, sorted by their first offset.
+    early: Vec<RecordRange>,
+    /// The offset up to which another VM announced changes.
+    announced: Offset,
+    /// When that offset was first announced.
+    announced_at: Moment,
+    /// The newest proof, until the view holds all changes that it covers.
+    pending_proof: Option<Proof>,
+    /// Since when the view has lacked an announced change.
+    pub behind_since: Option<Moment>,
+    /// The progress of the running read of the follower's own task.
+    pub running_read: Option<Progress>,
+    /// Reads in a row that timed out.
+    pub unanswered_reads: u32,
+    /// Outcomes of the reads so far.
     pub read_counts: ReadCounts,
-    /// When the last read that reached the end was sent.
+    /// The latest moment at which the view is known to have held the whole topic: when the last complete
+    /// read was sent, or what another VM's proof or snapshot says.
     pub proven_at: Option<Moment>,
-    /// Other VMs' stamps that had come by then.
+    /// Other VMs' stamps that had arrived before the last complete read was sent.
     pub stamps: Vec<Stamp>,
-    /// Since when reads are answered; none while they are not.
+    /// Since when the log has been reachable, directly or through another VM; none while it is not.
     pub connected_since: Option<Moment>,
 }
 
@@ -80,13 +81,13 @@
             changed: Offset::default(),
             recent: Recent::default(),
             newest: Vec::new(),
-            ahead: Vec::new(),
-            wanted: Offset::default(),
-            heard: Moment::ZERO,
-            promised: None,
-            behind: None,
-            reading: None,
-            silent: 0,
+            early: Vec::new(),
+            announced: Offset::default(),
+            announced_at: Moment::ZERO,
+            pending_proof: None,
+            behind_since: None,
+            running_read: None,
+            unanswered_reads: 0,
             read_counts: ReadCounts::default(),
             proven_at: None,
             stamps: Vec::new(),
@@ -94,8 +95,9 @@
         }
     }
 
-    /// Applies a record unless a newer one of its key was seen: pages of the newest records are no
-    /// snapshot, and two reads may overlap.
+    /// Applies a record unless one of its key with the same or a newer offset was applied. That happens
+    /// because the pages of the newest records are not taken at one moment, and because reads may overlap.
+    /// Returns whether the view changed.
     pub fn apply(&mut self, record: &Record, now: Moment) -> bool {
         match self.seen.binary_search_by(|(key, _)| key.cmp(&record.key)) {
             Ok(place) if self.seen[place].1 >= record.offset => return false,
@@ -111,13 +113,14 @@
         if changed {
             self.changed = self.changed.max(record.offset.next());
             self.recent.push(record);
-            self.keep(record);
+            self.update_newest(record);
         }
         changed
     }
 
-    /// Keeps a record for VMs that start. One that changed nothing says no more than the one before.
-    fn keep(&mut self, record: &Record) {
+    /// Stores a record that changed the view for VMs that start. They need no record that changed nothing:
+    /// it has no more effect than the one before it.
+    fn update_newest(&mut self, record: &Record) {
         let found = self.newest.binary_search_by(|r| r.key.cmp(&record.key));
         match (found, record.value.is_some()) {
             (Ok(place), true) => self.newest[place] = recent::copy(record),
@@ -129,124 +132,129 @@
         }
     }
 
-    /// Takes another VM's view whole, which is proven as of a moment of the own clock.
+    /// Adopts another VM's whole view, which is proven as of a moment of this VM's clock.
     pub fn adopt(&mut self, snapshot: &Snapshot, proven: Option<Moment>, now: Moment) {
         self.replace(&snapshot.records, snapshot.to, now);
         self.proven_at = self.proven_at.max(proven);
     }
 
-    /// Takes the records that follow those which the view holds; whether it changed.
+    /// Applies records that follow those in the view. Returns whether the view changed.
     pub fn extend(&mut self, batch: &Batch, now: Moment) -> bool {
         let mut changed = false;
         for record in &batch.records {
             changed |= self.apply(record, now);
         }
         let last = batch.records.last().map(|record| record.offset.next());
-        self.reach(last.unwrap_or(batch.end));
+        self.advance(last.unwrap_or(batch.end));
         changed
     }
 
-    /// Takes the newest of all keys, up to an offset, in place of what the view holds; whether it changed.
+    /// Replaces the contents of the view by the newest records of all keys up to `end`. Returns whether the
+    /// view changed.
     pub fn replace(&mut self, newest: &[Record], end: Offset, now: Moment) -> bool {
         let mut changed = false;
         for record in newest {
             changed |= self.apply(record, now);
         }
-        changed |= self.drop_missing(newest, end, now);
+        changed |= self.remove_missing(newest, end, now);
         self.recent.reset(end);
-        self.reach(end);
+        self.advance(end);
         changed
     }
 
-    /// Takes a range once the view holds all before it; whether the view changed. Datagrams overtake each
-    /// other within milliseconds. Without keeping those that came early, each VM of a zone read the log
-    /// for itself when some dozen endpoints registered at once.
+    /// Applies a range of records, and those that were waiting for it, once the view holds everything
+    /// before it. Returns whether the view changed.
+    ///
+    /// Datagrams overtake each other within milliseconds. Without the buffer for early ones each VM of a
+    /// zone would read the log itself whenever some dozen endpoints register at once.
     pub fn receive(&mut self, range: RecordRange, now: Moment) -> bool {
-        let place = self.ahead.partition_point(|known| known.from <= range.from);
-        self.ahead.insert(place, range);
+        let place = self.early.partition_point(|known| known.from <= range.from);
+        self.early.insert(place, range);
         let mut changed = false;
-        while let Some(range) = self.fitting() {
+        while let Some(range) = self.next_range() {
             for record in &range.records {
                 changed |= self.apply(record, now);
             }
-            self.reach(range.to);
+            self.advance(range.to);
         }
         let next = self.next;
-        self.ahead.retain(|range| Some(range.to) > next);
-        self.ahead.truncate(AHEAD);
+        self.early.retain(|range| Some(range.to) > next);
+        self.early.truncate(MAX_EARLY);
         changed
     }
 
-    /// A range that goes on where the view ends.
-    fn fitting(&mut self) -> Option<RecordRange> {
+    /// Removes a range that continues where the view ends from the buffer.
+    fn next_range(&mut self) -> Option<RecordRange> {
         let next = self.next?;
-        let fits = |range: &RecordRange| range.from <= next && next < range.to;
-        let place = self.ahead.iter().position(fits)?;
-        Some(self.ahead.remove(place))
+        let continues = |range: &RecordRange| range.from <= next && next < range.to;
+        let place = self.early.iter().position(continues)?;
+        Some(self.early.remove(place))
     }
 
-    /// Another VM knows of changes up to an offset, and that there were none after them as of a moment.
-    pub fn want(&mut self, proof: Proof, now: Moment) {
-        if proof.changed > self.wanted {
-            self.wanted = proof.changed;
-            self.heard = now;
+    /// Receives another VM's proof: there were changes up to an offset, and none after it as of a moment.
+    pub fn receive_proof(&mut self, proof: Proof, now: Moment) {
+        if proof.changed > self.announced {
+            self.announced = proof.changed;
+            self.announced_at = now;
         }
-        if self.promised.is_none_or(|known| known.stamp < proof.stamp) {
-            self.promised = Some(proof);
+        let newer = |known: Proof| known.stamp < proof.stamp;
+        if self.pending_proof.is_none_or(newer) {
+            self.pending_proof = Some(proof);
         }
-        if self.lacks() {
-            self.behind.get_or_insert(now);
+        if self.lacks_changes() {
+            self.behind_since.get_or_insert(now);
         }
-        self.redeem();
+        self.apply_pending_proof();
     }
 
-    /// The view is proven by another VM's word once it holds all that this one knew.
-    fn redeem(&mut self) {
+    /// Applies the pending proof if the view holds all changes that it covers.
+    fn apply_pending_proof(&mut self) {
         let holds = |proof: &Proof| self.next.is_some_and(|next| next >= proof.changed);
-        if let Some(proof) = self.promised.filter(holds) {
+        if let Some(proof) = self.pending_proof.filter(holds) {
             self.proven_at = self.proven_at.max(Some(proof.stamp));
-            self.promised = None;
+            self.pending_proof = None;
         }
     }
 
-    /// The view now holds all records before an offset.
-    pub fn reach(&mut self, offset: Offset) {
+    /// Records that the view holds everything before `offset`.
+    pub fn advance(&mut self, offset: Offset) {
         self.next = self.next.max(Some(offset));
-        if !self.lacks() {
-            self.behind = None;
+        if !self.lacks_changes() {
+            self.behind_since = None;
         }
-        self.redeem();
+        self.apply_pending_proof();
     }
 
-    /// The view holds all that the log held at `sent`. Whether another VM had told of more by then:
-    /// records are never lost, so that it was wrong. Its word would keep this VM reading, and make it
-    /// refuse its callers, until the log holds as much.
-    pub fn refute(&mut self, sent: Moment) -> bool {
-        let wrong = self.lacks() && self.heard <= sent;
+    /// Drops an announcement of records that the log does not hold, and returns whether there was one. The
+    /// caller has read up to the end of the topic with a read sent at `sent`. An announcement that came
+    /// before must be wrong if the view still lacks its records, because the log never loses records. If it
+    /// stayed, this VM would read all the time and refuse callers until the log holds as many records.
+    pub fn drop_false_announcement(&mut self, sent: Moment) -> bool {
+        let wrong = self.lacks_changes() && self.announced_at <= sent;
         if wrong {
-            self.wanted = self.next.unwrap_or_default();
-            self.behind = None;
+            self.announced = self.next.unwrap_or_default();
+            self.behind_since = None;
         }
         wrong
     }
 
-    /// Whether another VM knows of a change that the view does not hold.
-    pub fn lacks(&self) -> bool {
-        self.next.is_none_or(|next| next < self.wanted)
+    /// Whether another VM announced a change that the view does not hold, or nothing was read yet.
+    pub fn lacks_changes(&self) -> bool {
+        self.next.is_none_or(|next| next < self.announced)
     }
 
-    /// Drops the keys that a reading of the newest records no longer has.
-    fn drop_missing(&mut self, newest: &[Record], before: Offset, now: Moment) -> bool {
-        let mut there: Vec<&CompactString> = newest.iter().map(|r| &r.key).collect();
-        there.sort_unstable();
-        let gone: Vec<CompactString> = self
+    /// Removes the keys that are not among the newest records of the log any more.
+    fn remove_missing(&mut self, newest: &[Record], before: Offset, now: Moment) -> bool {
+        let mut present: Vec<&CompactString> = newest.iter().map(|r| &r.key).collect();
+        present.sort_unstable();
+        let removed: Vec<CompactString> = self
             .seen
             .iter()
-            .filter(|(key, offset)| *offset < before && there.binary_search(&key).is_err())
+            .filter(|(key, offset)| *offset < before && present.binary_search(&key).is_err())
             .map(|(key, _)| key.clone())
             .collect();
         let mut changed = false;
-        for key in gone {
+        for key in removed {
             let record = Record {
                 offset: Offset(before.0.saturating_sub(1)),
                 key,
