--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -41,16 +41,16 @@
 use self::peers::Standing;
 use crate::boot;
 use crate::border::Border;
+use crate::bundle::Bundle;
+use crate::bundle::SharedTopic;
 use crate::codec::Codec;
 use crate::follow::Lead;
-use crate::follow::Part;
+use crate::follow::RecordRange;
 use crate::node::Node;
-use crate::passage::Passage;
-use crate::passage::Shared;
 use crate::rollouts::announcement::Kept;
 use crate::rollouts::announcement::Said;
 use crate::topic::Log;
-use crate::zone::Reach;
+use crate::zone::Reachability;
 use crate::zone::Stamp;
 use crate::zone::Zone;
 
@@ -151,7 +151,7 @@
     /// Whether another VM reads the log for this one, and has read it.
     fn is_led_by_able(&self) -> bool {
         let role = self.role();
-        !role.state.blind && role.lead == Lead::Led
+        !role.state.no_able_reader && role.lead == Lead::Led
     }
 
     /// Who reads the log for whom, by what is known now.
@@ -230,12 +230,12 @@
             self.node.rollouts(|r| r.keep(*kept));
         }
         if near {
-            self.zone.heard(Stamp {
+            self.zone.record_stamp(Stamp {
                 node: teller,
                 at: message.stamp,
             });
-            for passage in &message.passages {
-                self.hand(passage);
+            for bundle in &message.passages {
+                self.hand(bundle);
             }
             self.vouch(message.proofs);
             for what in message.rollouts {
@@ -264,16 +264,16 @@
     }
 
     /// Takes records that another VM read.
-    fn hand(&self, passage: &Passage) {
-        let Passage {
+    fn hand(&self, bundle: &Bundle) {
+        let Bundle {
             topic, from, to, ..
-        } = *passage;
-        let records = passage.records();
-        let part = Part { from, to, records };
+        } = *bundle;
+        let records = bundle.records();
+        let range = RecordRange { from, to, records };
         match topic {
-            Shared::Operators => self.node.operators.hand(part),
-            Shared::Endpoints => self.node.directory.hand(part),
-            Shared::Poison => self.node.bars.hand(part),
+            SharedTopic::Operators => self.node.operators.receive(range),
+            SharedTopic::Endpoints => self.node.directory.receive(range),
+            SharedTopic::Poison => self.node.bars.receive(range),
         }
     }
 
@@ -285,13 +285,13 @@
     /// What another VM read proves to this one.
     fn vouch(&self, proofs: Proofs) {
         if let Some(proof) = proofs.operators {
-            self.node.operators.vouch(message::read(proof));
+            self.node.operators.receive_proof(message::read(proof));
         }
         if let Some(proof) = proofs.endpoints {
-            self.node.directory.vouch(message::read(proof));
+            self.node.directory.receive_proof(message::read(proof));
         }
         if let Some(proof) = proofs.poison {
-            self.node.bars.vouch(message::read(proof));
+            self.node.bars.receive_proof(message::read(proof));
         }
     }
 
@@ -306,15 +306,15 @@
         drop(inner);
         self.node.scheduler.set_participants(&sharers);
         self.zone
-            .keep(|node| peers.iter().any(|peer| peer.key == node));
+            .retain_stamps(|node| peers.iter().any(|peer| peer.key == node));
         peers
     }
 
     /// Settles who reads the log for whom.
     fn settle(&self) {
         let role = self.role();
-        self.zone.read_by(role.reader);
-        self.zone.set_state(role.state);
+        self.zone.set_leader_address(role.reader);
+        self.zone.set_log_state(role.state);
         let lead = role.lead;
         let settle = |known: &mut Lead| {
             let changed = *known != lead;
@@ -333,11 +333,11 @@
         }
         let ages = [self.node.operators.age(), self.node.directory.age()];
         let young = |age: &Option<Duration>| age.is_some_and(|age| age < BLIND);
-        match self.zone.reach(boot::now()) {
-            Reach::Out => Standing::Unable,
-            Reach::Answered if ages.iter().any(Option::is_none) => Standing::Starting,
-            Reach::Answered if ages.iter().all(young) => Standing::Able,
-            Reach::Answered | Reach::Untested => Standing::Untested,
+        match self.zone.reachability(boot::now()) {
+            Reachability::Unreachable => Standing::Unable,
+            Reachability::Reachable if ages.iter().any(Option::is_none) => Standing::Starting,
+            Reachability::Reachable if ages.iter().all(young) => Standing::Able,
+            Reachability::Reachable | Reachability::Untested => Standing::Untested,
         }
     }
 }
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/tell.rs
@@ -15,9 +15,9 @@
 use super::news::News;
 use crate::boot;
 use crate::border::Border;
+use crate::bundle::Bundle;
+use crate::bundle::SharedTopic;
 use crate::codec::Codec;
-use crate::passage::Passage;
-use crate::passage::Shared;
 use crate::rollouts::Rollouts;
 use crate::topic::Log;
 
@@ -59,15 +59,15 @@
 
 impl<P: Border + Codec, L: Log> Neighbours<P, L> {
     /// Records that the zone was not told of yet, if this VM reads for it.
-    fn passages(&self) -> Vec<Passage> {
+    fn passages(&self) -> Vec<Bundle> {
         let told = self.lock().told.take();
         if !self.leads() {
             return Vec::new();
         }
         let from = told.unwrap_or_default();
-        let (changed, operators) = self.node.operators.since(from.operators);
-        let (registered, endpoints) = self.node.directory.since(from.endpoints);
-        let (barred, poison) = self.node.bars.since(from.poison);
+        let (changed, operators) = self.node.operators.chunks_from(from.operators);
+        let (registered, endpoints) = self.node.directory.chunks_from(from.endpoints);
+        let (barred, poison) = self.node.bars.chunks_from(from.poison);
         self.lock().told = Some(Ends {
             operators,
             endpoints,
@@ -78,16 +78,16 @@
         }
         // Where records are missing, or too large, the others read by themselves.
         let list = |topic, from, parts: Option<_>, to| {
-            Passage::list(topic, from, parts.unwrap_or_default(), to)
+            Bundle::from_chunks(topic, from, parts.unwrap_or_default(), to)
         };
-        let mut passages = list(Shared::Operators, from.operators, changed, operators);
+        let mut passages = list(SharedTopic::Operators, from.operators, changed, operators);
         passages.extend(list(
-            Shared::Endpoints,
+            SharedTopic::Endpoints,
             from.endpoints,
             registered,
             endpoints,
         ));
-        passages.extend(list(Shared::Poison, from.poison, barred, poison));
+        passages.extend(list(SharedTopic::Poison, from.poison, barred, poison));
         passages
     }
 
@@ -109,7 +109,7 @@
                 () = self.node.poison.told.notified() => false,
                 () = self.node.limited.notified() => true,
                 () = self.zone.proved.notified() => self.leads(),
-                () = self.zone.stopped.notified() => true,
+                () = self.zone.unreachable.notified() => true,
             };
             let news = self.news();
             let now = boot::now();
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -16,13 +16,13 @@
 
 use crate::boot;
 use crate::border::Border;
-use crate::calls::Calls;
+use crate::calls::LogCalls;
 use crate::calls::Reason;
 use crate::cascade;
 use crate::codec::Codec;
 use crate::config::Config;
 use crate::directory::Directory;
-use crate::fleet::Word;
+use crate::fleet::VmRecord;
 use crate::follow::Follower;
 use crate::metrics::Metrics;
 use crate::neighbours;
@@ -73,7 +73,7 @@
     /// What was seen of models' confidences.
     pub(crate) models: Arc<cascade::Book>,
     /// Calls of the log by why they were made.
-    pub(crate) calls: Calls,
+    pub(crate) calls: LogCalls,
     /// Counters and histograms.
     pub(crate) metrics: Arc<Metrics>,
     rollouts: Arc<Mutex<Rollouts>>,
@@ -141,12 +141,12 @@
     /// Starts to follow the log.
     pub fn start(config: Config, platform: P, log: L, token: &CancellationToken) -> Self {
         let zone = Zone::starting(&config);
-        let calls = Calls::default();
-        let paces = config.paces;
+        let calls = LogCalls::default();
+        let timings = config.timings;
         let operators = Follower::start(
             log.clone(),
             Topic::Operators,
-            paces.operators,
+            timings.operators,
             zone.clone(),
             calls.clone(),
             Operators::new(platform.clone()),
@@ -155,7 +155,7 @@
         let directory = Follower::start(
             log.clone(),
             Topic::Endpoints,
-            paces.endpoints,
+            timings.endpoints,
             zone.clone(),
             calls.clone(),
             Directory::new(platform.clone()),
@@ -164,7 +164,7 @@
         let bars = Follower::start(
             log.clone(),
             Topic::Poison,
-            paces.poison,
+            timings.poison,
             zone.clone(),
             calls.clone(),
             Bars::default(),
@@ -255,13 +255,13 @@
     #[must_use]
     pub fn usable(&self, endpoint: &id::Endpoint) -> bool {
         let now = boot::now();
-        self.directory.view(|view| view.usable(endpoint, now))
+        self.directory.view(|view| view.is_usable(endpoint, now))
     }
 
     /// Whether the VM takes requests.
     #[must_use]
     pub fn ready(&self) -> bool {
-        let read = self.directory.proven().is_some();
+        let read = self.directory.proven_at().is_some();
         let leaving = self.leaving.is_cancelled();
         let fresh = [self.within(READY), self.caught_up(READY)];
         let fresh = fresh.iter().all(|known| *known == Freshness::Fresh);
@@ -272,24 +272,24 @@
     /// trusted.
     #[must_use]
     pub fn reads(&self) -> bool {
-        self.operators.reads()
+        self.operators.is_reading()
     }
 
     /// What this VM says of itself, without roll-outs.
     #[must_use]
-    pub fn word(&self) -> Word {
-        Word {
+    pub fn word(&self) -> VmRecord {
+        VmRecord {
             zone: self.config.zone.clone(),
             address: self.config.peer_listen,
-            paces: self.paces(),
+            seconds_per_token: self.paces(),
             rollouts: Vec::new(),
         }
     }
 
     /// Says a word on the log; whether that is known to have succeeded.
-    pub async fn say(&self, word: &Word, log: &impl Log) -> bool {
-        self.calls.count(Topic::Fleet, Reason::Word);
-        word.say(&self.config.node, log).await
+    pub async fn say(&self, word: &VmRecord, log: &impl Log) -> bool {
+        self.calls.count(Topic::Fleet, Reason::Announcement);
+        word.publish(&self.config.node, log).await
     }
 
     /// How fast models read.
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -30,12 +30,12 @@
 use crate::codec::Stage;
 use crate::codec::Status;
 use crate::fleet;
-use crate::fleet::Word;
+use crate::fleet::VmRecord;
 use crate::follow::Fold;
 use crate::follow::Follower;
-use crate::follow::Gait;
-use crate::follow::Pace;
-use crate::follow::Told;
+use crate::follow::Polling;
+use crate::follow::RecordContext;
+use crate::follow::Timing;
 use crate::node::Node;
 use crate::operators::Order;
 use crate::pools;
@@ -60,14 +60,14 @@
 const LONGEST: Duration = Duration::from_millis(1_500);
 
 /// How the entry VMs' own topic is read while a roll-out is under way.
-const FLEET: Pace = Pace {
+const FLEET: Timing = Timing {
     alone: SECONDLY,
     leading: SECONDLY,
-    trust: Duration::ZERO,
-    patience: Duration::from_millis(450),
+    max_proof_age: Duration::ZERO,
+    timeout: Duration::from_millis(450),
 };
 
-const SECONDLY: Gait = Gait {
+const SECONDLY: Polling = Polling {
     wait: Duration::ZERO,
     pause: Duration::from_secs(1),
 };
@@ -78,12 +78,12 @@
 /// The VMs' words that were not yet taken in, in the order of their arrival.
 #[derive(Debug, Default)]
 struct Words {
-    news: Vec<(id::Node, Word)>,
+    news: Vec<(id::Node, VmRecord)>,
 }
 
 impl Fold for Words {
-    fn apply(&mut self, record: &Record, _: Told) -> bool {
-        self.news.extend(fleet::read(record));
+    fn apply(&mut self, record: &Record, _: RecordContext) -> bool {
+        self.news.extend(fleet::decode(record));
         true
     }
 }
@@ -234,7 +234,7 @@
         let Some((fleet, _)) = &self.fleet else {
             return;
         };
-        let news = fleet.amend(|words| std::mem::take(&mut words.news));
+        let news = fleet.modify(|words| std::mem::take(&mut words.news));
         let now = boot::now();
         let own = &self.node.config.node;
         let said = news.iter().flat_map(|(_, word)| &word.rollouts);
@@ -266,7 +266,7 @@
             node: node.clone(),
             what: what.clone(),
         }));
-        let word = Word {
+        let word = VmRecord {
             rollouts,
             ..self.node.word()
         };
