--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -234,7 +234,7 @@
     /// Whether endpoints may be asked to run the request at all.
     fn unbarred(&self) -> Result<(), Refusal> {
         let request = self.request;
-        let Some(left) = poison::barred(self.node, request.digest) else {
+        let Some(left) = poison::block_remaining(self.node, request.digest) else {
             return Ok(());
         };
         log::info!(
@@ -329,7 +329,7 @@
         self.tell(&permit, fault, "attempt: No answer that can be used.");
         self.node.metrics.attempt(&self.request.pool, "broken");
         self.state.tried.push(permit.endpoint().clone());
-        poison::failed(self.node, self.request.digest, permit.endpoint(), fault);
+        poison::record_failure(self.node, self.request.digest, permit.endpoint(), fault);
         permit.failed(fault);
         if self.again() {
             return Ok(());
@@ -343,7 +343,7 @@
 
     /// The answer was whole, whatever it says: its endpoint was still there at its end.
     pub fn whole(&self) {
-        poison::answered(self.node, self.request.digest);
+        poison::record_answer(self.node, self.request.digest);
     }
 
     /// Reads the head of an answer, and whether it is one to this request.
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -224,7 +224,7 @@
         }
         for word in &message.poison {
             let writes = self.node.reads();
-            self.node.poison.hear(*word, !near, writes, now);
+            self.node.poison.receive(*word, !near, writes, now);
         }
         for kept in &message.kept {
             self.node.rollouts(|r| r.keep(*kept));
@@ -272,7 +272,7 @@
         match topic {
             Shared::Operators => self.node.operators.hand(part),
             Shared::Endpoints => self.node.directory.hand(part),
-            Shared::Poison => self.node.bars.hand(part),
+            Shared::Poison => self.node.blocklist.hand(part),
         }
     }
 
@@ -290,7 +290,7 @@
             self.node.directory.vouch(message::read(proof));
         }
         if let Some(proof) = proofs.poison {
-            self.node.bars.vouch(message::read(proof));
+            self.node.blocklist.vouch(message::read(proof));
         }
     }
 
--- a/crates/relay/src/neighbours/message.rs
+++ b/crates/relay/src/neighbours/message.rs
@@ -13,7 +13,7 @@
 use super::peers::Standing;
 use crate::follow::Proof;
 use crate::passage::Passage;
-use crate::poison::Word;
+use crate::poison::Report;
 use crate::rollouts::announcement::Announcement;
 use crate::rollouts::announcement::Kept;
 
@@ -35,7 +35,7 @@
     /// What the teller says of roll-outs, if that is due.
     pub rollouts: Vec<Announcement>,
     /// Requests under which endpoints ended.
-    pub poison: Vec<Word>,
+    pub poison: Vec<Report>,
     /// Sessions that keep the old version in a roll-out.
     pub kept: Vec<Kept>,
     /// Milliseconds that engines take for the teller's prompts, by their keys; all others take none.
--- a/crates/relay/src/neighbours/news.rs
+++ b/crates/relay/src/neighbours/news.rs
@@ -3,7 +3,7 @@
 use super::limit::Told;
 use super::message::Read;
 use crate::passage::Passage;
-use crate::poison::Word;
+use crate::poison::Report;
 use crate::rollouts::announcement::Announcement;
 use crate::rollouts::announcement::Kept;
 
@@ -30,7 +30,7 @@
     /// Sessions that keep a version.
     pub kept: Vec<Kept>,
     /// Requests under which endpoints ended.
-    pub poison: Vec<Word>,
+    pub poison: Vec<Report>,
     /// Records of the log.
     pub passages: Vec<Passage>,
 }
@@ -74,7 +74,7 @@
     /// Sessions that keep a version.
     pub kept: &'a [Kept],
     /// Requests under which endpoints ended.
-    pub poison: &'a [Word],
+    pub poison: &'a [Report],
     /// Records of the log.
     pub passages: &'a [Passage],
 }
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/tell.rs
@@ -67,7 +67,7 @@
         let from = told.unwrap_or_default();
         let (changed, operators) = self.node.operators.since(from.operators);
         let (registered, endpoints) = self.node.directory.since(from.endpoints);
-        let (barred, poison) = self.node.bars.since(from.poison);
+        let (barred, poison) = self.node.blocklist.since(from.poison);
         self.lock().told = Some(Ends {
             operators,
             endpoints,
@@ -97,7 +97,7 @@
         let mut silent = true;
         let mut operators = self.node.operators.changes();
         let mut endpoints = self.node.directory.changes();
-        let mut bars = self.node.bars.changes();
+        let mut bars = self.node.blocklist.changes();
         loop {
             let peers = self.peers();
             self.settle();
@@ -106,7 +106,7 @@
                 _ = operators.changed() => self.leads(),
                 _ = endpoints.changed() => self.leads(),
                 _ = bars.changed() => self.leads(),
-                () = self.node.poison.told.notified() => false,
+                () = self.node.poison.reports_due.notified() => false,
                 () = self.node.limited.notified() => true,
                 () = self.zone.proved.notified() => self.leads(),
                 () = self.zone.stopped.notified() => true,
@@ -130,7 +130,7 @@
         let mut news = News {
             rollouts: self.node.due_announcements(boot::now()),
             kept: self.node.rollouts(Rollouts::untold),
-            poison: self.node.poison.near(boot::now()),
+            poison: self.node.poison.take_zone_reports(boot::now()),
             passages: self.passages(),
             ..News::default()
         };
@@ -164,7 +164,7 @@
                 let news = News {
                     reads: std::mem::take(&mut inner.far),
                     kept: std::mem::take(&mut inner.far_kept),
-                    poison: self.node.poison.far(now),
+                    poison: self.node.poison.take_remote_reports(now),
                     ..News::default()
                 };
                 (news, inner.peers.far(&self.node.config.zone, now))
@@ -222,7 +222,7 @@
         }
         let operators = self.node.operators.proof(node);
         let endpoints = self.node.directory.proof(node);
-        let poison = self.node.bars.proof(node);
+        let poison = self.node.blocklist.proof(node);
         Proofs {
             operators: operators.map(message::written),
             endpoints: endpoints.map(message::written),
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -28,7 +28,7 @@
 use crate::neighbours;
 use crate::operators::Operators;
 use crate::poison;
-use crate::poison::Bars;
+use crate::poison::Blocklist;
 use crate::poison::Poison;
 use crate::pools;
 use crate::repeats::Repeats;
@@ -63,7 +63,7 @@
     /// Requests under which endpoints ended, as this VM and others saw it.
     pub poison: Arc<Poison>,
     /// The same as it is on the log.
-    pub bars: Follower<Bars, L>,
+    pub blocklist: Follower<Blocklist, L>,
     /// Slots at endpoints.
     pub scheduler: Scheduler,
     /// Told when an endpoint names another limit than before.
@@ -95,7 +95,7 @@
             operators: self.operators.clone(),
             directory: self.directory.clone(),
             poison: Arc::clone(&self.poison),
-            bars: self.bars.clone(),
+            blocklist: self.blocklist.clone(),
             scheduler: self.scheduler.clone(),
             limited: Arc::clone(&self.limited),
             repeats: Arc::clone(&self.repeats),
@@ -161,13 +161,13 @@
             Directory::new(platform.clone()),
             token.clone(),
         );
-        let bars = Follower::start(
+        let blocklist = Follower::start(
             log.clone(),
             Topic::Poison,
             paces.poison,
             zone.clone(),
             calls.clone(),
-            Bars::default(),
+            Blocklist::default(),
             token.clone(),
         );
         let clock = Clock::default();
@@ -179,7 +179,7 @@
             operators,
             directory,
             poison: Arc::default(),
-            bars,
+            blocklist,
             scheduler: Scheduler::new(clock),
             limited: Arc::default(),
             repeats: Arc::new(repeats),
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -2,13 +2,13 @@
 //!
 //! A VM that sees an endpoint end tells the others of each request that ran there, by datagrams, and
 //! every VM counts by itself with [`pimento_policy::poison`]. Once a request is barred that is written
-//! to the log, for VMs that start later or did not hear: [`Bars`] is folded from there. Nothing of this
+//! to the log, for VMs that start later or did not hear: [`Blocklist`] is folded from there. Nothing of this
 //! asks anybody for each request.
 
-mod bars;
-mod ended;
-mod keep;
-mod word;
+mod blocklist;
+mod crash_check;
+mod report;
+mod writer;
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -27,10 +27,10 @@
 use pimento_units::id;
 use tokio::sync::Notify;
 
-pub use self::bars::Bars;
-pub use self::keep::start;
-use self::word::Outbox;
-pub use self::word::Word;
+pub use self::blocklist::Blocklist;
+use self::report::Outbox;
+pub use self::report::Report;
+pub use self::writer::start;
 use crate::boot;
 use crate::border::Border;
 use crate::codec::Codec;
@@ -40,18 +40,18 @@
 use crate::topic::Log;
 
 /// A VM that knows better than what it hears waits up to this long before it says so.
-const CONTRADICTS: Duration = Duration::from_millis(300);
+const MAX_CLEARED_DELAY: Duration = Duration::from_millis(300);
 
 /// Changes that wait for the log at most.
-const UNSAID: usize = 256;
+const MAX_PENDING_WRITES: usize = 256;
 
 /// What is to be written to the log of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Change {
     /// It is barred for so long.
-    Bar(Duration),
+    Block(Duration),
     /// It is not barred any more.
-    Drop,
+    Unblock,
 }
 
 /// What this VM knows of requests under which endpoints ended.
@@ -59,48 +59,48 @@
 pub struct Poison {
     state: Mutex<State>,
     /// Told when there is something to tell to the zone.
-    pub told: Notify,
+    pub reports_due: Notify,
     /// Told when there is something to write to the log.
-    unsaid: Notify,
+    writes_due: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
     table: Table,
     /// What the VMs of the zone and of other zones are to be told.
-    near: Outbox,
-    far: Outbox,
+    zone_outbox: Outbox,
+    remote_outbox: Outbox,
     breaks: Breaks,
     /// Changes that are to be written to the log.
-    unsaid: Vec<(Digest, Change)>,
+    pending_writes: Vec<(Digest, Change)>,
 }
 
 impl State {
     /// Counts an end. A request that is cleared here is told of as such, to whoever does not know.
-    fn count(&mut self, digest: Digest, crash: Crash, now: Moment) -> Verdict {
+    fn count_crash(&mut self, digest: Digest, crash: Crash, now: Moment) -> Verdict {
         let verdict = self.table.crashed(digest, crash, now);
         if verdict == Verdict::Cleared && self.table.contradicts(digest, now) {
             // Whoever else knows it hears of the end in the same moment; one says so.
-            let wait = Duration::ZERO..CONTRADICTS;
-            self.tell(Word::Answered { digest }, now + rand::random_range(wait));
+            let wait = Duration::ZERO..MAX_CLEARED_DELAY;
+            self.broadcast(Report::Answered { digest }, now + rand::random_range(wait));
         }
         log::debug!(digest:%, verdict:?; "poison: An endpoint ended under a request.");
         verdict
     }
 
     /// Tells all other VMs.
-    fn tell(&mut self, word: Word, now: Moment) {
-        self.near.push(word, now);
-        self.far.push(word, now);
+    fn broadcast(&mut self, word: Report, now: Moment) {
+        self.zone_outbox.push(word, now);
+        self.remote_outbox.push(word, now);
     }
 
-    fn say(&mut self, digest: Digest, change: Change) {
-        self.unsaid.retain(|(known, _)| *known != digest);
-        if self.unsaid.len() >= UNSAID {
+    fn schedule_write(&mut self, digest: Digest, change: Change) {
+        self.pending_writes.retain(|(known, _)| *known != digest);
+        if self.pending_writes.len() >= MAX_PENDING_WRITES {
             log::warn!(digest:%; "poison: Too much to write, left out.");
             return;
         }
-        self.unsaid.push((digest, change));
+        self.pending_writes.push((digest, change));
     }
 }
 
@@ -110,69 +110,69 @@
     }
 
     /// An endpoint ended here while requests ran there.
-    fn crashed(&self, crash: Crash, digests: &[Digest], now: Moment) {
+    fn record_crash(&self, crash: Crash, digests: &[Digest], now: Moment) {
         let mut state = self.lock();
         for digest in digests {
-            let verdict = state.count(*digest, crash, now);
+            let verdict = state.count_crash(*digest, crash, now);
             log::info!(digest:%, verdict:?; "poison: An endpoint ended here under a request.");
             if matches!(verdict, Verdict::Suspected(_) | Verdict::Barred) {
-                state.tell(Word::crashed(*digest, crash), now);
+                state.broadcast(Report::crashed(*digest, crash), now);
             }
             if verdict == Verdict::Barred {
-                self.bar(&mut state, *digest, now);
+                self.schedule_block(&mut state, *digest, now);
             }
         }
         drop(state);
-        self.told.notify_one();
+        self.reports_due.notify_one();
     }
 
     /// Has a bar written to the log.
-    fn bar(&self, state: &mut State, digest: Digest, now: Moment) {
+    fn schedule_block(&self, state: &mut State, digest: Digest, now: Moment) {
         let Some(lasts) = state.table.barred(digest, now) else {
             return;
         };
         log::warn!(digest:%, lasts_ms = millis(lasts); "poison: Barred.");
-        state.say(digest, Change::Bar(lasts));
-        self.unsaid.notify_one();
+        state.schedule_write(digest, Change::Block(lasts));
+        self.writes_due.notify_one();
     }
 
     /// Another VM tells. `far` if it is of another zone, whose words go on to this one. `writes` if this
     /// VM writes for the zone.
-    pub fn hear(&self, word: Word, far: bool, writes: bool, now: Moment) {
+    pub fn receive(&self, word: Report, far: bool, writes: bool, now: Moment) {
         let mut state = self.lock();
         if far {
-            state.near.pass(word, now);
-            self.told.notify_one();
+            state.zone_outbox.forward(word, now);
+            self.reports_due.notify_one();
         }
         match word {
-            Word::Crashed {
+            Report::Crashed {
                 digest,
                 endpoint,
                 life,
             } => {
-                let verdict = state.count(digest, Crash { endpoint, life }, now);
+                let verdict = state.count_crash(digest, Crash { endpoint, life }, now);
                 match verdict {
-                    Verdict::Barred if writes => self.bar(&mut state, digest, now),
-                    Verdict::Cleared => self.told.notify_one(),
+                    Verdict::Barred if writes => self.schedule_block(&mut state, digest, now),
+                    Verdict::Cleared => self.reports_due.notify_one(),
                     _ => {}
                 }
             }
-            Word::Answered { digest } => {
+            Report::Answered { digest } => {
                 state.table.heard(digest, now);
-                state.near.withdraw(word);
-                state.far.withdraw(word);
+                state.zone_outbox.cancel(word);
+                state.remote_outbox.cancel(word);
             }
         }
     }
 
     /// What the zone is to be told now.
-    pub fn near(&self, now: Moment) -> Vec<Word> {
-        self.lock().near.take(now)
+    pub fn take_zone_reports(&self, now: Moment) -> Vec<Report> {
+        self.lock().zone_outbox.take_due(now)
     }
 
     /// What other zones are to be told now.
-    pub fn far(&self, now: Moment) -> Vec<Word> {
-        self.lock().far.take(now)
+    pub fn take_remote_reports(&self, now: Moment) -> Vec<Report> {
+        self.lock().remote_outbox.take_due(now)
     }
 
     /// Suspects that are not barred, and requests that are.
@@ -183,35 +183,44 @@
 }
 
 /// An answer to a request was whole.
-pub fn answered<P: Border + Codec, L: Log>(node: &Node<P, L>, digest: Digest) {
+pub fn record_answer<P: Border + Codec, L: Log>(node: &Node<P, L>, digest: Digest) {
     let now = boot::now();
     let poison = &node.poison;
     let mut state = poison.lock();
     if state.table.answered(digest, now) {
         log::info!(digest:%; "poison: Cleared by a whole answer.");
-        state.tell(Word::Answered { digest }, now);
-        poison.told.notify_one();
+        state.broadcast(Report::Answered { digest }, now);
+        poison.reports_due.notify_one();
     }
-    if node.bars.view(|bars| bars.barred(digest, now)).is_some() {
-        state.say(digest, Change::Drop);
-        poison.unsaid.notify_one();
+    if node
+        .blocklist
+        .view(|blocklist| blocklist.remaining(digest, now))
+        .is_some()
+    {
+        state.schedule_write(digest, Change::Unblock);
+        poison.writes_due.notify_one();
     }
 }
 
 /// How long a request is still barred; none if it may be sent.
-pub fn barred<P: Border + Codec, L: Log>(node: &Node<P, L>, digest: Digest) -> Option<Duration> {
+pub fn block_remaining<P: Border + Codec, L: Log>(
+    node: &Node<P, L>,
+    digest: Digest,
+) -> Option<Duration> {
     let now = boot::now();
     let table = &node.poison.lock().table;
     // The VM that wrote the bar may not have heard of the answer.
     if table.clears(digest, now) {
         return None;
     }
-    let on_log = node.bars.view(|bars| bars.barred(digest, now));
+    let on_log = node
+        .blocklist
+        .view(|blocklist| blocklist.remaining(digest, now));
     table.barred(digest, now).max(on_log)
 }
 
 /// A run failed at an endpoint. Where its connection ended, the endpoint may have ended as well.
-pub fn failed<P: Border + Codec, L: Log>(
+pub fn record_failure<P: Border + Codec, L: Log>(
     node: &Node<P, L>,
     digest: Digest,
     endpoint: &id::Endpoint,
@@ -231,27 +240,27 @@
     };
     let step = node.poison.lock().breaks.broke(digest, crash);
     match step {
-        Step::Count => node.poison.crashed(crash, &[digest], boot::now()),
+        Step::Count => node.poison.record_crash(crash, &[digest], boot::now()),
         Step::Look => {
             let node = node.clone();
             // Bounded in time, and of no use to a VM that ends.
-            tokio::spawn(async move { watch(&node, &member.entry, crash).await });
+            tokio::spawn(async move { confirm_crash(&node, &member.entry, crash).await });
         }
         Step::Wait => {}
     }
 }
 
 /// Waits until it is known whether an endpoint ended, and counts that for all that ran there.
-async fn watch<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry, crash: Crash) {
-    let proof = ended::look(node, entry).await;
+async fn confirm_crash<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry, crash: Crash) {
+    let proof = crash_check::wait_for_crash(node, entry).await;
     let digests = node.poison.lock().breaks.looked(crash, proof.is_some());
     log::info!(
         endpoint = entry.id.as_str(),
-        proof = proof.map(ended::Proof::as_str),
+        proof = proof.map(crash_check::CrashEvidence::as_str),
         runs = digests.len();
         "poison: Runs broke off."
     );
     if proof.is_some() {
-        node.poison.crashed(crash, &digests, boot::now());
+        node.poison.record_crash(crash, &digests, boot::now());
     }
 }
--- a/crates/relay/src/poison/bars.rs
+++ b/crates/relay/src/poison/blocklist.rs
@@ -12,7 +12,7 @@
 
 /// A barred request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Bar {
+struct Block {
     digest: Digest,
     /// When it runs out, counted from when this VM came to know of it: clocks of VMs differ.
     until: Moment,
@@ -21,35 +21,35 @@
 /// The barred requests, folded from their records: the key is the digest, the value how long the bar
 /// lasts.
 #[derive(Debug, Default)]
-pub struct Bars {
+pub struct Blocklist {
     /// Sorted by digest.
-    bars: Vec<Bar>,
+    blocks: Vec<Block>,
 }
 
-impl Bars {
+impl Blocklist {
     fn find(&self, digest: Digest) -> Result<usize, usize> {
-        self.bars.binary_search_by_key(&digest, |bar| bar.digest)
+        self.blocks.binary_search_by_key(&digest, |bar| bar.digest)
     }
 
     /// How long a request is still barred; none if it may be sent.
     #[must_use]
-    pub fn barred(&self, digest: Digest, now: Moment) -> Option<Duration> {
-        let left = self.bars[self.find(digest).ok()?].until.since(now);
+    pub fn remaining(&self, digest: Digest, now: Moment) -> Option<Duration> {
+        let left = self.blocks[self.find(digest).ok()?].until.since(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// Whether a bar is on the log, in force or not.
     #[must_use]
-    pub fn holds(&self, digest: Digest) -> bool {
+    pub fn contains(&self, digest: Digest) -> bool {
         self.find(digest).is_ok()
     }
 
     /// The bars that are on the log for nothing: those that have run out, and of requests that are
     /// cleared.
     #[must_use]
-    pub fn needless(&self, cleared: impl Fn(Digest) -> bool, now: Moment) -> Vec<Digest> {
-        let needless = |bar: &&Bar| bar.until <= now || cleared(bar.digest);
-        let bars = self.bars.iter().filter(needless);
+    pub fn obsolete(&self, cleared: impl Fn(Digest) -> bool, now: Moment) -> Vec<Digest> {
+        let needless = |bar: &&Block| bar.until <= now || cleared(bar.digest);
+        let bars = self.blocks.iter().filter(needless);
         bars.map(|bar| bar.digest).collect()
     }
 }
@@ -59,11 +59,11 @@
 /// # Errors
 ///
 /// If it can't be written.
-pub fn write(lasts: Duration) -> Result<Bytes, postcard::Error> {
+pub fn encode(lasts: Duration) -> Result<Bytes, postcard::Error> {
     postcard::to_stdvec(&lasts).map(Bytes::from)
 }
 
-impl Fold for Bars {
+impl Fold for Blocklist {
     fn apply(&mut self, record: &Record, told: Told) -> bool {
         let Ok(digest) = record.key.parse::<Digest>() else {
             log::warn!("poison: {:?} is no digest.", record.key);
@@ -72,7 +72,7 @@
         let place = self.find(digest);
         let Some(value) = &record.value else {
             if let Ok(place) = place {
-                self.bars.remove(place);
+                self.blocks.remove(place);
                 log::info!(digest:%, offset = record.offset.0; "poison: The bar is off the log.");
             }
             return place.is_ok();
@@ -92,8 +92,8 @@
         );
         let until = told.at + lasts;
         match place {
-            Ok(place) => self.bars[place].until = until,
-            Err(place) => self.bars.insert(place, Bar { digest, until }),
+            Ok(place) => self.blocks[place].until = until,
+            Err(place) => self.blocks.insert(place, Block { digest, until }),
         }
         true
     }
--- a/crates/relay/src/poison/ended.rs
+++ b/crates/relay/src/poison/crash_check.rs
@@ -14,18 +14,18 @@
 use crate::topic::Log;
 
 /// How long an endpoint that ended may stay registered: its entry goes after three silent heartbeats.
-const REGISTERED: Duration = Duration::from_secs(6);
+const DEREGISTRATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// How an end is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Proof {
+pub enum CrashEvidence {
     /// Nobody listens at its address.
     Refused,
     /// Its entry is gone, or is that of a later start.
     Unregistered,
 }
 
-impl Proof {
+impl CrashEvidence {
     /// The name in log lines.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -36,10 +36,13 @@
 }
 
 /// Waits until an endpoint is known to have ended; none if it is still there.
-pub async fn look<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry) -> Option<Proof> {
+pub async fn wait_for_crash<P: Border + Codec, L: Log>(
+    node: &Node<P, L>,
+    entry: &Entry,
+) -> Option<CrashEvidence> {
     let bound = node.reach(|reach| reach.bound());
     if gone::is_refused(entry.address, bound).await {
-        return Some(Proof::Refused);
+        return Some(CrashEvidence::Refused);
     }
     let mut changes = node.directory.changes();
     let gone = async {
@@ -48,9 +51,11 @@
                 return std::future::pending().await;
             }
         }
-        Proof::Unregistered
+        CrashEvidence::Unregistered
     };
-    tokio::time::timeout(REGISTERED, gone).await.ok()
+    tokio::time::timeout(DEREGISTRATION_TIMEOUT, gone)
+        .await
+        .ok()
 }
 
 /// Whether an endpoint is registered as it was, or has lost its entry while the log was out.
--- a/crates/relay/src/poison/word.rs
+++ b/crates/relay/src/poison/report.rs
@@ -10,15 +10,15 @@
 
 /// Times that a word is told, as datagrams are lost, and the time between two. A word to another zone
 /// goes to one VM there, which may be gone; after twice this time it goes to another one.
-const TIMES: u32 = 3;
-const AGAIN: Duration = Duration::from_millis(1_100);
+const REPEATS: u32 = 3;
+const REPEAT_INTERVAL: Duration = Duration::from_millis(1_100);
 
 /// Words that wait to be told at most.
-const MOST: usize = 512;
+const MAX_PENDING: usize = 512;
 
 /// What one VM tells another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Report {
     /// An endpoint ended while the request ran there.
     Crashed {
         /// The request.
@@ -35,7 +35,7 @@
     },
 }
 
-impl Word {
+impl Report {
     /// An endpoint ended under a request.
     #[must_use]
     pub const fn crashed(digest: Digest, crash: Crash) -> Self {
@@ -50,7 +50,7 @@
 /// A word that is to be told so many times more.
 #[derive(Debug)]
 struct Due {
-    word: Word,
+    word: Report,
     at: Moment,
     left: u32,
 }
@@ -63,25 +63,26 @@
 
 impl Outbox {
     /// Has an own word told.
-    pub fn push(&mut self, word: Word, now: Moment) {
-        self.add(word, TIMES, now);
+    pub fn push(&mut self, word: Report, now: Moment) {
+        self.add(word, REPEATS, now);
     }
 
     /// Has a word of another zone told, which comes several times by itself.
-    pub fn pass(&mut self, word: Word, now: Moment) {
+    pub fn forward(&mut self, word: Report, now: Moment) {
         self.add(word, 1, now);
     }
 
     /// Leaves out a word that another VM has told, unless it was told from here already.
-    pub fn withdraw(&mut self, word: Word) {
-        self.due.retain(|due| due.word != word || due.left < TIMES);
+    pub fn cancel(&mut self, word: Report) {
+        self.due
+            .retain(|due| due.word != word || due.left < REPEATS);
     }
 
-    fn add(&mut self, word: Word, left: u32, now: Moment) {
+    fn add(&mut self, word: Report, left: u32, now: Moment) {
         if self.due.iter().any(|due| due.word == word) {
             return;
         }
-        if self.due.len() >= MOST {
+        if self.due.len() >= MAX_PENDING {
             log::warn!("poison: Too much to tell, a word left out.");
             return;
         }
@@ -93,12 +94,12 @@
     }
 
     /// The words that are due.
-    pub fn take(&mut self, now: Moment) -> Vec<Word> {
+    pub fn take_due(&mut self, now: Moment) -> Vec<Report> {
         let mut words = Vec::new();
         for due in self.due.iter_mut().filter(|due| due.at <= now) {
             words.push(due.word);
             due.left -= 1;
-            due.at = now + AGAIN;
+            due.at = now + REPEAT_INTERVAL;
         }
         self.due.retain(|due| due.left > 0);
         words
--- a/crates/relay/src/poison/keep.rs
+++ b/crates/relay/src/poison/writer.rs
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Change;
-use super::bars;
+use super::blocklist;
 use crate::boot;
 use crate::border::Border;
 use crate::calls::Reason;
@@ -17,13 +17,13 @@
 use crate::topic::Topic;
 
 /// How often bars are looked through for those that have run out.
-const LOOK: Duration = Duration::from_secs(1);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A call of the log takes at most this long.
-const CALL: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Starts to write.
 pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
@@ -34,19 +34,19 @@
 async fn run<P: Border + Codec, L: Log>(node: Node<P, L>, log: L) {
     loop {
         tokio::select! {
-            () = node.poison.unsaid.notified() => {}
-            () = tokio::time::sleep(LOOK) => lapse(&node),
+            () = node.poison.writes_due.notified() => {}
+            () = tokio::time::sleep(EXPIRY_INTERVAL) => expire_blocks(&node),
         }
-        while let Some((digest, change)) = next(&node) {
+        while let Some((digest, change)) = next_write(&node) {
             if !write(&node, &log, digest, change).await {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Ends the bars that have run out. The VM that reads the log for its zone takes off it what is needless.
-fn lapse<P: Border + Codec, L: Log>(node: &Node<P, L>) {
+fn expire_blocks<P: Border + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let mut state = node.poison.lock();
     for digest in state.table.lapse(now) {
@@ -54,24 +54,31 @@
     }
     if node.reads() {
         let cleared = |digest| state.table.clears(digest, now);
-        for digest in node.bars.view(|bars| bars.needless(cleared, now)) {
-            state.say(digest, Change::Drop);
+        for digest in node
+            .blocklist
+            .view(|blocklist| blocklist.obsolete(cleared, now))
+        {
+            state.schedule_write(digest, Change::Unblock);
         }
     }
 }
 
 /// The next change that is still to be written.
-fn next<P: Border + Codec, L: Log>(node: &Node<P, L>) -> Option<(Digest, Change)> {
+fn next_write<P: Border + Codec, L: Log>(node: &Node<P, L>) -> Option<(Digest, Change)> {
     let now = boot::now();
     let state = &mut *node.poison.lock();
     let table = &state.table;
-    node.bars.view(|bars| {
-        state.unsaid.retain(|(digest, change)| match change {
-            Change::Bar(_) => !bars.holds(*digest) && table.barred(*digest, now).is_some(),
-            Change::Drop => bars.holds(*digest),
-        });
+    node.blocklist.view(|blocklist| {
+        state
+            .pending_writes
+            .retain(|(digest, change)| match change {
+                Change::Block(_) => {
+                    !blocklist.contains(*digest) && table.barred(*digest, now).is_some()
+                }
+                Change::Unblock => blocklist.contains(*digest),
+            });
     });
-    state.unsaid.first().copied()
+    state.pending_writes.first().copied()
 }
 
 /// Writes a change; whether it is known to be written.
@@ -83,12 +90,14 @@
 ) -> bool {
     let done = || {
         let mut state = node.poison.lock();
-        state.unsaid.retain(|known| *known != (digest, change));
+        state
+            .pending_writes
+            .retain(|known| *known != (digest, change));
         true
     };
     let value = match change {
-        Change::Drop => Ok(Bytes::new()),
-        Change::Bar(lasts) => bars::write(lasts),
+        Change::Unblock => Ok(Bytes::new()),
+        Change::Block(lasts) => blocklist::encode(lasts),
     };
     let value = match value {
         Ok(value) => value,
@@ -100,7 +109,7 @@
     node.calls.count(Topic::Poison, Reason::Word);
     let key = digest.to_string();
     let append = log.append(Topic::Poison, &key, value, None);
-    let problem = match tokio::time::timeout(CALL, append).await {
+    let problem = match tokio::time::timeout(CALL_TIMEOUT, append).await {
         Ok(Ok(_)) => return done(),
         Ok(Err(error)) => error.to_string(),
         Err(_) => "no answer in time".into(),
--- a/crates/relay/src/whole.rs
+++ b/crates/relay/src/whole.rs
@@ -91,12 +91,12 @@
                     let passed = tokio::time::timeout(left, pass(&writer, begun, rest)).await;
                     match passed.unwrap_or(Err(Fault::Timeout)) {
                         Ok(()) => {
-                            poison::answered(&shared, digest);
+                            poison::record_answer(&shared, digest);
                             permit.served(WORK);
                             let _ = writer.end().await;
                         }
                         Err(fault) => {
-                            poison::failed(&shared, digest, permit.endpoint(), &fault);
+                            poison::record_failure(&shared, digest, permit.endpoint(), &fault);
                             permit.failed(&fault);
                         }
                     }
