--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -210,7 +210,8 @@
         let Some(version) = permit.version() else {
             return false;
         };
-        self.node.rollouts(|r| r.bad(&self.request.pool, version))
+        self.node
+            .rollouts(|r| r.is_bad(&self.request.pool, version))
     }
 
     /// Counts an endpoint that did not run the request.
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -19,7 +19,7 @@
 use crate::cascade;
 use crate::codec::Codec;
 use crate::node::millis;
-use crate::rollouts::Seen;
+use crate::rollouts::FinishedRequest;
 use crate::rollouts::announcement::Outcome;
 use crate::topic::Log;
 
@@ -103,7 +103,8 @@
         if let Some((session, version)) = session.zip(permit.version()) {
             let now = boot::now();
             let pool = &self.request.pool;
-            self.node.rollouts(|r| r.note(pool, session, version, now));
+            self.node
+                .rollouts(|r| r.record_session(pool, session, version, now));
         }
     }
 
@@ -123,7 +124,7 @@
         let Some(version) = permit.version() else {
             return;
         };
-        let seen = Seen {
+        let seen = FinishedRequest {
             pool: &self.request.pool,
             route: &self.request.grant.route.name,
             version,
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::rollouts::announcement::Said;
+use crate::rollouts::announcement::NodeAnnouncement;
 use crate::topic::Log;
 use crate::topic::Record;
 use crate::topic::Topic;
@@ -28,7 +28,7 @@
     /// callers come back all together.
     pub paces: Vec<(u64, f64)>,
     /// What it and the VMs that it reads the log for saw of roll-outs.
-    pub rollouts: Vec<Said>,
+    pub rollouts: Vec<NodeAnnouncement>,
 }
 
 impl Word {
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -285,7 +285,7 @@
         for (pool, left) in node.repeats.left(node.now()) {
             metrics.pool(&pool, "repeats_left", left);
         }
-        for (pool, sum) in node.rollouts(|rollouts| rollouts.sums()) {
+        for (pool, sum) in node.rollouts(|rollouts| rollouts.target_counts()) {
             let served = sum.attempts.saturating_sub(sum.failed);
             let outcomes = [("served", served), ("failed", sum.failed)];
             for (outcome, count) in outcomes {
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -47,8 +47,8 @@
 use crate::node::Node;
 use crate::passage::Passage;
 use crate::passage::Shared;
-use crate::rollouts::announcement::Kept;
-use crate::rollouts::announcement::Said;
+use crate::rollouts::announcement::NodeAnnouncement;
+use crate::rollouts::announcement::PinnedSession;
 use crate::topic::Log;
 use crate::zone::Reach;
 use crate::zone::Stamp;
@@ -72,8 +72,8 @@
     /// What other zones told and the own one is to be told.
     passed: Vec<Read>,
     /// The same of sessions that keep a version.
-    far_kept: Vec<Kept>,
-    passed_kept: Vec<Kept>,
+    far_kept: Vec<PinnedSession>,
+    passed_kept: Vec<PinnedSession>,
     /// Up to which offsets the zone was told of the records of each topic; none while this VM does not
     /// read for it.
     told: Option<tell::Ends>,
@@ -227,7 +227,7 @@
             self.node.poison.receive(*word, !near, writes, now);
         }
         for kept in &message.kept {
-            self.node.rollouts(|r| r.keep(*kept));
+            self.node.rollouts(|r| r.pin_session(*kept));
         }
         if near {
             self.zone.heard(Stamp {
@@ -240,7 +240,15 @@
             self.vouch(message.proofs);
             for what in message.rollouts {
                 let node = message.node.clone();
-                self.node.rollouts(|r| r.hear(&Said { node, what }, now));
+                self.node.rollouts(|r| {
+                    r.receive(
+                        &NodeAnnouncement {
+                            node,
+                            announcement: what,
+                        },
+                        now,
+                    )
+                });
             }
         }
         let waits: Vec<(u64, Duration)> = message
--- a/crates/relay/src/neighbours/message.rs
+++ b/crates/relay/src/neighbours/message.rs
@@ -15,7 +15,7 @@
 use crate::passage::Passage;
 use crate::poison::Report;
 use crate::rollouts::announcement::Announcement;
-use crate::rollouts::announcement::Kept;
+use crate::rollouts::announcement::PinnedSession;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
     /// Requests under which endpoints ended.
     pub poison: Vec<Report>,
     /// Sessions that keep the old version in a roll-out.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<PinnedSession>,
     /// Milliseconds that engines take for the teller's prompts, by their keys; all others take none.
     pub waits: Vec<(u64, u32)>,
     /// Prompts that engines read since the last datagram.
--- a/crates/relay/src/neighbours/news.rs
+++ b/crates/relay/src/neighbours/news.rs
@@ -5,7 +5,7 @@
 use crate::passage::Passage;
 use crate::poison::Report;
 use crate::rollouts::announcement::Announcement;
-use crate::rollouts::announcement::Kept;
+use crate::rollouts::announcement::PinnedSession;
 
 /// Prompts told in one datagram; more than these would not fit the smallest usual path.
 const READS: usize = 16;
@@ -28,7 +28,7 @@
     /// What this VM says of roll-outs.
     pub rollouts: Vec<Announcement>,
     /// Sessions that keep a version.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<PinnedSession>,
     /// Requests under which endpoints ended.
     pub poison: Vec<Report>,
     /// Records of the log.
@@ -72,7 +72,7 @@
     /// Prompts that engines read.
     pub reads: &'a [Read],
     /// Sessions that keep a version.
-    pub kept: &'a [Kept],
+    pub kept: &'a [PinnedSession],
     /// Requests under which endpoints ended.
     pub poison: &'a [Report],
     /// Records of the log.
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/tell.rs
@@ -129,7 +129,7 @@
     fn news(&self) -> News {
         let mut news = News {
             rollouts: self.node.due_announcements(boot::now()),
-            kept: self.node.rollouts(Rollouts::untold),
+            kept: self.node.rollouts(Rollouts::take_pending_sessions),
             poison: self.node.poison.take_zone_reports(boot::now()),
             passages: self.passages(),
             ..News::default()
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -72,7 +72,7 @@
         let of_pool = members.iter().filter(|(name, _)| *name == pool);
         let list: Vec<Member> = of_pool.map(|(_, member)| member.clone()).collect();
         let versions = versions(&list);
-        node.rollouts(|rollouts| rollouts.see(&pool, versions));
+        node.rollouts(|rollouts| rollouts.update_versions(&pool, versions));
         node.scheduler.pool(&pool).update(list);
     }
 }
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -5,7 +5,7 @@
 
 pub mod announcement;
 pub mod controller;
-pub mod progress;
+pub mod state;
 
 use std::time::Duration;
 
@@ -18,13 +18,13 @@
 
 use self::announcement::Announcement;
 use self::announcement::End;
-use self::announcement::Kept;
+use self::announcement::NodeAnnouncement;
 use self::announcement::Outcome;
-use self::announcement::Said;
-use self::announcement::Sum;
-use self::progress::Hearing;
-use self::progress::Progress;
-use self::progress::Step;
+use self::announcement::PinnedSession;
+use self::announcement::RequestCounts;
+use self::state::RolloutState;
+use self::state::Step;
+use self::state::Visibility;
 use crate::config::Exposure;
 use crate::operators::Order;
 use crate::sessions::Sessions;
@@ -63,7 +63,7 @@
 
 /// When this VM last announced, and what.
 #[derive(Debug, Default)]
-struct Told {
+struct LastAnnouncement {
     at: Moment,
     what: Vec<Announcement>,
 }
@@ -74,12 +74,12 @@
     config: shift::Config,
     exposure: Exposure,
     /// The newest of each service, sorted by service.
-    newest: Vec<Progress>,
+    newest: Vec<RolloutState>,
     /// Sorted by service.
     present: Vec<Present>,
     sessions: Sessions,
     /// To the zone.
-    told: Told,
+    told: LastAnnouncement,
 }
 
 /// The fixed place of a session among all.
@@ -89,7 +89,7 @@
 
 /// A request that ended, as evidence.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen<'a> {
+pub struct FinishedRequest<'a> {
     /// The service.
     pub pool: &'a id::Pool,
     /// The route.
@@ -112,7 +112,7 @@
             newest: Vec::new(),
             present: Vec::new(),
             sessions: Sessions::new(session),
-            told: Told::default(),
+            told: LastAnnouncement::default(),
         }
     }
 
@@ -121,35 +121,35 @@
             .binary_search_by(|r| r.order.rollout.pool.cmp(pool))
     }
 
-    fn get(&self, pool: &id::Pool) -> Option<&Progress> {
+    fn get(&self, pool: &id::Pool) -> Option<&RolloutState> {
         self.find(pool).ok().map(|place| &self.newest[place])
     }
 
-    fn get_mut(&mut self, pool: &id::Pool) -> Option<&mut Progress> {
+    fn get_mut(&mut self, pool: &id::Pool) -> Option<&mut RolloutState> {
         self.find(pool).ok().map(|place| &mut self.newest[place])
     }
 
     /// Whether endpoints of several versions of a service may be used, so that there is one to choose.
     #[must_use]
-    pub fn mixed(&self, pool: &id::Pool) -> bool {
+    pub fn has_several_versions(&self, pool: &id::Pool) -> bool {
         let present = self.present(pool);
         present.is_some_and(|present| present.versions.len() > 1)
     }
 
     /// Whether an order was taken.
     #[must_use]
-    pub fn knows(&self, order: &Order) -> bool {
+    pub fn has_order(&self, order: &Order) -> bool {
         let known = self.get(&order.rollout.pool);
         known.is_some_and(|known| known.offset() >= order.offset)
     }
 
     /// Takes an order; `ended` tells how it ended before this process began.
-    pub fn order(&mut self, order: Order, ended: Option<End>, now: Moment) {
-        let mut progress = Progress::new(order, ended.map(|end| (end, now)));
+    pub fn add_order(&mut self, order: Order, ended: Option<End>, now: Moment) {
+        let mut progress = RolloutState::new(order, ended.map(|end| (end, now)));
         if ended.is_none() {
             for session in self.sessions.live(now) {
                 if self.tried(session, progress.target()) {
-                    progress.keep(session, true);
+                    progress.pin_session(session, true);
                 }
             }
         }
@@ -160,7 +160,7 @@
     }
 
     /// Takes the versions of a service's endpoints that may be used, sorted, with their numbers.
-    pub fn see(&mut self, pool: &id::Pool, versions: Vec<(id::Version, usize)>) {
+    pub fn update_versions(&mut self, pool: &id::Pool, versions: Vec<(id::Version, usize)>) {
         let most = versions.iter().max_by_key(|(_, count)| *count);
         let Some((most, _)) = most.cloned() else {
             return;
@@ -212,7 +212,7 @@
         if used == Some(target) {
             return Some(target.clone());
         }
-        if phase.keeps() && (used.is_some() || rollout.keeps(session)) {
+        if phase.keeps() && (used.is_some() || rollout.is_pinned(session)) {
             return Some(old.clone());
         }
         let moves = rollout::moves(place(session), target, phase.weight());
@@ -221,7 +221,7 @@
 
     /// Endpoints of the version that is moved to.
     fn endpoints(&self, pool: &id::Pool) -> usize {
-        let target = self.get(pool).map(Progress::target);
+        let target = self.get(pool).map(RolloutState::target);
         let present = self.present(pool);
         present.zip(target).map_or(0, |(p, target)| p.count(target))
     }
@@ -232,14 +232,20 @@
         self.get(pool).map(|rollout| rollout.target().clone())
     }
 
-    fn phase(&self, rollout: &Progress, now: Moment) -> Phase {
+    fn phase(&self, rollout: &RolloutState, now: Moment) -> Phase {
         let lasts = rollout.order.rollout.lasts;
         self.config
             .phase(rollout.age(now), lasts, self.exposure.share)
     }
 
     /// Notes that a request of a session is sent to a version of a service, or was answered by it.
-    pub fn note(&mut self, pool: &id::Pool, session: u64, version: &id::Version, now: Moment) {
+    pub fn record_session(
+        &mut self,
+        pool: &id::Pool,
+        session: u64,
+        version: &id::Version,
+        now: Moment,
+    ) {
         self.sessions.note(session, version, now);
         let Some(rollout) = self.get(pool).filter(|r| r.ended().is_none()) else {
             return;
@@ -250,7 +256,7 @@
             return;
         }
         if let Some(rollout) = self.get_mut(pool) {
-            rollout.keep(session, true);
+            rollout.pin_session(session, true);
         }
     }
 
@@ -262,33 +268,33 @@
 
     /// Sessions that used the old version here and that other VMs were not told of yet, each with its
     /// order.
-    pub fn untold(&mut self) -> Vec<Kept> {
+    pub fn take_pending_sessions(&mut self) -> Vec<PinnedSession> {
         let mut untold = Vec::new();
         for rollout in &mut self.newest {
             let order = rollout.offset();
-            let sessions = rollout.take_untold().into_iter();
-            untold.extend(sessions.map(|session| Kept { order, session }));
+            let sessions = rollout.take_pending_sessions().into_iter();
+            untold.extend(sessions.map(|session| PinnedSession { order, session }));
         }
         untold
     }
 
     /// Another VM says that a session used the old version.
-    pub fn keep(&mut self, kept: Kept) {
+    pub fn pin_session(&mut self, kept: PinnedSession) {
         let order = self.newest.iter_mut().find(|r| r.offset() == kept.order);
         if let Some(rollout) = order {
-            rollout.keep(kept.session, false);
+            rollout.pin_session(kept.session, false);
         }
     }
 
     /// Whether a version is known to be bad.
     #[must_use]
-    pub fn bad(&self, pool: &id::Pool, version: &id::Version) -> bool {
+    pub fn is_bad(&self, pool: &id::Pool, version: &id::Version) -> bool {
         let rollout = self.get(pool).filter(|r| r.target() == version);
-        rollout.is_some_and(Progress::is_bad)
+        rollout.is_some_and(RolloutState::is_bad)
     }
 
     /// Counts how a request ended.
-    pub fn record(&mut self, seen: &Seen<'_>) {
+    pub fn record(&mut self, seen: &FinishedRequest<'_>) {
         let endpoints = self.endpoints(seen.pool);
         let Some(rollout) = self.get_mut(seen.pool) else {
             return;
@@ -312,18 +318,18 @@
 
     /// Answers of the new version by the evidence of all VMs, by service.
     #[must_use]
-    pub fn sums(&self) -> Vec<(id::Pool, Sum)> {
+    pub fn target_counts(&self) -> Vec<(id::Pool, RequestCounts)> {
         let newest = self.newest.iter();
         newest
-            .map(|rollout| (rollout.order.rollout.pool.clone(), rollout.sum()))
+            .map(|rollout| (rollout.order.rollout.pool.clone(), rollout.target_counts()))
             .collect()
     }
 
     /// Takes another VM's word.
-    pub fn hear(&mut self, said: &Said, now: Moment) {
-        let endpoints = self.endpoints(&said.what.pool);
-        if let Some(rollout) = self.get_mut(&said.what.pool) {
-            rollout.hear(&said.node, &said.what, now);
+    pub fn receive(&mut self, said: &NodeAnnouncement, now: Moment) {
+        let endpoints = self.endpoints(&said.announcement.pool);
+        if let Some(rollout) = self.get_mut(&said.announcement.pool) {
+            rollout.receive(&said.node, &said.announcement, now);
             if rollout.ended().is_none() {
                 rollout.judge(endpoints);
             }
@@ -338,7 +344,10 @@
         left: impl Fn(&id::Pool, &id::Version) -> bool,
         now: Moment,
     ) -> Vec<Announcement> {
-        let news = self.newest.iter().filter(|rollout| rollout.is_news(now));
+        let news = self
+            .newest
+            .iter()
+            .filter(|rollout| rollout.is_announced(now));
         news.map(|rollout| {
             let left = left(&rollout.order.rollout.pool, rollout.target());
             rollout.announcement(self.phase(rollout, now), left, now)
@@ -347,20 +356,20 @@
     }
 
     /// The same if the zone is to be told now.
-    pub fn due(
+    pub fn due_announcements(
         &mut self,
         left: impl Fn(&id::Pool, &id::Version) -> bool,
         now: Moment,
     ) -> Vec<Announcement> {
         let since = now.since(self.told.at);
-        if since < NEWS || self.newest.iter().all(|rollout| !rollout.is_news(now)) {
+        if since < NEWS || self.newest.iter().all(|rollout| !rollout.is_announced(now)) {
             return Vec::new();
         }
         let what = self.announcements(left, now);
-        if since < ANNOUNCE && !differ(&what, &self.told.what) {
+        if since < ANNOUNCE && !announcements_differ(&what, &self.told.what) {
             return Vec::new();
         }
-        self.told = Told {
+        self.told = LastAnnouncement {
             at: now,
             what: what.clone(),
         };
@@ -369,20 +378,30 @@
 
     /// What the other VMs said, to be passed on.
     #[must_use]
-    pub fn heard(&self, now: Moment) -> Vec<Said> {
-        let news = self.newest.iter().filter(|rollout| rollout.is_news(now));
-        news.flat_map(|rollout| rollout.heard(now)).collect()
+    pub fn received_announcements(&self, now: Moment) -> Vec<NodeAnnouncement> {
+        let news = self
+            .newest
+            .iter()
+            .filter(|rollout| rollout.is_announced(now));
+        news.flat_map(|rollout| rollout.received_announcements(now))
+            .collect()
     }
 
     /// What operators are to be told of a roll-out. `left` tells whether none of this VM's requests is
     /// at the old version.
     #[must_use]
-    pub fn step(&self, pool: &id::Pool, left: bool, hearing: Hearing, now: Moment) -> Step {
+    pub fn next_step(
+        &self,
+        pool: &id::Pool,
+        left: bool,
+        visibility: Visibility,
+        now: Moment,
+    ) -> Step {
         let Some(rollout) = self.get(pool) else {
             return Step::Wait;
         };
         let phase = self.phase(rollout, now);
-        rollout.step(phase, left, hearing, MARGIN, now)
+        rollout.next_step(phase, left, visibility, MARGIN, now)
     }
 
     fn end(&mut self, pool: &id::Pool, end: End, now: Moment) {
@@ -398,7 +417,7 @@
 
 /// Whether announcements say something that others should know soon.
 #[must_use]
-pub fn differ(now: &[Announcement], before: &[Announcement]) -> bool {
+pub fn announcements_differ(now: &[Announcement], before: &[Announcement]) -> bool {
     now.len() != before.len()
         || now
             .iter()
--- a/crates/relay/src/rollouts/announcement.rs
+++ b/crates/relay/src/rollouts/announcement.rs
@@ -20,21 +20,21 @@
 
 /// Counts of one route on one version since the order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sum {
+pub struct RequestCounts {
     /// Requests that ended.
     pub attempts: u32,
     /// Requests that the endpoint failed.
     pub failed: u32,
     /// Seconds until the first byte of those that were answered.
-    pub seconds: f32,
+    pub first_byte_seconds: f32,
 }
 
-impl Sum {
+impl RequestCounts {
     /// Counts a request.
     pub fn count(&mut self, outcome: Outcome) {
         self.attempts = self.attempts.saturating_add(1);
         match outcome {
-            Outcome::Served(took) => self.seconds += took.as_secs_f32(),
+            Outcome::Served(took) => self.first_byte_seconds += took.as_secs_f32(),
             Outcome::Failed => self.failed = self.failed.saturating_add(1),
         }
     }
@@ -43,14 +43,14 @@
     pub fn add(&mut self, other: &Self) {
         self.attempts = self.attempts.saturating_add(other.attempts);
         self.failed = self.failed.saturating_add(other.failed);
-        self.seconds += other.seconds;
+        self.first_byte_seconds += other.first_byte_seconds;
     }
 
     /// The counts as evidence.
     #[must_use]
     pub fn evidence(&self) -> rollout::Evidence {
         let served = self.attempts.saturating_sub(self.failed);
-        let pace = (served > 0).then(|| f64::from(self.seconds) / f64::from(served));
+        let pace = (served > 0).then(|| f64::from(self.first_byte_seconds) / f64::from(served));
         rollout::Evidence::from(rollout::Counts {
             rated: 0,
             passed: 0,
@@ -67,9 +67,9 @@
     /// Its name.
     pub name: CompactString,
     /// On the new version.
-    pub new: Sum,
+    pub new: RequestCounts,
     /// On the old one.
-    pub old: Sum,
+    pub old: RequestCounts,
 }
 
 /// How a roll-out ended.
@@ -97,7 +97,7 @@
     /// Whether the new version is bad.
     pub bad: bool,
     /// Whether no request is at the old version any more, nor will be.
-    pub left: bool,
+    pub drained: bool,
     /// How it ended, if it has.
     pub ended: Option<End>,
 }
@@ -106,14 +106,14 @@
     /// Whether it says something that others should know soon, compared with an earlier one.
     #[must_use]
     pub fn differs(&self, before: &Self) -> bool {
-        let told = |said: &Self| (said.order, said.bad, said.left, said.ended);
+        let told = |said: &Self| (said.order, said.bad, said.drained, said.ended);
         told(self) != told(before) || self.failing.len() != before.failing.len()
     }
 }
 
 /// A session that used the old version before the trial and keeps it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PinnedSession {
     /// The order's place in its topic.
     pub order: Offset,
     /// The session.
@@ -122,9 +122,9 @@
 
 /// A VM's announcement, as another one passes it on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Said {
+pub struct NodeAnnouncement {
     /// Who said it.
     pub node: id::Node,
     /// What.
-    pub what: Announcement,
+    pub announcement: Announcement,
 }
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -19,10 +19,10 @@
 use super::Rollouts;
 use super::announcement::Announcement;
 use super::announcement::End;
-use super::announcement::Said;
-use super::differ;
-use super::progress::Hearing;
-use super::progress::Step;
+use super::announcement::NodeAnnouncement;
+use super::announcements_differ;
+use super::state::Step;
+use super::state::Visibility;
 use crate::boot;
 use crate::border::Border;
 use crate::calls::Reason;
@@ -174,7 +174,7 @@
     /// together would all ask the log for nothing.
     async fn take_orders(&mut self) -> Pending {
         let orders: Vec<Order> = self.node.operators.view(|view| view.orders().to_vec());
-        let known = |order: &Order| self.node.rollouts(|r| r.knows(order));
+        let known = |order: &Order| self.node.rollouts(|r| r.has_order(order));
         let new: Vec<Order> = orders.into_iter().filter(|order| !known(order)).collect();
         let now = boot::now();
         if new.iter().any(|order| order.first) {
@@ -184,7 +184,7 @@
         let mut pending = Pending::Nothing;
         for order in new {
             let pool = &order.rollout.pool;
-            if order.first && !self.node.rollouts(|r| r.mixed(pool)) {
+            if order.first && !self.node.rollouts(|r| r.has_several_versions(pool)) {
                 pending = Pending::Choice;
                 continue;
             }
@@ -202,7 +202,7 @@
                 }
                 None
             };
-            self.node.rollouts(|r| r.order(order, ended, now));
+            self.node.rollouts(|r| r.add_order(order, ended, now));
         }
         pending
     }
@@ -239,7 +239,7 @@
         let own = &self.node.config.node;
         let said = news.iter().flat_map(|(_, word)| &word.rollouts);
         for said in said.filter(|said| said.node != *own) {
-            self.node.rollouts(|r| r.hear(said, now));
+            self.node.rollouts(|r| r.receive(said, now));
         }
     }
 
@@ -253,7 +253,7 @@
         let since = now.since(self.said_at);
         let bad = |said: &[Announcement]| said.iter().any(|s| s.bad || s.ended.is_some());
         let urgent = bad(&own) && !bad(&self.said);
-        let news = differ(&own, &self.said);
+        let news = announcements_differ(&own, &self.said);
         let ended = own.iter().all(|said| said.ended.is_some());
         let early = since < NEWS || (since < SAY || ended) && !news;
         if early && !urgent {
@@ -261,10 +261,10 @@
         }
         self.said_at = now;
         let node = &self.node.config.node;
-        let mut rollouts = self.node.rollouts(|r| r.heard(now));
-        rollouts.extend(own.iter().map(|what| Said {
+        let mut rollouts = self.node.rollouts(|r| r.received_announcements(now));
+        rollouts.extend(own.iter().map(|what| NodeAnnouncement {
             node: node.clone(),
-            what: what.clone(),
+            announcement: what.clone(),
         }));
         let word = Word {
             rollouts,
@@ -281,15 +281,17 @@
             return;
         };
         let now = boot::now();
-        let left = self.node.left(pool, &order.rollout.target);
+        let left = self.node.is_drained(pool, &order.rollout.target);
         let reads = self.node.reads();
-        let hearing = if reads {
-            Hearing::Everywhere
+        let visibility = if reads {
+            Visibility::AllZones
         } else {
-            Hearing::Zone
+            Visibility::Zone
         };
-        let step = self.node.rollouts(|r| r.step(pool, left, hearing, now));
-        let Step::Tell(end) = step else {
+        let step = self
+            .node
+            .rollouts(|r| r.next_step(pool, left, visibility, now));
+        let Step::Report(end) = step else {
             self.due = None;
             return;
         };
@@ -408,16 +410,18 @@
 
 impl<P: Border + Codec, L: Log> Node<P, L> {
     /// Whether no request of this VM is at an endpoint of another version than `target`.
-    fn left(&self, pool: &id::Pool, target: &id::Version) -> bool {
+    fn is_drained(&self, pool: &id::Pool, target: &id::Version) -> bool {
         self.scheduler.pool(pool).flying_beside(target) == 0
     }
 
     fn announcements(&self, now: Moment) -> Vec<Announcement> {
-        self.rollouts(|r| r.announcements(|pool, target| self.left(pool, target), now))
+        self.rollouts(|r| r.announcements(|pool, target| self.is_drained(pool, target), now))
     }
 
     /// What the zone is to be told of roll-outs now.
     pub(crate) fn due_announcements(&self, now: Moment) -> Vec<Announcement> {
-        self.rollouts(|r: &mut Rollouts| r.due(|pool, target| self.left(pool, target), now))
+        self.rollouts(|r: &mut Rollouts| {
+            r.due_announcements(|pool, target| self.is_drained(pool, target), now)
+        })
     }
 }
--- a/crates/relay/src/rollouts/progress.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -12,10 +12,10 @@
 
 use super::announcement::Announcement;
 use super::announcement::End;
+use super::announcement::NodeAnnouncement;
 use super::announcement::Outcome;
+use super::announcement::RequestCounts;
 use super::announcement::Route;
-use super::announcement::Said;
-use super::announcement::Sum;
 use crate::operators::Order;
 
 /// After this long without an announcement a VM is no longer waited for: it is down, or cut off
@@ -39,7 +39,7 @@
 
 /// A roll-out that was ordered.
 #[derive(Debug)]
-pub struct Progress {
+pub struct RolloutState {
     /// The order.
     pub order: Order,
     /// How old the order was when it was read here, as other VMs tell.
@@ -56,18 +56,18 @@
     peers: Vec<Peer>,
     /// Sessions that used the old version before the trial, at any VM, and that the trial's share
     /// would move; sorted.
-    kept: Vec<u64>,
+    pinned: Vec<u64>,
     /// Those of them that other VMs were not told of yet.
-    untold: Vec<u64>,
+    pending_sessions: Vec<u64>,
 }
 
 /// Whose words a VM hears.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hearing {
+pub enum Visibility {
     /// Those of its zone, by datagrams.
     Zone,
     /// Those of all VMs, as it reads their topic.
-    Everywhere,
+    AllZones,
 }
 
 /// What operators are to be told.
@@ -76,10 +76,10 @@
     /// Nothing.
     Wait,
     /// That it has ended.
-    Tell(End),
+    Report(End),
 }
 
-impl Progress {
+impl RolloutState {
     /// A roll-out that begins, or that ended before this process did.
     #[must_use]
     pub const fn new(order: Order, ended: Option<(End, Moment)>) -> Self {
@@ -91,31 +91,31 @@
             routes: Vec::new(),
             failing: Vec::new(),
             peers: Vec::new(),
-            kept: Vec::new(),
-            untold: Vec::new(),
+            pinned: Vec::new(),
+            pending_sessions: Vec::new(),
         }
     }
 
     /// Whether a session used the old version before the trial.
     #[must_use]
-    pub fn keeps(&self, session: u64) -> bool {
-        self.kept.binary_search(&session).is_ok()
+    pub fn is_pinned(&self, session: u64) -> bool {
+        self.pinned.binary_search(&session).is_ok()
     }
 
     /// Notes a session that uses the old version; `own` if it does so at this VM.
-    pub fn keep(&mut self, session: u64, own: bool) {
-        let Err(place) = self.kept.binary_search(&session) else {
+    pub fn pin_session(&mut self, session: u64, own: bool) {
+        let Err(place) = self.pinned.binary_search(&session) else {
             return;
         };
-        self.kept.insert(place, session);
+        self.pinned.insert(place, session);
         if own {
-            self.untold.push(session);
+            self.pending_sessions.push(session);
         }
     }
 
     /// The sessions that other VMs are to be told of.
-    pub fn take_untold(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.untold)
+    pub fn take_pending_sessions(&mut self) -> Vec<u64> {
+        std::mem::take(&mut self.pending_sessions)
     }
 
     /// How old the order is.
@@ -150,7 +150,7 @@
 
     /// Whether others are to be told of it.
     #[must_use]
-    pub fn is_news(&self, now: Moment) -> bool {
+    pub fn is_announced(&self, now: Moment) -> bool {
         self.ended.is_none_or(|(_, at)| now.since(at) < ECHO)
     }
 
@@ -196,9 +196,9 @@
 
     /// Answers of the new version on all routes, at any VM.
     #[must_use]
-    pub fn sum(&self) -> Sum {
+    pub fn target_counts(&self) -> RequestCounts {
         let peers = self.peers.iter().flat_map(|peer| &peer.said.routes);
-        let mut sum = Sum::default();
+        let mut sum = RequestCounts::default();
         for route in self.routes.iter().chain(peers) {
             sum.add(&route.new);
         }
@@ -238,7 +238,7 @@
     }
 
     /// Takes another VM's word.
-    pub fn hear(&mut self, node: &id::Node, said: &Announcement, now: Moment) {
+    pub fn receive(&mut self, node: &id::Node, said: &Announcement, now: Moment) {
         if said.order != self.order.offset {
             return;
         }
@@ -276,16 +276,16 @@
             routes: self.routes.clone(),
             failing: self.failing.iter().take(FAILING).copied().collect(),
             bad: self.bad.is_some(),
-            left: phase == Phase::Moved && left,
+            drained: phase == Phase::Moved && left,
             ended: self.ended(),
         }
     }
 
     /// What the other VMs that live said, to be passed on.
-    pub fn heard(&self, now: Moment) -> impl Iterator<Item = Said> {
-        self.live(now).map(|peer| Said {
+    pub fn received_announcements(&self, now: Moment) -> impl Iterator<Item = NodeAnnouncement> {
+        self.live(now).map(|peer| NodeAnnouncement {
             node: peer.node.clone(),
-            what: peer.said.clone(),
+            announcement: peer.said.clone(),
         })
     }
 
@@ -301,22 +301,23 @@
     /// zone alone can't know that the VMs of other zones have left them: their callers' streams would
     /// be cut.
     #[must_use]
-    pub fn step(
+    pub fn next_step(
         &self,
         phase: Phase,
         left: bool,
-        hearing: Hearing,
+        visibility: Visibility,
         margin: Duration,
         now: Moment,
     ) -> Step {
         if self.bad.is_some() {
-            return Step::Tell(End::Undone);
+            return Step::Report(End::Undone);
         }
-        let all =
-            left && hearing == Hearing::Everywhere && self.live(now).all(|peer| peer.said.left);
+        let all = left
+            && visibility == Visibility::AllZones
+            && self.live(now).all(|peer| peer.said.drained);
         let late = self.age(now) + margin >= self.order.rollout.lasts;
         if phase == Phase::Moved && (all || late) {
-            return Step::Tell(End::Done);
+            return Step::Report(End::Done);
         }
         Step::Wait
     }
@@ -334,8 +335,8 @@
     let place = found.unwrap_or_else(|place| {
         let route = Route {
             name: name.into(),
-            new: Sum::default(),
-            old: Sum::default(),
+            new: RequestCounts::default(),
+            old: RequestCounts::default(),
         };
         routes.insert(place, route);
         place
--- a/crates/relay/tests/all/rollouts.rs
+++ b/crates/relay/tests/all/rollouts.rs
@@ -5,13 +5,13 @@
 use pimento_relay::codec::Rollout;
 use pimento_relay::config::Exposure;
 use pimento_relay::operators::Order;
+use pimento_relay::rollouts::FinishedRequest;
 use pimento_relay::rollouts::Rollouts;
-use pimento_relay::rollouts::Seen;
 use pimento_relay::rollouts::announcement::End;
+use pimento_relay::rollouts::announcement::NodeAnnouncement;
 use pimento_relay::rollouts::announcement::Outcome;
-use pimento_relay::rollouts::announcement::Said;
-use pimento_relay::rollouts::progress::Hearing;
-use pimento_relay::rollouts::progress::Step;
+use pimento_relay::rollouts::state::Step;
+use pimento_relay::rollouts::state::Visibility;
 use pimento_units::Moment;
 use pimento_units::Offset;
 use pimento_units::id;
@@ -70,13 +70,13 @@
         rollback: Duration::from_secs(5),
     };
     let mut rollouts = Rollouts::new(exposure, SESSION);
-    rollouts.see(&pool(), vec![(old(), 4)]);
+    rollouts.update_versions(&pool(), vec![(old(), 4)]);
     rollouts
 }
 
 fn begin(rollouts: &mut Rollouts) {
-    rollouts.see(&pool(), vec![(old(), 4), (new(), 4)]);
-    rollouts.order(order(), None, ordered());
+    rollouts.update_versions(&pool(), vec![(old(), 4), (new(), 4)]);
+    rollouts.add_order(order(), None, ordered());
 }
 
 /// Sessions that the trial moves, by a VM that knows none of them.
@@ -103,7 +103,7 @@
 #[test]
 fn a_version_without_an_order_is_left_alone() {
     let mut vm = vm();
-    vm.see(&pool(), vec![(old(), 4), (new(), 8)]);
+    vm.update_versions(&pool(), vec![(old(), 4), (new(), 8)]);
     let versions = (0..500).map(|s| vm.version(&pool(), s, ordered()));
     assert!(versions.into_iter().all(|version| version == Some(old())));
 }
@@ -123,7 +123,7 @@
             at(ORDERED) + Duration::from_millis(600)
         };
         if place % 2 == 0 {
-            here.note(&pool(), *session, &old(), seen);
+            here.record_session(&pool(), *session, &old(), seen);
         }
     }
     begin(&mut here);
@@ -131,17 +131,17 @@
     for session in sessions.iter().skip(1).step_by(2) {
         let seen = ordered() + Duration::from_millis(600);
         assert_eq!(here.version(&pool(), *session, seen), Some(old()));
-        here.note(&pool(), *session, &old(), seen);
+        here.record_session(&pool(), *session, &old(), seen);
     }
-    for kept in here.untold() {
-        there.keep(kept);
+    for kept in here.take_pending_sessions() {
+        there.pin_session(kept);
     }
     let now = ordered() + TRIAL;
     for session in &sessions {
         assert_eq!(there.version(&pool(), *session, now), Some(old()));
     }
     // Each is told once.
-    assert_eq!(here.untold(), []);
+    assert_eq!(here.take_pending_sessions(), []);
 }
 
 #[test]
@@ -149,7 +149,7 @@
     let session = moved(1)[0];
     let mut vm = vm();
     begin(&mut vm);
-    vm.note(&pool(), session, &new(), ordered() + TRIAL);
+    vm.record_session(&pool(), session, &new(), ordered() + TRIAL);
     for later in [TRIAL, LASTS / 2, MOVED] {
         assert_eq!(vm.version(&pool(), session, ordered() + later), Some(new()));
     }
@@ -161,14 +161,14 @@
     begin(&mut vm);
     let now = ordered() + MOVED;
     for session in 0..500 {
-        vm.note(&pool(), session, &old(), ordered() + TRIAL);
+        vm.record_session(&pool(), session, &old(), ordered() + TRIAL);
         assert_eq!(vm.version(&pool(), session, now), Some(new()));
     }
 }
 
 fn fail(vm: &mut Rollouts, endpoint: &str, times: usize) {
     for _ in 0..times {
-        vm.record(&Seen {
+        vm.record(&FinishedRequest {
             pool: &pool(),
             route: "review",
             version: &new(),
@@ -186,10 +186,10 @@
     let mut vm = vm();
     begin(&mut vm);
     let now = ordered() + TRIAL;
-    vm.note(&pool(), session, &new(), now);
+    vm.record_session(&pool(), session, &new(), now);
     fail(&mut vm, "a", 4);
     fail(&mut vm, "b", 4);
-    assert!(vm.bad(&pool(), &new()));
+    assert!(vm.is_bad(&pool(), &new()));
     assert_eq!(vm.version(&pool(), session, now), Some(old()));
 }
 
@@ -200,7 +200,7 @@
     let mut vm = vm();
     begin(&mut vm);
     fail(&mut vm, "a", 12);
-    assert!(!vm.bad(&pool(), &new()));
+    assert!(!vm.is_bad(&pool(), &new()));
 }
 
 // Each VM saw too little to judge by itself. Together they saw enough, and one word of it reaches a
@@ -212,15 +212,21 @@
     begin(&mut other);
     fail(&mut one, "a", 3);
     fail(&mut other, "b", 3);
-    assert!(!one.bad(&pool(), &new()) && !other.bad(&pool(), &new()));
+    assert!(!one.is_bad(&pool(), &new()) && !other.is_bad(&pool(), &new()));
     let now = ordered() + TRIAL;
     let what = other.announcements(|_, _| false, now);
     let node = name::<id::Node>("other");
     for what in what {
         let node = node.clone();
-        one.hear(&Said { node, what }, now);
+        one.receive(
+            &NodeAnnouncement {
+                node,
+                announcement: what,
+            },
+            now,
+        );
     }
-    assert!(one.bad(&pool(), &new()));
+    assert!(one.is_bad(&pool(), &new()));
 }
 
 // A VM was cut off while the order was given and reads it ten seconds later. By its own reckoning the
@@ -229,18 +235,27 @@
 fn a_vm_that_reads_an_order_late_learns_its_age() {
     let (mut prompt, mut late) = (vm(), vm());
     begin(&mut prompt);
-    late.see(&pool(), vec![(old(), 4), (new(), 4)]);
+    late.update_versions(&pool(), vec![(old(), 4), (new(), 4)]);
     let read = ordered() + Duration::from_secs(10);
-    let order = Order { read, ..order() };
-    late.order(order, None, read);
+    let order = Order {
+        read,
+        ..order()
+    };
+    late.add_order(order, None, read);
     let now = ordered() + MOVED;
     let session = 3;
-    late.note(&pool(), session, &old(), now);
+    late.record_session(&pool(), session, &old(), now);
     assert_eq!(late.version(&pool(), session, now), Some(old()));
     let node = name::<id::Node>("prompt");
     for what in prompt.announcements(|_, _| false, now) {
         let node = node.clone();
-        late.hear(&Said { node, what }, now);
+        late.receive(
+            &NodeAnnouncement {
+                node,
+                announcement: what,
+            },
+            now,
+        );
     }
     assert_eq!(late.version(&pool(), session, now), Some(new()));
 }
@@ -254,7 +269,13 @@
         let mut what = vm.announcements(|_, _| true, now).remove(0);
         what.ended = Some(end);
         let node = name("other");
-        vm.hear(&Said { node, what }, now);
+        vm.receive(
+            &NodeAnnouncement {
+                node,
+                announcement: what,
+            },
+            now,
+        );
         assert!(vm.running().is_empty());
         assert_eq!(vm.version(&pool(), 1, now), Some(version));
     }
@@ -268,8 +289,8 @@
     let mut vm = vm();
     begin(&mut vm);
     let now = ordered() + TRIAL;
-    vm.note(&pool(), session, &new(), now);
-    vm.see(&pool(), vec![(old(), 4)]);
+    vm.record_session(&pool(), session, &new(), now);
+    vm.update_versions(&pool(), vec![(old(), 4)]);
     assert_eq!(vm.version(&pool(), session, now), Some(old()));
 }
 
@@ -279,21 +300,24 @@
     let mut vm = vm();
     begin(&mut vm);
     let now = ordered() + MOVED;
-    assert_eq!(vm.step(&pool(), true, Hearing::Zone, now), Step::Wait);
-    let done = Step::Tell(End::Done);
-    assert_eq!(vm.step(&pool(), true, Hearing::Everywhere, now), done);
+    assert_eq!(
+        vm.next_step(&pool(), true, Visibility::Zone, now),
+        Step::Wait
+    );
+    let done = Step::Report(End::Done);
+    assert_eq!(vm.next_step(&pool(), true, Visibility::AllZones, now), done);
     // Before the deadline somebody must.
     let late = ordered() + LASTS.saturating_sub(Duration::from_secs(1));
-    assert_eq!(vm.step(&pool(), true, Hearing::Zone, late), done);
+    assert_eq!(vm.next_step(&pool(), true, Visibility::Zone, late), done);
 }
 
 // Guards against VMs that start together and all ask what became of an order that leaves them no choice.
 #[test]
 fn an_order_matters_once_there_are_several_versions() {
     let mut vm = vm();
-    assert!(!vm.mixed(&pool()));
-    vm.see(&pool(), vec![(old(), 4), (new(), 1)]);
-    assert!(vm.mixed(&pool()));
-    vm.see(&pool(), vec![(new(), 4)]);
-    assert!(!vm.mixed(&pool()));
+    assert!(!vm.has_several_versions(&pool()));
+    vm.update_versions(&pool(), vec![(old(), 4), (new(), 1)]);
+    assert!(vm.has_several_versions(&pool()));
+    vm.update_versions(&pool(), vec![(new(), 4)]);
+    assert!(!vm.has_several_versions(&pool()));
 }
