--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -10,13 +10,13 @@
 //! Within a zone each VM tells all others. To another zone it tells one VM, which passes it on there,
 //! so that bytes between zones grow with the number of zones and not with that of VMs.
 
+pub mod broadcast;
+mod discovery;
 mod limit;
-mod meet;
 mod message;
-mod news;
 pub mod peers;
 mod records;
-pub mod tell;
+mod update;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,13 +32,13 @@
 use tokio_util::sync::CancellationToken;
 
 use self::message::Message;
+use self::message::Prefill;
 use self::message::Proofs;
-use self::message::Read;
-use self::news::News;
 use self::peers::Peer;
 use self::peers::Peers;
+use self::peers::ReaderStatus;
 use self::peers::Role;
-use self::peers::Standing;
+use self::update::Update;
 use crate::boot;
 use crate::border::Border;
 use crate::codec::Codec;
@@ -68,15 +68,15 @@
 struct Inner {
     peers: Peers,
     /// What other zones are to be told.
-    far: Vec<Read>,
+    far: Vec<Prefill>,
     /// What other zones told and the own one is to be told.
-    passed: Vec<Read>,
+    passed: Vec<Prefill>,
     /// The same of sessions that keep a version.
     far_kept: Vec<PinnedSession>,
     passed_kept: Vec<PinnedSession>,
     /// Up to which offsets the zone was told of the records of each topic; none while this VM does not
     /// read for it.
-    told: Option<tell::Ends>,
+    told: Option<broadcast::ForwardedOffsets>,
 }
 
 struct Neighbours<P, L> {
@@ -85,7 +85,7 @@
     zone: Zone,
     socket: Arc<UdpSocket>,
     inner: Arc<Mutex<Inner>>,
-    /// Told of each word of a VM of the zone.
+    /// LimitMessage of each word of a VM of the zone.
     heard: Arc<Notify>,
 }
 
@@ -157,7 +157,7 @@
     /// Who reads the log for whom, by what is known now.
     fn role(&self) -> Role {
         let config = &self.node.config;
-        let standing = self.standing();
+        let standing = self.reader_status();
         let peers = &self.lock().peers;
         peers.role(&config.node, &config.zone, standing, boot::now())
     }
@@ -185,15 +185,15 @@
     /// waits to know whom it can ask.
     async fn answer(&self, message: Message, from: SocketAddr) {
         let near = message.zone == self.node.config.zone;
-        let starts = near && message.standing == Standing::Starting;
+        let starts = near && message.reader_status == ReaderStatus::Starting;
         let teller = starts.then(|| choice::key(message.node.as_str()));
         self.take(message, from);
         let reads = *self.zone.lead.borrow() != Lead::Led;
         if let Some(teller) = teller
             && reads
-            && self.standing() == Standing::Able
+            && self.reader_status() == ReaderStatus::Eligible
         {
-            self.send(from, Some(teller), &News::default()).await;
+            self.send(from, Some(teller), &Update::default()).await;
         }
     }
 
@@ -204,15 +204,15 @@
         }
         let near = message.zone == config.zone;
         let now = boot::now();
-        let peer = Peer::told_of(message.node.clone(), message.zone, from, now);
-        let peer = peer.speaks(message.standing, now);
+        let peer = Peer::discovered(message.node.clone(), message.zone, from, now);
+        let peer = peer.with_datagram(message.reader_status, now);
         let teller = peer.key;
         let other = {
             let mut inner = self.lock();
-            let other = inner.peers.met(peer, now);
+            let other = inner.peers.update(peer, now);
             if !near {
-                inner.passed.extend(message.reads.iter().cloned());
-                inner.passed_kept.extend(&message.kept);
+                inner.passed.extend(message.prefills.iter().cloned());
+                inner.passed_kept.extend(&message.pinned_sessions);
             }
             other
         };
@@ -226,7 +226,7 @@
             let writes = self.node.reads();
             self.node.poison.receive(*word, !near, writes, now);
         }
-        for kept in &message.kept {
+        for kept in &message.pinned_sessions {
             self.node.rollouts(|r| r.pin_session(*kept));
         }
         if near {
@@ -256,7 +256,7 @@
             .iter()
             .map(|(engine, millis)| (*engine, Duration::from_millis(u64::from(*millis))))
             .collect();
-        let limits: Vec<limited::Word> = message.limits.iter().filter_map(limit::read).collect();
+        let limits: Vec<limited::Word> = message.limits.iter().filter_map(limit::decode).collect();
         for (_, pool) in self.node.scheduler.pools() {
             if near {
                 pool.hear(teller, &waits);
@@ -264,7 +264,7 @@
                     pool.hear_limit(*word);
                 }
             }
-            for read in &message.reads {
+            for read in &message.prefills {
                 pool.learn(read.engine, &read.prompt());
             }
         }
@@ -292,24 +292,26 @@
     /// What another VM read proves to this one.
     fn vouch(&self, proofs: Proofs) {
         if let Some(proof) = proofs.operators {
-            self.node.operators.vouch(message::read(proof));
+            self.node.operators.vouch(message::decode_proof(proof));
         }
         if let Some(proof) = proofs.endpoints {
-            self.node.directory.vouch(message::read(proof));
+            self.node.directory.vouch(message::decode_proof(proof));
         }
         if let Some(proof) = proofs.poison {
-            self.node.blocklist.vouch(message::read(proof));
+            self.node.blocklist.vouch(message::decode_proof(proof));
         }
     }
 
     /// The VMs of the zone.
     fn peers(&self) -> Vec<Peer> {
         let mut inner = self.lock();
-        inner.peers.sweep(boot::now());
+        inner.peers.remove_expired(boot::now());
         let config = &self.node.config;
-        let peers = inner.peers.of(&config.zone);
+        let peers = inner.peers.in_zone(&config.zone);
         self.node.repeats.share_among(inner.peers.count() + 1);
-        let sharers = inner.peers.sharers(&config.node, &config.zone, boot::now());
+        let sharers = inner
+            .peers
+            .limit_owners(&config.node, &config.zone, boot::now());
         drop(inner);
         self.node.scheduler.share(&sharers);
         self.zone
@@ -334,17 +336,17 @@
     }
 
     /// What this VM says of its reads of the log.
-    fn standing(&self) -> Standing {
+    fn reader_status(&self) -> ReaderStatus {
         if self.node.leaving.is_cancelled() {
-            return Standing::Leaving;
+            return ReaderStatus::Leaving;
         }
         let ages = [self.node.operators.age(), self.node.directory.age()];
         let young = |age: &Option<Duration>| age.is_some_and(|age| age < BLIND);
         match self.zone.reach(boot::now()) {
-            Reach::Out => Standing::Unable,
-            Reach::Answered if ages.iter().any(Option::is_none) => Standing::Starting,
-            Reach::Answered if ages.iter().all(young) => Standing::Able,
-            Reach::Answered | Reach::Untested => Standing::Untested,
+            Reach::Out => ReaderStatus::Unanswered,
+            Reach::Answered if ages.iter().any(Option::is_none) => ReaderStatus::Starting,
+            Reach::Answered if ages.iter().all(young) => ReaderStatus::Eligible,
+            Reach::Answered | Reach::Untested => ReaderStatus::Untested,
         }
     }
 }
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/broadcast.rs
@@ -10,9 +10,9 @@
 use super::limit;
 use super::message;
 use super::message::Message;
+use super::message::Prefill;
 use super::message::Proofs;
-use super::message::Read;
-use super::news::News;
+use super::update::Update;
 use crate::boot;
 use crate::border::Border;
 use crate::codec::Codec;
@@ -44,14 +44,14 @@
 /// It grows with them, so that a VM sends no more than fifty datagrams a second, as long as they still
 /// take each other for living. Past that they would all read the log, each for itself.
 #[must_use]
-pub fn period(others: usize) -> Duration {
+pub fn zone_interval(others: usize) -> Duration {
     let others = u32::try_from(others).unwrap_or(u32::MAX).max(1);
     NEAR.saturating_mul(others).min(LONGEST)
 }
 
 /// Up to which offsets a zone was told of the records of each topic.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Ends {
+pub struct ForwardedOffsets {
     operators: Offset,
     endpoints: Offset,
     poison: Offset,
@@ -68,7 +68,7 @@
         let (changed, operators) = self.node.operators.since(from.operators);
         let (registered, endpoints) = self.node.directory.since(from.endpoints);
         let (barred, poison) = self.node.blocklist.since(from.poison);
-        self.lock().told = Some(Ends {
+        self.lock().told = Some(ForwardedOffsets {
             operators,
             endpoints,
             poison,
@@ -102,7 +102,7 @@
             let peers = self.peers();
             self.settle();
             let changed = tokio::select! {
-                () = tokio::time::sleep(period(peers.len())) => false,
+                () = tokio::time::sleep(zone_interval(peers.len())) => false,
                 _ = operators.changed() => self.leads(),
                 _ = endpoints.changed() => self.leads(),
                 _ = bars.changed() => self.leads(),
@@ -111,46 +111,49 @@
                 () = self.zone.proved.notified() => self.leads(),
                 () = self.zone.stopped.notified() => true,
             };
-            let news = self.news();
+            let update = self.collect_update();
             let now = boot::now();
-            let nothing = news.is_empty() && !changed;
+            let nothing = update.is_empty() && !changed;
             if nothing && silent && now.since(told) < BEAT {
                 continue;
             }
             silent = nothing;
             told = now;
             for peer in &peers {
-                self.send(peer.address, Some(peer.key), &news).await;
+                self.send(peer.address, Some(peer.key), &update).await;
             }
         }
     }
 
     /// What is to be told to the zone.
-    fn news(&self) -> News {
-        let mut news = News {
+    fn collect_update(&self) -> Update {
+        let mut update = Update {
             rollouts: self.node.due_announcements(boot::now()),
-            kept: self.node.rollouts(Rollouts::take_pending_sessions),
+            pinned_sessions: self.node.rollouts(Rollouts::take_pending_sessions),
             poison: self.node.poison.take_zone_reports(boot::now()),
             passages: self.passages(),
-            ..News::default()
+            ..Update::default()
         };
         let mut shared = Vec::new();
         for (_, pool) in self.node.scheduler.pools() {
             let read = pool.read();
-            news.reads.extend(read.iter().map(Read::new));
-            shared.extend(read.iter().filter_map(Read::shared));
+            update.prefills.extend(read.iter().map(Prefill::new));
+            shared.extend(read.iter().filter_map(Prefill::shared_prefix));
             let millis = |wait: Duration| u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
             let waits = pool.waits().into_iter();
-            news.waits
+            update
+                .waits
                 .extend(waits.map(|(key, wait)| (key, millis(wait))));
-            news.limits.extend(pool.limits().iter().map(limit::written));
+            update
+                .limits
+                .extend(pool.limits().iter().map(limit::encode));
         }
         let mut inner = self.lock();
         inner.far.extend(shared);
-        inner.far_kept.extend(&news.kept);
-        news.reads.append(&mut inner.passed);
-        news.kept.append(&mut inner.passed_kept);
-        news
+        inner.far_kept.extend(&update.pinned_sessions);
+        update.prefills.append(&mut inner.passed);
+        update.pinned_sessions.append(&mut inner.passed_kept);
+        update
     }
 
     /// Tells one VM of each other zone.
@@ -159,33 +162,36 @@
         loop {
             tokio::time::sleep(FAR).await;
             let now = boot::now();
-            let (news, addresses) = {
+            let (update, addresses) = {
                 let mut inner = self.lock();
-                let news = News {
-                    reads: std::mem::take(&mut inner.far),
-                    kept: std::mem::take(&mut inner.far_kept),
+                let update = Update {
+                    prefills: std::mem::take(&mut inner.far),
+                    pinned_sessions: std::mem::take(&mut inner.far_kept),
                     poison: self.node.poison.take_remote_reports(now),
-                    ..News::default()
+                    ..Update::default()
                 };
-                (news, inner.peers.far(&self.node.config.zone, now))
+                (
+                    update,
+                    inner.peers.remote_targets(&self.node.config.zone, now),
+                )
             };
-            if news.is_empty() && now.since(told) < SECOND {
+            if update.is_empty() && now.since(told) < SECOND {
                 continue;
             }
             told = now;
             for address in addresses {
-                self.send(address, None, &news).await;
+                self.send(address, None, &update).await;
             }
         }
     }
 
     /// Sends one VM what there is to tell; `near` is its key if it is of this zone.
-    pub(super) async fn send(&self, address: SocketAddr, near: Option<u64>, news: &News) {
-        for part in news.parts() {
+    pub(super) async fn send(&self, address: SocketAddr, near: Option<u64>, update: &Update) {
+        for chunk in update.chunks() {
             // A proof that came before the records that it speaks of would make the other VM read.
-            let proven = near.filter(|_| part.last);
-            let (rollouts, limits) = if part.first {
-                (&news.rollouts[..], &news.limits[..])
+            let proven = near.filter(|_| chunk.last);
+            let (rollouts, limits) = if chunk.first {
+                (&update.rollouts[..], &update.limits[..])
             } else {
                 (&[][..], &[][..])
             };
@@ -193,15 +199,15 @@
                 node: self.node.config.node.clone(),
                 zone: self.node.config.zone.clone(),
                 stamp: boot::now(),
-                standing: self.standing(),
-                passages: part.passages.to_vec(),
+                reader_status: self.reader_status(),
+                passages: chunk.passages.to_vec(),
                 proofs: proven.map(|node| self.proofs(node)).unwrap_or_default(),
                 rollouts: rollouts.to_vec(),
-                waits: news.waits.clone(),
+                waits: update.waits.clone(),
                 limits: limits.to_vec(),
-                kept: part.kept.to_vec(),
-                poison: part.poison.to_vec(),
-                reads: part.reads.to_vec(),
+                pinned_sessions: chunk.pinned_sessions.to_vec(),
+                poison: chunk.poison.to_vec(),
+                prefills: chunk.prefills.to_vec(),
             };
             let bytes = match postcard::to_stdvec(&message) {
                 Ok(bytes) => bytes,
@@ -224,9 +230,9 @@
         let endpoints = self.node.directory.proof(node);
         let poison = self.node.blocklist.proof(node);
         Proofs {
-            operators: operators.map(message::written),
-            endpoints: endpoints.map(message::written),
-            poison: poison.map(message::written),
+            operators: operators.map(message::encode_proof),
+            endpoints: endpoints.map(message::encode_proof),
+            poison: poison.map(message::encode_proof),
         }
     }
 }
--- a/crates/relay/src/neighbours/meet.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -7,8 +7,8 @@
 
 use super::Neighbours;
 use super::PAUSE;
-use super::news::News;
 use super::peers::Peer;
+use super::update::Update;
 use crate::boot;
 use crate::border::Border;
 use crate::calls::Reason;
@@ -69,7 +69,7 @@
     async fn introduce(&self) {
         let peers = self.peers();
         for peer in &peers {
-            let nothing = News::default();
+            let nothing = Update::default();
             self.send(peer.address, Some(peer.key), &nothing).await;
         }
         // The first by name reads for the others in any case, and they wait for it.
@@ -121,8 +121,8 @@
         self.node.scheduler.seed(&word.paces);
         if node != self.node.config.node {
             let now = boot::now();
-            let peer = Peer::told_of(node, word.zone, word.address, now);
-            self.lock().peers.met(peer, now);
+            let peer = Peer::discovered(node, word.zone, word.address, now);
+            self.lock().peers.update(peer, now);
         }
     }
 
--- a/crates/relay/src/neighbours/limit.rs
+++ b/crates/relay/src/neighbours/limit.rs
@@ -9,7 +9,7 @@
 
 /// What an endpoint named.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct LimitMessage {
     /// The endpoint's key.
     endpoint: u64,
     /// Requests a second; none if it has a limit no more.
@@ -19,8 +19,8 @@
 }
 
 /// A word as it is written.
-pub fn written(word: &Word) -> Told {
-    Told {
+pub fn encode(word: &Word) -> LimitMessage {
+    LimitMessage {
         endpoint: word.endpoint,
         limit: word.limit.map(Limit::per_second),
         age_ms: u32::try_from(word.age.as_millis()).unwrap_or(u32::MAX),
@@ -28,7 +28,7 @@
 }
 
 /// A word as it was read; none if its limit is none that an endpoint can name.
-pub fn read(told: &Told) -> Option<Word> {
+pub fn decode(told: &LimitMessage) -> Option<Word> {
     let limit = match told.limit.map(Limit::try_from).transpose() {
         Ok(limit) => limit,
         Err(error) => {
--- a/crates/relay/src/neighbours/message.rs
+++ b/crates/relay/src/neighbours/message.rs
@@ -9,8 +9,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::limit::Told;
-use super::peers::Standing;
+use super::limit::LimitMessage;
+use super::peers::ReaderStatus;
 use crate::follow::Proof;
 use crate::passage::Passage;
 use crate::poison::Report;
@@ -27,7 +27,7 @@
     /// When it was sent, by the teller's boot-time clock.
     pub stamp: Moment,
     /// What the teller says of its reads of the log.
-    pub standing: Standing,
+    pub reader_status: ReaderStatus,
     /// Records that changed the teller's views of the log. They are taken before the proofs.
     pub passages: Vec<Passage>,
     /// What the teller's last reads of the log prove to whom it tells this.
@@ -37,13 +37,13 @@
     /// Requests under which endpoints ended.
     pub poison: Vec<Report>,
     /// Sessions that keep the old version in a roll-out.
-    pub kept: Vec<PinnedSession>,
+    pub pinned_sessions: Vec<PinnedSession>,
     /// Milliseconds that engines take for the teller's prompts, by their keys; all others take none.
     pub waits: Vec<(u64, u32)>,
     /// Prompts that engines read since the last datagram.
-    pub reads: Vec<Read>,
+    pub prefills: Vec<Prefill>,
     /// Limits that endpoints named to the teller.
-    pub limits: Vec<Told>,
+    pub limits: Vec<LimitMessage>,
 }
 
 /// Proofs of the topics that all VMs read: the offset of the last change, and the stamp.
@@ -58,18 +58,18 @@
 }
 
 /// A proof as it is written.
-pub const fn written(proof: Proof) -> (Offset, Moment) {
+pub const fn encode_proof(proof: Proof) -> (Offset, Moment) {
     (proof.changed, proof.stamp)
 }
 
 /// A proof as it was read.
-pub const fn read((changed, stamp): (Offset, Moment)) -> Proof {
+pub const fn decode_proof((changed, stamp): (Offset, Moment)) -> Proof {
     Proof { changed, stamp }
 }
 
 /// A prompt that an engine read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Read {
+pub struct Prefill {
     /// The engine's key.
     pub engine: u64,
     /// Hash of the model.
@@ -78,7 +78,7 @@
     pub parts: Vec<(u64, u32)>,
 }
 
-impl Read {
+impl Prefill {
     /// A prompt that was sent to an engine.
     pub fn new((engine, prompt): &(u64, Prompt)) -> Self {
         let tokens = |part: &Part| u32::try_from(part.tokens.0).unwrap_or(u32::MAX);
@@ -91,7 +91,7 @@
     }
 
     /// The parts that other requests share; none if it has none. The last part is the request's own.
-    pub fn shared(sent: &(u64, Prompt)) -> Option<Self> {
+    pub fn shared_prefix(sent: &(u64, Prompt)) -> Option<Self> {
         let mut read = Self::new(sent);
         read.parts.pop();
         (!read.parts.is_empty()).then_some(read)
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -14,7 +14,7 @@
 use crate::zone::State;
 
 /// A VM that said nothing for this long reads for nobody. Three datagrams with nothing new.
-pub const LIVING: Duration = Duration::from_millis(1_300);
+pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_300);
 
 /// A VM of another zone gets each datagram for this long, then the next one does.
 const TURN: Duration = Duration::from_secs(2);
@@ -31,15 +31,15 @@
 ///
 /// Of two VMs the one with the lesser standing reads for the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum ReaderStatus {
     /// It could read for others: it stays, and as far as it knows its reads are answered.
-    Able,
+    Eligible,
     /// It has read nothing yet.
     Starting,
     /// What it knows is old, or its reads were not answered a while ago; it has not tried since.
     Untested,
     /// Its reads are not answered.
-    Unable,
+    Unanswered,
     /// It leaves.
     Leaving,
 }
@@ -56,38 +56,39 @@
     /// Where it takes datagrams and calls.
     pub address: SocketAddr,
     /// What it said last of its reads.
-    pub standing: Standing,
+    pub status: ReaderStatus,
     /// When it was heard, or heard of.
-    heard: Moment,
+    last_seen: Moment,
     /// When it spoke last; none if it is only known from the log, where VMs stay that are long gone.
-    spoke: Option<Moment>,
+    last_datagram: Option<Moment>,
 }
 
 impl Peer {
     /// A VM that another one, or the log, told of.
     #[must_use]
-    pub fn told_of(node: id::Node, zone: id::Zone, address: SocketAddr, now: Moment) -> Self {
+    pub fn discovered(node: id::Node, zone: id::Zone, address: SocketAddr, now: Moment) -> Self {
         Self {
             key: choice::key(node.as_str()),
             node,
             zone,
             address,
-            standing: Standing::Starting,
-            heard: now,
-            spoke: None,
+            status: ReaderStatus::Starting,
+            last_seen: now,
+            last_datagram: None,
         }
     }
 
     /// The VM, which says of its reads what `standing` tells.
     #[must_use]
-    pub const fn speaks(mut self, standing: Standing, now: Moment) -> Self {
-        self.standing = standing;
-        self.spoke = Some(now);
+    pub const fn with_datagram(mut self, status: ReaderStatus, now: Moment) -> Self {
+        self.status = status;
+        self.last_datagram = Some(now);
         self
     }
 
-    fn lives(&self, now: Moment) -> bool {
-        self.spoke.is_some_and(|spoke| now.since(spoke) < LIVING)
+    fn is_alive(&self, now: Moment) -> bool {
+        self.last_datagram
+            .is_some_and(|spoke| now.since(spoke) < LIVENESS_TIMEOUT)
     }
 }
 
@@ -110,20 +111,21 @@
 
 impl Peers {
     /// Takes in a VM that was heard, or heard of. Whether that may change who reads the log.
-    pub fn met(&mut self, peer: Peer, now: Moment) -> bool {
+    pub fn update(&mut self, peer: Peer, now: Moment) -> bool {
         match self.peers.binary_search_by(|p| p.node.cmp(&peer.node)) {
             Ok(place) => {
                 let known = &self.peers[place];
-                if peer.spoke.is_none() && known.spoke.is_some() {
+                if peer.last_datagram.is_none() && known.last_datagram.is_some() {
                     return false;
                 }
-                let other = known.lives(now) != peer.lives(now) || known.standing != peer.standing;
+                let other =
+                    known.is_alive(now) != peer.is_alive(now) || known.status != peer.status;
                 self.peers[place] = peer;
                 other
             }
             Err(place) => {
                 log::info!("neighbours: {} of {} met.", peer.node, peer.zone);
-                let lives = peer.lives(now);
+                let lives = peer.is_alive(now);
                 self.peers.insert(place, peer);
                 lives
             }
@@ -131,8 +133,9 @@
     }
 
     /// Forgets the VMs that are gone.
-    pub fn sweep(&mut self, now: Moment) {
-        self.peers.retain(|peer| now.since(peer.heard) < FORGOTTEN);
+    pub fn remove_expired(&mut self, now: Moment) {
+        self.peers
+            .retain(|peer| now.since(peer.last_seen) < FORGOTTEN);
     }
 
     /// How many are known.
@@ -145,12 +148,16 @@
     /// the others; one that hears nobody, though others are known, may be the one that is cut off, and
     /// takes nobody's. Other zones are heard too seldom to tell.
     #[must_use]
-    pub fn sharers(&self, own: &id::Node, zone: &id::Zone, now: Moment) -> Sharers {
+    pub fn limit_owners(&self, own: &id::Node, zone: &id::Zone, now: Moment) -> Sharers {
         let near = |peer: &&Peer| peer.zone == *zone;
-        let alone = !self.peers.iter().filter(near).any(|peer| peer.lives(now));
+        let alone = !self
+            .peers
+            .iter()
+            .filter(near)
+            .any(|peer| peer.is_alive(now));
         let shares = |peer: &&Peer| {
-            let stays = peer.standing != Standing::Leaving;
-            stays && (peer.zone != *zone || alone || peer.lives(now))
+            let stays = peer.status != ReaderStatus::Leaving;
+            stays && (peer.zone != *zone || alone || peer.is_alive(now))
         };
         let mut zones = vec![(zone.clone(), vec![choice::key(own.as_str())])];
         for peer in self.peers.iter().filter(shares) {
@@ -164,7 +171,7 @@
 
     /// The VMs of a zone.
     #[must_use]
-    pub fn of(&self, zone: &id::Zone) -> Vec<Peer> {
+    pub fn in_zone(&self, zone: &id::Zone) -> Vec<Peer> {
         let near = self.peers.iter().filter(|peer| peer.zone == *zone);
         near.cloned().collect()
     }
@@ -173,11 +180,11 @@
     /// one that did not try lately tries, or the first of all goes on trying, and the others learn from
     /// it that the log is back.
     #[must_use]
-    pub fn role(&self, own: &id::Node, zone: &id::Zone, standing: Standing, now: Moment) -> Role {
-        let living = |peer: &&Peer| peer.zone == *zone && peer.lives(now);
+    pub fn role(&self, own: &id::Node, zone: &id::Zone, status: ReaderStatus, now: Moment) -> Role {
+        let living = |peer: &&Peer| peer.zone == *zone && peer.is_alive(now);
         let others = self.peers.iter().filter(living);
-        let others: Vec<(Standing, &id::Node, Option<SocketAddr>)> = others
-            .map(|peer| (peer.standing, &peer.node, Some(peer.address)))
+        let others: Vec<(ReaderStatus, &id::Node, Option<SocketAddr>)> = others
+            .map(|peer| (peer.status, &peer.node, Some(peer.address)))
             .collect();
         if others.is_empty() {
             return Role {
@@ -186,15 +193,13 @@
                 state: State::default(),
             };
         }
-        let unable = |(standing, ..): &&(Standing, &id::Node, Option<SocketAddr>)| {
-            *standing == Standing::Unable
+        let unable = |(status, ..): &&(ReaderStatus, &id::Node, Option<SocketAddr>)| {
+            *status == ReaderStatus::Unanswered
         };
-        let all: Vec<_> = others.into_iter().chain([(standing, own, None)]).collect();
+        let all: Vec<_> = others.into_iter().chain([(status, own, None)]).collect();
         // A VM that has read something comes before those that have not, then names decide.
-        let reader = all
-            .iter()
-            .min_by_key(|(standing, node, _)| (*standing, *node));
-        let able = reader.is_some_and(|(standing, ..)| *standing == Standing::Able);
+        let reader = all.iter().min_by_key(|(status, node, _)| (*status, *node));
+        let able = reader.is_some_and(|(status, ..)| *status == ReaderStatus::Eligible);
         let address = reader.and_then(|(.., address)| *address);
         Role {
             lead: address.map_or(Lead::Leading, |_| Lead::Led),
@@ -209,7 +214,7 @@
     /// One VM of each other zone, another one in each turn: one that is down misses a part only, and
     /// each hears of all others in time.
     #[must_use]
-    pub fn far(&self, zone: &id::Zone, now: Moment) -> Vec<SocketAddr> {
+    pub fn remote_targets(&self, zone: &id::Zone, now: Moment) -> Vec<SocketAddr> {
         let turn = now.since(Moment::ZERO).as_secs() / TURN.as_secs();
         let mut zones: Vec<&id::Zone> = self.peers.iter().map(|peer| &peer.zone).collect();
         zones.sort();
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -9,10 +9,10 @@
 
 use pimento_relay::follow::Lead;
 use pimento_relay::follow::Pace;
+use pimento_relay::neighbours::broadcast::zone_interval;
 use pimento_relay::neighbours::peers::Peer;
 use pimento_relay::neighbours::peers::Peers;
-use pimento_relay::neighbours::peers::Standing;
-use pimento_relay::neighbours::tell::period;
+use pimento_relay::neighbours::peers::ReaderStatus;
 use pimento_relay::paces::Paces;
 use pimento_relay::zone::Failure;
 use pimento_relay::zone::Reach;
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Word {
     from: usize,
-    standing: Standing,
+    standing: ReaderStatus,
     stamp: Moment,
     proof: Option<Moment>,
 }
@@ -82,7 +82,7 @@
     due: Moment,
     said: Moment,
     lead: Lead,
-    standing: Standing,
+    standing: ReaderStatus,
     failures: u32,
 }
 
@@ -105,7 +105,7 @@
 
 fn peer(place: usize, now: Moment) -> Peer {
     let address = SocketAddr::from(([127, 0, 0, 1], u16::try_from(place + 1).unwrap()));
-    Peer::told_of(name(place), zone(), address, now)
+    Peer::discovered(name(place), zone(), address, now)
 }
 
 fn name(place: usize) -> id::Node {
@@ -130,7 +130,7 @@
             due: start,
             said: start,
             lead: Lead::Alone,
-            standing: Standing::Able,
+            standing: ReaderStatus::Eligible,
             failures: 0,
         };
         Self {
@@ -184,8 +184,8 @@
         if !vm.up {
             return;
         }
-        let spoken = peer(word.from, now).speaks(word.standing, now);
-        vm.peers.met(spoken, now);
+        let spoken = peer(word.from, now).with_datagram(word.standing, now);
+        vm.peers.update(spoken, now);
         vm.stamps[word.from] = word.stamp;
         vm.proven = vm.proven.max(word.proof.unwrap_or_default());
     }
@@ -234,10 +234,10 @@
         let vm = &mut self.vms[place];
         let young = now.since(vm.proven) < BLIND;
         let standing = match vm.zone.reach(now) {
-            Reach::Out if !late => Standing::Unable,
-            Reach::Untested if !late => Standing::Untested,
-            _ if young => Standing::Able,
-            _ => Standing::Untested,
+            Reach::Out if !late => ReaderStatus::Unanswered,
+            Reach::Untested if !late => ReaderStatus::Untested,
+            _ if young => ReaderStatus::Eligible,
+            _ => ReaderStatus::Untested,
         };
         if standing != vm.standing {
             vm.said = Moment::ZERO;
@@ -282,7 +282,9 @@
     fn tell(&mut self, place: usize) {
         let now = self.now;
         let count = self.vms.len();
-        if now.since(self.vms[place].said) < period(count - 1).max(Duration::from_millis(400)) {
+        if now.since(self.vms[place].said)
+            < zone_interval(count - 1).max(Duration::from_millis(400))
+        {
             return;
         }
         self.vms[place].said = now;
--- a/crates/relay/tests/all/rollouts.rs
+++ b/crates/relay/tests/all/rollouts.rs
@@ -237,10 +237,7 @@
     begin(&mut prompt);
     late.update_versions(&pool(), vec![(old(), 4), (new(), 4)]);
     let read = ordered() + Duration::from_secs(10);
-    let order = Order {
-        read,
-        ..order()
-    };
+    let order = Order { read, ..order() };
     late.add_order(order, None, read);
     let now = ordered() + MOVED;
     let session = 3;
