--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -1,9 +1,9 @@
-//! Requests under which endpoints end, as the entry VMs know them together.
+//! Requests that crash endpoints, as the entry VMs know them together.
 //!
-//! A VM that sees an endpoint end tells the others of each request that ran there, by datagrams, and
-//! every VM counts by itself with [`pimento_policy::poison`]. Once a request is barred that is written
-//! to the log, for VMs that start later or did not hear: [`Blocklist`] is folded from there. Nothing of this
-//! asks anybody for each request.
+//! A VM that sees an endpoint crash reports each request that ran there to the other VMs by datagrams,
+//! and every VM counts the reports by itself with [`pimento_policy::poison`]. A request that gets
+//! blocked is also written to the log, for VMs that start later or missed the datagrams: [`Blocklist`]
+//! is folded from those records. No check of a request waits for another process.
 
 mod blocklist;
 mod crash_check;
@@ -39,65 +39,69 @@
 use crate::node::millis;
 use crate::topic::Log;
 
-/// A VM that knows better than what it hears waits up to this long before it says so.
+/// The longest random delay before a VM answers a crash report about a request that it knows to be
+/// cleared.
 const MAX_CLEARED_DELAY: Duration = Duration::from_millis(300);
 
-/// Changes that wait for the log at most.
+/// Changes that wait to be written to the log, at most.
 const MAX_PENDING_WRITES: usize = 256;
 
-/// What is to be written to the log of a request.
+/// A change to the blocklist on the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Change {
-    /// It is barred for so long.
+    /// Blocks the request for this long.
     Block(Duration),
-    /// It is not barred any more.
+    /// Removes the request.
     Unblock,
 }
 
-/// What this VM knows of requests under which endpoints ended.
+/// What this VM knows of requests that crash endpoints.
 #[derive(Debug, Default)]
 pub struct Poison {
     state: Mutex<State>,
-    /// Told when there is something to tell to the zone.
+    /// Notified when there are reports to send to the zone.
     pub reports_due: Notify,
-    /// Told when there is something to write to the log.
+    /// Notified when there is a change to write to the log.
     writes_due: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
     table: Table,
-    /// What the VMs of the zone and of other zones are to be told.
+    /// Reports to send to the VMs of this zone.
     zone_outbox: Outbox,
+    /// Reports to send to other zones.
     remote_outbox: Outbox,
     breaks: Breaks,
-    /// Changes that are to be written to the log.
+    /// Changes to write to the log.
     pending_writes: Vec<(Digest, Change)>,
 }
 
 impl State {
-    /// Counts an end. A request that is cleared here is told of as such, to whoever does not know.
+    /// Counts a crash. If the request is cleared here, the other VMs are told so, as the one that
+    /// reported the crash doesn't know it.
     fn count_crash(&mut self, digest: Digest, crash: Crash, now: Moment) -> Verdict {
         let verdict = self.table.crashed(digest, crash, now);
         if verdict == Verdict::Cleared && self.table.contradicts(digest, now) {
-            // Whoever else knows it hears of the end in the same moment; one says so.
-            let wait = Duration::ZERO..MAX_CLEARED_DELAY;
-            self.broadcast(Report::Answered { digest }, now + rand::random_range(wait));
+            // All VMs that know the answer receive the crash report at the same moment. With a random
+            // delay one of them answers first, and the others cancel theirs.
+            let delay = Duration::ZERO..MAX_CLEARED_DELAY;
+            self.broadcast(Report::Answered { digest }, now + rand::random_range(delay));
         }
-        log::debug!(digest:%, verdict:?; "poison: An endpoint ended under a request.");
+        log::debug!(digest:%, verdict:?; "poison: Counted a crash of an endpoint that ran the request.");
         verdict
     }
 
-    /// Tells all other VMs.
-    fn broadcast(&mut self, word: Report, now: Moment) {
-        self.zone_outbox.push(word, now);
-        self.remote_outbox.push(word, now);
+    /// Schedules a report to all other VMs.
+    fn broadcast(&mut self, report: Report, at: Moment) {
+        self.zone_outbox.push(report, at);
+        self.remote_outbox.push(report, at);
     }
 
     fn schedule_write(&mut self, digest: Digest, change: Change) {
         self.pending_writes.retain(|(known, _)| *known != digest);
         if self.pending_writes.len() >= MAX_PENDING_WRITES {
-            log::warn!(digest:%; "poison: Too much to write, left out.");
+            log::warn!(digest:%; "poison: Too many changes wait to be written; this one is dropped.");
             return;
         }
         self.pending_writes.push((digest, change));
@@ -109,12 +113,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An endpoint ended here while requests ran there.
+    /// Counts a crash that this VM saw, for each request that ran there, and reports it to the others.
     fn record_crash(&self, crash: Crash, digests: &[Digest], now: Moment) {
         let mut state = self.lock();
         for digest in digests {
             let verdict = state.count_crash(*digest, crash, now);
-            log::info!(digest:%, verdict:?; "poison: An endpoint ended here under a request.");
+            log::info!(digest:%, verdict:?; "poison: An endpoint crashed while it ran a request of this VM.");
             if matches!(verdict, Verdict::Suspected(_) | Verdict::Barred) {
                 state.broadcast(Report::crashed(*digest, crash), now);
             }
@@ -126,25 +130,25 @@
         self.reports_due.notify_one();
     }
 
-    /// Has a bar written to the log.
+    /// Schedules the write of a block to the log.
     fn schedule_block(&self, state: &mut State, digest: Digest, now: Moment) {
         let Some(lasts) = state.table.barred(digest, now) else {
             return;
         };
-        log::warn!(digest:%, lasts_ms = millis(lasts); "poison: Barred.");
+        log::warn!(digest:%, lasts_ms = millis(lasts); "poison: Request blocked.");
         state.schedule_write(digest, Change::Block(lasts));
         self.writes_due.notify_one();
     }
 
-    /// Another VM tells. `far` if it is of another zone, whose words go on to this one. `writes` if this
-    /// VM writes for the zone.
-    pub fn receive(&self, word: Report, far: bool, writes: bool, now: Moment) {
+    /// Takes in another VM's report. A report from another zone (`remote`) is forwarded within this
+    /// zone. `writes` is set if this VM writes to the log for its zone.
+    pub fn receive(&self, report: Report, remote: bool, writes: bool, now: Moment) {
         let mut state = self.lock();
-        if far {
-            state.zone_outbox.forward(word, now);
+        if remote {
+            state.zone_outbox.forward(report, now);
             self.reports_due.notify_one();
         }
-        match word {
+        match report {
             Report::Crashed {
                 digest,
                 endpoint,
@@ -159,42 +163,43 @@
             }
             Report::Answered { digest } => {
                 state.table.heard(digest, now);
-                state.zone_outbox.cancel(word);
-                state.remote_outbox.cancel(word);
+                state.zone_outbox.cancel(report);
+                state.remote_outbox.cancel(report);
             }
         }
     }
 
-    /// What the zone is to be told now.
+    /// The reports to send to the zone now.
     pub fn take_zone_reports(&self, now: Moment) -> Vec<Report> {
         self.lock().zone_outbox.take_due(now)
     }
 
-    /// What other zones are to be told now.
+    /// The reports to send to other zones now.
     pub fn take_remote_reports(&self, now: Moment) -> Vec<Report> {
         self.lock().remote_outbox.take_due(now)
     }
 
-    /// Suspects that are not barred, and requests that are.
+    /// The numbers of suspects that are not blocked and of blocked requests.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         self.lock().table.counts()
     }
 }
 
-/// An answer to a request was whole.
+/// Records that a request got a complete answer. This clears a suspect and removes its block from the
+/// log.
 pub fn record_answer<P: Border + Codec, L: Log>(node: &Node<P, L>, digest: Digest) {
     let now = boot::now();
     let poison = &node.poison;
     let mut state = poison.lock();
     if state.table.answered(digest, now) {
-        log::info!(digest:%; "poison: Cleared by a whole answer.");
+        log::info!(digest:%; "poison: Request cleared by a complete answer.");
         state.broadcast(Report::Answered { digest }, now);
         poison.reports_due.notify_one();
     }
     if node
         .blocklist
-        .view(|blocklist| blocklist.remaining(digest, now))
+        .view(|list| list.remaining(digest, now))
         .is_some()
     {
         state.schedule_write(digest, Change::Unblock);
@@ -202,24 +207,22 @@
     }
 }
 
-/// How long a request is still barred; none if it may be sent.
+/// How long a request is still blocked; none if it may be sent.
 pub fn block_remaining<P: Border + Codec, L: Log>(
     node: &Node<P, L>,
     digest: Digest,
 ) -> Option<Duration> {
     let now = boot::now();
     let table = &node.poison.lock().table;
-    // The VM that wrote the bar may not have heard of the answer.
+    // The VM that wrote the block may have missed the report of the answer.
     if table.clears(digest, now) {
         return None;
     }
-    let on_log = node
-        .blocklist
-        .view(|blocklist| blocklist.remaining(digest, now));
+    let on_log = node.blocklist.view(|list| list.remaining(digest, now));
     table.barred(digest, now).max(on_log)
 }
 
-/// A run failed at an endpoint. Where its connection ended, the endpoint may have ended as well.
+/// Records that a run failed at an endpoint. If its connection broke, the endpoint may have crashed.
 pub fn record_failure<P: Border + Codec, L: Log>(
     node: &Node<P, L>,
     digest: Digest,
@@ -230,7 +233,7 @@
         return;
     }
     let known = node.directory.view(|view| view.member(endpoint).cloned());
-    // One that leaves ends what runs there in its own time.
+    // An endpoint that leaves closes its connections on purpose.
     let Some(member) = known.filter(|member| !member.entry.leaving) else {
         return;
     };
@@ -243,24 +246,25 @@
         Step::Count => node.poison.record_crash(crash, &[digest], boot::now()),
         Step::Look => {
             let node = node.clone();
-            // Bounded in time, and of no use to a VM that ends.
+            // The task is bounded in time, and may be dropped when the VM stops.
             tokio::spawn(async move { confirm_crash(&node, &member.entry, crash).await });
         }
         Step::Wait => {}
     }
 }
 
-/// Waits until it is known whether an endpoint ended, and counts that for all that ran there.
+/// Waits until it is known whether an endpoint crashed; if so, counts the crash for all requests that
+/// ran there.
 async fn confirm_crash<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry, crash: Crash) {
-    let proof = crash_check::wait_for_crash(node, entry).await;
-    let digests = node.poison.lock().breaks.looked(crash, proof.is_some());
+    let evidence = crash_check::wait_for_crash(node, entry).await;
+    let digests = node.poison.lock().breaks.looked(crash, evidence.is_some());
     log::info!(
         endpoint = entry.id.as_str(),
-        proof = proof.map(crash_check::CrashEvidence::as_str),
+        proof = evidence.map(crash_check::CrashEvidence::as_str),
         runs = digests.len();
-        "poison: Runs broke off."
+        "poison: Connections of running requests broke."
     );
-    if proof.is_some() {
+    if evidence.is_some() {
         node.poison.record_crash(crash, &digests, boot::now());
     }
 }
--- a/crates/relay/src/poison/blocklist.rs
+++ b/crates/relay/src/poison/blocklist.rs
@@ -1,4 +1,4 @@
-//! The barred requests that are on the log.
+//! The blocked requests that are on the log.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use crate::follow::Told;
 use crate::topic::Record;
 
-/// A barred request.
+/// A blocked request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Block {
     digest: Digest,
-    /// When it runs out, counted from when this VM came to know of it: clocks of VMs differ.
+    /// When the block expires. VMs' clocks differ, so it is counted from when this VM read the record.
     until: Moment,
 }
 
-/// The barred requests, folded from their records: the key is the digest, the value how long the bar
-/// lasts.
+/// The blocked requests, folded from their records. A record's key is the digest, its value the
+/// duration of the block.
 #[derive(Debug, Default)]
 pub struct Blocklist {
     /// Sorted by digest.
@@ -28,37 +28,37 @@
 
 impl Blocklist {
     fn find(&self, digest: Digest) -> Result<usize, usize> {
-        self.blocks.binary_search_by_key(&digest, |bar| bar.digest)
+        self.blocks
+            .binary_search_by_key(&digest, |block| block.digest)
     }
 
-    /// How long a request is still barred; none if it may be sent.
+    /// How long a request is still blocked; none if it may be sent.
     #[must_use]
     pub fn remaining(&self, digest: Digest, now: Moment) -> Option<Duration> {
         let left = self.blocks[self.find(digest).ok()?].until.since(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Whether a bar is on the log, in force or not.
+    /// Whether the log holds a block of this request, expired or not.
     #[must_use]
     pub fn contains(&self, digest: Digest) -> bool {
         self.find(digest).is_ok()
     }
 
-    /// The bars that are on the log for nothing: those that have run out, and of requests that are
-    /// cleared.
+    /// The blocks that can be removed from the log: those that expired, and those of cleared requests.
     #[must_use]
     pub fn obsolete(&self, cleared: impl Fn(Digest) -> bool, now: Moment) -> Vec<Digest> {
-        let needless = |bar: &&Block| bar.until <= now || cleared(bar.digest);
-        let bars = self.blocks.iter().filter(needless);
-        bars.map(|bar| bar.digest).collect()
+        let obsolete = |block: &&Block| block.until <= now || cleared(block.digest);
+        let blocks = self.blocks.iter().filter(obsolete);
+        blocks.map(|block| block.digest).collect()
     }
 }
 
-/// The value of a bar's record.
+/// Encodes the value of a block's record.
 ///
 /// # Errors
 ///
-/// If it can't be written.
+/// If it can't be encoded.
 pub fn encode(lasts: Duration) -> Result<Bytes, postcard::Error> {
     postcard::to_stdvec(&lasts).map(Bytes::from)
 }
@@ -66,21 +66,26 @@
 impl Fold for Blocklist {
     fn apply(&mut self, record: &Record, told: Told) -> bool {
         let Ok(digest) = record.key.parse::<Digest>() else {
-            log::warn!("poison: {:?} is no digest.", record.key);
+            log::warn!(
+                "poison: Key {:?} of a block's record is no digest.",
+                record.key
+            );
             return false;
         };
         let place = self.find(digest);
         let Some(value) = &record.value else {
             if let Ok(place) = place {
                 self.blocks.remove(place);
-                log::info!(digest:%, offset = record.offset.0; "poison: The bar is off the log.");
+                log::info!(digest:%, offset = record.offset.0; "poison: Block removed from the log.");
             }
             return place.is_ok();
         };
         let lasts: Duration = match postcard::from_bytes(value) {
             Ok(lasts) => lasts,
             Err(error) => {
-                log::warn!("poison: The bar of {digest} left out: {error}.");
+                log::warn!(
+                    "poison: The block of {digest} can't be decoded and is ignored: {error}."
+                );
                 return false;
             }
         };
@@ -88,7 +93,7 @@
             topic = "poison",
             offset = record.offset.0,
             digest:%;
-            "poison: A bar is on the log."
+            "poison: Block read from the log."
         );
         let until = told.at + lasts;
         match place {
--- a/crates/relay/src/poison/crash_check.rs
+++ b/crates/relay/src/poison/crash_check.rs
@@ -1,7 +1,7 @@
-//! Whether an endpoint whose connections broke has ended.
+//! Checks whether an endpoint whose connections broke has crashed.
 //!
-//! A connection breaks for many reasons: a reset on the way, an answer that an endpoint cut short, a
-//! limit on connections. Only an endpoint that is not there any more has ended.
+//! A connection breaks for many reasons: a reset on the way, an answer that the endpoint cut short, a
+//! limit on connections. The endpoint has crashed only if it is not there any more.
 
 use std::time::Duration;
 
@@ -13,15 +13,16 @@
 use crate::node::Node;
 use crate::topic::Log;
 
-/// How long an endpoint that ended may stay registered: its entry goes after three silent heartbeats.
+/// How long an endpoint that crashed may stay registered: its entry is removed after three missed
+/// heartbeats.
 const DEREGISTRATION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How an end is known.
+/// What shows that an endpoint crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashEvidence {
-    /// Nobody listens at its address.
+    /// Its address refuses connections.
     Refused,
-    /// Its entry is gone, or is that of a later start.
+    /// Its entry is gone, or belongs to a later incarnation.
     Unregistered,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// Waits until an endpoint is known to have ended; none if it is still there.
+/// Waits until an endpoint is known to have crashed; none if it is still there.
 pub async fn wait_for_crash<P: Border + Codec, L: Log>(
     node: &Node<P, L>,
     entry: &Entry,
@@ -46,7 +47,7 @@
     }
     let mut changes = node.directory.changes();
     let gone = async {
-        while registered(node, entry) {
+        while is_registered(node, entry) {
             if changes.changed().await.is_err() {
                 return std::future::pending().await;
             }
@@ -58,8 +59,9 @@
         .ok()
 }
 
-/// Whether an endpoint is registered as it was, or has lost its entry while the log was out.
-fn registered<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry) -> bool {
+/// Whether an endpoint is still registered with the same start. One that lost its entry while the log
+/// was out counts as registered.
+fn is_registered<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry) -> bool {
     node.directory.view(|view| {
         let known = view.member(&entry.id);
         known.is_some_and(|known| known.entry.born == entry.born)
--- a/crates/relay/src/poison/report.rs
+++ b/crates/relay/src/poison/report.rs
@@ -1,4 +1,4 @@
-//! What entry VMs tell each other of requests under which endpoints end.
+//! Reports between entry VMs of requests that crash endpoints.
 
 use std::time::Duration;
 
@@ -8,27 +8,29 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Times that a word is told, as datagrams are lost, and the time between two. A word to another zone
-/// goes to one VM there, which may be gone; after twice this time it goes to another one.
+/// How often each report is sent, as datagrams are lost.
 const REPEATS: u32 = 3;
+
+/// Time between two sends of a report. A report to another zone goes to one VM there, which may be
+/// gone; after twice this time it goes to another one.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(1_100);
 
-/// Words that wait to be told at most.
+/// Reports that wait to be sent, at most.
 const MAX_PENDING: usize = 512;
 
-/// What one VM tells another.
+/// A report to another VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Report {
-    /// An endpoint ended while the request ran there.
+    /// An endpoint crashed while the request ran there.
     Crashed {
         /// The request.
         digest: Digest,
         /// Hash of the endpoint's id.
         endpoint: u64,
-        /// When the life that ended had begun, by the endpoint's clock.
+        /// When the incarnation that crashed started, by the endpoint's clock.
         life: Option<u64>,
     },
-    /// An answer to the request was whole.
+    /// The request got a complete answer.
     Answered {
         /// The request.
         digest: Digest,
@@ -36,7 +38,7 @@
 }
 
 impl Report {
-    /// An endpoint ended under a request.
+    /// A report that an endpoint crashed while the request ran there.
     #[must_use]
     pub const fn crashed(digest: Digest, crash: Crash) -> Self {
         Self::Crashed {
@@ -47,61 +49,58 @@
     }
 }
 
-/// A word that is to be told so many times more.
+/// A report that waits for its next send.
 #[derive(Debug)]
-struct Due {
-    word: Report,
+struct Pending {
+    report: Report,
     at: Moment,
+    /// Sends that are left.
     left: u32,
 }
 
-/// Words to be told.
+/// Reports to send.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    due: Vec<Due>,
+    pending: Vec<Pending>,
 }
 
 impl Outbox {
-    /// Has an own word told.
-    pub fn push(&mut self, word: Report, now: Moment) {
-        self.add(word, REPEATS, now);
+    /// Schedules this VM's own report from `at` on.
+    pub fn push(&mut self, report: Report, at: Moment) {
+        self.add(report, REPEATS, at);
     }
 
-    /// Has a word of another zone told, which comes several times by itself.
-    pub fn forward(&mut self, word: Report, now: Moment) {
-        self.add(word, 1, now);
+    /// Schedules a report from another zone. It is sent once, as that zone repeats it.
+    pub fn forward(&mut self, report: Report, at: Moment) {
+        self.add(report, 1, at);
     }
 
-    /// Leaves out a word that another VM has told, unless it was told from here already.
-    pub fn cancel(&mut self, word: Report) {
-        self.due
-            .retain(|due| due.word != word || due.left < REPEATS);
+    /// Drops a report that another VM has sent, unless this VM has already sent it.
+    pub fn cancel(&mut self, report: Report) {
+        self.pending
+            .retain(|pending| pending.report != report || pending.left < REPEATS);
     }
 
-    fn add(&mut self, word: Report, left: u32, now: Moment) {
-        if self.due.iter().any(|due| due.word == word) {
+    fn add(&mut self, report: Report, left: u32, at: Moment) {
+        if self.pending.iter().any(|pending| pending.report == report) {
             return;
         }
-        if self.due.len() >= MAX_PENDING {
-            log::warn!("poison: Too much to tell, a word left out.");
+        if self.pending.len() >= MAX_PENDING {
+            log::warn!("poison: Too many reports wait to be sent; this one is dropped.");
             return;
         }
-        self.due.push(Due {
-            word,
-            at: now,
-            left,
-        });
+        self.pending.push(Pending { report, at, left });
     }
 
-    /// The words that are due.
+    /// The reports that are due now.
     pub fn take_due(&mut self, now: Moment) -> Vec<Report> {
-        let mut words = Vec::new();
-        for due in self.due.iter_mut().filter(|due| due.at <= now) {
-            words.push(due.word);
-            due.left -= 1;
-            due.at = now + REPEAT_INTERVAL;
+        let mut reports = Vec::new();
+        for pending in self.pending.iter_mut().filter(|pending| pending.at <= now) {
+            reports.push(pending.report);
+            pending.left -= 1;
+            pending.at = now + REPEAT_INTERVAL;
         }
-        self.due.retain(|due| due.left > 0);
-        words
+        self.pending.retain(|pending| pending.left > 0);
+        reports
     }
 }
--- a/crates/relay/src/poison/writer.rs
+++ b/crates/relay/src/poison/writer.rs
@@ -1,4 +1,4 @@
-//! Writes bars to the log, and takes off those that have run out.
+//! Writes blocks to the log, and removes those that have expired.
 
 use std::time::Duration;
 
@@ -16,16 +16,16 @@
 use crate::topic::Log;
 use crate::topic::Topic;
 
-/// How often bars are looked through for those that have run out.
+/// How often blocks are checked for expiry.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A call of the log takes at most this long.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The pause after a call that failed.
+/// Pause after a call that failed.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Starts to write.
+/// Starts the writer.
 pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
     let node = node.clone();
     tokio::spawn(async move { token.run_until_cancelled(run(node, log)).await });
@@ -45,25 +45,24 @@
     }
 }
 
-/// Ends the bars that have run out. The VM that reads the log for its zone takes off it what is needless.
+/// Ends the blocks that have expired. The VM that reads the log for its zone also removes obsolete
+/// blocks from the log.
 fn expire_blocks<P: Border + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let mut state = node.poison.lock();
     for digest in state.table.lapse(now) {
-        log::info!(digest:%; "poison: The bar has run out.");
+        log::info!(digest:%; "poison: Block expired.");
     }
     if node.reads() {
         let cleared = |digest| state.table.clears(digest, now);
-        for digest in node
-            .blocklist
-            .view(|blocklist| blocklist.obsolete(cleared, now))
-        {
+        for digest in node.blocklist.view(|list| list.obsolete(cleared, now)) {
             state.schedule_write(digest, Change::Unblock);
         }
     }
 }
 
-/// The next change that is still to be written.
+/// The next change to write. Drops changes that the log holds already, and blocks that are no longer
+/// in force.
 fn next_write<P: Border + Codec, L: Log>(node: &Node<P, L>) -> Option<(Digest, Change)> {
     let now = boot::now();
     let state = &mut *node.poison.lock();
@@ -81,7 +80,8 @@
     state.pending_writes.first().copied()
 }
 
-/// Writes a change; whether it is known to be written.
+/// Writes a change; whether nothing is left to do for it, because it is known to be written or can't be
+/// encoded.
 async fn write<P: Border + Codec, L: Log>(
     node: &Node<P, L>,
     log: &L,
@@ -102,7 +102,7 @@
     let value = match value {
         Ok(value) => value,
         Err(error) => {
-            log::error!("poison: A bar can't be written: {error}.");
+            log::error!("poison: A block can't be encoded: {error}.");
             return done();
         }
     };
@@ -114,6 +114,6 @@
         Ok(Err(error)) => error.to_string(),
         Err(_) => "no answer in time".into(),
     };
-    log::warn!(digest:%, problem:%; "poison: Not known to be written.");
+    log::warn!(digest:%, problem:%; "poison: The change may not be on the log.");
     false
 }
