--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -1,7 +1,7 @@
-//! Roll-outs under way: which version a request uses, and what was seen of each.
+//! Roll-outs under way: which version a request uses, and the evidence on each version.
 //!
-//! The decisions are `pimento_policy::shift`'s; here they get the orders, the ages and the evidence
-//! of all VMs. [`controller`] shares the evidence and tells operators of the end.
+//! [`pimento_policy::shift`] makes the decisions; this module supplies the orders, their ages and the
+//! evidence of all VMs. [`controller`] shares the evidence and reports the end to the operators.
 
 pub mod announcement;
 pub mod controller;
@@ -29,18 +29,19 @@
 use crate::operators::Order;
 use crate::sessions::Sessions;
 
-/// How often a VM announces at least, so that the others know that it lives.
-const ANNOUNCE: Duration = Duration::from_secs(2);
+/// The longest time between announcements of a VM, which show the others that it is alive.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How soon it announces news, such as a failure of the new version.
-const NEWS: Duration = Duration::from_millis(700);
+/// The shortest time between announcements, for changes such as a failure of the new version.
+const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Before the deadline operators are told in any case, whoever has not been heard of.
-const MARGIN: Duration = Duration::from_secs(2);
+/// This long before the deadline the end is reported to the operators in any case, even if VMs have not
+/// announced that they drained the old version.
+const DEADLINE_MARGIN: Duration = Duration::from_secs(2);
 
-/// The versions of a service's endpoints that may be used, with how many there are of each.
+/// The versions among a service's usable endpoints, with the number of endpoints of each.
 #[derive(Debug)]
-struct Present {
+struct PoolVersions {
     pool: id::Pool,
     /// The version in use when no roll-out is under way.
     settled: id::Version,
@@ -48,42 +49,41 @@
     versions: Vec<(id::Version, usize)>,
 }
 
-impl Present {
+impl PoolVersions {
     fn count(&self, version: &id::Version) -> usize {
         let found = self.versions.binary_search_by(|(v, _)| v.cmp(version));
         found.map_or(0, |place| self.versions[place].1)
     }
 
-    /// The version with the most endpoints beside `target`.
+    /// The version with the most endpoints, other than `target`.
     fn other(&self, target: &id::Version) -> Option<&id::Version> {
         let others = self.versions.iter().filter(|(v, _)| v != target);
         others.max_by_key(|(_, count)| *count).map(|(v, _)| v)
     }
 }
 
-/// When this VM last announced, and what.
+/// What this VM last announced to its zone, and when.
 #[derive(Debug, Default)]
-struct LastAnnouncement {
+struct LastAnnounced {
     at: Moment,
-    what: Vec<Announcement>,
+    announcements: Vec<Announcement>,
 }
 
-/// All roll-outs, and the sessions' versions.
+/// The roll-outs of all services, and the sessions' versions.
 #[derive(Debug)]
 pub struct Rollouts {
     config: shift::Config,
     exposure: Exposure,
-    /// The newest of each service, sorted by service.
+    /// The newest roll-out of each service, sorted by service.
     newest: Vec<RolloutState>,
     /// Sorted by service.
-    present: Vec<Present>,
+    pools: Vec<PoolVersions>,
     sessions: Sessions,
-    /// To the zone.
-    told: LastAnnouncement,
+    last_announced: LastAnnounced,
 }
 
-/// The fixed place of a session among all.
-const fn place(session: u64) -> id::Session {
+/// The id by which a session is placed among all sessions.
+const fn session_id(session: u64) -> id::Session {
     id::Session(Uuid::from_u64_pair(session, session))
 }
 
@@ -103,16 +103,16 @@
 }
 
 impl Rollouts {
-    /// None ordered yet.
+    /// No roll-out yet. A session is over after `session` without a request.
     #[must_use]
     pub fn new(exposure: Exposure, session: Duration) -> Self {
         Self {
             config: shift::Config::default(),
             exposure,
             newest: Vec::new(),
-            present: Vec::new(),
+            pools: Vec::new(),
             sessions: Sessions::new(session),
-            told: LastAnnouncement::default(),
+            last_announced: LastAnnounced::default(),
         }
     }
 
@@ -129,79 +129,80 @@
         self.find(pool).ok().map(|place| &mut self.newest[place])
     }
 
-    /// Whether endpoints of several versions of a service may be used, so that there is one to choose.
+    /// Whether a service has usable endpoints of several versions, so that there is a choice to make.
     #[must_use]
     pub fn has_several_versions(&self, pool: &id::Pool) -> bool {
-        let present = self.present(pool);
-        present.is_some_and(|present| present.versions.len() > 1)
+        let versions = self.pool_versions(pool);
+        versions.is_some_and(|known| known.versions.len() > 1)
     }
 
-    /// Whether an order was taken.
+    /// Whether this order, or a later one for the same service, was added.
     #[must_use]
     pub fn has_order(&self, order: &Order) -> bool {
         let known = self.get(&order.rollout.pool);
         known.is_some_and(|known| known.offset() >= order.offset)
     }
 
-    /// Takes an order; `ended` tells how it ended before this process began.
+    /// Adds an order. `ended` is how it ended, if that was before this process started.
     pub fn add_order(&mut self, order: Order, ended: Option<End>, now: Moment) {
-        let mut progress = RolloutState::new(order, ended.map(|end| (end, now)));
+        let mut rollout = RolloutState::new(order, ended.map(|end| (end, now)));
         if ended.is_none() {
             for session in self.sessions.live(now) {
-                if self.tried(session, progress.target()) {
-                    progress.pin_session(session, true);
+                if self.is_in_trial(session, rollout.target()) {
+                    rollout.pin_session(session, true);
                 }
             }
         }
-        match self.find(&progress.order.rollout.pool) {
-            Ok(place) => self.newest[place] = progress,
-            Err(place) => self.newest.insert(place, progress),
+        match self.find(&rollout.order.rollout.pool) {
+            Ok(place) => self.newest[place] = rollout,
+            Err(place) => self.newest.insert(place, rollout),
         }
     }
 
-    /// Takes the versions of a service's endpoints that may be used, sorted, with their numbers.
+    /// Sets the versions among a service's usable endpoints, sorted, with the number of endpoints of
+    /// each. An empty list changes nothing.
     pub fn update_versions(&mut self, pool: &id::Pool, versions: Vec<(id::Version, usize)>) {
         let most = versions.iter().max_by_key(|(_, count)| *count);
         let Some((most, _)) = most.cloned() else {
             return;
         };
-        let place = self.present.binary_search_by(|p| p.pool.cmp(pool));
+        let place = self.pools.binary_search_by(|p| p.pool.cmp(pool));
         let place = place.unwrap_or_else(|place| {
-            let present = Present {
+            let known = PoolVersions {
                 pool: pool.clone(),
                 settled: most.clone(),
                 versions: Vec::new(),
             };
-            self.present.insert(place, present);
+            self.pools.insert(place, known);
             place
         });
-        let present = &mut self.present[place];
-        present.versions = versions;
-        if present.count(&present.settled) == 0 {
-            present.settled = most;
+        let known = &mut self.pools[place];
+        known.versions = versions;
+        if known.count(&known.settled) == 0 {
+            known.settled = most;
         }
     }
 
-    fn present(&self, pool: &id::Pool) -> Option<&Present> {
-        let found = self.present.binary_search_by(|p| p.pool.cmp(pool));
-        found.ok().map(|place| &self.present[place])
+    fn pool_versions(&self, pool: &id::Pool) -> Option<&PoolVersions> {
+        let found = self.pools.binary_search_by(|p| p.pool.cmp(pool));
+        found.ok().map(|place| &self.pools[place])
     }
 
-    /// The version that a request uses; none if its service has no endpoints.
+    /// The version that a request uses; none if no usable endpoint of its service is known.
     ///
-    /// Endpoints of a version that nobody ordered are left alone as long as there are others: their
-    /// order may be on its way.
+    /// Endpoints of a version without an order get no requests as long as there are others: the order
+    /// may not have been read yet.
     #[must_use]
     pub fn version(&self, pool: &id::Pool, session: u64, now: Moment) -> Option<id::Version> {
-        let present = self.present(pool)?;
+        let versions = self.pool_versions(pool)?;
         let Some(rollout) = self.get(pool) else {
-            return Some(present.settled.clone());
+            return Some(versions.settled.clone());
         };
         let target = rollout.target();
-        let Some(old) = present.other(target) else {
+        let Some(old) = versions.other(target) else {
             return Some(target.clone());
         };
-        if present.count(target) == 0 || rollout.is_bad() {
+        if versions.count(target) == 0 || rollout.is_bad() {
             return Some(old.clone());
         }
         if rollout.ended() == Some(End::Done) {
@@ -215,18 +216,20 @@
         if phase.keeps() && (used.is_some() || rollout.is_pinned(session)) {
             return Some(old.clone());
         }
-        let moves = rollout::moves(place(session), target, phase.weight());
+        let moves = rollout::moves(session_id(session), target, phase.weight());
         Some(if moves { target } else { old }.clone())
     }
 
-    /// Endpoints of the version that is moved to.
-    fn endpoints(&self, pool: &id::Pool) -> usize {
+    /// The number of endpoints of a roll-out's new version.
+    fn target_endpoints(&self, pool: &id::Pool) -> usize {
         let target = self.get(pool).map(RolloutState::target);
-        let present = self.present(pool);
-        present.zip(target).map_or(0, |(p, target)| p.count(target))
+        let versions = self.pool_versions(pool);
+        versions
+            .zip(target)
+            .map_or(0, |(known, target)| known.count(target))
     }
 
-    /// The version that a service moves to, if it does.
+    /// The new version of a service's last roll-out, ended or not; none if it had none.
     #[must_use]
     pub fn target(&self, pool: &id::Pool) -> Option<id::Version> {
         self.get(pool).map(|rollout| rollout.target().clone())
@@ -238,7 +241,7 @@
             .phase(rollout.age(now), lasts, self.exposure.share)
     }
 
-    /// Notes that a request of a session is sent to a version of a service, or was answered by it.
+    /// Records that a request of a session is sent to a version of a service, or was answered by it.
     pub fn record_session(
         &mut self,
         pool: &id::Pool,
@@ -251,8 +254,8 @@
             return;
         };
         let target = rollout.target();
-        let kept = target != version && self.phase(rollout, now).keeps();
-        if !kept || !self.tried(session, target) {
+        let pinned = target != version && self.phase(rollout, now).keeps();
+        if !pinned || !self.is_in_trial(session, target) {
             return;
         }
         if let Some(rollout) = self.get_mut(pool) {
@@ -260,29 +263,28 @@
         }
     }
 
-    /// Whether the trial's share would move a session.
-    fn tried(&self, session: u64, target: &id::Version) -> bool {
+    /// Whether a session is in the share that the trial would move.
+    fn is_in_trial(&self, session: u64, target: &id::Version) -> bool {
         let share = self.config.share(self.exposure.share);
-        rollout::moves(place(session), target, share)
+        rollout::moves(session_id(session), target, share)
     }
 
-    /// Sessions that used the old version here and that other VMs were not told of yet, each with its
-    /// order.
+    /// Sessions that used the old version at this VM and were not announced to other VMs yet.
     pub fn take_pending_sessions(&mut self) -> Vec<PinnedSession> {
-        let mut untold = Vec::new();
+        let mut pending = Vec::new();
         for rollout in &mut self.newest {
             let order = rollout.offset();
             let sessions = rollout.take_pending_sessions().into_iter();
-            untold.extend(sessions.map(|session| PinnedSession { order, session }));
+            pending.extend(sessions.map(|session| PinnedSession { order, session }));
         }
-        untold
+        pending
     }
 
-    /// Another VM says that a session used the old version.
-    pub fn pin_session(&mut self, kept: PinnedSession) {
-        let order = self.newest.iter_mut().find(|r| r.offset() == kept.order);
+    /// Pins a session that used the old version at another VM.
+    pub fn pin_session(&mut self, pinned: PinnedSession) {
+        let order = self.newest.iter_mut().find(|r| r.offset() == pinned.order);
         if let Some(rollout) = order {
-            rollout.pin_session(kept.session, false);
+            rollout.pin_session(pinned.session, false);
         }
     }
 
@@ -293,17 +295,17 @@
         rollout.is_some_and(RolloutState::is_bad)
     }
 
-    /// Counts how a request ended.
-    pub fn record(&mut self, seen: &FinishedRequest<'_>) {
-        let endpoints = self.endpoints(seen.pool);
-        let Some(rollout) = self.get_mut(seen.pool) else {
+    /// Counts a request that ended.
+    pub fn record(&mut self, request: &FinishedRequest<'_>) {
+        let endpoints = self.target_endpoints(request.pool);
+        let Some(rollout) = self.get_mut(request.pool) else {
             return;
         };
         if rollout.ended().is_some() {
             return;
         }
-        let new = rollout.target() == seen.version;
-        rollout.count(seen.route, new, seen.endpoint, seen.outcome);
+        let new = rollout.target() == request.version;
+        rollout.count(request.route, new, request.endpoint, request.outcome);
         if new {
             rollout.judge(endpoints);
         }
@@ -316,84 +318,91 @@
         running.map(|r| r.order.rollout.pool.clone()).collect()
     }
 
-    /// Answers of the new version by the evidence of all VMs, by service.
+    /// The requests on the new version at all VMs, by service.
     #[must_use]
     pub fn target_counts(&self) -> Vec<(id::Pool, RequestCounts)> {
         let newest = self.newest.iter();
         newest
-            .map(|rollout| (rollout.order.rollout.pool.clone(), rollout.target_counts()))
+            .map(|rollout| {
+                let pool = rollout.order.rollout.pool.clone();
+                (pool, rollout.target_counts())
+            })
             .collect()
     }
 
-    /// Takes another VM's word.
-    pub fn receive(&mut self, said: &NodeAnnouncement, now: Moment) {
-        let endpoints = self.endpoints(&said.announcement.pool);
-        if let Some(rollout) = self.get_mut(&said.announcement.pool) {
-            rollout.receive(&said.node, &said.announcement, now);
+    /// Takes in another VM's announcement.
+    pub fn receive(&mut self, received: &NodeAnnouncement, now: Moment) {
+        let endpoints = self.target_endpoints(&received.announcement.pool);
+        if let Some(rollout) = self.get_mut(&received.announcement.pool) {
+            rollout.receive(&received.node, &received.announcement, now);
             if rollout.ended().is_none() {
                 rollout.judge(endpoints);
             }
         }
     }
 
-    /// What this VM says of all roll-outs that are news. `left` tells whether none of its requests
-    /// is at another version than the one moved to.
+    /// This VM's announcements. `drained` tells whether all requests of this VM to a service are at the
+    /// given version.
     #[must_use]
     pub fn announcements(
         &self,
-        left: impl Fn(&id::Pool, &id::Version) -> bool,
+        drained: impl Fn(&id::Pool, &id::Version) -> bool,
         now: Moment,
     ) -> Vec<Announcement> {
-        let news = self
+        let announced = self
             .newest
             .iter()
             .filter(|rollout| rollout.is_announced(now));
-        news.map(|rollout| {
-            let left = left(&rollout.order.rollout.pool, rollout.target());
-            rollout.announcement(self.phase(rollout, now), left, now)
-        })
-        .collect()
+        announced
+            .map(|rollout| {
+                let drained = drained(&rollout.order.rollout.pool, rollout.target());
+                rollout.announcement(self.phase(rollout, now), drained, now)
+            })
+            .collect()
     }
 
-    /// The same if the zone is to be told now.
+    /// The same if it is time to send them to the zone; otherwise nothing.
     pub fn due_announcements(
         &mut self,
-        left: impl Fn(&id::Pool, &id::Version) -> bool,
+        drained: impl Fn(&id::Pool, &id::Version) -> bool,
         now: Moment,
     ) -> Vec<Announcement> {
-        let since = now.since(self.told.at);
-        if since < NEWS || self.newest.iter().all(|rollout| !rollout.is_announced(now)) {
+        let since = now.since(self.last_announced.at);
+        let announced = |rollout: &RolloutState| rollout.is_announced(now);
+        if since < MIN_ANNOUNCE_INTERVAL || !self.newest.iter().any(announced) {
             return Vec::new();
         }
-        let what = self.announcements(left, now);
-        if since < ANNOUNCE && !announcements_differ(&what, &self.told.what) {
+        let announcements = self.announcements(drained, now);
+        let before = &self.last_announced.announcements;
+        if since < ANNOUNCE_INTERVAL && !announcements_differ(&announcements, before) {
             return Vec::new();
         }
-        self.told = LastAnnouncement {
+        self.last_announced = LastAnnounced {
             at: now,
-            what: what.clone(),
+            announcements: announcements.clone(),
         };
-        what
+        announcements
     }
 
-    /// What the other VMs said, to be passed on.
+    /// The last announcements of the other VMs, to be forwarded.
     #[must_use]
     pub fn received_announcements(&self, now: Moment) -> Vec<NodeAnnouncement> {
-        let news = self
+        let announced = self
             .newest
             .iter()
             .filter(|rollout| rollout.is_announced(now));
-        news.flat_map(|rollout| rollout.received_announcements(now))
+        announced
+            .flat_map(|rollout| rollout.received_announcements(now))
             .collect()
     }
 
-    /// What operators are to be told of a roll-out. `left` tells whether none of this VM's requests is
-    /// at the old version.
+    /// What is to be done about a roll-out now. `drained` is set if none of this VM's requests is at the
+    /// old version.
     #[must_use]
     pub fn next_step(
         &self,
         pool: &id::Pool,
-        left: bool,
+        drained: bool,
         visibility: Visibility,
         now: Moment,
     ) -> Step {
@@ -401,7 +410,7 @@
             return Step::Wait;
         };
         let phase = self.phase(rollout, now);
-        rollout.next_step(phase, left, visibility, MARGIN, now)
+        rollout.next_step(phase, drained, visibility, DEADLINE_MARGIN, now)
     }
 
     fn end(&mut self, pool: &id::Pool, end: End, now: Moment) {
@@ -415,7 +424,7 @@
     }
 }
 
-/// Whether announcements say something that others should know soon.
+/// Whether others should soon know of the difference between the announcements.
 #[must_use]
 pub fn announcements_differ(now: &[Announcement], before: &[Announcement]) -> bool {
     now.len() != before.len()
--- a/crates/relay/src/rollouts/announcement.rs
+++ b/crates/relay/src/rollouts/announcement.rs
@@ -1,4 +1,4 @@
-//! What the entry VMs tell each other of a roll-out.
+//! What the entry VMs announce to each other about a roll-out.
 
 use std::time::Duration;
 
@@ -18,14 +18,14 @@
     Failed,
 }
 
-/// Counts of one route on one version since the order.
+/// Requests of one route on one version since the order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct RequestCounts {
     /// Requests that ended.
     pub attempts: u32,
     /// Requests that the endpoint failed.
     pub failed: u32,
-    /// Seconds until the first byte of those that were answered.
+    /// Total time until the first byte of those that were answered, in seconds.
     pub first_byte_seconds: f32,
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Adds another VM's counts.
+    /// Adds other counts, such as another VM's.
     pub fn add(&mut self, other: &Self) {
         self.attempts = self.attempts.saturating_add(other.attempts);
         self.failed = self.failed.saturating_add(other.failed);
@@ -61,70 +61,70 @@
     }
 }
 
-/// Counts of one route on both versions.
+/// Requests of one route on both versions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The route's name.
     pub name: CompactString,
-    /// On the new version.
+    /// Requests on the new version.
     pub new: RequestCounts,
-    /// On the old one.
+    /// Requests on the old version.
     pub old: RequestCounts,
 }
 
 /// How a roll-out ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// The old version is left for good.
+    /// All requests use the new version from now on.
     Done,
-    /// The new version is left for good.
+    /// The new version was bad: all requests use the old one from now on.
     Undone,
 }
 
-/// What a VM says of one roll-out.
+/// What a VM announces about one roll-out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The service.
     pub pool: id::Pool,
-    /// The order's place in its topic.
+    /// The offset of the order in its topic.
     pub order: Offset,
-    /// How old the order is, in milliseconds.
+    /// The age of the order in milliseconds.
     pub age_ms: u32,
-    /// What was seen since.
+    /// The VM's own evidence since the order.
     pub routes: Vec<Route>,
-    /// Endpoints of the new version that failed a request, as hashes.
+    /// Hashes of endpoints of the new version that failed a request.
     pub failing: Vec<u64>,
     /// Whether the new version is bad.
     pub bad: bool,
-    /// Whether no request is at the old version any more, nor will be.
+    /// Whether none of the VM's requests is at the old version, nor will be sent there.
     pub drained: bool,
-    /// How it ended, if it has.
+    /// How the roll-out ended, if it has.
     pub ended: Option<End>,
 }
 
 impl Announcement {
-    /// Whether it says something that others should know soon, compared with an earlier one.
+    /// Whether others should soon know of the difference to an earlier announcement.
     #[must_use]
     pub fn differs(&self, before: &Self) -> bool {
-        let told = |said: &Self| (said.order, said.bad, said.drained, said.ended);
-        told(self) != told(before) || self.failing.len() != before.failing.len()
+        let state = |one: &Self| (one.order, one.bad, one.drained, one.ended);
+        state(self) != state(before) || self.failing.len() != before.failing.len()
     }
 }
 
-/// A session that used the old version before the trial and keeps it.
+/// A session that used the old version before the trial and stays on it during the trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PinnedSession {
-    /// The order's place in its topic.
+    /// The offset of the order in its topic.
     pub order: Offset,
     /// The session.
     pub session: u64,
 }
 
-/// A VM's announcement, as another one passes it on.
+/// An announcement with the VM that made it, which may differ from the one that forwards it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeAnnouncement {
-    /// Who said it.
+    /// The VM that made it.
     pub node: id::Node,
-    /// What.
+    /// The announcement.
     pub announcement: Announcement,
 }
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -1,11 +1,11 @@
-//! Carries a roll-out through: shares evidence with the other VMs, and tells operators once it is
-//! done or undone.
+//! Carries roll-outs through: shares evidence with the other VMs, and reports to the operators when a
+//! roll-out is done or undone.
 //!
-//! Nobody leads. Within a zone VMs tell each other by datagrams; the VM that reads the log for its
-//! zone says on the VMs' own topic what it knows of all of them, and reads what other zones say. Any
-//! such VM that sees that all have left the old version tells operators, by an append that holds only
-//! if the topic has not moved since it was read. An append whose answer was lost is found by the next
-//! read.
+//! There is no leader. Within a zone VMs announce to each other by datagrams. The VM that reads the log
+//! for its zone writes to the VMs' own topic what it knows of all VMs there, and reads what other zones
+//! wrote. Any such VM that sees that all VMs have drained the old version reports the end to the
+//! operators, by an append on condition that the topic has not moved since it was read. An append whose
+//! answer was lost is found by the next read.
 
 use std::time::Duration;
 
@@ -45,19 +45,21 @@
 use crate::topic::Topic;
 use crate::zone::Zone;
 
-/// How often a roll-out is looked at. Several times within the second that evidence may take.
+/// How often a roll-out is checked. Several times within the second that evidence may take to spread.
 const TICK: Duration = Duration::from_millis(250);
 
-/// How often a VM says on the log what it knows at least, and how soon it says news.
-const SAY: Duration = Duration::from_secs(2);
-const NEWS: Duration = Duration::from_millis(700);
+/// The longest time between a VM's records on the log.
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Pause before a VM tells operators, times its rank among those that live: the first one's word
-/// should be there before the others write the same.
-const RANK: Duration = Duration::from_millis(300);
+/// The shortest time between them, for announcements that differ from the last ones.
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(700);
 
-/// The most that a VM waits for others to tell operators.
-const LONGEST: Duration = Duration::from_millis(1_500);
+/// Delay before a VM reports an end to the operators, times its rank among the VMs that are alive: the
+/// report of the first one should be on the log before the others write the same.
+const RANK_DELAY: Duration = Duration::from_millis(300);
+
+/// The longest such delay.
+const MAX_RANK_DELAY: Duration = Duration::from_millis(1_500);
 
 /// How the entry VMs' own topic is read while a roll-out is under way.
 const FLEET: Pace = Pace {
@@ -72,30 +74,31 @@
     pause: Duration::from_secs(1),
 };
 
-/// An answer of the log may take this long to begin, and to go on; the next tick may try again.
-const CALL: Duration = Duration::from_secs(1);
+/// How long an answer of the log may take to begin, and how long it may stall. The next tick may try
+/// again.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The VMs' words that were not yet taken in, in the order of their arrival.
+/// Records of the VMs that were read and not merged yet, in order of arrival.
 #[derive(Debug, Default)]
-struct Words {
-    news: Vec<(id::Node, Word)>,
+struct Unmerged {
+    records: Vec<(id::Node, Word)>,
 }
 
-impl Fold for Words {
+impl Fold for Unmerged {
     fn apply(&mut self, record: &Record, _: Told) -> bool {
-        self.news.extend(fleet::read(record));
+        self.records.extend(fleet::read(record));
         true
     }
 }
 
-/// What orders wait for that were not taken yet.
+/// What orders that could not be accepted yet wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Pending {
-    /// None waits.
+    /// No order waits.
     Nothing,
-    /// That there are several versions to choose from.
-    Choice,
-    /// That the status can be read.
+    /// The service has endpoints of one version only.
+    SeveralVersions,
+    /// The status topic could not be read.
     Status,
 }
 
@@ -104,26 +107,28 @@
     node: Node<P, L>,
     log: L,
     /// Followed while a roll-out is under way and this VM reads for itself.
-    fleet: Option<(Follower<Words, L>, CancellationToken)>,
-    /// When this VM last said something on the log, and what of itself.
-    said_at: Moment,
-    said: Vec<Announcement>,
-    /// When this VM first found that operators are to be told.
-    due: Option<Moment>,
-    /// Where the status topic ended when a roll-out began, for each that did under this VM's eyes.
-    since: Vec<(Offset, Offset)>,
+    fleet: Option<(Follower<Unmerged, L>, CancellationToken)>,
+    /// When this VM last wrote announcements to the log.
+    published_at: Moment,
+    /// Its own announcements when that last succeeded.
+    published: Vec<Announcement>,
+    /// When this VM first found that an end is to be reported.
+    report_due: Option<Moment>,
+    /// By the offset of an order, where the status topic ended when this VM accepted it. Only for orders
+    /// that were given while this VM ran and read the log.
+    status_ends: Vec<(Offset, Offset)>,
 }
 
-/// Carries roll-outs through until `token`.
+/// Starts the controller, which runs until `token` is cancelled.
 pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
     let controller = Controller {
         node: node.clone(),
         log,
         fleet: None,
-        said_at: Moment::ZERO,
-        said: Vec::new(),
-        due: None,
-        since: Vec::new(),
+        published_at: Moment::ZERO,
+        published: Vec::new(),
+        report_due: None,
+        status_ends: Vec::new(),
     };
     tokio::spawn(async move { token.run_until_cancelled(controller.run()).await });
 }
@@ -133,17 +138,17 @@
         let mut changes = self.node.operators.changes();
         let mut endpoints = self.node.directory.changes();
         loop {
-            let pending = self.take_orders().await;
+            let pending = self.accept_orders().await;
             let running = self.node.rollouts(|r| r.running());
             if running.is_empty() {
                 if self.node.reads() {
-                    self.say().await;
+                    self.publish().await;
                 }
-                self.rest();
+                self.stop_following();
                 let woken = tokio::select! {
                     woken = changes.changed() => woken,
-                    woken = endpoints.changed(), if pending == Pending::Choice => woken,
-                    () = tokio::time::sleep(SAY), if pending == Pending::Status => Ok(()),
+                    woken = endpoints.changed(), if pending == Pending::SeveralVersions => woken,
+                    () = tokio::time::sleep(PUBLISH_INTERVAL), if pending == Pending::Status => Ok(()),
                 };
                 if woken.is_err() {
                     return;
@@ -152,10 +157,10 @@
             }
             if self.node.reads() {
                 self.follow();
-                self.hear();
-                self.say().await;
+                self.merge();
+                self.publish().await;
             } else {
-                self.rest();
+                self.stop_following();
             }
             for pool in &running {
                 self.step(pool).await;
@@ -167,38 +172,38 @@
         }
     }
 
-    /// Takes orders that are new here; what those wait for that were left for later.
+    /// Accepts orders that are new to this VM; returns what the others wait for.
     ///
-    /// One that was given before this process began may be carried through already, which only the
-    /// status tells. As long as there is one version only it makes no difference: VMs that start
-    /// together would all ask the log for nothing.
-    async fn take_orders(&mut self) -> Pending {
+    /// An order that was given before this process started may have ended already, which only the status
+    /// topic shows. While the service has a single version this makes no difference, and the topic is not
+    /// read: VMs that start together would all call the log for nothing.
+    async fn accept_orders(&mut self) -> Pending {
         let orders: Vec<Order> = self.node.operators.view(|view| view.orders().to_vec());
         let known = |order: &Order| self.node.rollouts(|r| r.has_order(order));
         let new: Vec<Order> = orders.into_iter().filter(|order| !known(order)).collect();
         let now = boot::now();
         if new.iter().any(|order| order.first) {
-            // The pools may not have seen yet which versions there are.
+            // The pools may not know the versions of the endpoints yet.
             pools::refresh(&self.node);
         }
         let mut pending = Pending::Nothing;
         for order in new {
             let pool = &order.rollout.pool;
             if order.first && !self.node.rollouts(|r| r.has_several_versions(pool)) {
-                pending = Pending::Choice;
+                pending = Pending::SeveralVersions;
                 continue;
             }
             let ended = if order.first {
-                let Some((statuses, _)) = self.statuses().await else {
+                let Some((statuses, _)) = self.read_statuses().await else {
                     return Pending::Status;
                 };
-                ended(&statuses, &order, Offset::default())
+                reported_end(&statuses, &order, Offset::default())
             } else {
                 if self.node.reads() {
-                    let Some((_, end)) = self.statuses().await else {
+                    let Some((_, end)) = self.read_statuses().await else {
                         return Pending::Status;
                     };
-                    self.since.push((order.offset, end));
+                    self.status_ends.push((order.offset, end));
                 }
                 None
             };
@@ -216,72 +221,73 @@
                 FLEET,
                 Zone::default(),
                 self.node.calls.clone(),
-                Words::default(),
+                Unmerged::default(),
                 token.clone(),
             );
             self.fleet = Some((follower, token));
         }
     }
 
-    fn rest(&mut self) {
+    fn stop_following(&mut self) {
         if let Some((_, token)) = self.fleet.take() {
             token.cancel();
         }
     }
 
-    /// Takes in what the other VMs said on the log since.
-    fn hear(&self) {
+    /// Merges the announcements that were read from the log since the last call.
+    fn merge(&self) {
         let Some((fleet, _)) = &self.fleet else {
             return;
         };
-        let news = fleet.amend(|words| std::mem::take(&mut words.news));
+        let records = fleet.amend(|unmerged| std::mem::take(&mut unmerged.records));
         let now = boot::now();
         let own = &self.node.config.node;
-        let said = news.iter().flat_map(|(_, word)| &word.rollouts);
-        for said in said.filter(|said| said.node != *own) {
-            self.node.rollouts(|r| r.receive(said, now));
+        let received = records.iter().flat_map(|(_, word)| &word.rollouts);
+        for received in received.filter(|received| received.node != *own) {
+            self.node.rollouts(|r| r.receive(received, now));
         }
     }
 
-    /// Says on the log what this VM and those of its zone saw, if it is time or there is news.
-    async fn say(&mut self) {
+    /// Writes to the log the announcements of this VM and those of its zone, if they changed or it is
+    /// time to repeat them.
+    async fn publish(&mut self) {
         let now = boot::now();
         let own = self.node.announcements(now);
         if own.is_empty() {
             return;
         }
-        let since = now.since(self.said_at);
-        let bad = |said: &[Announcement]| said.iter().any(|s| s.bad || s.ended.is_some());
-        let urgent = bad(&own) && !bad(&self.said);
-        let news = announcements_differ(&own, &self.said);
-        let ended = own.iter().all(|said| said.ended.is_some());
-        let early = since < NEWS || (since < SAY || ended) && !news;
+        let since = now.since(self.published_at);
+        let decided = |all: &[Announcement]| all.iter().any(|a| a.bad || a.ended.is_some());
+        let urgent = decided(&own) && !decided(&self.published);
+        let changed = announcements_differ(&own, &self.published);
+        let ended = own.iter().all(|announcement| announcement.ended.is_some());
+        let early = since < MIN_PUBLISH_INTERVAL || (since < PUBLISH_INTERVAL || ended) && !changed;
         if early && !urgent {
             return;
         }
-        self.said_at = now;
+        self.published_at = now;
         let node = &self.node.config.node;
         let mut rollouts = self.node.rollouts(|r| r.received_announcements(now));
-        rollouts.extend(own.iter().map(|what| NodeAnnouncement {
+        rollouts.extend(own.iter().map(|announcement| NodeAnnouncement {
             node: node.clone(),
-            announcement: what.clone(),
+            announcement: announcement.clone(),
         }));
         let word = Word {
             rollouts,
             ..self.node.word()
         };
         if self.node.say(&word, &self.log).await {
-            self.said = own;
+            self.published = own;
         }
     }
 
-    /// What is to be done about one roll-out now.
+    /// Does what is to be done about one roll-out now.
     async fn step(&mut self, pool: &id::Pool) {
         let Some(order) = self.node.rollouts(|r| r.get(pool).map(|p| p.order.clone())) else {
             return;
         };
         let now = boot::now();
-        let left = self.node.is_drained(pool, &order.rollout.target);
+        let drained = self.node.is_drained(pool, &order.rollout.target);
         let reads = self.node.reads();
         let visibility = if reads {
             Visibility::AllZones
@@ -290,45 +296,46 @@
         };
         let step = self
             .node
-            .rollouts(|r| r.next_step(pool, left, visibility, now));
+            .rollouts(|r| r.next_step(pool, drained, visibility, now));
         let Step::Report(end) = step else {
-            self.due = None;
+            self.report_due = None;
             return;
         };
-        // The others must know before this VM rests.
-        let said = self.said.iter().any(|said| said.bad);
-        if end == End::Undone && reads && !said {
+        // The other VMs must learn that the version is bad before this VM ends the roll-out.
+        let announced = self.published.iter().any(|announcement| announcement.bad);
+        if end == End::Undone && reads && !announced {
             return;
         }
-        let due = *self.due.get_or_insert(now);
+        let due = *self.report_due.get_or_insert(now);
         let own = &self.node.config.node;
         let rank = self.node.rollouts(|r| r.rank(pool, own, now));
-        let patience = if reads {
-            (RANK * rank).min(LONGEST)
+        let delay = if reads {
+            (RANK_DELAY * rank).min(MAX_RANK_DELAY)
         } else {
-            // A whole zone would tell the same in one moment.
-            LONGEST * 2 + RANK * rank
+            // Otherwise all VMs of a zone would report the same end at the same moment.
+            MAX_RANK_DELAY * 2 + RANK_DELAY * rank
         };
-        if now.since(due) >= patience && self.tell(&order, end).await {
-            self.due = None;
+        if now.since(due) >= delay && self.report_end(&order, end).await {
+            self.report_due = None;
         }
     }
 
-    /// Tells operators of an end unless they were told of one; whether they know now.
-    async fn tell(&self, order: &Order, end: End) -> bool {
+    /// Reports an end to the operators unless one was reported already; whether one is known to be
+    /// reported now.
+    async fn report_end(&self, order: &Order, end: End) -> bool {
         let pool = &order.rollout.pool;
         let target = &order.rollout.target;
-        let Some((statuses, at)) = self.statuses().await else {
+        let Some((statuses, at)) = self.read_statuses().await else {
             return false;
         };
         let since = self
-            .since
+            .status_ends
             .iter()
             .find(|(offset, _)| *offset == order.offset);
         let since = since.map_or(Offset::default(), |(_, since)| *since);
         let now = boot::now();
-        if let Some(told) = ended(&statuses, order, since) {
-            self.node.rollouts(|r| r.end(pool, told, now));
+        if let Some(reported) = reported_end(&statuses, order, since) {
+            self.node.rollouts(|r| r.end(pool, reported, now));
             return true;
         }
         let status = Status {
@@ -344,37 +351,39 @@
         let append = self
             .log
             .append(Topic::Status, &key, Bytes::from(value), Some(at));
-        match tokio::time::timeout(CALL, append).await {
+        match tokio::time::timeout(CALL_TIMEOUT, append).await {
             Ok(Ok(_)) => {
-                log::info!("rollout: {pool} to {target}: operators told {end:?}.");
+                log::info!("rollout: {pool} to {target}: reported {end:?} to the operators.");
                 self.node.rollouts(|r| r.end(pool, end, now));
                 true
             }
             Ok(Err(Error::Moved { .. })) => false,
             Ok(Err(error)) => {
-                log::warn!("rollout: {pool} to {target}: operators not told: {error}.");
+                log::warn!("rollout: {pool} to {target}: report to the operators failed: {error}.");
                 false
             }
             Err(_) => {
-                log::warn!("rollout: {pool} to {target}: no answer in time, looking again.");
+                log::warn!(
+                    "rollout: {pool} to {target}: no answer to the report in time; retrying."
+                );
                 false
             }
         }
     }
 
-    /// What operators were told, each with its offset, and the end of that topic.
-    async fn statuses(&self) -> Option<(Vec<(Offset, Status)>, Offset)> {
+    /// The reports on the status topic, each with its offset, and the end of that topic.
+    async fn read_statuses(&self) -> Option<(Vec<(Offset, Status)>, Offset)> {
         self.node.calls.count(Topic::Status, Reason::Status);
         let progress = Progress::default();
         let newest = self.log.newest(Topic::Status, &progress);
-        let batch = match progress.wait(newest, CALL, CALL).await {
+        let batch = match progress.wait(newest, CALL_TIMEOUT, CALL_TIMEOUT).await {
             Ok(Ok(batch)) => batch,
             Ok(Err(error)) => {
-                log::warn!("rollout: Status not read: {error}.");
+                log::warn!("rollout: The status topic can't be read: {error}.");
                 return None;
             }
             Err(error) => {
-                log::warn!("rollout: Status not read: {error}.");
+                log::warn!("rollout: The status topic can't be read: {error}.");
                 return None;
             }
         };
@@ -383,7 +392,8 @@
             match self.node.platform.status(&record.key, value) {
                 Ok(status) => status.map(|status| (record.offset, status)),
                 Err(error) => {
-                    log::warn!("rollout: Status {} left out: {error}.", record.key);
+                    let key = &record.key;
+                    log::warn!("rollout: Status {key} can't be decoded and is ignored: {error}.");
                     None
                 }
             }
@@ -393,15 +403,15 @@
     }
 }
 
-/// How an order ended by what operators were told from an offset on: an earlier order may have been
-/// for the same version.
-fn ended(statuses: &[(Offset, Status)], order: &Order, since: Offset) -> Option<End> {
-    let told = statuses.iter().find(|(offset, status)| {
+/// How an order ended by the reports from an offset on. Earlier ones may be about another order for the
+/// same version.
+fn reported_end(statuses: &[(Offset, Status)], order: &Order, since: Offset) -> Option<End> {
+    let found = statuses.iter().find(|(offset, status)| {
         *offset >= since
             && status.pool == order.rollout.pool
             && status.target == order.rollout.target
     });
-    match told?.1.stage {
+    match found?.1.stage {
         Stage::Running => None,
         Stage::Done => Some(End::Done),
         Stage::Undone => Some(End::Undone),
@@ -418,7 +428,7 @@
         self.rollouts(|r| r.announcements(|pool, target| self.is_drained(pool, target), now))
     }
 
-    /// What the zone is to be told of roll-outs now.
+    /// The announcements about roll-outs to send to the zone now.
     pub(crate) fn due_announcements(&self, now: Moment) -> Vec<Announcement> {
         self.rollouts(|r: &mut Rollouts| {
             r.due_announcements(|pool, target| self.is_drained(pool, target), now)
--- a/crates/relay/src/rollouts/state.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -1,4 +1,4 @@
-//! One roll-out: its order, what was seen of it here and elsewhere, and how it ended.
+//! One roll-out: its order, the evidence of this and the other VMs, and how it ended.
 
 use std::time::Duration;
 
@@ -18,23 +18,24 @@
 use super::announcement::Route;
 use crate::operators::Order;
 
-/// After this long without an announcement a VM is no longer waited for: it is down, or cut off
-/// from the log, in which case it lets no keys in and sends nothing. Two announcements, and some.
-const DEAD: Duration = Duration::from_millis(4_500);
+/// After this long without an announcement from a VM the roll-out no longer waits for it: the VM is
+/// down, or cut off from the log, in which case it admits no keys and sends no requests. It is a little
+/// more than the time between two further announcements.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// An ended roll-out is announced for this long, for those that wait for word of it.
-const ECHO: Duration = Duration::from_secs(10);
+/// An ended roll-out is announced for this long, for VMs that don't know of the end yet.
+const END_ANNOUNCED: Duration = Duration::from_secs(10);
 
-/// Failing endpoints that are named; two from different VMs are enough to tell that it is not one
-/// sick endpoint.
-const FAILING: usize = 8;
+/// Failing endpoints that an announcement lists. Two from different VMs are enough to tell a bad
+/// version from a single faulty endpoint.
+const MAX_FAILING: usize = 8;
 
-/// Another VM's last word.
+/// Another VM's last announcement.
 #[derive(Debug, Clone)]
-struct Peer {
+struct PeerAnnouncement {
     node: id::Node,
-    said: Announcement,
-    heard: Moment,
+    announcement: Announcement,
+    received: Moment,
 }
 
 /// A roll-out that was ordered.
@@ -42,50 +43,50 @@
 pub struct RolloutState {
     /// The order.
     pub order: Order,
-    /// How old the order was when it was read here, as other VMs tell.
-    behind: Duration,
-    /// How it ended, and when that was known here.
+    /// How old the order was when this VM read it, by the announcements of other VMs.
+    read_delay: Duration,
+    /// How the roll-out ended, and when this VM knew of it.
     ended: Option<(End, Moment)>,
-    /// Cause for which the new version counts as bad.
+    /// Why the new version counts as bad; none if it doesn't.
     bad: Option<CompactString>,
-    /// Sorted by name.
+    /// This VM's evidence, sorted by name.
     routes: Vec<Route>,
-    /// Endpoints of the new version that failed a request, as hashes, sorted.
+    /// Hashes of endpoints of the new version that failed a request of this VM, sorted.
     failing: Vec<u64>,
     /// Sorted by node.
-    peers: Vec<Peer>,
+    peers: Vec<PeerAnnouncement>,
     /// Sessions that used the old version before the trial, at any VM, and that the trial's share
     /// would move; sorted.
     pinned: Vec<u64>,
-    /// Those of them that other VMs were not told of yet.
+    /// Those of them that were not announced to other VMs yet.
     pending_sessions: Vec<u64>,
 }
 
-/// Whose words a VM hears.
+/// Which VMs' announcements a VM receives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Visibility {
     /// Those of its zone, by datagrams.
     Zone,
-    /// Those of all VMs, as it reads their topic.
+    /// Those of all zones, as it reads the VMs' topic.
     AllZones,
 }
 
-/// What operators are to be told.
+/// What is to be done about a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing.
+    /// Nothing yet.
     Wait,
-    /// That it has ended.
+    /// Report its end to the operators.
     Report(End),
 }
 
 impl RolloutState {
-    /// A roll-out that begins, or that ended before this process did.
+    /// A roll-out that begins, or that ended before this process started.
     #[must_use]
     pub const fn new(order: Order, ended: Option<(End, Moment)>) -> Self {
         Self {
             order,
-            behind: Duration::ZERO,
+            read_delay: Duration::ZERO,
             ended,
             bad: None,
             routes: Vec::new(),
@@ -102,7 +103,8 @@
         self.pinned.binary_search(&session).is_ok()
     }
 
-    /// Notes a session that uses the old version; `own` if it does so at this VM.
+    /// Pins a session to the old version. `own` is set if this VM saw it use that version, and will
+    /// announce it.
     pub fn pin_session(&mut self, session: u64, own: bool) {
         let Err(place) = self.pinned.binary_search(&session) else {
             return;
@@ -113,30 +115,30 @@
         }
     }
 
-    /// The sessions that other VMs are to be told of.
+    /// The sessions to announce to other VMs.
     pub fn take_pending_sessions(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.pending_sessions)
     }
 
-    /// How old the order is.
+    /// The age of the order.
     #[must_use]
     pub fn age(&self, now: Moment) -> Duration {
-        now.since(self.order.read) + self.behind
+        now.since(self.order.read) + self.read_delay
     }
 
-    /// The version that is moved to.
+    /// The new version.
     #[must_use]
     pub const fn target(&self) -> &id::Version {
         &self.order.rollout.target
     }
 
-    /// The order's place in its topic.
+    /// The offset of the order in its topic.
     #[must_use]
     pub const fn offset(&self) -> Offset {
         self.order.offset
     }
 
-    /// How it ended.
+    /// How it ended; none while it is under way.
     #[must_use]
     pub fn ended(&self) -> Option<End> {
         self.ended.map(|(end, _)| end)
@@ -148,13 +150,14 @@
         self.bad.is_some() || self.ended() == Some(End::Undone)
     }
 
-    /// Whether others are to be told of it.
+    /// Whether it is announced to other VMs: while it is under way, and for some time after its end.
     #[must_use]
     pub fn is_announced(&self, now: Moment) -> bool {
-        self.ended.is_none_or(|(_, at)| now.since(at) < ECHO)
+        self.ended
+            .is_none_or(|(_, at)| now.since(at) < END_ANNOUNCED)
     }
 
-    /// Takes its end.
+    /// Ends it, unless it has ended.
     pub fn end(&mut self, end: End, now: Moment) {
         if self.ended.is_none() {
             log::info!(
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Counts a request of a route on one of the versions.
+    /// Counts a request of a route. `new` is set if it used the new version.
     pub fn count(&mut self, route: &str, new: bool, endpoint: &id::Endpoint, outcome: Outcome) {
         if new && outcome == Outcome::Failed {
             let hash = choice::key(endpoint.as_str());
@@ -174,18 +177,19 @@
                 self.failing.insert(place, hash);
             }
         }
-        let route = find(&mut self.routes, route);
-        let sum = if new { &mut route.new } else { &mut route.old };
-        sum.count(outcome);
+        let route = route_mut(&mut self.routes, route);
+        let counts = if new { &mut route.new } else { &mut route.old };
+        counts.count(outcome);
     }
 
     /// The evidence of all VMs, for each route.
     fn tallies(&self) -> Vec<shift::Tally> {
         let mut routes = self.routes.clone();
-        for said in self.peers.iter().flat_map(|peer| &peer.said.routes) {
-            let route = find(&mut routes, &said.name);
-            route.new.add(&said.new);
-            route.old.add(&said.old);
+        let peers = self.peers.iter();
+        for other in peers.flat_map(|peer| &peer.announcement.routes) {
+            let route = route_mut(&mut routes, &other.name);
+            route.new.add(&other.new);
+            route.old.add(&other.old);
         }
         let tally = |route: &Route| shift::Tally {
             new: route.new.evidence(),
@@ -194,34 +198,37 @@
         routes.iter().map(tally).collect()
     }
 
-    /// Answers of the new version on all routes, at any VM.
+    /// Requests of all routes on the new version, at any VM.
     #[must_use]
     pub fn target_counts(&self) -> RequestCounts {
-        let peers = self.peers.iter().flat_map(|peer| &peer.said.routes);
-        let mut sum = RequestCounts::default();
-        for route in self.routes.iter().chain(peers) {
-            sum.add(&route.new);
+        let peers = self.peers.iter();
+        let peer_routes = peers.flat_map(|peer| &peer.announcement.routes);
+        let mut counts = RequestCounts::default();
+        for route in self.routes.iter().chain(peer_routes) {
+            counts.add(&route.new);
         }
-        sum
+        counts
     }
 
-    /// Endpoints of the new version that failed a request, at any VM.
+    /// The number of endpoints of the new version that failed a request, at any VM.
     fn failing(&self) -> usize {
-        let peers = self.peers.iter().flat_map(|peer| &peer.said.failing);
-        let mut all: Vec<u64> = self.failing.iter().chain(peers).copied().collect();
+        let peers = self.peers.iter();
+        let peer_failing = peers.flat_map(|peer| &peer.announcement.failing);
+        let mut all: Vec<u64> = self.failing.iter().chain(peer_failing).copied().collect();
         all.sort_unstable();
         all.dedup();
         all.len()
     }
 
-    /// Whether the new version, which has so many endpoints, is bad by the evidence of all VMs.
+    /// Decides whether the new version is bad by the evidence of all VMs. `endpoints` is the number of
+    /// its endpoints.
     pub fn judge(&mut self, endpoints: usize) {
         if self.bad.is_some() {
             return;
         }
-        let told = self.peers.iter().any(|peer| peer.said.bad);
-        let cause = if told {
-            Some(CompactString::const_new("another VM says so"))
+        let reported = self.peers.iter().any(|peer| peer.announcement.bad);
+        let cause = if reported {
+            Some(CompactString::const_new("reported by another VM"))
         } else {
             let cause = shift::verdict(&self.tallies(), self.failing(), endpoints);
             cause.map(|cause| CompactString::from(format!("{cause:?}")))
@@ -237,74 +244,76 @@
         }
     }
 
-    /// Takes another VM's word.
-    pub fn receive(&mut self, node: &id::Node, said: &Announcement, now: Moment) {
-        if said.order != self.order.offset {
+    /// Takes in another VM's announcement.
+    pub fn receive(&mut self, node: &id::Node, announcement: &Announcement, now: Moment) {
+        if announcement.order != self.order.offset {
             return;
         }
-        let age = Duration::from_millis(u64::from(said.age_ms));
-        self.behind += age.saturating_sub(self.age(now));
-        if let Some(end) = said.ended {
+        let age = Duration::from_millis(u64::from(announcement.age_ms));
+        self.read_delay += age.saturating_sub(self.age(now));
+        if let Some(end) = announcement.ended {
             self.end(end, now);
         }
         match self.peers.binary_search_by(|p| p.node.cmp(node)) {
-            // The same word may come directly and passed on; the younger one holds.
-            Ok(place) if self.peers[place].said.age_ms > said.age_ms => {}
+            // An announcement may come directly and be forwarded as well. A later one gives the order
+            // a greater age, and an earlier one does not replace it.
+            Ok(place) if self.peers[place].announcement.age_ms > announcement.age_ms => {}
             Ok(place) => {
-                self.peers[place].said = said.clone();
-                self.peers[place].heard = now;
+                self.peers[place].announcement = announcement.clone();
+                self.peers[place].received = now;
             }
             Err(place) => {
-                let peer = Peer {
+                let peer = PeerAnnouncement {
                     node: node.clone(),
-                    said: said.clone(),
-                    heard: now,
+                    announcement: announcement.clone(),
+                    received: now,
                 };
                 self.peers.insert(place, peer);
             }
         }
     }
 
-    /// What this VM says. `left` tells whether none of its requests is at the old version.
+    /// This VM's announcement. `drained` is set if none of its requests is at the old version.
     #[must_use]
-    pub fn announcement(&self, phase: Phase, left: bool, now: Moment) -> Announcement {
+    pub fn announcement(&self, phase: Phase, drained: bool, now: Moment) -> Announcement {
         let age = self.age(now).as_millis();
         Announcement {
             pool: self.order.rollout.pool.clone(),
             order: self.offset(),
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             routes: self.routes.clone(),
-            failing: self.failing.iter().take(FAILING).copied().collect(),
+            failing: self.failing.iter().take(MAX_FAILING).copied().collect(),
             bad: self.bad.is_some(),
-            drained: phase == Phase::Moved && left,
+            drained: phase == Phase::Moved && drained,
             ended: self.ended(),
         }
     }
 
-    /// What the other VMs that live said, to be passed on.
+    /// The last announcements of the other VMs that are alive, to be forwarded.
     pub fn received_announcements(&self, now: Moment) -> impl Iterator<Item = NodeAnnouncement> {
-        self.live(now).map(|peer| NodeAnnouncement {
+        self.live_peers(now).map(|peer| NodeAnnouncement {
             node: peer.node.clone(),
-            announcement: peer.said.clone(),
+            announcement: peer.announcement.clone(),
         })
     }
 
-    fn live(&self, now: Moment) -> impl Iterator<Item = &Peer> {
-        let live = move |peer: &&Peer| now.since(peer.heard) < DEAD;
+    fn live_peers(&self, now: Moment) -> impl Iterator<Item = &PeerAnnouncement> {
+        let live = move |peer: &&PeerAnnouncement| now.since(peer.received) < ANNOUNCEMENT_TIMEOUT;
         self.peers.iter().filter(live)
     }
 
-    /// What operators are to be told. `left` tells whether none of this VM's requests is at the old
-    /// version, `margin` how long before the deadline they are told whoever has not been heard of.
+    /// What is to be done about the roll-out now. `drained` is set if none of this VM's requests is at
+    /// the old version. `margin` is the time before the deadline from which the end is reported even if
+    /// not all VMs are known to have drained the old version.
     ///
-    /// The old endpoints stop at once when operators hear that a roll-out is done. A VM that hears its
-    /// zone alone can't know that the VMs of other zones have left them: their callers' streams would
-    /// be cut.
+    /// The old endpoints stop as soon as the operators read that a roll-out is done. A VM that receives
+    /// announcements of its own zone only can't know whether the VMs of other zones have drained them;
+    /// if it reported the end early, it would cut streams of their callers.
     #[must_use]
     pub fn next_step(
         &self,
         phase: Phase,
-        left: bool,
+        drained: bool,
         visibility: Visibility,
         margin: Duration,
         now: Moment,
@@ -312,9 +321,9 @@
         if self.bad.is_some() {
             return Step::Report(End::Undone);
         }
-        let all = left
+        let all = drained
             && visibility == Visibility::AllZones
-            && self.live(now).all(|peer| peer.said.drained);
+            && self.live_peers(now).all(|peer| peer.announcement.drained);
         let late = self.age(now) + margin >= self.order.rollout.lasts;
         if phase == Phase::Moved && (all || late) {
             return Step::Report(End::Done);
@@ -322,15 +331,16 @@
         Step::Wait
     }
 
-    /// The place of a VM among those that live.
+    /// How many of the other VMs that are alive come before `own` by name.
     #[must_use]
     pub fn rank(&self, own: &id::Node, now: Moment) -> u32 {
-        let before = self.live(now).filter(|peer| peer.node < *own).count();
+        let before = self.live_peers(now).filter(|peer| peer.node < *own).count();
         u32::try_from(before).unwrap_or(u32::MAX)
     }
 }
 
-fn find<'a>(routes: &'a mut Vec<Route>, name: &str) -> &'a mut Route {
+/// The entry of a route, added if it is missing. `routes` is sorted by name.
+fn route_mut<'a>(routes: &'a mut Vec<Route>, name: &str) -> &'a mut Route {
     let found = routes.binary_search_by(|route| route.name.as_str().cmp(name));
     let place = found.unwrap_or_else(|place| {
         let route = Route {
