--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -1,14 +1,16 @@
-//! What the entry VMs tell each other by datagrams: how long engines take for their prompts, which
-//! prompts engines have read, and what one VM of a zone, which reads the log for the others, found.
+//! Datagrams between the entry VMs: how long engines take for their prompts, which prompts they have
+//! prefilled, and what the VM that reads the log for its zone found there. Endpoints' limits,
+//! announcements about roll-outs and reports of requests that crash endpoints go along.
 //!
-//! All but the last is a hint. A datagram that is lost makes a prompt wait a little longer or be read
-//! once more, or a VM read the log by itself. What was found are records and what proves them; it is
-//! taken from whoever reaches the internal ports, which the platform keeps to the system's own VMs.
-//! VMs find each other by the topic that they share, read once at the start; who starts later is met
-//! by its first datagram. Records too large for datagrams are asked for over a connection.
+//! What is said of engines is a hint: if it is lost, a prompt waits a little longer or is prefilled once
+//! more. What the zone's reader found are records and proofs; if they are lost, a VM reads the log by
+//! itself. They are accepted from any sender that reaches the internal ports, which the platform
+//! restricts to the system's own VMs. VMs discover each other by a topic that they share, read once at
+//! the start; a VM that starts later is discovered by its first datagram. Records too large for datagrams
+//! are fetched over a connection.
 //!
-//! Within a zone each VM tells all others. To another zone it tells one VM, which passes it on there,
-//! so that bytes between zones grow with the number of zones and not with that of VMs.
+//! Within a zone each VM sends to all others. In each other zone it sends to one VM, which forwards
+//! within that zone, so that traffic between zones grows with the number of zones and not of VMs.
 
 pub mod broadcast;
 mod discovery;
@@ -54,29 +56,31 @@
 use crate::zone::Stamp;
 use crate::zone::Zone;
 
-/// A VM whose view of the log is older than this reads for nobody else: reads of others prove it
-/// every 2.2 s at least.
-const BLIND: Duration = Duration::from_millis(2_600);
+/// A VM whose view of the log is older than this does not read for others. The reads of other VMs prove a
+/// view at least every 2.2 s.
+const MAX_VIEW_AGE: Duration = Duration::from_millis(2_600);
 
-/// Pause after a failure, so that one that stays doesn't take the whole processor.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failure, so that one that persists doesn't use up the processor.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The largest datagram that is taken: one with the largest record that is handed on, and some.
-const LARGEST: usize = 10 << 10;
+/// The largest datagram that is received, in bytes: one with the largest record that is forwarded by
+/// datagrams, and some.
+const MAX_DATAGRAM: usize = 10 << 10;
 
 #[derive(Debug, Default)]
 struct Inner {
     peers: Peers,
-    /// What other zones are to be told.
-    far: Vec<Prefill>,
-    /// What other zones told and the own one is to be told.
-    passed: Vec<Prefill>,
-    /// The same of sessions that keep a version.
-    far_kept: Vec<PinnedSession>,
-    passed_kept: Vec<PinnedSession>,
-    /// Up to which offsets the zone was told of the records of each topic; none while this VM does not
-    /// read for it.
-    told: Option<broadcast::ForwardedOffsets>,
+    /// Prefixes to send to other zones.
+    remote_prefills: Vec<Prefill>,
+    /// Prefixes received from other zones, to forward within this one.
+    forwarded_prefills: Vec<Prefill>,
+    /// Pinned sessions to send to other zones.
+    remote_sessions: Vec<PinnedSession>,
+    /// Pinned sessions received from other zones, to forward within this one.
+    forwarded_sessions: Vec<PinnedSession>,
+    /// The offsets up to which records were forwarded to the zone; none while this VM does not read
+    /// the log for it.
+    forwarded: Option<broadcast::ForwardedOffsets>,
 }
 
 struct Neighbours<P, L> {
@@ -85,8 +89,8 @@
     zone: Zone,
     socket: Arc<UdpSocket>,
     inner: Arc<Mutex<Inner>>,
-    /// LimitMessage of each word of a VM of the zone.
-    heard: Arc<Notify>,
+    /// Notified of each datagram from a VM of the zone.
+    zone_datagram: Arc<Notify>,
 }
 
 impl<P: Clone, L: Clone> Clone for Neighbours<P, L> {
@@ -97,12 +101,12 @@
             zone: self.zone.clone(),
             socket: Arc::clone(&self.socket),
             inner: Arc::clone(&self.inner),
-            heard: Arc::clone(&self.heard),
+            zone_datagram: Arc::clone(&self.zone_datagram),
         }
     }
 }
 
-/// Starts to tell other VMs and to listen to them.
+/// Starts to exchange datagrams with the other VMs.
 pub fn start<P: Border + Codec, L: Log>(
     node: &Node<P, L>,
     log: L,
@@ -118,7 +122,7 @@
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Arc::new(socket),
         Err(error) => {
-            log::error!("neighbours: No datagrams at {address}: {error}.");
+            log::error!("neighbours: Can't listen at {address} for datagrams: {error}.");
             return;
         }
     };
@@ -129,16 +133,16 @@
         zone,
         socket,
         inner: Arc::default(),
-        heard: Arc::default(),
+        zone_datagram: Arc::default(),
     };
-    let meet = neighbours.clone();
-    let listen = neighbours.clone();
-    let far = neighbours.clone();
+    let discovery = neighbours.clone();
+    let listener = neighbours.clone();
+    let remote = neighbours.clone();
     tokio::join!(
-        meet.meet(),
-        listen.listen(),
-        neighbours.tell_near(),
-        far.tell_far(),
+        discovery.discover(),
+        listener.listen(),
+        neighbours.broadcast_to_zone(),
+        remote.broadcast_to_remote_zones(),
         records
     );
 }
@@ -148,107 +152,107 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether another VM reads the log for this one, and has read it.
-    fn is_led_by_able(&self) -> bool {
+    /// Whether another VM, which has read the log, reads it for this one.
+    fn has_eligible_reader(&self) -> bool {
         let role = self.role();
         !role.state.blind && role.lead == Lead::Led
     }
 
-    /// Who reads the log for whom, by what is known now.
+    /// This VM's part in reading the log for the zone, by what is known now.
     fn role(&self) -> Role {
         let config = &self.node.config;
-        let standing = self.reader_status();
+        let status = self.reader_status();
         let peers = &self.lock().peers;
-        peers.role(&config.node, &config.zone, standing, boot::now())
+        peers.role(&config.node, &config.zone, status, boot::now())
     }
 
     async fn listen(&self) {
-        let mut buffer = vec![0; LARGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             let received = self.socket.recv_from(&mut buffer).await;
             let (length, from) = match received {
                 Ok(received) => received,
                 Err(error) => {
-                    log::debug!("neighbours: Nothing received: {error}.");
-                    tokio::time::sleep(PAUSE).await;
+                    log::debug!("neighbours: A datagram can't be received: {error}.");
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
             };
             match postcard::from_bytes::<Message>(&buffer[..length]) {
-                Ok(message) => self.answer(message, from).await,
-                Err(error) => log::warn!("neighbours: Datagram from {from} left out: {error}."),
+                Ok(message) => self.handle(message, from).await,
+                Err(error) => {
+                    log::warn!(
+                        "neighbours: Ignoring a datagram from {from}, which can't be decoded: {error}."
+                    );
+                }
             }
         }
     }
 
-    /// Takes a datagram, and answers that of a VM which starts if this one reads the log: the other one
-    /// waits to know whom it can ask.
-    async fn answer(&self, message: Message, from: SocketAddr) {
-        let near = message.zone == self.node.config.zone;
-        let starts = near && message.reader_status == ReaderStatus::Starting;
-        let teller = starts.then(|| choice::key(message.node.as_str()));
-        self.take(message, from);
+    /// Merges a datagram. If it comes from a VM that starts, and this one reads the log, it is answered
+    /// at once: the other VM waits to learn from whom it can get the records.
+    async fn handle(&self, message: Message, from: SocketAddr) {
+        let local = message.zone == self.node.config.zone;
+        let starts = local && message.reader_status == ReaderStatus::Starting;
+        let sender = starts.then(|| choice::key(message.node.as_str()));
+        self.merge(message, from);
         let reads = *self.zone.lead.borrow() != Lead::Led;
-        if let Some(teller) = teller
+        if let Some(sender) = sender
             && reads
             && self.reader_status() == ReaderStatus::Eligible
         {
-            self.send(from, Some(teller), &Update::default()).await;
+            self.send(from, Some(sender), &Update::default()).await;
         }
     }
 
-    fn take(&self, message: Message, from: SocketAddr) {
+    fn merge(&self, message: Message, from: SocketAddr) {
         let config = &self.node.config;
         if message.node == config.node {
             return;
         }
-        let near = message.zone == config.zone;
+        let local = message.zone == config.zone;
         let now = boot::now();
         let peer = Peer::discovered(message.node.clone(), message.zone, from, now);
         let peer = peer.with_datagram(message.reader_status, now);
-        let teller = peer.key;
-        let other = {
+        let sender = peer.key;
+        let changed = {
             let mut inner = self.lock();
-            let other = inner.peers.update(peer, now);
-            if !near {
-                inner.passed.extend(message.prefills.iter().cloned());
-                inner.passed_kept.extend(&message.pinned_sessions);
+            let changed = inner.peers.update(peer, now);
+            if !local {
+                let prefills = message.prefills.iter().cloned();
+                inner.forwarded_prefills.extend(prefills);
+                inner.forwarded_sessions.extend(&message.pinned_sessions);
             }
-            other
+            changed
         };
-        if other && near {
-            self.settle();
+        if changed && local {
+            self.update_role();
         }
-        if near {
-            self.heard.notify_one();
+        if local {
+            self.zone_datagram.notify_one();
         }
-        for word in &message.poison {
+        for report in &message.poison {
             let writes = self.node.reads();
-            self.node.poison.receive(*word, !near, writes, now);
+            self.node.poison.receive(*report, !local, writes, now);
         }
-        for kept in &message.pinned_sessions {
-            self.node.rollouts(|r| r.pin_session(*kept));
+        for pinned in &message.pinned_sessions {
+            self.node.rollouts(|r| r.pin_session(*pinned));
         }
-        if near {
+        if local {
             self.zone.heard(Stamp {
-                node: teller,
+                node: sender,
                 at: message.stamp,
             });
             for passage in &message.passages {
-                self.hand(passage);
+                self.apply_passage(passage);
             }
-            self.vouch(message.proofs);
-            for what in message.rollouts {
-                let node = message.node.clone();
-                self.node.rollouts(|r| {
-                    r.receive(
-                        &NodeAnnouncement {
-                            node,
-                            announcement: what,
-                        },
-                        now,
-                    )
-                });
+            self.apply_proofs(message.proofs);
+            for announcement in message.rollouts {
+                let received = NodeAnnouncement {
+                    node: message.node.clone(),
+                    announcement,
+                };
+                self.node.rollouts(|r| r.receive(&received, now));
             }
         }
         let waits: Vec<(u64, Duration)> = message
@@ -258,20 +262,20 @@
             .collect();
         let limits: Vec<limited::Word> = message.limits.iter().filter_map(limit::decode).collect();
         for (_, pool) in self.node.scheduler.pools() {
-            if near {
-                pool.hear(teller, &waits);
-                for word in &limits {
-                    pool.hear_limit(*word);
+            if local {
+                pool.hear(sender, &waits);
+                for limit in &limits {
+                    pool.hear_limit(*limit);
                 }
             }
-            for read in &message.prefills {
-                pool.learn(read.engine, &read.prompt());
+            for prefill in &message.prefills {
+                pool.learn(prefill.engine, &prefill.prompt());
             }
         }
     }
 
-    /// Takes records that another VM read.
-    fn hand(&self, passage: &Passage) {
+    /// Applies records that another VM read from the log.
+    fn apply_passage(&self, passage: &Passage) {
         let Passage {
             topic, from, to, ..
         } = *passage;
@@ -285,12 +289,12 @@
     }
 
     /// Whether this VM reads the log for its zone.
-    fn leads(&self) -> bool {
+    fn is_zone_reader(&self) -> bool {
         *self.zone.lead.borrow() == Lead::Leading
     }
 
-    /// What another VM read proves to this one.
-    fn vouch(&self, proofs: Proofs) {
+    /// Applies what the reads of another VM prove to this one.
+    fn apply_proofs(&self, proofs: Proofs) {
         if let Some(proof) = proofs.operators {
             self.node.operators.vouch(message::decode_proof(proof));
         }
@@ -302,46 +306,47 @@
         }
     }
 
-    /// The VMs of the zone.
-    fn peers(&self) -> Vec<Peer> {
+    /// The other VMs of the zone. Forgets VMs that are gone, and passes on who is left to what is shared
+    /// among VMs.
+    fn refresh_peers(&self) -> Vec<Peer> {
         let mut inner = self.lock();
         inner.peers.remove_expired(boot::now());
         let config = &self.node.config;
         let peers = inner.peers.in_zone(&config.zone);
         self.node.repeats.share_among(inner.peers.count() + 1);
-        let sharers = inner
+        let owners = inner
             .peers
             .limit_owners(&config.node, &config.zone, boot::now());
         drop(inner);
-        self.node.scheduler.share(&sharers);
+        self.node.scheduler.share(&owners);
         self.zone
             .keep(|node| peers.iter().any(|peer| peer.key == node));
         peers
     }
 
-    /// Settles who reads the log for whom.
-    fn settle(&self) {
+    /// Updates who reads the log for whom.
+    fn update_role(&self) {
         let role = self.role();
         self.zone.read_by(role.reader);
         self.zone.set_state(role.state);
         let lead = role.lead;
-        let settle = |known: &mut Lead| {
+        let update = |known: &mut Lead| {
             let changed = *known != lead;
             *known = lead;
             changed
         };
-        if self.zone.lead.send_if_modified(settle) {
-            log::info!("neighbours: Reading the log: {lead:?}.");
+        if self.zone.lead.send_if_modified(update) {
+            log::info!("neighbours: Role in reading the log: {lead:?}.");
         }
     }
 
-    /// What this VM says of its reads of the log.
+    /// Whether this VM can read the log for others.
     fn reader_status(&self) -> ReaderStatus {
         if self.node.leaving.is_cancelled() {
             return ReaderStatus::Leaving;
         }
         let ages = [self.node.operators.age(), self.node.directory.age()];
-        let young = |age: &Option<Duration>| age.is_some_and(|age| age < BLIND);
+        let young = |age: &Option<Duration>| age.is_some_and(|age| age < MAX_VIEW_AGE);
         match self.zone.reach(boot::now()) {
             Reach::Out => ReaderStatus::Unanswered,
             Reach::Answered if ages.iter().any(Option::is_none) => ReaderStatus::Starting,
--- a/crates/relay/src/neighbours/broadcast.rs
+++ b/crates/relay/src/neighbours/broadcast.rs
@@ -1,4 +1,4 @@
-//! What a VM tells the others, and how often.
+//! What a VM sends to the others, and how often.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,35 +21,39 @@
 use crate::rollouts::Rollouts;
 use crate::topic::Log;
 
-/// Time between datagrams to each VM of the zone, for each VM there: with two neighbours news is
-/// 40 ms old, which is half of the shortest prompt's reading by the largest model.
-const NEAR: Duration = Duration::from_millis(20);
+/// Time between datagrams to each VM of the zone, per VM there. With two other VMs an update is up to
+/// 40 ms old, which is half the prefill time of the shortest prompt on the largest model.
+const INTERVAL_PER_PEER: Duration = Duration::from_millis(20);
 
-/// The longest time between them: a VM that missed one must still count as living when the next comes.
-const LONGEST: Duration = Duration::from_millis(600);
+/// The longest time between them. A VM that missed one datagram must still take the sender for alive
+/// when the next one comes.
+const MAX_ZONE_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Time between datagrams to other zones, whose bytes cost. What they tell saves reading for tens of
-/// seconds, so that this age matters little.
-const FAR: Duration = Duration::from_millis(300);
+/// Time between datagrams to other zones, where traffic has a price. The prefixes reported there save
+/// prefill work for tens of seconds, so that this age matters little.
+const REMOTE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A VM with nothing new says so this often, so that it counts as living and the VM that reads the
-/// log has a young stamp of it.
-const BEAT: Duration = Duration::from_millis(400);
+/// Time between datagrams to the zone if there is nothing to send. They keep the VM counted as alive,
+/// and give the VM that reads the log a young stamp of it.
+const ZONE_HEARTBEAT: Duration = Duration::from_millis(400);
 
-/// A VM with nothing new for another zone says so this often.
-const SECOND: Duration = Duration::from_secs(1);
+/// Time between datagrams to other zones if there is nothing to send.
+const REMOTE_HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// Time between datagrams to each of so many VMs of the zone.
+/// Time between datagrams to each VM of the zone, if there are `others` of them.
 ///
-/// It grows with them, so that a VM sends no more than fifty datagrams a second, as long as they still
-/// take each other for living. Past that they would all read the log, each for itself.
+/// It grows with their number, so that a VM sends no more than fifty datagrams per second, but only up to
+/// a bound within which VMs still take each other for alive. Beyond that bound they would all read the
+/// log, each for itself.
 #[must_use]
 pub fn zone_interval(others: usize) -> Duration {
     let others = u32::try_from(others).unwrap_or(u32::MAX).max(1);
-    NEAR.saturating_mul(others).min(LONGEST)
+    INTERVAL_PER_PEER
+        .saturating_mul(others)
+        .min(MAX_ZONE_INTERVAL)
 }
 
-/// Up to which offsets a zone was told of the records of each topic.
+/// The offsets up to which the records of each topic were forwarded to the zone.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ForwardedOffsets {
     operators: Offset,
@@ -58,80 +62,80 @@
 }
 
 impl<P: Border + Codec, L: Log> Neighbours<P, L> {
-    /// Records that the zone was not told of yet, if this VM reads for it.
-    fn passages(&self) -> Vec<Passage> {
-        let told = self.lock().told.take();
-        if !self.leads() {
+    /// Records to forward to the zone; empty unless this VM reads the log for it.
+    fn take_passages(&self) -> Vec<Passage> {
+        let forwarded = self.lock().forwarded.take();
+        if !self.is_zone_reader() {
             return Vec::new();
         }
-        let from = told.unwrap_or_default();
-        let (changed, operators) = self.node.operators.since(from.operators);
-        let (registered, endpoints) = self.node.directory.since(from.endpoints);
-        let (barred, poison) = self.node.blocklist.since(from.poison);
-        self.lock().told = Some(ForwardedOffsets {
+        let from = forwarded.unwrap_or_default();
+        let (operator_parts, operators) = self.node.operators.since(from.operators);
+        let (endpoint_parts, endpoints) = self.node.directory.since(from.endpoints);
+        let (poison_parts, poison) = self.node.blocklist.since(from.poison);
+        self.lock().forwarded = Some(ForwardedOffsets {
             operators,
             endpoints,
             poison,
         });
-        if told.is_none() {
+        if forwarded.is_none() {
             return Vec::new();
         }
-        // Where records are missing, or too large, the others read by themselves.
+        // If records are missing here or too large, the others read the log by themselves.
         let list = |topic, from, parts: Option<_>, to| {
             Passage::list(topic, from, parts.unwrap_or_default(), to)
         };
-        let mut passages = list(Shared::Operators, from.operators, changed, operators);
+        let mut passages = list(Shared::Operators, from.operators, operator_parts, operators);
         passages.extend(list(
             Shared::Endpoints,
             from.endpoints,
-            registered,
+            endpoint_parts,
             endpoints,
         ));
-        passages.extend(list(Shared::Poison, from.poison, barred, poison));
+        passages.extend(list(Shared::Poison, from.poison, poison_parts, poison));
         passages
     }
 
-    /// Tells the zone.
-    pub(super) async fn tell_near(&self) {
-        let mut told = Moment::ZERO;
-        let mut silent = true;
+    /// Sends updates to all VMs of the zone.
+    pub(super) async fn broadcast_to_zone(&self) {
+        let mut last_sent = Moment::ZERO;
+        let mut idle = true;
         let mut operators = self.node.operators.changes();
         let mut endpoints = self.node.directory.changes();
-        let mut bars = self.node.blocklist.changes();
+        let mut blocklist = self.node.blocklist.changes();
         loop {
-            let peers = self.peers();
-            self.settle();
+            let peers = self.refresh_peers();
+            self.update_role();
             let changed = tokio::select! {
                 () = tokio::time::sleep(zone_interval(peers.len())) => false,
-                _ = operators.changed() => self.leads(),
-                _ = endpoints.changed() => self.leads(),
-                _ = bars.changed() => self.leads(),
+                _ = operators.changed() => self.is_zone_reader(),
+                _ = endpoints.changed() => self.is_zone_reader(),
+                _ = blocklist.changed() => self.is_zone_reader(),
                 () = self.node.poison.reports_due.notified() => false,
                 () = self.node.limited.notified() => true,
-                () = self.zone.proved.notified() => self.leads(),
+                () = self.zone.proved.notified() => self.is_zone_reader(),
                 () = self.zone.stopped.notified() => true,
             };
             let update = self.collect_update();
             let now = boot::now();
             let nothing = update.is_empty() && !changed;
-            if nothing && silent && now.since(told) < BEAT {
+            if nothing && idle && now.since(last_sent) < ZONE_HEARTBEAT {
                 continue;
             }
-            silent = nothing;
-            told = now;
+            idle = nothing;
+            last_sent = now;
             for peer in &peers {
                 self.send(peer.address, Some(peer.key), &update).await;
             }
         }
     }
 
-    /// What is to be told to the zone.
+    /// Collects what is to be sent to the zone. What other zones need to know as well is queued for them.
     fn collect_update(&self) -> Update {
         let mut update = Update {
             rollouts: self.node.due_announcements(boot::now()),
             pinned_sessions: self.node.rollouts(Rollouts::take_pending_sessions),
             poison: self.node.poison.take_zone_reports(boot::now()),
-            passages: self.passages(),
+            passages: self.take_passages(),
             ..Update::default()
         };
         let mut shared = Vec::new();
@@ -149,47 +153,45 @@
                 .extend(pool.limits().iter().map(limit::encode));
         }
         let mut inner = self.lock();
-        inner.far.extend(shared);
-        inner.far_kept.extend(&update.pinned_sessions);
-        update.prefills.append(&mut inner.passed);
-        update.pinned_sessions.append(&mut inner.passed_kept);
+        inner.remote_prefills.extend(shared);
+        inner.remote_sessions.extend(&update.pinned_sessions);
+        update.prefills.append(&mut inner.forwarded_prefills);
+        update.pinned_sessions.append(&mut inner.forwarded_sessions);
         update
     }
 
-    /// Tells one VM of each other zone.
-    pub(super) async fn tell_far(&self) {
-        let mut told = Moment::ZERO;
+    /// Sends updates to one VM of each other zone.
+    pub(super) async fn broadcast_to_remote_zones(&self) {
+        let mut last_sent = Moment::ZERO;
         loop {
-            tokio::time::sleep(FAR).await;
+            tokio::time::sleep(REMOTE_INTERVAL).await;
             let now = boot::now();
             let (update, addresses) = {
                 let mut inner = self.lock();
                 let update = Update {
-                    prefills: std::mem::take(&mut inner.far),
-                    pinned_sessions: std::mem::take(&mut inner.far_kept),
+                    prefills: std::mem::take(&mut inner.remote_prefills),
+                    pinned_sessions: std::mem::take(&mut inner.remote_sessions),
                     poison: self.node.poison.take_remote_reports(now),
                     ..Update::default()
                 };
-                (
-                    update,
-                    inner.peers.remote_targets(&self.node.config.zone, now),
-                )
+                let zone = &self.node.config.zone;
+                (update, inner.peers.remote_targets(zone, now))
             };
-            if update.is_empty() && now.since(told) < SECOND {
+            if update.is_empty() && now.since(last_sent) < REMOTE_HEARTBEAT {
                 continue;
             }
-            told = now;
+            last_sent = now;
             for address in addresses {
                 self.send(address, None, &update).await;
             }
         }
     }
 
-    /// Sends one VM what there is to tell; `near` is its key if it is of this zone.
-    pub(super) async fn send(&self, address: SocketAddr, near: Option<u64>, update: &Update) {
+    /// Sends an update to one VM. `zone_key` is its key if it is of this zone.
+    pub(super) async fn send(&self, address: SocketAddr, zone_key: Option<u64>, update: &Update) {
         for chunk in update.chunks() {
-            // A proof that came before the records that it speaks of would make the other VM read.
-            let proven = near.filter(|_| chunk.last);
+            // A proof that came before the records that it covers would make the other VM read the log.
+            let proven = zone_key.filter(|_| chunk.last);
             let (rollouts, limits) = if chunk.first {
                 (&update.rollouts[..], &update.limits[..])
             } else {
@@ -211,19 +213,21 @@
             };
             let bytes = match postcard::to_stdvec(&message) {
                 Ok(bytes) => bytes,
-                Err(error) => return log::error!("neighbours: Not written: {error}."),
+                Err(error) => {
+                    return log::error!("neighbours: A datagram can't be encoded: {error}.");
+                }
             };
             if let Err(error) = self.socket.send_to(&bytes, address).await {
-                log::debug!("neighbours: Nothing sent to {address}: {error}.");
+                log::debug!("neighbours: A datagram to {address} can't be sent: {error}.");
             }
         }
     }
 
-    /// What this VM's last reads prove to another one. Only the VM that reads for the zone tells:
-    /// while endpoints register by the dozen, every read finds something new, and VMs that told each
-    /// other would make each other read without end.
+    /// What this VM's last reads prove to another one; nothing unless this VM reads the log for the
+    /// zone. While endpoints register by the dozen, every read finds something new, and VMs that all sent
+    /// each other proofs would make each other read without end.
     fn proofs(&self, node: u64) -> Proofs {
-        if !self.leads() {
+        if !self.is_zone_reader() {
             return Proofs::default();
         }
         let operators = self.node.operators.proof(node);
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -1,4 +1,4 @@
-//! How a VM finds the others: by the topic that they share, read once at the start.
+//! How a VM discovers the others: by the topic that they share, read once at the start.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use pimento_units::id;
 
 use super::Neighbours;
-use super::PAUSE;
+use super::RETRY_DELAY;
 use super::peers::Peer;
 use super::update::Update;
 use crate::boot;
@@ -19,105 +19,111 @@
 use crate::topic::Log;
 use crate::topic::Topic;
 
-/// How often a VM looks whether it has learnt enough to tell those that start later.
-const LEARNT: Duration = Duration::from_secs(5);
+/// How often a VM checks whether it has learnt rates worth publishing for VMs that start later.
+const LEARNT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// An answer of the log may take this long to begin, and to go on.
-const CALL: Duration = Duration::from_secs(1);
+/// How long an answer of the log may take to begin, and how long it may stall.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a VM that starts waits for one that has read the log to answer its greeting.
-const GREETING: Duration = Duration::from_millis(60);
+/// How long a VM that starts waits for an answer to its first datagram from a VM that has read the log.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The longest pause between calls that fail. The other VMs tell by datagrams meanwhile.
-const LONGEST: Duration = Duration::from_millis(1_600);
+/// The longest delay between calls that fail. The other VMs send datagrams meanwhile.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_600);
 
-/// Pauses after a call that failed; the next pause.
-async fn rest(pause: Duration) -> Duration {
-    tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..=1.0))).await;
-    (pause * 2).min(LONGEST)
+/// Waits after a call that failed; returns the next delay.
+async fn back_off(delay: Duration) -> Duration {
+    tokio::time::sleep(delay.mul_f64(rand::random_range(0.5..=1.0))).await;
+    (delay * 2).min(MAX_RETRY_DELAY)
 }
 
 impl<P: Border + Codec, L: Log> Neighbours<P, L> {
-    /// Meets the other VMs on the log, and those of the zone by datagrams.
+    /// Discovers the other VMs by the log, and joins those of the zone by datagrams.
     ///
-    /// Of two VMs that start together the one whose word comes later must find the other's, so that a VM
-    /// reads the others' words after its own is there. A VM that started anew finds its own of before,
-    /// with what it had learnt, and need say nothing if that is still true.
-    pub(super) async fn meet(&self) {
+    /// Of two VMs that start together, the one whose record comes later must find the other's record.
+    /// So a VM reads the records of the others once its own is there. A VM that restarts finds the record
+    /// of its last incarnation, with the rates learnt by then, and writes none if that is still true.
+    pub(super) async fn discover(&self) {
         if self.node.config.first_start {
-            self.say().await;
+            self.publish().await;
         }
-        let known = self.read_words().await;
-        self.introduce().await;
+        let known = self.read_fleet().await;
+        self.join().await;
         if !known {
-            self.say().await;
-            self.read_words().await;
+            self.publish().await;
+            self.read_fleet().await;
         }
-        self.teach().await;
+        self.publish_rates().await;
     }
 
-    /// Says where this VM is.
-    async fn say(&self) {
-        let mut pause = PAUSE;
+    /// Writes this VM's record to the log.
+    async fn publish(&self) {
+        let mut delay = RETRY_DELAY;
         while !self.node.say(&self.node.word(), &self.log).await {
-            pause = rest(pause).await;
+            delay = back_off(delay).await;
         }
     }
 
-    /// Lets the VMs of the zone know that this one starts, and settles which of them it asks for what it
+    /// Tells the VMs of the zone that this one starts, and settles from which of them it gets what it
     /// lacks: one that has read the log already answers at once.
-    async fn introduce(&self) {
-        let peers = self.peers();
+    async fn join(&self) {
+        let peers = self.refresh_peers();
         for peer in &peers {
             let nothing = Update::default();
             self.send(peer.address, Some(peer.key), &nothing).await;
         }
-        // The first by name reads for the others in any case, and they wait for it.
+        // The first VM by name reads for the others in any case. They wait for it, and it for nobody.
         let own = &self.node.config.node;
         let first = peers.first().is_none_or(|peer| *own < peer.node);
-        let able = async {
-            while !self.is_led_by_able() {
-                self.heard.notified().await;
+        let eligible = async {
+            while !self.has_eligible_reader() {
+                self.zone_datagram.notified().await;
             }
         };
-        if !first && tokio::time::timeout(GREETING, able).await.is_err() {
-            log::info!("neighbours: No VM of the zone has read the log yet.");
+        if !first
+            && tokio::time::timeout(HANDSHAKE_TIMEOUT, eligible)
+                .await
+                .is_err()
+        {
+            log::info!("neighbours: No VM of the zone is known to have read the log.");
         }
-        self.settle();
+        self.update_role();
         self.zone.introduce();
     }
 
-    /// Reads where the others are and what they learnt. Whether this VM's own word is there and true.
-    async fn read_words(&self) -> bool {
-        let mut pause = PAUSE;
+    /// Reads the other VMs' addresses and the rates that they learnt. Whether this VM's own record is
+    /// there and still true.
+    async fn read_fleet(&self) -> bool {
+        let mut delay = RETRY_DELAY;
         loop {
             self.node.calls.count(Topic::Fleet, Reason::Meet);
             let progress = Progress::default();
             let newest = self.log.newest(Topic::Fleet, &progress);
-            match progress.wait(newest, CALL, CALL).await {
+            match progress.wait(newest, CALL_TIMEOUT, CALL_TIMEOUT).await {
                 Ok(Ok(batch)) => {
                     let mut known = false;
                     for (node, word) in batch.records.iter().filter_map(fleet::read) {
                         known |= self.is_own(&node, &word);
-                        self.meet_one(node, word);
+                        self.add_record(node, word);
                     }
                     return known;
                 }
-                Ok(Err(error)) => log::warn!("neighbours: Not read: {error}."),
-                Err(error) => log::warn!("neighbours: Not read: {error}."),
+                Ok(Err(error)) => log::warn!("neighbours: The VMs' topic can't be read: {error}."),
+                Err(error) => log::warn!("neighbours: The VMs' topic can't be read: {error}."),
             }
-            pause = rest(pause).await;
+            delay = back_off(delay).await;
         }
     }
 
-    /// Whether a word is this VM's own and still true. What a former life said of roll-outs is not.
+    /// Whether a record is this VM's own and still true. One with announcements about roll-outs is not:
+    /// they are an earlier incarnation's.
     fn is_own(&self, node: &id::Node, word: &Word) -> bool {
         let config = &self.node.config;
         let place = word.zone == config.zone && word.address == config.peer_listen;
         *node == config.node && place && word.rollouts.is_empty()
     }
 
-    fn meet_one(&self, node: id::Node, word: Word) {
+    fn add_record(&self, node: id::Node, word: Word) {
         self.node.scheduler.seed(&word.paces);
         if node != self.node.config.node {
             let now = boot::now();
@@ -126,11 +132,11 @@
         }
     }
 
-    /// Says once more where this VM is, with what it has learnt by then, for those that start later.
-    /// One VM of a zone does.
-    async fn teach(&self) {
+    /// Writes this VM's record once more when it has learnt rates, for VMs that start later. A VM for
+    /// which another one reads the log leaves this to that one.
+    async fn publish_rates(&self) {
         loop {
-            tokio::time::sleep(LEARNT).await;
+            tokio::time::sleep(LEARNT_INTERVAL).await;
             let word = self.node.word();
             let known = !word.paces.is_empty();
             let alone = *self.zone.lead.borrow() != Lead::Led;
--- a/crates/relay/src/neighbours/limit.rs
+++ b/crates/relay/src/neighbours/limit.rs
@@ -1,4 +1,4 @@
-//! Endpoints' limits in datagrams.
+//! Endpoints' rate limits in datagrams.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an endpoint named.
+/// A limit that an endpoint named.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitMessage {
     /// The endpoint's key.
     endpoint: u64,
-    /// Requests a second; none if it has a limit no more.
+    /// Requests per second; none if the endpoint has no limit any more.
     limit: Option<f64>,
-    /// Milliseconds since it said so.
+    /// Milliseconds since the endpoint named it.
     age_ms: u32,
 }
 
-/// A word as it is written.
+/// Encodes a limit for a datagram.
 pub fn encode(word: &Word) -> LimitMessage {
     LimitMessage {
         endpoint: word.endpoint,
@@ -27,18 +27,18 @@
     }
 }
 
-/// A word as it was read; none if its limit is none that an endpoint can name.
-pub fn decode(told: &LimitMessage) -> Option<Word> {
-    let limit = match told.limit.map(Limit::try_from).transpose() {
+/// Decodes a limit; none if its rate is not valid.
+pub fn decode(message: &LimitMessage) -> Option<Word> {
+    let limit = match message.limit.map(Limit::try_from).transpose() {
         Ok(limit) => limit,
         Err(error) => {
-            log::warn!("neighbours: A limit left out: {error}.");
+            log::warn!("neighbours: Ignoring a limit that is not valid: {error}.");
             return None;
         }
     };
     Some(Word {
-        endpoint: told.endpoint,
+        endpoint: message.endpoint,
         limit,
-        age: Duration::from_millis(u64::from(told.age_ms)),
+        age: Duration::from_millis(u64::from(message.age_ms)),
     })
 }
--- a/crates/relay/src/neighbours/message.rs
+++ b/crates/relay/src/neighbours/message.rs
@@ -17,64 +17,66 @@
 use crate::rollouts::announcement::Announcement;
 use crate::rollouts::announcement::PinnedSession;
 
-/// A datagram.
+/// A datagram. It is written without names: the order and types of its fields are the format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who says it.
+    /// The sender.
     pub node: id::Node,
-    /// The teller's zone.
+    /// The sender's zone.
     pub zone: id::Zone,
-    /// When it was sent, by the teller's boot-time clock.
+    /// When it was sent, by the sender's boot-time clock.
     pub stamp: Moment,
-    /// What the teller says of its reads of the log.
+    /// Whether the sender can read the log.
     pub reader_status: ReaderStatus,
-    /// Records that changed the teller's views of the log. They are taken before the proofs.
+    /// Records that changed the sender's views of the log. The receiver applies them before it takes the
+    /// proofs.
     pub passages: Vec<Passage>,
-    /// What the teller's last reads of the log prove to whom it tells this.
+    /// What the sender's last reads of the log prove to the receiver.
     pub proofs: Proofs,
-    /// What the teller says of roll-outs, if that is due.
+    /// The sender's announcements about roll-outs, if they are due.
     pub rollouts: Vec<Announcement>,
-    /// Requests under which endpoints ended.
+    /// Reports of requests that crash endpoints.
     pub poison: Vec<Report>,
-    /// Sessions that keep the old version in a roll-out.
+    /// Sessions that stay on the old version during a roll-out's trial.
     pub pinned_sessions: Vec<PinnedSession>,
-    /// Milliseconds that engines take for the teller's prompts, by their keys; all others take none.
+    /// The time that engines still need for the sender's prompts, in milliseconds by engine key. It is
+    /// zero for engines that are not listed.
     pub waits: Vec<(u64, u32)>,
-    /// Prompts that engines read since the last datagram.
+    /// Prompts that engines prefilled since the last datagram.
     pub prefills: Vec<Prefill>,
-    /// Limits that endpoints named to the teller.
+    /// Limits that endpoints named to the sender.
     pub limits: Vec<LimitMessage>,
 }
 
-/// Proofs of the topics that all VMs read: the offset of the last change, and the stamp.
+/// Proofs of the topics that all VMs read: the offset after the last change, and the receiver's stamp.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proofs {
     /// Of the operators' records.
     pub operators: Option<(Offset, Moment)>,
     /// Of the endpoints' records.
     pub endpoints: Option<(Offset, Moment)>,
-    /// Of the requests under which endpoints ended.
+    /// Of the blocked requests.
     pub poison: Option<(Offset, Moment)>,
 }
 
-/// A proof as it is written.
+/// Encodes a proof for a datagram.
 pub const fn encode_proof(proof: Proof) -> (Offset, Moment) {
     (proof.changed, proof.stamp)
 }
 
-/// A proof as it was read.
+/// Decodes a proof.
 pub const fn decode_proof((changed, stamp): (Offset, Moment)) -> Proof {
     Proof { changed, stamp }
 }
 
-/// A prompt that an engine read.
+/// A prompt that an engine prefilled.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Prefill {
     /// The engine's key.
     pub engine: u64,
     /// Hash of the model.
     pub model: u64,
-    /// The parts, each as hash and tokens.
+    /// The hash and the number of tokens of each part.
     pub parts: Vec<(u64, u32)>,
 }
 
@@ -90,11 +92,11 @@
         }
     }
 
-    /// The parts that other requests share; none if it has none. The last part is the request's own.
+    /// The same without the last part, which belongs to the one request; none if no part is left.
     pub fn shared_prefix(sent: &(u64, Prompt)) -> Option<Self> {
-        let mut read = Self::new(sent);
-        read.parts.pop();
-        (!read.parts.is_empty()).then_some(read)
+        let mut prefill = Self::new(sent);
+        prefill.parts.pop();
+        (!prefill.parts.is_empty()).then_some(prefill)
     }
 
     /// The prompt.
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -1,4 +1,4 @@
-//! The other entry VMs, as far as they were heard of, and who of a zone reads the log for whom.
+//! The other entry VMs that are known, and who reads the log for whom in a zone.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,34 +13,36 @@
 use crate::follow::Lead;
 use crate::zone::State;
 
-/// A VM that said nothing for this long reads for nobody. Three datagrams with nothing new.
+/// A VM that sent no datagram for this long does not read for others. It is the time of three heartbeats,
+/// and some.
 pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// A VM of another zone gets each datagram for this long, then the next one does.
-const TURN: Duration = Duration::from_secs(2);
+/// How long all datagrams to another zone go to the same VM there, before the next one gets them.
+const ROTATION_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A VM that was not heard for this long is gone; in a zone of fifty each VM of another zone is
-/// heard every 100 seconds. Until then it is told everything, as it may be cut off or suspended, and
-/// would think the same of this one.
-const FORGOTTEN: Duration = Duration::from_mins(5);
+/// A VM that was not seen for this long is forgotten. In a zone of fifty VMs each VM of another zone is
+/// seen every 100 seconds. Until then it gets all datagrams: it may be cut off or suspended, and see this
+/// VM in the same way.
+const FORGET_TIMEOUT: Duration = Duration::from_mins(5);
 
-/// When so many VMs of a zone were turned away by the log, it may be out for all of them.
-const SEVERAL: usize = 3;
+/// If the log does not answer this many VMs of a zone, it may be out for all of them.
+const MANY_UNANSWERED: usize = 3;
 
-/// What a VM says of its reads of the log.
+/// Whether a VM can read the log for others.
 ///
-/// Of two VMs the one with the lesser standing reads for the other.
+/// The variants are in order of preference: of two VMs the one with the lesser status reads for the
+/// other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ReaderStatus {
-    /// It could read for others: it stays, and as far as it knows its reads are answered.
+    /// It can read for others: it stays, and as far as it knows its reads are answered.
     Eligible,
     /// It has read nothing yet.
     Starting,
-    /// What it knows is old, or its reads were not answered a while ago; it has not tried since.
+    /// Its view is old, or its reads were not answered some time ago and it has not tried since.
     Untested,
     /// Its reads are not answered.
     Unanswered,
-    /// It leaves.
+    /// It is shutting down.
     Leaving,
 }
 
@@ -53,18 +55,19 @@
     pub key: u64,
     /// Its zone.
     pub zone: id::Zone,
-    /// Where it takes datagrams and calls.
+    /// Where it receives datagrams and calls.
     pub address: SocketAddr,
-    /// What it said last of its reads.
+    /// Its last status.
     pub status: ReaderStatus,
-    /// When it was heard, or heard of.
+    /// When it was discovered or last sent a datagram.
     last_seen: Moment,
-    /// When it spoke last; none if it is only known from the log, where VMs stay that are long gone.
+    /// When its last datagram was received; none if it is known from the log only, where the records of
+    /// VMs stay that are long gone.
     last_datagram: Option<Moment>,
 }
 
 impl Peer {
-    /// A VM that another one, or the log, told of.
+    /// A VM of which no datagram was received yet.
     #[must_use]
     pub fn discovered(node: id::Node, zone: id::Zone, address: SocketAddr, now: Moment) -> Self {
         Self {
@@ -78,7 +81,7 @@
         }
     }
 
-    /// The VM, which says of its reads what `standing` tells.
+    /// The same VM, which now sent a datagram with this status.
     #[must_use]
     pub const fn with_datagram(mut self, status: ReaderStatus, now: Moment) -> Self {
         self.status = status;
@@ -88,16 +91,16 @@
 
     fn is_alive(&self, now: Moment) -> bool {
         self.last_datagram
-            .is_some_and(|spoke| now.since(spoke) < LIVENESS_TIMEOUT)
+            .is_some_and(|received| now.since(received) < LIVENESS_TIMEOUT)
     }
 }
 
-/// Who reads the log in a zone.
+/// This VM's part in reading the log for its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Role {
-    /// What this VM does.
+    /// Whether this VM reads for itself, for others, or another one for it.
     pub lead: Lead,
-    /// The VM that reads for this one.
+    /// The VM that reads for this one; none if this one reads itself.
     pub reader: Option<SocketAddr>,
     /// How the reads of the zone go.
     pub state: State,
@@ -110,7 +113,7 @@
 }
 
 impl Peers {
-    /// Takes in a VM that was heard, or heard of. Whether that may change who reads the log.
+    /// Adds or updates a VM. Whether that may change who reads the log.
     pub fn update(&mut self, peer: Peer, now: Moment) -> bool {
         match self.peers.binary_search_by(|p| p.node.cmp(&peer.node)) {
             Ok(place) => {
@@ -118,42 +121,43 @@
                 if peer.last_datagram.is_none() && known.last_datagram.is_some() {
                     return false;
                 }
-                let other =
-                    known.is_alive(now) != peer.is_alive(now) || known.status != peer.status;
+                let alive = known.is_alive(now) != peer.is_alive(now);
+                let changed = alive || known.status != peer.status;
                 self.peers[place] = peer;
-                other
+                changed
             }
             Err(place) => {
-                log::info!("neighbours: {} of {} met.", peer.node, peer.zone);
-                let lives = peer.is_alive(now);
+                log::info!("neighbours: Discovered {} in {}.", peer.node, peer.zone);
+                let alive = peer.is_alive(now);
                 self.peers.insert(place, peer);
-                lives
+                alive
             }
         }
     }
 
-    /// Forgets the VMs that are gone.
+    /// Forgets the VMs that were not seen for long.
     pub fn remove_expired(&mut self, now: Moment) {
         self.peers
-            .retain(|peer| now.since(peer.last_seen) < FORGOTTEN);
+            .retain(|peer| now.since(peer.last_seen) < FORGET_TIMEOUT);
     }
 
-    /// How many are known.
+    /// The number of VMs that are known.
     #[must_use]
     pub const fn count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Who shares what endpoints take. In the own zone a VM that is not heard any more gives its part to
-    /// the others; one that hears nobody, though others are known, may be the one that is cut off, and
-    /// takes nobody's. Other zones are heard too seldom to tell.
+    /// The VMs that share the limits of endpoints. The share of a VM of this zone that sends no datagrams
+    /// any more goes to the others. A VM that receives none at all, though others are known, may itself
+    /// be cut off, and takes over no share. Datagrams from other zones are too rare to tell which VMs
+    /// there are alive.
     #[must_use]
     pub fn limit_owners(&self, own: &id::Node, zone: &id::Zone, now: Moment) -> Sharers {
-        let near = |peer: &&Peer| peer.zone == *zone;
+        let local = |peer: &&Peer| peer.zone == *zone;
         let alone = !self
             .peers
             .iter()
-            .filter(near)
+            .filter(local)
             .any(|peer| peer.is_alive(now));
         let shares = |peer: &&Peer| {
             let stays = peer.status != ReaderStatus::Leaving;
@@ -172,17 +176,17 @@
     /// The VMs of a zone.
     #[must_use]
     pub fn in_zone(&self, zone: &id::Zone) -> Vec<Peer> {
-        let near = self.peers.iter().filter(|peer| peer.zone == *zone);
-        near.cloned().collect()
+        let peers = self.peers.iter().filter(|peer| peer.zone == *zone);
+        peers.cloned().collect()
     }
 
-    /// Who reads the log for whom: the first by name of those that live and are able to. If none is,
-    /// one that did not try lately tries, or the first of all goes on trying, and the others learn from
-    /// it that the log is back.
+    /// Who reads the log for this VM, which has this `status`: of the VMs that are alive the first by
+    /// name that is eligible. If none is, a VM that has not tried lately tries, or else the first of all
+    /// goes on trying; the others learn from it that the log is back.
     #[must_use]
     pub fn role(&self, own: &id::Node, zone: &id::Zone, status: ReaderStatus, now: Moment) -> Role {
-        let living = |peer: &&Peer| peer.zone == *zone && peer.is_alive(now);
-        let others = self.peers.iter().filter(living);
+        let alive = |peer: &&Peer| peer.zone == *zone && peer.is_alive(now);
+        let others = self.peers.iter().filter(alive);
         let others: Vec<(ReaderStatus, &id::Node, Option<SocketAddr>)> = others
             .map(|peer| (peer.status, &peer.node, Some(peer.address)))
             .collect();
@@ -193,39 +197,39 @@
                 state: State::default(),
             };
         }
-        let unable = |(status, ..): &&(ReaderStatus, &id::Node, Option<SocketAddr>)| {
+        let unanswered = |(status, ..): &&(ReaderStatus, &id::Node, Option<SocketAddr>)| {
             *status == ReaderStatus::Unanswered
         };
         let all: Vec<_> = others.into_iter().chain([(status, own, None)]).collect();
-        // A VM that has read something comes before those that have not, then names decide.
+        // A VM with a better status comes first; among equal ones names decide.
         let reader = all.iter().min_by_key(|(status, node, _)| (*status, *node));
-        let able = reader.is_some_and(|(status, ..)| *status == ReaderStatus::Eligible);
+        let eligible = reader.is_some_and(|(status, ..)| *status == ReaderStatus::Eligible);
         let address = reader.and_then(|(.., address)| *address);
         Role {
             lead: address.map_or(Lead::Leading, |_| Lead::Led),
             reader: address,
             state: State {
-                blind: !able,
-                doubtful: all.iter().filter(unable).count() >= SEVERAL,
+                blind: !eligible,
+                doubtful: all.iter().filter(unanswered).count() >= MANY_UNANSWERED,
             },
         }
     }
 
-    /// One VM of each other zone, another one in each turn: one that is down misses a part only, and
-    /// each hears of all others in time.
+    /// One VM of each other zone, rotating among the VMs there: one that is down loses only some of the
+    /// datagrams, and in time each VM receives some from all others.
     #[must_use]
     pub fn remote_targets(&self, zone: &id::Zone, now: Moment) -> Vec<SocketAddr> {
-        let turn = now.since(Moment::ZERO).as_secs() / TURN.as_secs();
+        let turn = now.since(Moment::ZERO).as_secs() / ROTATION_INTERVAL.as_secs();
         let mut zones: Vec<&id::Zone> = self.peers.iter().map(|peer| &peer.zone).collect();
         zones.sort();
         zones.dedup();
-        let one = |zone: &id::Zone| {
+        let target = |zone: &id::Zone| {
             let peers: Vec<&Peer> = self.peers.iter().filter(|p| p.zone == *zone).collect();
             let count = u64::try_from(peers.len()).ok().filter(|count| *count > 0)?;
             let place = usize::try_from(turn % count).ok()?;
             Some(peers[place].address)
         };
         let others = zones.into_iter().filter(|other| *other != zone);
-        others.filter_map(one).collect()
+        others.filter_map(target).collect()
     }
 }
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -1,4 +1,4 @@
-//! Answers the VMs of the zone that lack records too large for datagrams.
+//! Serves records that are too large for datagrams to the other VMs of the zone.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -27,7 +27,7 @@
 use crate::topic::Log;
 use crate::topic::Record;
 
-/// A passage that was packed, for the VMs that ask for it next: those of a zone lack the same.
+/// The last records that were packed. They are reused, as the VMs of a zone lack the same ones.
 #[derive(Debug, Clone)]
 struct Packed {
     topic: Shared,
@@ -36,7 +36,7 @@
     bytes: Bytes,
 }
 
-/// Hands records on.
+/// Serves records to other VMs.
 #[derive(Debug)]
 struct Records<P, L> {
     node: Node<P, L>,
@@ -52,13 +52,14 @@
     }
 }
 
-/// Serves until the process ends. Where the address can't be had the other VMs read by themselves.
+/// Serves until the process ends. If the address can't be bound, the other VMs read the log by
+/// themselves.
 pub async fn serve<P: Border + Codec, L: Log>(node: Node<P, L>) {
     let address = node.config.peer_listen;
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(error) => {
-            log::error!("neighbours: No records handed on at {address}: {error}.");
+            log::error!("neighbours: Can't listen at {address} to serve records: {error}.");
             return;
         }
     };
@@ -69,39 +70,39 @@
     pimento_serve::run(listener, records, Stop::default()).await;
 }
 
-/// The topic whose view a path asks for.
-fn view(path: &str) -> Option<Shared> {
+/// The topic whose whole view a path requests.
+fn snapshot_request(path: &str) -> Option<Shared> {
     Shared::named(path.strip_prefix(snapshot::PATH)?)
 }
 
-/// What a path asks for.
-fn asked(path: &str) -> Option<(Shared, Offset)> {
+/// The topic and first offset of the records that a path requests.
+fn records_request(path: &str) -> Option<(Shared, Offset)> {
     let (topic, from) = path.strip_prefix(PATH)?.split_once('/')?;
     Some((Shared::named(topic)?, Offset(from.parse().ok()?)))
 }
 
 impl<P: Border + Codec, L: Log> Records<P, L> {
-    /// The view of a topic, for a VM that asks for it now; none if there is none yet.
-    async fn view(&self, topic: Shared) -> Option<Bytes> {
+    /// The view of a topic, read once more if the log can be read; none if there is none yet.
+    async fn snapshot(&self, topic: Shared) -> Option<Bytes> {
         let asked = boot::now();
-        let view = match topic {
+        let snapshot = match topic {
             Shared::Operators => self.node.operators.snapshot(asked).await,
             Shared::Endpoints => self.node.directory.snapshot(asked).await,
             Shared::Poison => self.node.blocklist.snapshot(asked).await,
         };
-        let Snapshot { records, to, age } = view?;
+        let Snapshot { records, to, age } = snapshot?;
         let packed = self.pack(topic, Offset::default(), records, to)?;
         match snapshot::seal(&self.node.config.deployment, age, packed) {
             Ok(sealed) => Some(sealed),
             Err(error) => {
-                log::error!("neighbours: A view can't be handed on: {error}.");
+                log::error!("neighbours: A snapshot can't be encoded: {error}.");
                 None
             }
         }
     }
 
-    /// The records from an offset on, packed; none if one is missing here.
-    fn packed(&self, topic: Shared, from: Offset) -> Option<Bytes> {
+    /// The records from an offset on, packed; none if this VM lacks one of them.
+    fn records(&self, topic: Shared, from: Offset) -> Option<Bytes> {
         let (records, to) = match topic {
             Shared::Operators => self.node.operators.all(from),
             Shared::Endpoints => self.node.directory.all(from),
@@ -110,11 +111,11 @@
         self.pack(topic, from, records?, to)
     }
 
-    /// These records, packed.
+    /// Packs records, or returns the last packed ones if they are the same.
     fn pack(&self, topic: Shared, from: Offset, records: Vec<Record>, to: Offset) -> Option<Bytes> {
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        let fits = |packed: &&Packed| (packed.topic, packed.from, packed.to) == (topic, from, to);
-        if let Some(packed) = last.as_ref().filter(fits) {
+        let same = |packed: &&Packed| (packed.topic, packed.from, packed.to) == (topic, from, to);
+        if let Some(packed) = last.as_ref().filter(same) {
             return Some(packed.bytes.clone());
         }
         let parts = vec![records];
@@ -125,7 +126,7 @@
                     topic = topic.topic().as_str(),
                     from = from.0,
                     bytes = bytes.len();
-                    "neighbours: Records packed for the zone."
+                    "neighbours: Packed records for the zone."
                 );
                 *last = Some(Packed {
                     topic,
@@ -136,7 +137,7 @@
                 Some(bytes)
             }
             Err(error) => {
-                log::error!("neighbours: Records not packed: {error}.");
+                log::error!("neighbours: Records can't be packed: {error}.");
                 None
             }
         }
@@ -146,9 +147,9 @@
 impl<P: Border + Codec, L: Log> Serve for Records<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         let path = request.uri().path();
-        let packed = match view(path) {
-            Some(topic) => self.view(topic).await,
-            None => asked(path).and_then(|(topic, from)| self.packed(topic, from)),
+        let packed = match snapshot_request(path) {
+            Some(topic) => self.snapshot(topic).await,
+            None => records_request(path).and_then(|(topic, from)| self.records(topic, from)),
         };
         let Some(bytes) = packed else {
             let mut response = Response::new(Reply::whole("not here\n"));
--- a/crates/relay/src/neighbours/update.rs
+++ b/crates/relay/src/neighbours/update.rs
@@ -1,4 +1,4 @@
-//! What there is to tell other VMs, cut into datagrams.
+//! What a VM sends to others at one time, split into datagrams.
 
 use super::limit::LimitMessage;
 use super::message::Prefill;
@@ -7,43 +7,44 @@
 use crate::rollouts::announcement::Announcement;
 use crate::rollouts::announcement::PinnedSession;
 
-/// Prompts told in one datagram; more than these would not fit the smallest usual path.
+/// Prompts in one datagram. With more it would not fit the smallest path MTU in common use.
 const MAX_PREFILLS: usize = 16;
 
-/// Sessions told in one datagram, for the same reason.
+/// Sessions in one datagram, for the same reason.
 const MAX_SESSIONS: usize = 24;
 
-/// Words of requests under which endpoints ended told in one datagram, likewise.
+/// Reports of requests that crash endpoints in one datagram, for the same reason.
 const MAX_REPORTS: usize = 16;
 
-/// What there is to tell.
+/// What there is to send.
 #[derive(Default)]
 pub struct Update {
-    /// Prompts that engines read.
+    /// Prompts that engines prefilled.
     pub prefills: Vec<Prefill>,
-    /// Milliseconds that engines take, by their keys.
+    /// The time that engines still need for this VM's prompts, in milliseconds by engine key.
     pub waits: Vec<(u64, u32)>,
     /// Limits that endpoints named.
     pub limits: Vec<LimitMessage>,
-    /// What this VM says of roll-outs.
+    /// This VM's announcements about roll-outs.
     pub rollouts: Vec<Announcement>,
-    /// Sessions that keep a version.
+    /// Sessions that stay on the old version during a roll-out's trial.
     pub pinned_sessions: Vec<PinnedSession>,
-    /// Requests under which endpoints ended.
+    /// Reports of requests that crash endpoints.
     pub poison: Vec<Report>,
     /// Records of the log.
     pub passages: Vec<Passage>,
 }
 
 impl Update {
-    /// Whether there is nothing. Limits go along with what there is, and at once when they change.
+    /// Whether there is nothing to send. Limits don't count: they are sent along with anything else, and
+    /// a change of a limit sends them at once.
     pub const fn is_empty(&self) -> bool {
         let prompts = self.prefills.is_empty() && self.waits.is_empty();
         let versions = self.rollouts.is_empty() && self.pinned_sessions.is_empty();
         prompts && versions && self.poison.is_empty() && self.passages.is_empty()
     }
 
-    /// The news in parts that fit a datagram each.
+    /// The update in chunks that each fit a datagram; at least one.
     pub fn chunks(&self) -> Vec<Chunk<'_>> {
         let mut prefills = self.prefills.chunks(MAX_PREFILLS);
         let mut pinned_sessions = self.pinned_sessions.chunks(MAX_SESSIONS);
@@ -57,7 +58,7 @@
             1,
         ];
         let count = counts.into_iter().max().unwrap_or(1);
-        let part = |place| Chunk {
+        let chunk = |place| Chunk {
             first: place == 0,
             last: place + 1 == count,
             prefills: prefills.next().unwrap_or_default(),
@@ -65,21 +66,22 @@
             poison: poison.next().unwrap_or_default(),
             passages: passages.next().unwrap_or_default(),
         };
-        (0..count).map(part).collect()
+        (0..count).map(chunk).collect()
     }
 }
 
-/// What goes in one datagram.
+/// The part of an update that goes in one datagram. Waits go in every datagram, announcements and limits
+/// in the first.
 pub struct Chunk<'a> {
-    /// Whether it is the first of the news.
+    /// Whether it is the first of the update.
     pub first: bool,
     /// Whether it is the last.
     pub last: bool,
-    /// Prompts that engines read.
+    /// Prompts that engines prefilled.
     pub prefills: &'a [Prefill],
-    /// Sessions that keep a version.
+    /// Sessions that stay on the old version during a roll-out's trial.
     pub pinned_sessions: &'a [PinnedSession],
-    /// Requests under which endpoints ended.
+    /// Reports of requests that crash endpoints.
     pub poison: &'a [Report],
     /// Records of the log.
     pub passages: &'a [Passage],
