--- a/crates/relay/tests/all/peers.rs
+++ b/crates/relay/tests/all/peers.rs
@@ -1,4 +1,4 @@
-//! Who of a zone reads the log for whom.
+//! Which VM of a zone reads the log for the others, and which VMs share the limits of endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,116 +31,129 @@
     Moment::ZERO + Duration::from_secs(100)
 }
 
-fn told_of(name: &str, port: u16) -> Peer {
+fn discovered(name: &str, port: u16) -> Peer {
     Peer::discovered(node(name), zone(), address(port), now())
 }
 
-/// VMs named as the letters, at ports from one on, each of which just spoke.
-fn spoken(standings: &[(&str, ReaderStatus)]) -> Peers {
+/// VMs of these names and statuses, at ports from one on, each of which just sent a datagram.
+fn alive(statuses: &[(&str, ReaderStatus)]) -> Peers {
     let mut peers = Peers::default();
-    for ((name, standing), port) in standings.iter().zip(1..) {
-        peers.update(told_of(name, port).with_datagram(*standing, now()), now());
+    for ((name, status), port) in statuses.iter().zip(1..) {
+        peers.update(discovered(name, port).with_datagram(*status, now()), now());
     }
     peers
 }
 
-fn role(peers: &Peers, own: &str, standing: ReaderStatus) -> Role {
-    peers.role(&node(own), &zone(), standing, now())
+fn role(peers: &Peers, own: &str, status: ReaderStatus) -> Role {
+    peers.role(&node(own), &zone(), status, now())
 }
 
 #[test]
-fn the_first_that_is_able_reads() {
-    let others = spoken(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
+fn the_first_eligible_vm_by_name_reads() {
+    let others = alive(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
     let led = role(&others, "b", ReaderStatus::Eligible);
     assert_eq!((led.lead, led.reader), (Lead::Led, Some(address(1))));
-    let others = spoken(&[("b", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
+    let others = alive(&[("b", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
     assert_eq!(
         role(&others, "a", ReaderStatus::Eligible).lead,
         Lead::Leading
     );
 }
 
-// Guards against a zone that learns nothing for as long as the view of its reader, whom the log turns
-// away, is young.
+// Guards against a zone that gets no news while its reader's reads are not answered, just because the
+// reader's view is still young.
 #[test]
-fn a_vm_whose_reads_are_not_answered_hands_over_at_once() {
-    let mut others = spoken(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
+fn a_reader_whose_reads_are_not_answered_is_replaced_at_once() {
+    let mut others = alive(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
     assert_eq!(role(&others, "b", ReaderStatus::Eligible).lead, Lead::Led);
-    let away = told_of("a", 1).with_datagram(ReaderStatus::Unanswered, now());
-    assert!(others.update(away, now()), "the roles are settled anew");
+    let failing = discovered("a", 1).with_datagram(ReaderStatus::Unanswered, now());
+    assert!(others.update(failing, now()), "the roles are updated");
     assert_eq!(
         role(&others, "b", ReaderStatus::Eligible).lead,
         Lead::Leading
     );
-    let others = spoken(&[("b", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
-    let turned_away = role(&others, "a", ReaderStatus::Unanswered);
-    assert_eq!(turned_away.reader, Some(address(1)));
+    let others = alive(&[("b", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
+    let replaced = role(&others, "a", ReaderStatus::Unanswered);
+    assert_eq!(replaced.reader, Some(address(1)));
 }
 
-// Guards against waiting for VMs that were gone before this one started: their words stay on the log.
+// Guards against waiting for VMs that were gone before this one started: their records stay on the log.
 #[test]
-fn vms_known_from_the_log_alone_read_for_nobody() {
+fn vms_known_only_from_the_log_do_not_read_for_others() {
     let mut others = Peers::default();
-    others.update(told_of("a", 1), now());
+    others.update(discovered("a", 1), now());
     assert_eq!(role(&others, "b", ReaderStatus::Starting).lead, Lead::Alone);
     others.update(
-        told_of("c", 3).with_datagram(ReaderStatus::Starting, now()),
+        discovered("c", 3).with_datagram(ReaderStatus::Starting, now()),
         now(),
     );
     assert_eq!(
         role(&others, "b", ReaderStatus::Starting).lead,
         Lead::Leading
     );
-    // What the log says later does not take back that it spoke.
-    assert!(!others.update(told_of("c", 3), now()));
+    // A record that is read later does not undo that a datagram was received.
+    assert!(!others.update(discovered("c", 3), now()));
     assert_eq!(
         role(&others, "d", ReaderStatus::Starting).reader,
         Some(address(3))
     );
 }
 
-// Guards against a zone that asks a log which is out all at once, and against one that takes VMs that
-// leave for such an outage.
+// Guards against a zone whose VMs all call the log at once during its outage, and against one that takes
+// VMs that shut down for such an outage.
 #[test]
-fn a_zone_doubts_the_log_when_several_are_turned_away() {
-    let away = ReaderStatus::Unanswered;
-    let two = spoken(&[("a", away), ("b", away), ("c", ReaderStatus::Eligible)]);
+fn the_log_is_doubtful_when_it_does_not_answer_several_vms() {
+    let failing = ReaderStatus::Unanswered;
+    let two = alive(&[
+        ("a", failing),
+        ("b", failing),
+        ("c", ReaderStatus::Eligible),
+    ]);
     assert!(!role(&two, "d", ReaderStatus::Eligible).state.doubtful);
-    let three = spoken(&[
-        ("a", away),
-        ("b", away),
-        ("c", away),
+    let three = alive(&[
+        ("a", failing),
+        ("b", failing),
+        ("c", failing),
         ("d", ReaderStatus::Eligible),
     ]);
-    let doubts = role(&three, "e", ReaderStatus::Eligible);
-    assert!(doubts.state.doubtful && !doubts.state.blind);
+    let doubtful = role(&three, "e", ReaderStatus::Eligible);
+    assert!(doubtful.state.doubtful && !doubtful.state.blind);
     let leaving = [
         ("a", ReaderStatus::Leaving),
         ("b", ReaderStatus::Leaving),
         ("c", ReaderStatus::Leaving),
     ];
-    let leaving = role(&spoken(&leaving), "d", ReaderStatus::Eligible);
+    let leaving = role(&alive(&leaving), "d", ReaderStatus::Eligible);
     assert_eq!(leaving.lead, Lead::Leading);
     assert!(!leaving.state.doubtful);
 }
 
-// Guards against VMs that wait for their turn though another one reads for them, and past the bounds.
+// Guards against VMs that wait for their turn to read, past the bounds, although another VM reads for them.
 #[test]
-fn a_zone_is_blind_only_if_nobody_is_able() {
-    let away = ReaderStatus::Unanswered;
-    let last = spoken(&[("a", away), ("b", away), ("c", ReaderStatus::Eligible)]);
-    assert!(!role(&last, "d", away).state.blind);
-    let none = spoken(&[("a", away), ("b", ReaderStatus::Untested), ("c", away)]);
-    let role = role(&none, "d", away);
+fn a_zone_is_blind_only_if_no_vm_is_eligible() {
+    let failing = ReaderStatus::Unanswered;
+    let last = alive(&[
+        ("a", failing),
+        ("b", failing),
+        ("c", ReaderStatus::Eligible),
+    ]);
+    assert!(!role(&last, "d", failing).state.blind);
+    let none = alive(&[
+        ("a", failing),
+        ("b", ReaderStatus::Untested),
+        ("c", failing),
+    ]);
+    let role = role(&none, "d", failing);
     assert!(role.state.blind);
-    // The one that did not try lately does.
+    // The VM that has not tried lately tries.
     assert_eq!(role.reader, Some(address(2)));
 }
 
-// Guards against the reading going back to a VM that is still turned away, only since that was a while ago.
+// Guards against a return to a reader that the log may still not answer, just because its last attempt was
+// some time ago.
 #[test]
-fn a_vm_that_was_turned_away_reads_again_only_if_nobody_else_can() {
-    let others = spoken(&[("a", ReaderStatus::Untested), ("c", ReaderStatus::Eligible)]);
+fn a_vm_that_was_not_answered_reads_again_only_if_no_other_is_eligible() {
+    let others = alive(&[("a", ReaderStatus::Untested), ("c", ReaderStatus::Eligible)]);
     assert_eq!(
         role(&others, "b", ReaderStatus::Eligible).lead,
         Lead::Leading
@@ -151,10 +164,10 @@
     );
 }
 
-// Guards against VMs of a large zone that take each other for gone between two datagrams, and all read
+// Guards against VMs of a large zone that take each other for dead between two datagrams, and all read
 // the log.
 #[test]
-fn vms_of_a_zone_of_any_size_count_as_living() {
+fn vms_of_a_zone_of_any_size_count_as_alive() {
     for others in 0..1_000 {
         assert!(
             zone_interval(others) * 2 < LIVENESS_TIMEOUT,
@@ -164,28 +177,28 @@
     assert_eq!(zone_interval(2), zone_interval(1) * 2);
 }
 
-fn sharers(peers: &Peers, own: &str, at: Moment) -> Sharers {
+fn owners(peers: &Peers, own: &str, at: Moment) -> Sharers {
     peers.limit_owners(&node(own), &zone(), at)
 }
 
-fn of(names: &[&str]) -> Sharers {
+fn owners_of(names: &[&str]) -> Sharers {
     let keys = names.iter().map(|name| choice::key(name));
     Sharers::new(choice::key("b"), vec![(zone(), keys.collect())])
 }
 
-/// Guards against a VM that hears nobody and takes what endpoints take for itself, and against one that
-/// keeps a part for VMs that are gone.
+// Guards against a VM that receives no datagrams and takes over the whole limits of endpoints, and against
+// one that leaves a share to VMs that are gone.
 #[test]
 fn what_endpoints_take_is_shared_with_the_vms_that_are_heard() {
-    let peers = spoken(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Leaving)]);
-    assert_eq!(sharers(&peers, "b", now()), of(&["a", "b"]));
-    let mut peers = spoken(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
-    assert_eq!(sharers(&peers, "b", now()), of(&["a", "b", "c"]));
+    let peers = alive(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Leaving)]);
+    assert_eq!(owners(&peers, "b", now()), owners_of(&["a", "b"]));
+    let mut peers = alive(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
+    assert_eq!(owners(&peers, "b", now()), owners_of(&["a", "b", "c"]));
     let later = now() + LIVENESS_TIMEOUT;
-    assert_eq!(sharers(&peers, "b", later), of(&["a", "b", "c"]));
+    assert_eq!(owners(&peers, "b", later), owners_of(&["a", "b", "c"]));
     peers.update(
-        told_of("c", 2).with_datagram(ReaderStatus::Eligible, later),
+        discovered("c", 2).with_datagram(ReaderStatus::Eligible, later),
         later,
     );
-    assert_eq!(sharers(&peers, "b", later), of(&["b", "c"]));
+    assert_eq!(owners(&peers, "b", later), owners_of(&["b", "c"]));
 }
--- a/crates/relay/tests/all/rollouts.rs
+++ b/crates/relay/tests/all/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: which version a session uses, at each of several VMs.
+//! Roll-outs: which version a session uses at each of several VMs, and when the end is reported.
 
 use std::time::Duration;
 
@@ -19,8 +19,9 @@
 const LASTS: Duration = Duration::from_secs(24);
 const SESSION: Duration = Duration::from_secs(5);
 
-/// Sessions of a trial that begins well after the order and ends at its half.
+/// Time from the order to a moment in the trial, which ends at half of the deadline.
 const TRIAL: Duration = Duration::from_secs(4);
+/// Time from the order to a moment when all sessions have moved.
 const MOVED: Duration = Duration::from_secs(18);
 
 fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
@@ -62,7 +63,7 @@
     }
 }
 
-/// A VM that knows four endpoints of each version.
+/// A VM that knows four endpoints of the old version.
 fn vm() -> Rollouts {
     let exposure = Exposure {
         share: 0.15,
@@ -74,12 +75,13 @@
     rollouts
 }
 
+/// Four endpoints of the new version register, and the order is read.
 fn begin(rollouts: &mut Rollouts) {
     rollouts.update_versions(&pool(), vec![(old(), 4), (new(), 4)]);
     rollouts.add_order(order(), None, ordered());
 }
 
-/// Sessions that the trial moves, by a VM that knows none of them.
+/// Sessions that the trial moves at a VM that has not seen them before.
 fn moved(count: usize) -> Vec<u64> {
     let mut fresh = vm();
     begin(&mut fresh);
@@ -98,21 +100,21 @@
     assert!((240..480).contains(&count), "{count}");
 }
 
-// Endpoints of the new version register a moment before their order is read. They must get nothing
-// until it is: what they got would count as exposure, and sessions would be moved.
+// Endpoints of the new version register shortly before the order is read. Requests sent to them until
+// then would count as exposure and move their sessions.
 #[test]
-fn a_version_without_an_order_is_left_alone() {
+fn a_version_without_an_order_gets_no_requests() {
     let mut vm = vm();
     vm.update_versions(&pool(), vec![(old(), 4), (new(), 8)]);
     let versions = (0..500).map(|s| vm.version(&pool(), s, ordered()));
     assert!(versions.into_iter().all(|version| version == Some(old())));
 }
 
-// A caller's session had a request at one VM before the order, and the next, seconds later, comes to
-// another VM in another zone. That one has never seen the session; by the session's fixed place it
-// would be moved to the new version, while the caller holds an answer of the old one.
+// A session has a request at one VM before the trial, and its next one at a VM in another zone. That VM
+// has not seen the session and would move it to the new version, although the caller has an answer of the
+// old one. Announced pinned sessions prevent this.
 #[test]
-fn a_session_that_goes_from_vm_to_vm_keeps_its_version_in_the_trial() {
+fn a_session_that_changes_vms_keeps_its_version_in_the_trial() {
     let sessions = moved(20);
     let (mut here, mut there) = (vm(), vm());
     for (place, session) in sessions.iter().enumerate() {
@@ -133,14 +135,14 @@
         assert_eq!(here.version(&pool(), *session, seen), Some(old()));
         here.record_session(&pool(), *session, &old(), seen);
     }
-    for kept in here.take_pending_sessions() {
-        there.pin_session(kept);
+    for pinned in here.take_pending_sessions() {
+        there.pin_session(pinned);
     }
     let now = ordered() + TRIAL;
     for session in &sessions {
         assert_eq!(there.version(&pool(), *session, now), Some(old()));
     }
-    // Each is told once.
+    // Each is announced once.
     assert_eq!(here.take_pending_sessions(), []);
 }
 
@@ -178,10 +180,10 @@
     }
 }
 
-// A version fails its requests at more than one endpoint: sessions go back at once, also those that
-// had moved.
+// A version fails its requests at more than one endpoint: all sessions return to the old one at once, also
+// those that had moved.
 #[test]
-fn a_bad_version_gets_nothing_more() {
+fn a_bad_version_gets_no_more_requests() {
     let session = moved(1)[0];
     let mut vm = vm();
     begin(&mut vm);
@@ -193,18 +195,18 @@
     assert_eq!(vm.version(&pool(), session, now), Some(old()));
 }
 
-// One endpoint of a good version is sick and fails all that it gets. That is the endpoint's matter:
-// undoing the roll-out for it would miss the deadline of a good version.
+// One faulty endpoint of a good version fails all its requests. If the roll-out were undone for it, a good
+// version would miss its deadline.
 #[test]
-fn one_sick_endpoint_does_not_make_a_version_bad() {
+fn one_faulty_endpoint_does_not_make_a_version_bad() {
     let mut vm = vm();
     begin(&mut vm);
     fail(&mut vm, "a", 12);
     assert!(!vm.is_bad(&pool(), &new()));
 }
 
-// Each VM saw too little to judge by itself. Together they saw enough, and one word of it reaches a
-// VM that saw nothing.
+// Each of two VMs has too little evidence to find the version bad. With the other one's announcement it has
+// enough.
 #[test]
 fn evidence_of_several_vms_counts_together() {
     let (mut one, mut other) = (vm(), vm());
@@ -214,23 +216,17 @@
     fail(&mut other, "b", 3);
     assert!(!one.is_bad(&pool(), &new()) && !other.is_bad(&pool(), &new()));
     let now = ordered() + TRIAL;
-    let what = other.announcements(|_, _| false, now);
+    let announcements = other.announcements(|_, _| false, now);
     let node = name::<id::Node>("other");
-    for what in what {
+    for announcement in announcements {
         let node = node.clone();
-        one.receive(
-            &NodeAnnouncement {
-                node,
-                announcement: what,
-            },
-            now,
-        );
+        one.receive(&NodeAnnouncement { node, announcement }, now);
     }
     assert!(one.is_bad(&pool(), &new()));
 }
 
-// A VM was cut off while the order was given and reads it ten seconds later. By its own reckoning the
-// trial has just begun; others say how old the order is, and it joins them where they are.
+// A VM was cut off when the order was given and reads it ten seconds later. By its own clock the roll-out
+// has just begun. It takes the age of the order from the announcements of others, and so their phase.
 #[test]
 fn a_vm_that_reads_an_order_late_learns_its_age() {
     let (mut prompt, mut late) = (vm(), vm());
@@ -244,42 +240,30 @@
     late.record_session(&pool(), session, &old(), now);
     assert_eq!(late.version(&pool(), session, now), Some(old()));
     let node = name::<id::Node>("prompt");
-    for what in prompt.announcements(|_, _| false, now) {
+    for announcement in prompt.announcements(|_, _| false, now) {
         let node = node.clone();
-        late.receive(
-            &NodeAnnouncement {
-                node,
-                announcement: what,
-            },
-            now,
-        );
+        late.receive(&NodeAnnouncement { node, announcement }, now);
     }
     assert_eq!(late.version(&pool(), session, now), Some(new()));
 }
 
 #[test]
-fn word_of_the_end_ends_it_everywhere() {
+fn an_announced_end_ends_the_roll_out_everywhere() {
     for (end, version) in [(End::Done, new()), (End::Undone, old())] {
         let mut vm = vm();
         begin(&mut vm);
         let now = ordered() + MOVED;
-        let mut what = vm.announcements(|_, _| true, now).remove(0);
-        what.ended = Some(end);
+        let mut announcement = vm.announcements(|_, _| true, now).remove(0);
+        announcement.ended = Some(end);
         let node = name("other");
-        vm.receive(
-            &NodeAnnouncement {
-                node,
-                announcement: what,
-            },
-            now,
-        );
+        vm.receive(&NodeAnnouncement { node, announcement }, now);
         assert!(vm.running().is_empty());
         assert_eq!(vm.version(&pool(), 1, now), Some(version));
     }
 }
 
-// All endpoints of the new version are gone, such as after a crash in the trial. Callers of the
-// sessions that had moved are served by the old one rather than by nobody.
+// All endpoints of the new version are gone, for example after a crash in the trial. Sessions that had
+// moved are served by the old version instead of failing.
 #[test]
 fn sessions_fall_back_when_the_new_version_has_no_endpoint() {
     let session = moved(1)[0];
@@ -291,9 +275,10 @@
     assert_eq!(vm.version(&pool(), session, now), Some(old()));
 }
 
-// Guards against streams of other zones cut by a VM that says for them that they have left.
+// Guards against streams of other zones that are cut because a VM reports the end before those zones have
+// drained the old version.
 #[test]
-fn a_vm_that_hears_its_zone_alone_does_not_tell_that_all_have_left() {
+fn a_vm_that_sees_only_its_zone_does_not_report_the_end_early() {
     let mut vm = vm();
     begin(&mut vm);
     let now = ordered() + MOVED;
@@ -303,12 +288,13 @@
     );
     let done = Step::Report(End::Done);
     assert_eq!(vm.next_step(&pool(), true, Visibility::AllZones, now), done);
-    // Before the deadline somebody must.
+    // Shortly before the deadline the end is reported in any case.
     let late = ordered() + LASTS.saturating_sub(Duration::from_secs(1));
     assert_eq!(vm.next_step(&pool(), true, Visibility::Zone, late), done);
 }
 
-// Guards against VMs that start together and all ask what became of an order that leaves them no choice.
+// Guards against VMs that start together and all read the status of an order that has no effect, as the
+// service has only one version.
 #[test]
 fn an_order_matters_once_there_are_several_versions() {
     let mut vm = vm();
