--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -9,9 +9,9 @@
 use pimento_units::id;
 
 use crate::boot;
-use crate::border::Ask;
-use crate::border::Border;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
+use crate::headers::RequestInfo;
 use crate::node::Freshness;
 use crate::node::Node;
 use crate::refusal::Cause;
@@ -52,9 +52,9 @@
 }
 
 /// What a request may do by the configuration at hand, without asking anybody.
-fn look<P: Border + Codec, L: Log>(
+fn look<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    ask: &Ask,
+    ask: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Denial> {
     let table = node.table().ok_or(Denial::NoTable)?;
@@ -88,9 +88,9 @@
 /// # Errors
 ///
 /// A [`Refusal`].
-pub async fn admit<P: Border + Codec, L: Log>(
+pub async fn admit<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    ask: &Ask,
+    ask: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Refusal> {
     let denial = match look(node, ask, path) {
@@ -113,9 +113,9 @@
 /// # Errors
 ///
 /// A [`Refusal`] of the request as not run.
-pub fn still<P: Border + Codec, L: Log>(
+pub fn still<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    ask: &Ask,
+    ask: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Refusal> {
     look(node, ask, path).map_err(refusal)
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -17,11 +17,11 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::admit;
-use crate::border::Border;
-use crate::border::Reply;
 use crate::call::Call;
 use crate::call::Connection;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
+use crate::headers::ResponseInfo;
 use crate::node::Node;
 use crate::node::millis;
 use crate::poison;
@@ -43,7 +43,7 @@
     /// The answer.
     pub call: Call,
     /// What its head says.
-    pub reply: Reply,
+    pub reply: ResponseInfo,
 }
 
 /// What to send in this attempt beside the request itself.
@@ -77,7 +77,7 @@
     state: State,
 }
 
-impl<'a, P: Border + Codec, L: Log> Attempts<'a, P, L> {
+impl<'a, P: HeaderCodec + Codec, L: Log> Attempts<'a, P, L> {
     /// No attempt yet.
     #[must_use]
     pub fn new(node: &'a Node<P, L>, request: &'a Work) -> Self {
@@ -347,8 +347,8 @@
     }
 
     /// Reads the head of an answer, and whether it is one to this request.
-    fn read(&self, endpoint: &id::Endpoint, call: Call) -> Result<(Call, Reply), Fault> {
-        let reply = self.node.platform.reply(&call.head);
+    fn read(&self, endpoint: &id::Endpoint, call: Call) -> Result<(Call, ResponseInfo), Fault> {
+        let reply = self.node.platform.parse_response(&call.head);
         let status = call.head.status;
         if !reply.misdirected {
             self.named(endpoint, &reply.limit);
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -12,12 +12,12 @@
 use super::Attempts;
 use super::Variant;
 use crate::boot;
-use crate::border::Border;
-use crate::border::Named;
-use crate::border::Order;
 use crate::call::Message;
 use crate::cascade;
 use crate::codec::Codec;
+use crate::headers::AnnouncedLimit;
+use crate::headers::AttemptInfo;
+use crate::headers::HeaderCodec;
 use crate::node::millis;
 use crate::rollouts::Seen;
 use crate::rollouts::announcement::Outcome;
@@ -29,7 +29,7 @@
 /// Whose requests on public routes are, for fairness among customers.
 const PUBLIC: &str = "public";
 
-impl<P: Border + Codec, L: Log> Attempts<'_, P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Attempts<'_, P, L> {
     /// Tells what became of an attempt.
     pub(super) fn tell(&self, permit: &Permit, fault: &Fault, what: &str) {
         let now = self.node.now();
@@ -46,13 +46,13 @@
     }
 
     /// Takes the limit that an endpoint names.
-    pub(super) fn named(&self, endpoint: &id::Endpoint, limit: &Named) {
+    pub(super) fn named(&self, endpoint: &id::Endpoint, limit: &AnnouncedLimit) {
         let request = self.request.ask.id.as_str();
         let limit = match limit {
-            Named::Nothing => None,
-            Named::Limit(limit) => Some(*limit),
+            AnnouncedLimit::Absent => None,
+            AnnouncedLimit::Limit(limit) => Some(*limit),
             // What was known holds on.
-            Named::Unreadable(error) => {
+            AnnouncedLimit::Invalid(error) => {
                 let endpoint = endpoint.as_str();
                 log::warn!(request, endpoint, error:%; "attempt: The endpoint names what is no limit.");
                 return;
@@ -136,18 +136,18 @@
     pub(super) fn message(&self, permit: &Permit, variant: &Variant) -> Message {
         let request = self.request;
         let customer = request.grant.customer.as_ref();
-        let order = Order {
+        let attempt = AttemptInfo {
             endpoint: permit.endpoint(),
             customer: customer.map(|customer| &customer.name),
-            left: Some(request.left(self.node.now())),
+            time_left: Some(request.left(self.node.now())),
             model: variant.model.as_ref(),
-            resume: variant.resume.or(request.ask.resume),
+            last_event_id: variant.resume.or(request.ask.last_event_id),
             urgency: Some(cascade::urgency(request, variant)),
         };
         Message {
             method: request.head.method.clone(),
             uri: request.head.uri.clone(),
-            headers: self.node.platform.order(&request.head, &order),
+            headers: self.node.platform.attempt_headers(&request.head, &attempt),
             body: request.body.clone(),
         }
     }
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -13,9 +13,9 @@
 
 use crate::attempts::Attempts;
 use crate::attempts::Variant;
-use crate::border::Border;
-use crate::border::Wish;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
+use crate::headers::RequestedModel;
 use crate::node::millis;
 use crate::topic::Log;
 use crate::work::Work;
@@ -41,7 +41,7 @@
         let (prompt, most) = request.usage().unwrap_or_default();
         let asked = worth::Request {
             prompt,
-            answer: request.ask.length.unwrap_or(most).min(most),
+            answer: request.ask.expected_tokens.unwrap_or(most).min(most),
             priority: request.grant.route.priority,
         };
         let mut usual = self.usual.lock().unwrap_or_else(PoisonError::into_inner);
@@ -62,7 +62,7 @@
 /// The model to begin with: the smallest, or the one that the caller named.
 pub fn first(request: &Work) -> Option<id::Version> {
     match &request.ask.model {
-        Some(Wish::Named(model)) => Some(model.clone()),
+        Some(RequestedModel::Named(model)) => Some(model.clone()),
         _ => request.grant.route.models.first().cloned(),
     }
 }
@@ -95,7 +95,7 @@
 
 /// The larger model to drop an answer for; none if the answer is passed on. `dropped` is the answer
 /// that was dropped before.
-pub fn larger<P: Border + Codec, L: Log>(
+pub fn larger<P: HeaderCodec + Codec, L: Log>(
     attempts: &Attempts<'_, P, L>,
     variant: &Variant,
     confidence: Option<u8>,
@@ -111,7 +111,7 @@
     if let Some(before) = dropped.take() {
         seen.learn((before.model, before.confidence), (key(model), confidence));
     }
-    let asked = matches!(request.ask.model, Some(Wish::Named(_)));
+    let asked = matches!(request.ask.model, Some(RequestedModel::Named(_)));
     if asked || !attempts.again() || !attempts.affords() {
         return None;
     }
--- a/crates/relay/src/chain.rs
+++ b/crates/relay/src/chain.rs
@@ -18,9 +18,9 @@
 use pimento_units::Moment;
 
 use crate::admit;
-use crate::border::Ask;
-use crate::border::Border;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
+use crate::headers::RequestInfo;
 use crate::node::Node;
 use crate::node::millis;
 use crate::refusal::Cause;
@@ -52,12 +52,12 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Callers<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for Callers<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         let node = &self.0;
         let began = node.now();
         let (head, body) = request.into_parts();
-        let ask = match node.platform.ask(&head) {
+        let ask = match node.platform.parse_request(&head) {
             Ok(ask) => ask,
             Err(error) => {
                 let refusal = Refusal::new(Cause::BadHead);
@@ -110,7 +110,7 @@
         millis(self.clock.now().since(self.began))
     }
 
-    fn refused<P: Border + Codec, L: Log>(&self, node: &Node<P, L>, refusal: &Refusal) {
+    fn refused<P: HeaderCodec + Codec, L: Log>(&self, node: &Node<P, L>, refusal: &Refusal) {
         node.metrics.refused(refusal);
         let belief = node.belief();
         log::info!(
@@ -137,10 +137,10 @@
     }
 }
 
-async fn answer<P: Border + Codec, L: Log>(
+async fn answer<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     (head, body): (request::Parts, Incoming),
-    ask: Ask,
+    ask: RequestInfo,
     began: Moment,
 ) -> Result<Response<Reply>, Refusal> {
     let grant = admit::admit(node, &ask, head.uri.path()).await?;
@@ -154,7 +154,7 @@
         .pool(random)
         .ok_or_else(|| Refusal::new(Cause::UnknownRoute))?;
     let timeout = grant.route.timeout;
-    let wait = ask.wait.map_or(timeout, |wait| wait.min(timeout));
+    let wait = ask.timeout.map_or(timeout, |wait| wait.min(timeout));
     let kind = grant.route.kind;
     let digest = work::digest(&ask, &head, &body, &grant);
     let request = Work {
--- a/crates/relay/src/border.rs
+++ b/crates/relay/src/headers.rs
@@ -16,7 +16,7 @@
 
 /// A part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Hash of the part's text.
     pub hash: u64,
     /// Its length.
@@ -25,7 +25,7 @@
 
 /// The model that a caller asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wish {
+pub enum RequestedModel {
     /// Whichever the route allows.
     Any,
     /// This one.
@@ -34,7 +34,7 @@
 
 /// What the head of a caller's request says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The id of this request, which the endpoint's answer repeats.
     pub id: CompactString,
     /// The host asked for, without a port.
@@ -42,25 +42,25 @@
     /// The API key.
     pub key: Option<CompactString>,
     /// How long the caller waits for the whole answer.
-    pub wait: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The last event that the caller has, if it resumes a stream.
-    pub resume: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// The model asked for.
-    pub model: Option<Wish>,
+    pub model: Option<RequestedModel>,
     /// Tokens of the prompt, and the most of the answer.
     pub usage: Option<(Tokens, Tokens)>,
     /// The prompt's parts in order.
-    pub parts: Vec<Part>,
+    pub prompt_parts: Vec<PromptPart>,
     /// Hash of the session that the request belongs to.
     pub session: Option<u64>,
     /// Tokens that the caller expects of the answer.
-    pub length: Option<Tokens>,
+    pub expected_tokens: Option<Tokens>,
 }
 
 /// A head that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{header}: {problem}"))]
-pub struct Malformed {
+pub struct MalformedHeader {
     /// The header.
     pub header: &'static str,
     /// What is wrong with it.
@@ -69,24 +69,24 @@
 
 /// How one attempt is to be made.
 #[derive(Debug, Clone, Copy)]
-pub struct Order<'a> {
+pub struct AttemptInfo<'a> {
     /// The endpoint that it is meant for; another one at its address must not run it.
     pub endpoint: &'a id::Endpoint,
     /// Whose request it is.
     pub customer: Option<&'a id::Customer>,
     /// Time left until the answer must be whole.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// The model to run in place of the one asked for.
     pub model: Option<&'a id::Version>,
     /// The last event that the caller has.
-    pub resume: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Urgency at the engine; lower goes first.
     pub urgency: Option<u8>,
 }
 
 /// What the head of an endpoint's answer says beside its status.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Reply {
+pub struct ResponseInfo {
     /// The id of the request that it answers.
     pub id: Option<CompactString>,
     /// Whether it bears an endpoint's signature.
@@ -98,36 +98,36 @@
     /// The model's opinion of its answer, from 0 to 100.
     pub confidence: Option<u8>,
     /// Requests a second that the endpoint takes from all VMs together, as it says.
-    pub limit: Named,
+    pub limit: AnnouncedLimit,
 }
 
 /// What an answer says of its endpoint's limit.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub enum Named {
+pub enum AnnouncedLimit {
     /// Nothing: there is none.
     #[default]
-    Nothing,
+    Absent,
     /// This one.
     Limit(throttle::Limit),
     /// Something that is no limit.
-    Unreadable(throttle::Error),
+    Invalid(throttle::Error),
 }
 
 /// How heads are read and written.
-pub trait Border: Clone + Send + Sync + 'static {
+pub trait HeaderCodec: Clone + Send + Sync + 'static {
     /// Reads the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// [`Malformed`] if a header that must be there is missing or can't be read.
-    fn ask(&self, head: &request::Parts) -> Result<Ask, Malformed>;
+    /// [`MalformedHeader`] if a header that must be there is missing or can't be read.
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestInfo, MalformedHeader>;
 
     /// The headers of an attempt.
-    fn order(&self, head: &request::Parts, order: &Order<'_>) -> HeaderMap;
+    fn attempt_headers(&self, head: &request::Parts, attempt: &AttemptInfo<'_>) -> HeaderMap;
 
     /// Reads the head of an endpoint's answer.
-    fn reply(&self, head: &response::Parts) -> Reply;
+    fn parse_response(&self, head: &response::Parts) -> ResponseInfo;
 
     /// Takes out of an answer's headers what concerns only the connection to the endpoint.
-    fn strip(&self, headers: &mut HeaderMap);
+    fn strip_connection_headers(&self, headers: &mut HeaderMap);
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,6 +1,6 @@
 //! Passes requests on to endpoints as they are: the chain for borders whose bodies are not ours.
 //!
-//! A [`Border`](border::Border) reads and writes heads, a [`Codec`](codec::Codec) the records of
+//! A [`HeaderCodec`](headers::HeaderCodec) reads and writes heads, a [`Codec`](codec::Codec) the records of
 //! operators and endpoints, and a [`Log`](topic::Log) carries them; none of them decides anything. What
 //! a request may do is told by the operators' [`Table`](table::Table), where it runs by
 //! `pimento_scheduler`, what may be sent again by its [`Attempts`](attempts::Attempts).
@@ -9,7 +9,6 @@
 pub mod admit;
 pub mod attempts;
 pub mod boot;
-pub mod border;
 pub mod call;
 pub mod calls;
 mod cascade;
@@ -21,6 +20,7 @@
 pub mod events;
 pub mod fleet;
 pub mod follow;
+pub mod headers;
 mod metrics;
 pub mod neighbours;
 pub mod node;
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -23,10 +23,10 @@
 use prometheus::IntCounterVec;
 use prometheus::Registry;
 
-use crate::border::Border;
 use crate::codec::Codec;
 use crate::follow::Fold;
 use crate::follow::Follower;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::refusal::Refusal;
 use crate::topic::Log;
@@ -269,7 +269,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Page<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Page<P, L> {
     /// Sets the figures that are read when asked for.
     fn gauges(&self) {
         let node = &self.0;
@@ -310,7 +310,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Page<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for Page<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         if request.uri().path() != PATH {
             let mut response = Response::new(Reply::whole("not found\n"));
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -40,10 +40,10 @@
 use self::peers::Role;
 use self::peers::Standing;
 use crate::boot;
-use crate::border::Border;
 use crate::codec::Codec;
 use crate::follow::Lead;
 use crate::follow::Part;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::passage::Passage;
 use crate::passage::Shared;
@@ -103,7 +103,7 @@
 }
 
 /// Starts to tell other VMs and to listen to them.
-pub fn start<P: Border + Codec, L: Log>(
+pub fn start<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: L,
     zone: Zone,
@@ -113,7 +113,7 @@
     tokio::spawn(async move { token.run_until_cancelled(run(node, log, zone)).await });
 }
 
-async fn run<P: Border + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
     let address = node.config.peer_listen;
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Arc::new(socket),
@@ -143,7 +143,7 @@
     );
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/relay/src/neighbours/meet.rs
+++ b/crates/relay/src/neighbours/meet.rs
@@ -10,12 +10,12 @@
 use super::news::News;
 use super::peers::Peer;
 use crate::boot;
-use crate::border::Border;
 use crate::calls::Reason;
 use crate::codec::Codec;
 use crate::fleet;
 use crate::fleet::Word;
 use crate::follow::Lead;
+use crate::headers::HeaderCodec;
 use crate::topic::Log;
 use crate::topic::Topic;
 
@@ -37,7 +37,7 @@
     (pause * 2).min(LONGEST)
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     /// Meets the other VMs on the log, and those of the zone by datagrams.
     ///
     /// Of two VMs that start together the one whose word comes later must find the other's, so that a VM
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -16,8 +16,8 @@
 use tokio::net::TcpListener;
 
 use crate::boot;
-use crate::border::Border;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::passage::PATH;
 use crate::passage::Passage;
@@ -53,7 +53,7 @@
 }
 
 /// Serves until the process ends. Where the address can't be had the other VMs read by themselves.
-pub async fn serve<P: Border + Codec, L: Log>(node: Node<P, L>) {
+pub async fn serve<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>) {
     let address = node.config.peer_listen;
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
@@ -80,7 +80,7 @@
     Some((Shared::named(topic)?, Offset(from.parse().ok()?)))
 }
 
-impl<P: Border + Codec, L: Log> Records<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Records<P, L> {
     /// The view of a topic, for a VM that asks for it now; none if there is none yet.
     async fn view(&self, topic: Shared) -> Option<Bytes> {
         let asked = boot::now();
@@ -143,7 +143,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Records<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for Records<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         let path = request.uri().path();
         let packed = match view(path) {
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/tell.rs
@@ -14,8 +14,8 @@
 use super::message::Read;
 use super::news::News;
 use crate::boot;
-use crate::border::Border;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
 use crate::passage::Passage;
 use crate::passage::Shared;
 use crate::rollouts::Rollouts;
@@ -57,7 +57,7 @@
     poison: Offset,
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     /// Records that the zone was not told of yet, if this VM reads for it.
     fn passages(&self) -> Vec<Passage> {
         let told = self.lock().told.take();
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -15,7 +15,6 @@
 use tokio_util::task::TaskTracker;
 
 use crate::boot;
-use crate::border::Border;
 use crate::calls::Calls;
 use crate::calls::Reason;
 use crate::cascade;
@@ -24,6 +23,7 @@
 use crate::directory::Directory;
 use crate::fleet::Word;
 use crate::follow::Follower;
+use crate::headers::HeaderCodec;
 use crate::metrics::Metrics;
 use crate::neighbours;
 use crate::operators::Operators;
@@ -137,7 +137,7 @@
     Stale,
 }
 
-impl<P: Border + Codec, L: Log> Node<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Node<P, L> {
     /// Starts to follow the log.
     pub fn start(config: Config, platform: P, log: L, token: &CancellationToken) -> Self {
         let zone = Zone::starting(&config);
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -32,9 +32,9 @@
 use self::word::Outbox;
 pub use self::word::Word;
 use crate::boot;
-use crate::border::Border;
 use crate::codec::Codec;
 use crate::endpoint::Entry;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::node::millis;
 use crate::topic::Log;
@@ -183,7 +183,7 @@
 }
 
 /// An answer to a request was whole.
-pub fn answered<P: Border + Codec, L: Log>(node: &Node<P, L>, digest: Digest) {
+pub fn answered<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, digest: Digest) {
     let now = boot::now();
     let poison = &node.poison;
     let mut state = poison.lock();
@@ -199,7 +199,10 @@
 }
 
 /// How long a request is still barred; none if it may be sent.
-pub fn barred<P: Border + Codec, L: Log>(node: &Node<P, L>, digest: Digest) -> Option<Duration> {
+pub fn barred<P: HeaderCodec + Codec, L: Log>(
+    node: &Node<P, L>,
+    digest: Digest,
+) -> Option<Duration> {
     let now = boot::now();
     let table = &node.poison.lock().table;
     // The VM that wrote the bar may not have heard of the answer.
@@ -211,7 +214,7 @@
 }
 
 /// A run failed at an endpoint. Where its connection ended, the endpoint may have ended as well.
-pub fn failed<P: Border + Codec, L: Log>(
+pub fn failed<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     digest: Digest,
     endpoint: &id::Endpoint,
@@ -242,7 +245,7 @@
 }
 
 /// Waits until it is known whether an endpoint ended, and counts that for all that ran there.
-async fn watch<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry, crash: Crash) {
+async fn watch<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, entry: &Entry, crash: Crash) {
     let proof = ended::look(node, entry).await;
     let digests = node.poison.lock().breaks.looked(crash, proof.is_some());
     log::info!(
--- a/crates/relay/src/poison/ended.rs
+++ b/crates/relay/src/poison/ended.rs
@@ -7,9 +7,9 @@
 
 use pimento_endpoint::gone;
 
-use crate::border::Border;
 use crate::codec::Codec;
 use crate::endpoint::Entry;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::topic::Log;
 
@@ -36,7 +36,10 @@
 }
 
 /// Waits until an endpoint is known to have ended; none if it is still there.
-pub async fn look<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry) -> Option<Proof> {
+pub async fn look<P: HeaderCodec + Codec, L: Log>(
+    node: &Node<P, L>,
+    entry: &Entry,
+) -> Option<Proof> {
     let bound = node.reach(|reach| reach.bound());
     if gone::is_refused(entry.address, bound).await {
         return Some(Proof::Refused);
@@ -54,7 +57,7 @@
 }
 
 /// Whether an endpoint is registered as it was, or has lost its entry while the log was out.
-fn registered<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry) -> bool {
+fn registered<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, entry: &Entry) -> bool {
     node.directory.view(|view| {
         let known = view.member(&entry.id);
         known.is_some_and(|known| known.entry.born == entry.born)
--- a/crates/relay/src/poison/keep.rs
+++ b/crates/relay/src/poison/keep.rs
@@ -9,9 +9,9 @@
 use super::Change;
 use super::bars;
 use crate::boot;
-use crate::border::Border;
 use crate::calls::Reason;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::topic::Log;
 use crate::topic::Topic;
@@ -26,12 +26,12 @@
 const PAUSE: Duration = Duration::from_millis(500);
 
 /// Starts to write.
-pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
+pub fn start<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
     let node = node.clone();
     tokio::spawn(async move { token.run_until_cancelled(run(node, log)).await });
 }
 
-async fn run<P: Border + Codec, L: Log>(node: Node<P, L>, log: L) {
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L) {
     loop {
         tokio::select! {
             () = node.poison.unsaid.notified() => {}
@@ -46,7 +46,7 @@
 }
 
 /// Ends the bars that have run out. The VM that reads the log for its zone takes off it what is needless.
-fn lapse<P: Border + Codec, L: Log>(node: &Node<P, L>) {
+fn lapse<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let mut state = node.poison.lock();
     for digest in state.table.lapse(now) {
@@ -61,7 +61,7 @@
 }
 
 /// The next change that is still to be written.
-fn next<P: Border + Codec, L: Log>(node: &Node<P, L>) -> Option<(Digest, Change)> {
+fn next<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) -> Option<(Digest, Change)> {
     let now = boot::now();
     let state = &mut *node.poison.lock();
     let table = &state.table;
@@ -75,7 +75,7 @@
 }
 
 /// Writes a change; whether it is known to be written.
-async fn write<P: Border + Codec, L: Log>(
+async fn write<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: &L,
     digest: Digest,
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -10,9 +10,9 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::boot;
-use crate::border::Border;
 use crate::codec::Codec;
 use crate::directory;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::topic::Log;
 
@@ -21,12 +21,12 @@
 const FAR: Duration = Duration::from_millis(10);
 
 /// Starts to follow the endpoints and the services.
-pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, token: CancellationToken) {
+pub fn start<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, token: CancellationToken) {
     let node = node.clone();
     tokio::spawn(async move { token.run_until_cancelled(follow(node)).await });
 }
 
-async fn follow<P: Border + Codec, L: Log>(node: Node<P, L>) {
+async fn follow<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>) {
     let mut endpoints = node.directory.changes();
     let mut operators = node.operators.changes();
     loop {
@@ -45,7 +45,7 @@
 }
 
 /// Brings the scheduler's pools up to the list of endpoints and to the services.
-pub(crate) fn refresh<P: Border + Codec, L: Log>(node: &Node<P, L>) {
+pub(crate) fn refresh<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let zone = &node.config.zone;
     let table = node.table();
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -24,7 +24,6 @@
 use super::progress::Hearing;
 use super::progress::Step;
 use crate::boot;
-use crate::border::Border;
 use crate::calls::Reason;
 use crate::codec::Codec;
 use crate::codec::Stage;
@@ -36,6 +35,7 @@
 use crate::follow::Gait;
 use crate::follow::Pace;
 use crate::follow::Told;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::operators::Order;
 use crate::pools;
@@ -115,7 +115,7 @@
 }
 
 /// Carries roll-outs through until `token`.
-pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
+pub fn start<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
     let controller = Controller {
         node: node.clone(),
         log,
@@ -128,7 +128,7 @@
     tokio::spawn(async move { token.run_until_cancelled(controller.run()).await });
 }
 
-impl<P: Border + Codec, L: Log> Controller<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Controller<P, L> {
     async fn run(mut self) {
         let mut changes = self.node.operators.changes();
         let mut endpoints = self.node.directory.changes();
@@ -406,7 +406,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Node<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Node<P, L> {
     /// Whether no request of this VM is at an endpoint of another version than `target`.
     fn left(&self, pool: &id::Pool, target: &id::Version) -> bool {
         self.scheduler.pool(pool).flying_beside(target) == 0
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -19,10 +19,10 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-use crate::border::Border;
 use crate::chain::Callers;
 use crate::codec::Codec;
 use crate::config::Config;
+use crate::headers::HeaderCodec;
 use crate::metrics::Page;
 use crate::node::Node;
 use crate::topic::Log;
@@ -51,7 +51,7 @@
     background: CancellationToken,
 }
 
-impl<P: Border + Codec, L: Log> Running<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Running<P, L> {
     /// Binds all addresses and starts to serve.
     ///
     /// # Errors
@@ -137,7 +137,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Ready<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for Ready<P, L> {
     async fn serve(&self, _request: Request<Incoming>) -> Response<Reply> {
         let ready = self.0.ready();
         let mut response =
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -22,12 +22,12 @@
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
 use crate::attempts::Variant;
-use crate::border::Border;
 use crate::call::Answer;
 use crate::cascade;
 use crate::codec::Codec;
 use crate::events::Event;
 use crate::events::Splitter;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::node::millis;
 use crate::refusal::Cause;
@@ -134,7 +134,7 @@
 /// # Errors
 ///
 /// A [`Refusal`] if no endpoint answered.
-pub async fn serve<P: Border + Codec, L: Log>(
+pub async fn serve<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     request: Work,
 ) -> Result<Response<Reply>, Refusal> {
@@ -169,7 +169,7 @@
         }
     };
     let state = attempts.state();
-    node.platform.strip(&mut head.headers);
+    node.platform.strip_connection_headers(&mut head.headers);
     let took = node.now().since(request.began);
     node.metrics.began(&request.grant.route.name, took);
     let (writer, reply) = Reply::stream();
@@ -182,7 +182,7 @@
             request: &request,
             attempts,
             variant,
-            last: request.ask.resume,
+            last: request.ask.last_event_id,
             events: 0,
         };
         stream.run(writer, source, first).await;
@@ -191,7 +191,7 @@
 }
 
 /// Reads up to the first event; none if the answer broke off and another attempt may be made.
-async fn begin<P: Border + Codec, L: Log>(
+async fn begin<P: HeaderCodec + Codec, L: Log>(
     attempts: &mut Attempts<'_, P, L>,
     node: &Node<P, L>,
     request: &Work,
@@ -215,7 +215,7 @@
                 permit.failed(&Fault::Failed {
                     status: head.status.as_u16(),
                 });
-                node.platform.strip(&mut head.headers);
+                node.platform.strip_connection_headers(&mut head.headers);
                 let response = Response::from_parts(head, Reply::whole(bytes));
                 Ok(Some(Begun::Failure(response)))
             }
@@ -325,7 +325,7 @@
     Broken(Cause),
 }
 
-impl<P: Border + Codec, L: Log> Stream<'_, P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Stream<'_, P, L> {
     async fn run(&mut self, writer: Writer, source: Source, first: Event) {
         let left = self.request.left(self.node.now());
         let passing = self.pass(&writer, source, first);
--- a/crates/relay/src/whole.rs
+++ b/crates/relay/src/whole.rs
@@ -16,9 +16,9 @@
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
 use crate::attempts::Variant;
-use crate::border::Border;
 use crate::call::Answer;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::node::millis;
 use crate::poison;
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// A [`Refusal`] if no endpoint answered.
-pub async fn serve<P: Border + Codec, L: Log>(
+pub async fn serve<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     request: &Work,
 ) -> Result<Response<Reply>, Refusal> {
@@ -59,7 +59,7 @@
         let left = request.left(node.now());
         let read = tokio::time::timeout(left, read(body)).await;
         let read = read.unwrap_or(Err(Fault::Timeout));
-        node.platform.strip(&mut head.headers);
+        node.platform.strip_connection_headers(&mut head.headers);
         match read {
             Ok(Read::Whole(bytes)) => {
                 let failed = head.status.is_server_error();
--- a/crates/relay/src/work.rs
+++ b/crates/relay/src/work.rs
@@ -13,13 +13,13 @@
 use pimento_units::id;
 
 use crate::admit::Grant;
-use crate::border::Ask;
+use crate::headers::RequestInfo;
 
 /// A request that was let in.
 #[derive(Debug)]
 pub struct Work {
     /// What its head says.
-    pub ask: Ask,
+    pub ask: RequestInfo,
     /// Its head.
     pub head: request::Parts,
     /// Its body.
@@ -55,14 +55,14 @@
     /// to the request itself.
     #[must_use]
     pub fn prefix(&self) -> Option<u64> {
-        let (_, shared) = self.ask.parts.split_last()?;
+        let (_, shared) = self.ask.prompt_parts.split_last()?;
         shared.last().map(|part| part.hash)
     }
 
     /// The prompt for a model; none if its parts are not known.
     #[must_use]
     pub fn prompt(&self, model: &id::Version) -> Option<Prompt> {
-        let parts = self.ask.parts.iter().map(|part| engine::Part {
+        let parts = self.ask.prompt_parts.iter().map(|part| engine::Part {
             hash: part.hash,
             tokens: part.tokens,
         });
@@ -82,14 +82,14 @@
 
 /// Bits for a request's draws, from its id.
 #[must_use]
-pub fn random(ask: &Ask) -> u64 {
+pub fn random(ask: &RequestInfo) -> u64 {
     choice::key(&ask.id)
 }
 
 /// The digest of a request's customer, host, method, path and body. Nobody can make another customer's
 /// request look like one of their own, as the customer's name is known by the key.
 #[must_use]
-pub fn digest(ask: &Ask, head: &request::Parts, body: &[u8], grant: &Grant) -> Digest {
+pub fn digest(ask: &RequestInfo, head: &request::Parts, body: &[u8], grant: &Grant) -> Digest {
     let customer = grant.customer.as_ref();
     let customer = customer.map_or("", |customer| customer.name.as_str());
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
