--- a/crates/relay/src/codec.rs
+++ b/crates/relay/src/codec.rs
@@ -12,7 +12,7 @@
 /// A record that can't be read. It changes nothing; the others hold.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{problem}"))]
-pub struct Unreadable {
+pub struct InvalidRecord {
     /// What is wrong with it.
     pub problem: CompactString,
 }
@@ -25,12 +25,12 @@
     /// The version to move to.
     pub target: id::Version,
     /// Time until it must be done or undone.
-    pub lasts: Duration,
+    pub time_limit: Duration,
 }
 
 /// What an operators' record says.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Operator {
+pub enum OperatorRecord {
     /// The whole configuration.
     Table(Box<Table>),
     /// An order to roll out.
@@ -41,24 +41,24 @@
 
 /// How far a roll-out is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum RolloutStage {
     /// Under way.
     Running,
     /// Done: the old endpoints are stopped.
     Done,
     /// Undone: the new endpoints are stopped.
-    Undone,
+    RolledBack,
 }
 
 /// What operators are told of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Status {
+pub struct RolloutStatus {
     /// The service.
     pub pool: id::Pool,
     /// The version that is moved to.
     pub target: id::Version,
     /// How far it is.
-    pub stage: Stage,
+    pub stage: RolloutStage,
 }
 
 /// Reads and writes the values of records.
@@ -67,23 +67,31 @@
     ///
     /// # Errors
     ///
-    /// [`Unreadable`] if it can't be used.
-    fn operator(&self, key: &str, value: &[u8]) -> Result<Operator, Unreadable>;
+    /// [`InvalidRecord`] if it can't be used.
+    fn decode_operator_record(
+        &self,
+        key: &str,
+        value: &[u8],
+    ) -> Result<OperatorRecord, InvalidRecord>;
 
     /// An endpoint's record of itself.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`] if it can't be used.
-    fn endpoint(&self, key: &str, value: &[u8]) -> Result<Entry, Unreadable>;
+    /// [`InvalidRecord`] if it can't be used.
+    fn decode_registration(&self, key: &str, value: &[u8]) -> Result<Entry, InvalidRecord>;
 
     /// What operators were told of a roll-out; none if the record is of something else.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`] if it can't be used.
-    fn status(&self, key: &str, value: &[u8]) -> Result<Option<Status>, Unreadable>;
+    /// [`InvalidRecord`] if it can't be used.
+    fn decode_status(
+        &self,
+        key: &str,
+        value: &[u8],
+    ) -> Result<Option<RolloutStatus>, InvalidRecord>;
 
     /// The key and value that tell operators of a roll-out.
-    fn tell(&self, status: &Status) -> (CompactString, Vec<u8>);
+    fn encode_status(&self, status: &RolloutStatus) -> (CompactString, Vec<u8>);
 }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -156,7 +156,7 @@
             self.remove(&id, told);
             return true;
         };
-        match self.codec.endpoint(&record.key, value) {
+        match self.codec.decode_registration(&record.key, value) {
             Ok(entry) => self.renew(entry, record.offset),
             Err(error) => {
                 // The record names no endpoint to use. If the endpoint lives it writes again soon.
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -7,7 +7,7 @@
 
 use crate::boot;
 use crate::codec::Codec;
-use crate::codec::Operator;
+use crate::codec::OperatorRecord;
 use crate::codec::Rollout;
 use crate::follow::Fold;
 use crate::follow::Told;
@@ -76,8 +76,8 @@
             return false;
         };
         let begun = boot::now();
-        match self.codec.operator(&record.key, value) {
-            Ok(Operator::Table(table)) => {
+        match self.codec.decode_operator_record(&record.key, value) {
+            Ok(OperatorRecord::Table(table)) => {
                 log::info!(
                     topic = "operators",
                     offset = record.offset.0,
@@ -88,13 +88,13 @@
                 );
                 self.table = Some(Arc::from(table));
             }
-            Ok(Operator::Rollout(rollout)) => {
+            Ok(OperatorRecord::Rollout(rollout)) => {
                 log::info!(
                     topic = "operators",
                     offset = record.offset.0,
                     pool = rollout.pool.as_str(),
                     version = rollout.target.as_str(),
-                    lasts_ms = millis(rollout.lasts);
+                    lasts_ms = millis(rollout.time_limit);
                     "operators: Roll-out ordered."
                 );
                 self.order(Order {
@@ -104,7 +104,7 @@
                     first: told.first,
                 });
             }
-            Ok(Operator::Other) => {}
+            Ok(OperatorRecord::Other) => {}
             Err(error) => log::warn!(
                 "operators: {} at offset {} left out: {error}.",
                 record.key,
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -233,7 +233,7 @@
     }
 
     fn phase(&self, rollout: &Progress, now: Moment) -> Phase {
-        let lasts = rollout.order.rollout.lasts;
+        let lasts = rollout.order.rollout.time_limit;
         self.config
             .phase(rollout.age(now), lasts, self.exposure.share)
     }
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -26,8 +26,8 @@
 use crate::boot;
 use crate::calls::Reason;
 use crate::codec::Codec;
-use crate::codec::Stage;
-use crate::codec::Status;
+use crate::codec::RolloutStage;
+use crate::codec::RolloutStatus;
 use crate::fleet;
 use crate::fleet::Word;
 use crate::follow::Fold;
@@ -329,15 +329,15 @@
             self.node.rollouts(|r| r.end(pool, told, now));
             return true;
         }
-        let status = Status {
+        let status = RolloutStatus {
             pool: pool.clone(),
             target: target.clone(),
             stage: match end {
-                End::Done => Stage::Done,
-                End::Undone => Stage::Undone,
+                End::Done => RolloutStage::Done,
+                End::Undone => RolloutStage::RolledBack,
             },
         };
-        let (key, value) = self.node.platform.tell(&status);
+        let (key, value) = self.node.platform.encode_status(&status);
         self.node.calls.count(Topic::Status, Reason::Status);
         let append = self
             .log
@@ -361,7 +361,7 @@
     }
 
     /// What operators were told, each with its offset, and the end of that topic.
-    async fn statuses(&self) -> Option<(Vec<(Offset, Status)>, Offset)> {
+    async fn statuses(&self) -> Option<(Vec<(Offset, RolloutStatus)>, Offset)> {
         self.node.calls.count(Topic::Status, Reason::Status);
         let progress = Progress::default();
         let newest = self.log.newest(Topic::Status, &progress);
@@ -378,7 +378,7 @@
         };
         let read = |record: &Record| {
             let value = record.value.as_ref()?;
-            match self.node.platform.status(&record.key, value) {
+            match self.node.platform.decode_status(&record.key, value) {
                 Ok(status) => status.map(|status| (record.offset, status)),
                 Err(error) => {
                     log::warn!("rollout: Status {} left out: {error}.", record.key);
@@ -393,16 +393,16 @@
 
 /// How an order ended by what operators were told from an offset on: an earlier order may have been
 /// for the same version.
-fn ended(statuses: &[(Offset, Status)], order: &Order, since: Offset) -> Option<End> {
+fn ended(statuses: &[(Offset, RolloutStatus)], order: &Order, since: Offset) -> Option<End> {
     let told = statuses.iter().find(|(offset, status)| {
         *offset >= since
             && status.pool == order.rollout.pool
             && status.target == order.rollout.target
     });
     match told?.1.stage {
-        Stage::Running => None,
-        Stage::Done => Some(End::Done),
-        Stage::Undone => Some(End::Undone),
+        RolloutStage::Running => None,
+        RolloutStage::Done => Some(End::Done),
+        RolloutStage::RolledBack => Some(End::Undone),
     }
 }
 
--- a/crates/relay/src/rollouts/progress.rs
+++ b/crates/relay/src/rollouts/progress.rs
@@ -314,7 +314,7 @@
         }
         let all =
             left && hearing == Hearing::Everywhere && self.live(now).all(|peer| peer.said.left);
-        let late = self.age(now) + margin >= self.order.rollout.lasts;
+        let late = self.age(now) + margin >= self.order.rollout.time_limit;
         if phase == Phase::Moved && (all || late) {
             return Step::Tell(End::Done);
         }
--- a/crates/relay/tests/all/rollouts.rs
+++ b/crates/relay/tests/all/rollouts.rs
@@ -54,7 +54,7 @@
         rollout: Rollout {
             pool: pool(),
             target: new(),
-            lasts: LASTS,
+            time_limit: LASTS,
         },
         offset: Offset(7),
         read: ordered(),
