--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -17,15 +17,15 @@
 
 /// An order to roll out, as it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Order {
+pub struct RolloutOrder {
     /// What is ordered.
     pub rollout: Rollout,
     /// Its place in the topic, which tells it from an earlier order of the same kind.
     pub offset: Offset,
     /// When it was read here.
-    pub read: Moment,
+    pub read_at: Moment,
     /// Whether it was there already when this process first read the topic.
-    pub first: bool,
+    pub initial: bool,
 }
 
 /// The operators' records, folded.
@@ -34,7 +34,7 @@
     codec: C,
     table: Option<Arc<Table>>,
     /// The newest order for each service, sorted by service.
-    orders: Vec<Order>,
+    orders: Vec<RolloutOrder>,
 }
 
 impl<C: Codec> Operators<C> {
@@ -56,12 +56,12 @@
 
     /// The newest order for each service, sorted by service.
     #[must_use]
-    pub fn orders(&self) -> &[Order] {
+    pub fn orders(&self) -> &[RolloutOrder] {
         &self.orders
     }
 
-    fn order(&mut self, order: Order) {
-        let find = |known: &Order| known.rollout.pool.cmp(&order.rollout.pool);
+    fn order(&mut self, order: RolloutOrder) {
+        let find = |known: &RolloutOrder| known.rollout.pool.cmp(&order.rollout.pool);
         match self.orders.binary_search_by(find) {
             Ok(place) => self.orders[place] = order,
             Err(place) => self.orders.insert(place, order),
@@ -97,11 +97,11 @@
                     lasts_ms = millis(rollout.time_limit);
                     "operators: Roll-out ordered."
                 );
-                self.order(Order {
+                self.order(RolloutOrder {
                     rollout,
                     offset: record.offset,
-                    read: told.at,
-                    first: told.first,
+                    read_at: told.at,
+                    initial: told.first,
                 });
             }
             Ok(OperatorRecord::Other) => {}
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -26,7 +26,7 @@
 use self::progress::Progress;
 use self::progress::Step;
 use crate::config::Exposure;
-use crate::operators::Order;
+use crate::operators::RolloutOrder;
 use crate::sessions::Sessions;
 
 /// How often a VM announces at least, so that the others know that it lives.
@@ -138,13 +138,13 @@
 
     /// Whether an order was taken.
     #[must_use]
-    pub fn knows(&self, order: &Order) -> bool {
+    pub fn knows(&self, order: &RolloutOrder) -> bool {
         let known = self.get(&order.rollout.pool);
         known.is_some_and(|known| known.offset() >= order.offset)
     }
 
     /// Takes an order; `ended` tells how it ended before this process began.
-    pub fn order(&mut self, order: Order, ended: Option<End>, now: Moment) {
+    pub fn order(&mut self, order: RolloutOrder, ended: Option<End>, now: Moment) {
         let mut progress = Progress::new(order, ended.map(|end| (end, now)));
         if ended.is_none() {
             for session in self.sessions.live(now) {
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -37,7 +37,7 @@
 use crate::follow::Told;
 use crate::headers::HeaderCodec;
 use crate::node::Node;
-use crate::operators::Order;
+use crate::operators::RolloutOrder;
 use crate::pools;
 use crate::topic::Error;
 use crate::topic::Log;
@@ -173,22 +173,22 @@
     /// status tells. As long as there is one version only it makes no difference: VMs that start
     /// together would all ask the log for nothing.
     async fn take_orders(&mut self) -> Pending {
-        let orders: Vec<Order> = self.node.operators.view(|view| view.orders().to_vec());
-        let known = |order: &Order| self.node.rollouts(|r| r.knows(order));
-        let new: Vec<Order> = orders.into_iter().filter(|order| !known(order)).collect();
+        let orders: Vec<RolloutOrder> = self.node.operators.view(|view| view.orders().to_vec());
+        let known = |order: &RolloutOrder| self.node.rollouts(|r| r.knows(order));
+        let new: Vec<RolloutOrder> = orders.into_iter().filter(|order| !known(order)).collect();
         let now = boot::now();
-        if new.iter().any(|order| order.first) {
+        if new.iter().any(|order| order.initial) {
             // The pools may not have seen yet which versions there are.
             pools::refresh(&self.node);
         }
         let mut pending = Pending::Nothing;
         for order in new {
             let pool = &order.rollout.pool;
-            if order.first && !self.node.rollouts(|r| r.mixed(pool)) {
+            if order.initial && !self.node.rollouts(|r| r.mixed(pool)) {
                 pending = Pending::Choice;
                 continue;
             }
-            let ended = if order.first {
+            let ended = if order.initial {
                 let Some((statuses, _)) = self.statuses().await else {
                     return Pending::Status;
                 };
@@ -313,7 +313,7 @@
     }
 
     /// Tells operators of an end unless they were told of one; whether they know now.
-    async fn tell(&self, order: &Order, end: End) -> bool {
+    async fn tell(&self, order: &RolloutOrder, end: End) -> bool {
         let pool = &order.rollout.pool;
         let target = &order.rollout.target;
         let Some((statuses, at)) = self.statuses().await else {
@@ -393,7 +393,7 @@
 
 /// How an order ended by what operators were told from an offset on: an earlier order may have been
 /// for the same version.
-fn ended(statuses: &[(Offset, RolloutStatus)], order: &Order, since: Offset) -> Option<End> {
+fn ended(statuses: &[(Offset, RolloutStatus)], order: &RolloutOrder, since: Offset) -> Option<End> {
     let told = statuses.iter().find(|(offset, status)| {
         *offset >= since
             && status.pool == order.rollout.pool
--- a/crates/relay/src/rollouts/progress.rs
+++ b/crates/relay/src/rollouts/progress.rs
@@ -16,7 +16,7 @@
 use super::announcement::Route;
 use super::announcement::Said;
 use super::announcement::Sum;
-use crate::operators::Order;
+use crate::operators::RolloutOrder;
 
 /// After this long without an announcement a VM is no longer waited for: it is down, or cut off
 /// from the log, in which case it lets no keys in and sends nothing. Two announcements, and some.
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct Progress {
     /// The order.
-    pub order: Order,
+    pub order: RolloutOrder,
     /// How old the order was when it was read here, as other VMs tell.
     behind: Duration,
     /// How it ended, and when that was known here.
@@ -82,7 +82,7 @@
 impl Progress {
     /// A roll-out that begins, or that ended before this process did.
     #[must_use]
-    pub const fn new(order: Order, ended: Option<(End, Moment)>) -> Self {
+    pub const fn new(order: RolloutOrder, ended: Option<(End, Moment)>) -> Self {
         Self {
             order,
             behind: Duration::ZERO,
@@ -121,7 +121,7 @@
     /// How old the order is.
     #[must_use]
     pub fn age(&self, now: Moment) -> Duration {
-        now.since(self.order.read) + self.behind
+        now.since(self.order.read_at) + self.behind
     }
 
     /// The version that is moved to.
--- a/crates/relay/tests/all/rollouts.rs
+++ b/crates/relay/tests/all/rollouts.rs
@@ -4,7 +4,7 @@
 
 use pimento_relay::codec::Rollout;
 use pimento_relay::config::Exposure;
-use pimento_relay::operators::Order;
+use pimento_relay::operators::RolloutOrder;
 use pimento_relay::rollouts::Rollouts;
 use pimento_relay::rollouts::Seen;
 use pimento_relay::rollouts::announcement::End;
@@ -49,16 +49,16 @@
     at(ORDERED)
 }
 
-fn order() -> Order {
-    Order {
+fn order() -> RolloutOrder {
+    RolloutOrder {
         rollout: Rollout {
             pool: pool(),
             target: new(),
             time_limit: LASTS,
         },
         offset: Offset(7),
-        read: ordered(),
-        first: false,
+        read_at: ordered(),
+        initial: false,
     }
 }
 
@@ -231,7 +231,10 @@
     begin(&mut prompt);
     late.see(&pool(), vec![(old(), 4), (new(), 4)]);
     let read = ordered() + Duration::from_secs(10);
-    let order = Order { read, ..order() };
+    let order = RolloutOrder {
+        read_at: read,
+        ..order()
+    };
     late.order(order, None, read);
     let now = ordered() + MOVED;
     let session = 3;
