--- a/crates/relay/src/codec.rs
+++ b/crates/relay/src/codec.rs
@@ -6,7 +6,7 @@
 use pimento_units::id;
 use snafu::Snafu;
 
-use crate::endpoint::Entry;
+use crate::registration::Registration;
 use crate::table::Table;
 
 /// A record that can't be read. It changes nothing; the others hold.
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// [`InvalidRecord`] if it can't be used.
-    fn decode_registration(&self, key: &str, value: &[u8]) -> Result<Entry, InvalidRecord>;
+    fn decode_registration(&self, key: &str, value: &[u8]) -> Result<Registration, InvalidRecord>;
 
     /// What operators were told of a roll-out; none if the record is of something else.
     ///
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -11,10 +11,10 @@
 use pimento_units::id;
 
 use crate::codec::Codec;
-use crate::endpoint::Entry;
 use crate::follow::Fold;
 use crate::follow::Told;
 use crate::follow::Touch;
+use crate::registration::Registration;
 use crate::topic::Record;
 
 /// How long after the log's return an entry that vanished may still come back: endpoints renew
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// The entry.
-    pub entry: Entry,
+    pub entry: Registration,
     /// Until when it counts although its entry vanished.
     pub until: Option<Moment>,
 }
@@ -87,7 +87,7 @@
     }
 
     /// Takes an entry; whether it says more than that its endpoint lives.
-    fn renew(&mut self, entry: Entry, offset: Offset) -> bool {
+    fn renew(&mut self, entry: Registration, offset: Offset) -> bool {
         let known = self.member(&entry.id);
         let same = known.is_some_and(|member| member.until.is_none() && member.entry == entry);
         if same {
@@ -108,7 +108,7 @@
         true
     }
 
-    fn put(&mut self, entry: Entry) {
+    fn put(&mut self, entry: Registration) {
         let member = Member { entry, until: None };
         let find = |known: &Member| known.entry.id.cmp(&member.entry.id);
         match self.members.binary_search_by(find) {
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -33,10 +33,10 @@
 pub use self::word::Word;
 use crate::boot;
 use crate::codec::Codec;
-use crate::endpoint::Entry;
 use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::node::millis;
+use crate::registration::Registration;
 use crate::topic::Log;
 
 /// A VM that knows better than what it hears waits up to this long before it says so.
@@ -230,7 +230,7 @@
     };
     let crash = Crash {
         endpoint: choice::key(endpoint.as_str()),
-        life: Some(member.entry.born),
+        life: Some(member.entry.started_unix_ms),
     };
     let step = node.poison.lock().breaks.broke(digest, crash);
     match step {
@@ -245,7 +245,11 @@
 }
 
 /// Waits until it is known whether an endpoint ended, and counts that for all that ran there.
-async fn watch<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, entry: &Entry, crash: Crash) {
+async fn watch<P: HeaderCodec + Codec, L: Log>(
+    node: &Node<P, L>,
+    entry: &Registration,
+    crash: Crash,
+) {
     let proof = ended::look(node, entry).await;
     let digests = node.poison.lock().breaks.looked(crash, proof.is_some());
     log::info!(
--- a/crates/relay/src/poison/ended.rs
+++ b/crates/relay/src/poison/ended.rs
@@ -8,9 +8,9 @@
 use pimento_endpoint::gone;
 
 use crate::codec::Codec;
-use crate::endpoint::Entry;
 use crate::headers::HeaderCodec;
 use crate::node::Node;
+use crate::registration::Registration;
 use crate::topic::Log;
 
 /// How long an endpoint that ended may stay registered: its entry goes after three silent heartbeats.
@@ -38,7 +38,7 @@
 /// Waits until an endpoint is known to have ended; none if it is still there.
 pub async fn look<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    entry: &Entry,
+    entry: &Registration,
 ) -> Option<Proof> {
     let bound = node.reach(|reach| reach.bound());
     if gone::is_refused(entry.address, bound).await {
@@ -57,9 +57,9 @@
 }
 
 /// Whether an endpoint is registered as it was, or has lost its entry while the log was out.
-fn registered<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, entry: &Entry) -> bool {
+fn registered<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, entry: &Registration) -> bool {
     node.directory.view(|view| {
         let known = view.member(&entry.id);
-        known.is_some_and(|known| known.entry.born == entry.born)
+        known.is_some_and(|known| known.entry.started_unix_ms == entry.started_unix_ms)
     })
 }
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -112,6 +112,6 @@
         versions: Some(vec![entry.version.clone()]),
         report: Some((report, Moment::ZERO)),
         memory,
-        life: entry.born,
+        life: entry.started_unix_ms,
     }
 }
--- a/crates/relay/src/endpoint.rs
+++ b/crates/relay/src/registration.rs
@@ -6,7 +6,7 @@
 
 /// An endpoint's record of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct Registration {
     /// Its id, new with most of its starts.
     pub id: id::Endpoint,
     /// The service that it belongs to.
@@ -22,5 +22,5 @@
     /// Whether it is leaving and takes no new work.
     pub leaving: bool,
     /// When it started, in milliseconds since the Unix epoch, by its own clock.
-    pub born: u64,
+    pub started_unix_ms: u64,
 }
