--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -99,7 +99,7 @@
     };
     if matches!(denial, Denial::Route | Denial::Key) {
         let now = boot::now();
-        let bound = node.config.bounds.apply.mul_f64(CERTAIN);
+        let bound = node.config.bounds.config_apply.mul_f64(CERTAIN);
         let certain = node.operators.age().is_some_and(|age| age <= bound);
         if !certain && !node.operators.confirm(now).await {
             return Err(Refusal::new(Cause::Stale).after(ELSEWHERE));
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -39,27 +39,27 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// After this long a leaving endpoint gets no new work.
-    pub leaving: Duration,
+    pub drain: Duration,
     /// After this long a change of the configuration is in force.
-    pub apply: Duration,
+    pub config_apply: Duration,
     /// After this long a revoked key lets nobody in; none if a VM that can't know goes on.
     pub revoke: Option<Duration>,
     /// Time between being told to stop and being killed.
     pub grace: Duration,
     /// Calls to a service beyond one for each request: a share of the requests, and a number that
     /// all VMs share, in a sliding window.
-    pub retry: Retry,
+    pub retry_budget: RetryBudget,
     /// What a version in roll-out may get.
     pub exposure: Exposure,
     /// Requests of a session that follow each other within this time belong together.
-    pub session: Duration,
+    pub session_timeout: Duration,
 }
 
 /// The budget of repeats over all VMs.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Retry {
+pub struct RetryBudget {
     /// Repeats for each request.
-    pub share: f64,
+    pub ratio: f64,
     /// Repeats beyond those, for all VMs together.
     pub extra: u32,
     /// The window that both are counted in.
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -171,8 +171,8 @@
             token.clone(),
         );
         let clock = Clock::default();
-        let repeats = Repeats::new(config.bounds.retry);
-        let rollouts = Rollouts::new(config.bounds.exposure, config.bounds.session);
+        let repeats = Repeats::new(config.bounds.retry_budget);
+        let rollouts = Rollouts::new(config.bounds.exposure, config.bounds.session_timeout);
         let node = Self {
             config: Arc::new(config),
             platform,
@@ -233,7 +233,7 @@
 
     /// Whether no change has been known and not read for longer than a share of the bound on changes.
     fn caught_up(&self, share: f64) -> Freshness {
-        let bound = self.config.bounds.apply.mul_f64(share);
+        let bound = self.config.bounds.config_apply.mul_f64(share);
         match self.operators.behind() {
             Some(behind) if behind > bound => Freshness::Stale,
             _ => Freshness::Fresh,
--- a/crates/relay/src/paces.rs
+++ b/crates/relay/src/paces.rs
@@ -105,7 +105,9 @@
 
 fn operators(bounds: &Bounds) -> Result<Pace, Error> {
     let revoke = bounds.revoke.map(|revoke| revoke.mul_f64(REVOKED));
-    let bound = bounds.apply.min(revoke.unwrap_or(bounds.apply));
+    let bound = bounds
+        .config_apply
+        .min(revoke.unwrap_or(bounds.config_apply));
     if bound < SHORTEST_CHANGE {
         return Err(Error::Change { bound });
     }
@@ -123,7 +125,7 @@
 }
 
 fn endpoints(bounds: &Bounds) -> Result<Pace, Error> {
-    let bound = bounds.leaving;
+    let bound = bounds.drain;
     if bound < SHORTEST_LEAVING {
         return Err(Error::Leaving { bound });
     }
--- a/crates/relay/src/repeats.rs
+++ b/crates/relay/src/repeats.rs
@@ -8,7 +8,7 @@
 use pimento_units::Moment;
 use pimento_units::id;
 
-use crate::config::Retry;
+use crate::config::RetryBudget;
 
 /// Part of the share and of the extra that is used. A request counts here when it comes and at its
 /// endpoint when it arrives there, which may be in the next window; a repeat that was sent may arrive
@@ -22,7 +22,7 @@
 /// The budgets of all pools.
 #[derive(Debug)]
 pub struct Repeats {
-    config: Retry,
+    config: RetryBudget,
     state: Mutex<State>,
 }
 
@@ -37,7 +37,7 @@
 impl Repeats {
     /// Budgets by the bounds that all VMs keep together.
     #[must_use]
-    pub fn new(config: Retry) -> Self {
+    pub fn new(config: RetryBudget) -> Self {
         let state = State {
             extra: part(config.extra, 0),
             windows: Vec::new(),
@@ -54,7 +54,7 @@
         let found = state.windows.binary_search_by(|(known, _)| known.cmp(pool));
         let place = found.unwrap_or_else(|place| {
             let bound = Bound {
-                share: self.config.share * USED,
+                share: self.config.ratio * USED,
                 extra,
                 span: self.config.window,
             };
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -6,7 +6,7 @@
 use pimento_relay::calls::Calls;
 use pimento_relay::config::Bounds;
 use pimento_relay::config::Exposure;
-use pimento_relay::config::Retry;
+use pimento_relay::config::RetryBudget;
 use pimento_relay::follow::Fold;
 use pimento_relay::follow::Follower;
 use pimento_relay::follow::Gait;
@@ -55,12 +55,12 @@
 /// Bounds with these milliseconds for leaving endpoints, changes and revoked keys.
 pub fn bounds(leaving: u64, apply: u64, revoke: Option<u64>) -> Bounds {
     Bounds {
-        leaving: Duration::from_millis(leaving),
-        apply: Duration::from_millis(apply),
+        drain: Duration::from_millis(leaving),
+        config_apply: Duration::from_millis(apply),
         revoke: revoke.map(Duration::from_millis),
         grace: Duration::from_secs(8),
-        retry: Retry {
-            share: 0.9,
+        retry_budget: RetryBudget {
+            ratio: 0.9,
             extra: 52,
             window: Duration::from_secs(10),
         },
@@ -69,7 +69,7 @@
             slack: 30,
             rollback: Duration::from_secs(5),
         },
-        session: Duration::from_secs(5),
+        session_timeout: Duration::from_secs(5),
     }
 }
 
--- a/crates/relay/tests/all/paces.rs
+++ b/crates/relay/tests/all/paces.rs
@@ -37,8 +37,8 @@
     for bounds in grid() {
         let pace = Paces::try_from(&bounds).unwrap().endpoints;
         let lost = pace.patience + RETRY + ANSWER;
-        assert!(pace.trust + lost <= bounds.leaving + ANSWER, "{bounds:?}");
-        assert!(pace.alone.pause + lost <= bounds.leaving, "{bounds:?}");
+        assert!(pace.trust + lost <= bounds.drain + ANSWER, "{bounds:?}");
+        assert!(pace.alone.pause + lost <= bounds.drain, "{bounds:?}");
         assert!(pace.leading.pause + lost <= pace.trust, "{bounds:?}");
     }
 }
@@ -50,7 +50,7 @@
     for bounds in grid() {
         let pace = Paces::try_from(&bounds).unwrap().operators;
         let lost = pace.patience * 2 + RETRY;
-        assert!(pace.alone.wait + lost <= bounds.apply, "{bounds:?}");
+        assert!(pace.alone.wait + lost <= bounds.config_apply, "{bounds:?}");
         if let Some(revoke) = bounds.revoke {
             let ready = revoke.mul_f64(READY);
             assert!(pace.trust + pace.patience + RETRY <= ready, "{bounds:?}");
