--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -134,11 +134,11 @@
             self.unbarred()?;
             let permit = self.slot(variant).await?;
             let asked = self.node.now();
-            let bound = self.node.reach(|reach| reach.bound());
+            let bound = self.node.connect_times(|reach| reach.bound());
             let connection = match Connection::open(permit.address(), bound).await {
                 Ok(connection) => {
                     let took = self.node.now().since(asked);
-                    self.node.reach(|reach| reach.made(took));
+                    self.node.connect_times(|reach| reach.made(took));
                     connection
                 }
                 Err(fault) => {
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -63,7 +63,7 @@
             let limit = limit.map(Limit::per_second);
             let endpoint = endpoint.as_str();
             log::info!(request, endpoint, limit; "attempt: The endpoint names another limit.");
-            self.node.limited.notify_one();
+            self.node.limit_changed.notify_one();
         }
     }
 
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -294,7 +294,7 @@
                 gauge.set(f64::from(count));
             }
         }
-        metrics.follower("poison", &node.bars);
+        metrics.follower("poison", &node.blocks);
         let (suspect, barred) = node.poison.counts();
         for (state, count) in [("suspect", suspect), ("barred", barred)] {
             let count = u64::try_from(count).unwrap_or(u64::MAX);
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -223,7 +223,7 @@
             self.heard.notify_one();
         }
         for word in &message.poison {
-            let writes = self.node.reads();
+            let writes = self.node.reads_log();
             self.node.poison.hear(*word, !near, writes, now);
         }
         for kept in &message.kept {
@@ -272,7 +272,7 @@
         match topic {
             Shared::Operators => self.node.operators.hand(part),
             Shared::Endpoints => self.node.directory.hand(part),
-            Shared::Poison => self.node.bars.hand(part),
+            Shared::Poison => self.node.blocks.hand(part),
         }
     }
 
@@ -290,7 +290,7 @@
             self.node.directory.vouch(message::read(proof));
         }
         if let Some(proof) = proofs.poison {
-            self.node.bars.vouch(message::read(proof));
+            self.node.blocks.vouch(message::read(proof));
         }
     }
 
--- a/crates/relay/src/neighbours/meet.rs
+++ b/crates/relay/src/neighbours/meet.rs
@@ -59,7 +59,11 @@
     /// Says where this VM is.
     async fn say(&self) {
         let mut pause = PAUSE;
-        while !self.node.say(&self.node.word(), &self.log).await {
+        while !self
+            .node
+            .publish(&self.node.announcement(), &self.log)
+            .await
+        {
             pause = rest(pause).await;
         }
     }
@@ -131,10 +135,10 @@
     async fn teach(&self) {
         loop {
             tokio::time::sleep(LEARNT).await;
-            let word = self.node.word();
+            let word = self.node.announcement();
             let known = !word.paces.is_empty();
             let alone = *self.zone.lead.borrow() != Lead::Led;
-            if known && alone && self.node.say(&word, &self.log).await {
+            if known && alone && self.node.publish(&word, &self.log).await {
                 return;
             }
         }
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -87,7 +87,7 @@
         let view = match topic {
             Shared::Operators => self.node.operators.snapshot(asked).await,
             Shared::Endpoints => self.node.directory.snapshot(asked).await,
-            Shared::Poison => self.node.bars.snapshot(asked).await,
+            Shared::Poison => self.node.blocks.snapshot(asked).await,
         };
         let Snapshot { records, to, age } = view?;
         let packed = self.pack(topic, Offset::default(), records, to)?;
@@ -105,7 +105,7 @@
         let (records, to) = match topic {
             Shared::Operators => self.node.operators.all(from),
             Shared::Endpoints => self.node.directory.all(from),
-            Shared::Poison => self.node.bars.all(from),
+            Shared::Poison => self.node.blocks.all(from),
         };
         self.pack(topic, from, records?, to)
     }
--- a/crates/relay/src/neighbours/tell.rs
+++ b/crates/relay/src/neighbours/tell.rs
@@ -67,7 +67,7 @@
         let from = told.unwrap_or_default();
         let (changed, operators) = self.node.operators.since(from.operators);
         let (registered, endpoints) = self.node.directory.since(from.endpoints);
-        let (barred, poison) = self.node.bars.since(from.poison);
+        let (barred, poison) = self.node.blocks.since(from.poison);
         self.lock().told = Some(Ends {
             operators,
             endpoints,
@@ -97,7 +97,7 @@
         let mut silent = true;
         let mut operators = self.node.operators.changes();
         let mut endpoints = self.node.directory.changes();
-        let mut bars = self.node.bars.changes();
+        let mut bars = self.node.blocks.changes();
         loop {
             let peers = self.peers();
             self.settle();
@@ -107,7 +107,7 @@
                 _ = endpoints.changed() => self.leads(),
                 _ = bars.changed() => self.leads(),
                 () = self.node.poison.told.notified() => false,
-                () = self.node.limited.notified() => true,
+                () = self.node.limit_changed.notified() => true,
                 () = self.zone.proved.notified() => self.leads(),
                 () = self.zone.stopped.notified() => true,
             };
@@ -222,7 +222,7 @@
         }
         let operators = self.node.operators.proof(node);
         let endpoints = self.node.directory.proof(node);
-        let poison = self.node.bars.proof(node);
+        let poison = self.node.blocks.proof(node);
         Proofs {
             operators: operators.map(message::written),
             endpoints: endpoints.map(message::written),
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -63,11 +63,11 @@
     /// Requests under which endpoints ended, as this VM and others saw it.
     pub poison: Arc<Poison>,
     /// The same as it is on the log.
-    pub bars: Follower<Bars, L>,
+    pub blocks: Follower<Bars, L>,
     /// Slots at endpoints.
     pub scheduler: Scheduler,
     /// Told when an endpoint names another limit than before.
-    pub limited: Arc<Notify>,
+    pub limit_changed: Arc<Notify>,
     /// The budget of repeats.
     pub repeats: Arc<Repeats>,
     /// What was seen of models' confidences.
@@ -78,7 +78,7 @@
     pub(crate) metrics: Arc<Metrics>,
     rollouts: Arc<Mutex<Rollouts>>,
     /// What connections to endpoints take.
-    reach: Arc<Mutex<Reach>>,
+    connect_times: Arc<Mutex<Reach>>,
     /// The process's clocks.
     pub clock: Clock,
     /// Set when the VM is to leave.
@@ -95,15 +95,15 @@
             operators: self.operators.clone(),
             directory: self.directory.clone(),
             poison: Arc::clone(&self.poison),
-            bars: self.bars.clone(),
+            blocks: self.blocks.clone(),
             scheduler: self.scheduler.clone(),
-            limited: Arc::clone(&self.limited),
+            limit_changed: Arc::clone(&self.limit_changed),
             repeats: Arc::clone(&self.repeats),
             models: Arc::clone(&self.models),
             calls: self.calls.clone(),
             metrics: Arc::clone(&self.metrics),
             rollouts: Arc::clone(&self.rollouts),
-            reach: Arc::clone(&self.reach),
+            connect_times: Arc::clone(&self.connect_times),
             clock: self.clock,
             leaving: self.leaving.clone(),
             tasks: self.tasks.clone(),
@@ -161,7 +161,7 @@
             Directory::new(platform.clone()),
             token.clone(),
         );
-        let bars = Follower::start(
+        let blocks = Follower::start(
             log.clone(),
             Topic::Poison,
             paces.poison,
@@ -179,15 +179,15 @@
             operators,
             directory,
             poison: Arc::default(),
-            bars,
+            blocks,
             scheduler: Scheduler::new(clock),
-            limited: Arc::default(),
+            limit_changed: Arc::default(),
             repeats: Arc::new(repeats),
             models: Arc::default(),
             calls,
             metrics: Arc::default(),
             rollouts: Arc::new(Mutex::new(rollouts)),
-            reach: Arc::default(),
+            connect_times: Arc::default(),
             clock,
             leaving: CancellationToken::new(),
             tasks: TaskTracker::new(),
@@ -271,13 +271,13 @@
     /// Whether this VM reads the log by itself, for others or because nobody else's reads can be
     /// trusted.
     #[must_use]
-    pub fn reads(&self) -> bool {
+    pub fn reads_log(&self) -> bool {
         self.operators.reads()
     }
 
     /// What this VM says of itself, without roll-outs.
     #[must_use]
-    pub fn word(&self) -> Word {
+    pub fn announcement(&self) -> Word {
         Word {
             zone: self.config.zone.clone(),
             address: self.config.peer_listen,
@@ -287,7 +287,7 @@
     }
 
     /// Says a word on the log; whether that is known to have succeeded.
-    pub async fn say(&self, word: &Word, log: &impl Log) -> bool {
+    pub async fn publish(&self, word: &Word, log: &impl Log) -> bool {
         self.calls.count(Topic::Fleet, Reason::Word);
         word.say(&self.config.node, log).await
     }
@@ -305,9 +305,12 @@
     }
 
     /// Looks at or adds to what connections to endpoints take. `act` runs under a lock and must be short.
-    pub fn reach<T>(&self, act: impl FnOnce(&mut Reach) -> T) -> T {
-        let mut reach = self.reach.lock().unwrap_or_else(PoisonError::into_inner);
-        act(&mut reach)
+    pub fn connect_times<T>(&self, act: impl FnOnce(&mut Reach) -> T) -> T {
+        let mut times = self
+            .connect_times
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        act(&mut times)
     }
 
     /// The moment now, on the clock of deadlines.
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -192,7 +192,7 @@
         state.tell(Word::Answered { digest }, now);
         poison.told.notify_one();
     }
-    if node.bars.view(|bars| bars.barred(digest, now)).is_some() {
+    if node.blocks.view(|bars| bars.barred(digest, now)).is_some() {
         state.say(digest, Change::Drop);
         poison.unsaid.notify_one();
     }
@@ -209,7 +209,7 @@
     if table.clears(digest, now) {
         return None;
     }
-    let on_log = node.bars.view(|bars| bars.barred(digest, now));
+    let on_log = node.blocks.view(|bars| bars.barred(digest, now));
     table.barred(digest, now).max(on_log)
 }
 
--- a/crates/relay/src/poison/ended.rs
+++ b/crates/relay/src/poison/ended.rs
@@ -40,7 +40,7 @@
     node: &Node<P, L>,
     entry: &Registration,
 ) -> Option<Proof> {
-    let bound = node.reach(|reach| reach.bound());
+    let bound = node.connect_times(|reach| reach.bound());
     if gone::is_refused(entry.address, bound).await {
         return Some(Proof::Refused);
     }
--- a/crates/relay/src/poison/keep.rs
+++ b/crates/relay/src/poison/keep.rs
@@ -52,9 +52,9 @@
     for digest in state.table.lapse(now) {
         log::info!(digest:%; "poison: The bar has run out.");
     }
-    if node.reads() {
+    if node.reads_log() {
         let cleared = |digest| state.table.clears(digest, now);
-        for digest in node.bars.view(|bars| bars.needless(cleared, now)) {
+        for digest in node.blocks.view(|bars| bars.needless(cleared, now)) {
             state.say(digest, Change::Drop);
         }
     }
@@ -65,7 +65,7 @@
     let now = boot::now();
     let state = &mut *node.poison.lock();
     let table = &state.table;
-    node.bars.view(|bars| {
+    node.blocks.view(|bars| {
         state.unsaid.retain(|(digest, change)| match change {
             Change::Bar(_) => !bars.holds(*digest) && table.barred(*digest, now).is_some(),
             Change::Drop => bars.holds(*digest),
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -136,7 +136,7 @@
             let pending = self.take_orders().await;
             let running = self.node.rollouts(|r| r.running());
             if running.is_empty() {
-                if self.node.reads() {
+                if self.node.reads_log() {
                     self.say().await;
                 }
                 self.rest();
@@ -150,7 +150,7 @@
                 }
                 continue;
             }
-            if self.node.reads() {
+            if self.node.reads_log() {
                 self.follow();
                 self.hear();
                 self.say().await;
@@ -194,7 +194,7 @@
                 };
                 ended(&statuses, &order, Offset::default())
             } else {
-                if self.node.reads() {
+                if self.node.reads_log() {
                     let Some((_, end)) = self.statuses().await else {
                         return Pending::Status;
                     };
@@ -268,9 +268,9 @@
         }));
         let word = Word {
             rollouts,
-            ..self.node.word()
+            ..self.node.announcement()
         };
-        if self.node.say(&word, &self.log).await {
+        if self.node.publish(&word, &self.log).await {
             self.said = own;
         }
     }
@@ -282,7 +282,7 @@
         };
         let now = boot::now();
         let left = self.node.left(pool, &order.rollout.target);
-        let reads = self.node.reads();
+        let reads = self.node.reads_log();
         let hearing = if reads {
             Hearing::Everywhere
         } else {
