--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -162,7 +162,7 @@
     /// Takes a repeat out of the budget.
     fn repeat(&self) -> bool {
         let now = self.node.now();
-        self.node.repeats.take(&self.request.pool, now)
+        self.node.retry_budgets.take(&self.request.pool, now)
     }
 
     /// Waits for a slot at an endpoint that may still be used.
@@ -388,7 +388,7 @@
     #[must_use]
     pub fn affords(&self) -> bool {
         let now = self.node.now();
-        self.node.repeats.affords(&self.request.pool, now)
+        self.node.retry_budgets.affords(&self.request.pool, now)
     }
 
     /// What the attempt would meet at the endpoint that it would get now.
--- a/crates/relay/src/chain.rs
+++ b/crates/relay/src/chain.rs
@@ -168,7 +168,7 @@
         random,
         digest,
     };
-    node.repeats.arrived(&request.pool, began);
+    node.retry_budgets.arrived(&request.pool, began);
     match kind {
         Kind::Safe | Kind::Unsafe => whole::serve(node, &request).await,
         Kind::Stream => stream::serve(node, request).await,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -31,7 +31,7 @@
 mod recent;
 pub mod refusal;
 pub mod registration;
-pub mod repeats;
+pub mod retry_budget;
 pub mod rollouts;
 pub mod run;
 pub mod sessions;
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -282,7 +282,7 @@
             let gauge = metrics.calls.with_label_values(&labels);
             gauge.set(figure(count.calls));
         }
-        for (pool, left) in node.repeats.left(node.now()) {
+        for (pool, left) in node.retry_budgets.left(node.now()) {
             metrics.pool(&pool, "repeats_left", left);
         }
         for (pool, sum) in node.rollouts(|rollouts| rollouts.sums()) {
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -300,7 +300,7 @@
         inner.peers.sweep(boot::now());
         let config = &self.node.config;
         let peers = inner.peers.of(&config.zone);
-        self.node.repeats.share_among(inner.peers.count() + 1);
+        self.node.retry_budgets.set_vms(inner.peers.count() + 1);
         let sharers = inner.peers.sharers(&config.node, &config.zone, boot::now());
         drop(inner);
         self.node.scheduler.share(&sharers);
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -31,7 +31,7 @@
 use crate::poison::Bars;
 use crate::poison::Poison;
 use crate::pools;
-use crate::repeats::Repeats;
+use crate::retry_budget::RetryBudgets;
 use crate::rollouts::Rollouts;
 use crate::rollouts::controller;
 use crate::table::Table;
@@ -69,7 +69,7 @@
     /// Told when an endpoint names another limit than before.
     pub limit_changed: Arc<Notify>,
     /// The budget of repeats.
-    pub repeats: Arc<Repeats>,
+    pub retry_budgets: Arc<RetryBudgets>,
     /// What was seen of models' confidences.
     pub(crate) models: Arc<cascade::Book>,
     /// Calls of the log by why they were made.
@@ -98,7 +98,7 @@
             blocks: self.blocks.clone(),
             scheduler: self.scheduler.clone(),
             limit_changed: Arc::clone(&self.limit_changed),
-            repeats: Arc::clone(&self.repeats),
+            retry_budgets: Arc::clone(&self.retry_budgets),
             models: Arc::clone(&self.models),
             calls: self.calls.clone(),
             metrics: Arc::clone(&self.metrics),
@@ -171,7 +171,7 @@
             token.clone(),
         );
         let clock = Clock::default();
-        let repeats = Repeats::new(config.bounds.retry_budget);
+        let retry_budgets = RetryBudgets::new(config.bounds.retry_budget);
         let rollouts = Rollouts::new(config.bounds.exposure, config.bounds.session_timeout);
         let node = Self {
             config: Arc::new(config),
@@ -182,7 +182,7 @@
             blocks,
             scheduler: Scheduler::new(clock),
             limit_changed: Arc::default(),
-            repeats: Arc::new(repeats),
+            retry_budgets: Arc::new(retry_budgets),
             models: Arc::default(),
             calls,
             metrics: Arc::default(),
--- a/crates/relay/src/repeats.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -21,7 +21,7 @@
 
 /// The budgets of all pools.
 #[derive(Debug)]
-pub struct Repeats {
+pub struct RetryBudgets {
     config: RetryBudget,
     state: Mutex<State>,
 }
@@ -34,7 +34,7 @@
     windows: Vec<(id::Pool, Window)>,
 }
 
-impl Repeats {
+impl RetryBudgets {
     /// Budgets by the bounds that all VMs keep together.
     #[must_use]
     pub fn new(config: RetryBudget) -> Self {
@@ -69,7 +69,7 @@
     }
 
     /// Takes the number of VMs that are known.
-    pub fn share_among(&self, vms: usize) {
+    pub fn set_vms(&self, vms: usize) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.extra = part(self.config.extra, vms);
     }
