--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -54,14 +54,14 @@
 /// What a request may do by the configuration at hand, without asking anybody.
 fn look<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    ask: &RequestInfo,
+    info: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Denial> {
     let table = node.table().ok_or(Denial::NoTable)?;
     if node.current() == Freshness::Stale {
         return Err(Denial::Stale);
     }
-    let route = table.route(&ask.host, path).ok_or(Denial::Route)?;
+    let route = table.route(&info.host, path).ok_or(Denial::Route)?;
     let route = Arc::clone(route);
     if route.public || !table.keyed() {
         return Ok(Grant {
@@ -73,7 +73,7 @@
     if node.freshness() == Freshness::Stale {
         return Err(Denial::Stale);
     }
-    let customer = ask.key.as_deref().and_then(|key| table.customer(key));
+    let customer = info.key.as_deref().and_then(|key| table.customer(key));
     let customer = customer.cloned().ok_or(Denial::Key)?;
     Ok(Grant {
         table,
@@ -90,10 +90,10 @@
 /// A [`Refusal`].
 pub async fn admit<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    ask: &RequestInfo,
+    info: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Refusal> {
-    let denial = match look(node, ask, path) {
+    let denial = match look(node, info, path) {
         Ok(grant) => return Ok(grant),
         Err(denial) => denial,
     };
@@ -105,7 +105,7 @@
             return Err(Refusal::new(Cause::Stale).after(ELSEWHERE));
         }
     }
-    look(node, ask, path).map_err(refusal)
+    look(node, info, path).map_err(refusal)
 }
 
 /// Whether a request that was let in may still be sent to `pool`.
@@ -115,10 +115,10 @@
 /// A [`Refusal`] of the request as not run.
 pub fn still<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    ask: &RequestInfo,
+    info: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Refusal> {
-    look(node, ask, path).map_err(refusal)
+    look(node, info, path).map_err(refusal)
 }
 
 fn refusal(denial: Denial) -> Refusal {
--- a/crates/relay/src/work.rs
+++ b/crates/relay/src/admitted.rs
@@ -17,9 +17,9 @@
 
 /// A request that was let in.
 #[derive(Debug)]
-pub struct Work {
+pub struct AdmittedRequest {
     /// What its head says.
-    pub ask: RequestInfo,
+    pub info: RequestInfo,
     /// Its head.
     pub head: request::Parts,
     /// Its body.
@@ -38,7 +38,7 @@
     pub digest: Digest,
 }
 
-impl Work {
+impl AdmittedRequest {
     /// The path that its route was found by.
     #[must_use]
     pub fn path(&self) -> &str {
@@ -55,14 +55,14 @@
     /// to the request itself.
     #[must_use]
     pub fn prefix(&self) -> Option<u64> {
-        let (_, shared) = self.ask.prompt_parts.split_last()?;
+        let (_, shared) = self.info.prompt_parts.split_last()?;
         shared.last().map(|part| part.hash)
     }
 
     /// The prompt for a model; none if its parts are not known.
     #[must_use]
     pub fn prompt(&self, model: &id::Version) -> Option<Prompt> {
-        let parts = self.ask.prompt_parts.iter().map(|part| engine::Part {
+        let parts = self.info.prompt_parts.iter().map(|part| engine::Part {
             hash: part.hash,
             tokens: part.tokens,
         });
@@ -76,23 +76,23 @@
     /// Tokens of the prompt, and the most of the answer.
     #[must_use]
     pub fn usage(&self) -> Option<(Tokens, Tokens)> {
-        self.ask.usage
+        self.info.usage
     }
 }
 
 /// Bits for a request's draws, from its id.
 #[must_use]
-pub fn random(ask: &RequestInfo) -> u64 {
-    choice::key(&ask.id)
+pub fn random(info: &RequestInfo) -> u64 {
+    choice::key(&info.id)
 }
 
 /// The digest of a request's customer, host, method, path and body. Nobody can make another customer's
 /// request look like one of their own, as the customer's name is known by the key.
 #[must_use]
-pub fn digest(ask: &RequestInfo, head: &request::Parts, body: &[u8], grant: &Grant) -> Digest {
+pub fn digest(info: &RequestInfo, head: &request::Parts, body: &[u8], grant: &Grant) -> Digest {
     let customer = grant.customer.as_ref();
     let customer = customer.map_or("", |customer| customer.name.as_str());
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
-    let texts = [customer, &ask.host, head.method.as_str(), path];
+    let texts = [customer, &info.host, head.method.as_str(), path];
     Digest::of(texts.into_iter().map(str::as_bytes).chain([body]))
 }
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -17,6 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::admit;
+use crate::admitted::AdmittedRequest;
 use crate::call::Call;
 use crate::call::Connection;
 use crate::codec::Codec;
@@ -29,7 +30,6 @@
 use crate::refusal::Cause;
 use crate::refusal::Refusal;
 use crate::topic::Log;
-use crate::work::Work;
 
 /// Endpoints that are asked for one request and did not run it, at most. Each costs a round trip,
 /// and where so many refuse the pool is full or its list out of date.
@@ -73,20 +73,20 @@
 #[derive(Debug)]
 pub struct Attempts<'a, P, L> {
     node: &'a Node<P, L>,
-    request: &'a Work,
+    request: &'a AdmittedRequest,
     state: State,
 }
 
 impl<'a, P: HeaderCodec + Codec, L: Log> Attempts<'a, P, L> {
     /// No attempt yet.
     #[must_use]
-    pub fn new(node: &'a Node<P, L>, request: &'a Work) -> Self {
+    pub fn new(node: &'a Node<P, L>, request: &'a AdmittedRequest) -> Self {
         Self::resume(node, request, State::default())
     }
 
     /// Goes on after what was done so far.
     #[must_use]
-    pub const fn resume(node: &'a Node<P, L>, request: &'a Work, state: State) -> Self {
+    pub const fn resume(node: &'a Node<P, L>, request: &'a AdmittedRequest, state: State) -> Self {
         Self {
             node,
             request,
@@ -238,7 +238,7 @@
             return Ok(());
         };
         log::info!(
-            request = request.ask.id.as_str(),
+            request = request.info.id.as_str(),
             digest:% = request.digest,
             left_ms = millis(left);
             "attempt: Not sent, endpoints ended under it."
@@ -254,7 +254,7 @@
     pub fn allowed(&self) -> Result<(), Refusal> {
         self.unbarred()?;
         let request = self.request;
-        let grant = admit::still(self.node, &request.ask, request.path());
+        let grant = admit::still(self.node, &request.info, request.path());
         let grant = grant.map_err(|refusal| self.refuse(refusal))?;
         let same = grant.customer == request.grant.customer;
         if !same || !grant.route.allows(&request.pool) {
@@ -362,7 +362,7 @@
         let other = reply
             .id
             .as_ref()
-            .is_some_and(|id| *id != self.request.ask.id);
+            .is_some_and(|id| *id != self.request.info.id);
         if other {
             return Err(nonsense("the answer is to another request"));
         }
@@ -374,7 +374,7 @@
 
     /// What is sent.
     #[must_use]
-    pub const fn work(&self) -> &Work {
+    pub const fn work(&self) -> &AdmittedRequest {
         self.request
     }
 
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -34,7 +34,7 @@
     pub(super) fn tell(&self, permit: &Permit, fault: &Fault, what: &str) {
         let now = self.node.now();
         log::info!(
-            request = self.request.ask.id.as_str(),
+            request = self.request.info.id.as_str(),
             endpoint = permit.endpoint().as_str(),
             fault:%,
             attempt = self.state.sent,
@@ -47,7 +47,7 @@
 
     /// Takes the limit that an endpoint names.
     pub(super) fn named(&self, endpoint: &id::Endpoint, limit: &AnnouncedLimit) {
-        let request = self.request.ask.id.as_str();
+        let request = self.request.info.id.as_str();
         let limit = match limit {
             AnnouncedLimit::Absent => None,
             AnnouncedLimit::Limit(limit) => Some(*limit),
@@ -73,7 +73,7 @@
         let belief = self.node.belief();
         let now = self.node.now();
         log::info!(
-            request = request.ask.id.as_str(),
+            request = request.info.id.as_str(),
             digest:% = request.digest,
             route = request.grant.route.name.as_str(),
             endpoint = permit.endpoint().as_str(),
@@ -99,7 +99,7 @@
 
     /// Notes the version of the request's session.
     pub fn note(&self, permit: &Permit) {
-        let session = self.request.ask.session;
+        let session = self.request.info.session;
         if let Some((session, version)) = session.zip(permit.version()) {
             let now = boot::now();
             let pool = &self.request.pool;
@@ -141,7 +141,7 @@
             customer: customer.map(|customer| &customer.name),
             time_left: Some(request.left(self.node.now())),
             model: variant.model.as_ref(),
-            last_event_id: variant.resume.or(request.ask.last_event_id),
+            last_event_id: variant.resume.or(request.info.last_event_id),
             urgency: Some(cascade::urgency(request, variant)),
         };
         Message {
@@ -154,7 +154,7 @@
 
     /// The version that the request uses now.
     pub(super) fn version(&self) -> Option<id::Version> {
-        let session = self.request.ask.session.unwrap_or(self.request.random);
+        let session = self.request.info.session.unwrap_or(self.request.random);
         let now = boot::now();
         let pool = &self.request.pool;
         self.node.rollouts(|r| r.version(pool, session, now))
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -11,6 +11,7 @@
 use pimento_policy::worth;
 use pimento_units::id;
 
+use crate::admitted::AdmittedRequest;
 use crate::attempts::Attempts;
 use crate::attempts::Variant;
 use crate::codec::Codec;
@@ -18,7 +19,6 @@
 use crate::headers::RequestedModel;
 use crate::node::millis;
 use crate::topic::Log;
-use crate::work::Work;
 
 /// Urgency of a first answer, which is short work for an engine and which all that follows waits for.
 const FIRST: u8 = 1;
@@ -37,11 +37,11 @@
 
 impl Book {
     /// What is at stake with a request's answer. It counts as one more request with its first answer.
-    fn stake(&self, request: &Work, full: Duration, first: bool) -> worth::Stake {
+    fn stake(&self, request: &AdmittedRequest, full: Duration, first: bool) -> worth::Stake {
         let (prompt, most) = request.usage().unwrap_or_default();
         let asked = worth::Request {
             prompt,
-            answer: request.ask.expected_tokens.unwrap_or(most).min(most),
+            answer: request.info.expected_tokens.unwrap_or(most).min(most),
             priority: request.grant.route.priority,
         };
         let mut usual = self.usual.lock().unwrap_or_else(PoisonError::into_inner);
@@ -60,21 +60,21 @@
 }
 
 /// The model to begin with: the smallest, or the one that the caller named.
-pub fn first(request: &Work) -> Option<id::Version> {
-    match &request.ask.model {
+pub fn first(request: &AdmittedRequest) -> Option<id::Version> {
+    match &request.info.model {
         Some(RequestedModel::Named(model)) => Some(model.clone()),
         _ => request.grant.route.models.first().cloned(),
     }
 }
 
 /// Urgency of an attempt at its engine.
-pub fn urgency(request: &Work, variant: &Variant) -> u8 {
+pub fn urgency(request: &AdmittedRequest, variant: &Variant) -> u8 {
     let first = variant.model.as_ref() == request.grant.route.models.first();
     if first { FIRST } else { LARGER }
 }
 
 /// What a model's use costs, as a share of what the service's most expensive one costs.
-fn cost(request: &Work, model: &id::Version) -> f64 {
+fn cost(request: &AdmittedRequest, model: &id::Version) -> f64 {
     let engine = request.grant.table.service(&request.pool);
     let Some(engine) = engine.and_then(|service| service.engine.as_ref()) else {
         return 1.0;
@@ -111,7 +111,7 @@
     if let Some(before) = dropped.take() {
         seen.learn((before.model, before.confidence), (key(model), confidence));
     }
-    let asked = matches!(request.ask.model, Some(RequestedModel::Named(_)));
+    let asked = matches!(request.info.model, Some(RequestedModel::Named(_)));
     if asked || !attempts.again() || !attempts.affords() {
         return None;
     }
@@ -144,7 +144,7 @@
     let chosen = book.config.choose(&answer, &candidates, &seen, now);
     let named = |place: usize| models.get(place).map(id::Version::as_str);
     log::info!(
-        request = request.ask.id.as_str(),
+        request = request.info.id.as_str(),
         model = model.as_str(),
         confidence,
         since_ms = millis(now.since(request.began)),
--- a/crates/relay/src/chain.rs
+++ b/crates/relay/src/chain.rs
@@ -18,6 +18,8 @@
 use pimento_units::Moment;
 
 use crate::admit;
+use crate::admitted;
+use crate::admitted::AdmittedRequest;
 use crate::codec::Codec;
 use crate::headers::HeaderCodec;
 use crate::headers::RequestInfo;
@@ -29,8 +31,6 @@
 use crate::table::Kind;
 use crate::topic::Log;
 use crate::whole;
-use crate::work;
-use crate::work::Work;
 
 /// What callers may send before a configuration says so.
 const FIRST_LIMITS: Limits = Limits {
@@ -57,8 +57,8 @@
         let node = &self.0;
         let began = node.now();
         let (head, body) = request.into_parts();
-        let ask = match node.platform.parse_request(&head) {
-            Ok(ask) => ask,
+        let info = match node.platform.parse_request(&head) {
+            Ok(info) => info,
             Err(error) => {
                 let refusal = Refusal::new(Cause::BadHead);
                 log::info!(path = head.uri.path(), error:%; "request: Head not read.");
@@ -66,8 +66,8 @@
                 return refusal.response();
             }
         };
-        let mut story = Story::new(ask.id.clone(), began, node.clock);
-        let answer = answer(node, (head, body), ask, began).await;
+        let mut story = Story::new(info.id.clone(), began, node.clock);
+        let answer = answer(node, (head, body), info, began).await;
         story.told = true;
         answer.unwrap_or_else(|refusal| {
             story.refused(node, &refusal);
@@ -140,25 +140,25 @@
 async fn answer<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     (head, body): (request::Parts, Incoming),
-    ask: RequestInfo,
+    info: RequestInfo,
     began: Moment,
 ) -> Result<Response<Reply>, Refusal> {
-    let grant = admit::admit(node, &ask, head.uri.path()).await?;
+    let grant = admit::admit(node, &info, head.uri.path()).await?;
     let limits = *grant.table.limits();
     if bytes(&head) > limits.head {
         return Err(Refusal::new(Cause::LargeHead));
     }
     let body = read(body, limits.body, limits.wait).await?;
-    let random = work::random(&ask);
+    let random = admitted::random(&info);
     let pool = grant
         .pool(random)
         .ok_or_else(|| Refusal::new(Cause::UnknownRoute))?;
     let timeout = grant.route.timeout;
-    let wait = ask.timeout.map_or(timeout, |wait| wait.min(timeout));
+    let wait = info.timeout.map_or(timeout, |wait| wait.min(timeout));
     let kind = grant.route.kind;
-    let digest = work::digest(&ask, &head, &body, &grant);
-    let request = Work {
-        ask,
+    let digest = admitted::digest(&info, &head, &body, &grant);
+    let request = AdmittedRequest {
+        info,
         head,
         body,
         grant,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -7,6 +7,7 @@
 //! [`Running`] binds the listeners and ends without cutting a request.
 
 pub mod admit;
+pub mod admitted;
 pub mod attempts;
 pub mod boot;
 pub mod call;
@@ -40,7 +41,6 @@
 pub mod table;
 pub mod topic;
 pub mod whole;
-pub mod work;
 pub mod zone;
 
 pub use config::Config;
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -19,6 +19,7 @@
 use pimento_units::Tokens;
 use tokio::time::Instant;
 
+use crate::admitted::AdmittedRequest;
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
 use crate::attempts::Variant;
@@ -34,7 +35,6 @@
 use crate::refusal::Refusal;
 use crate::table::Route;
 use crate::topic::Log;
-use crate::work::Work;
 
 /// How long a stream may be silent before it is taken up elsewhere, where its route says nothing of
 /// pauses. An engine that reads long prompts between the tokens of others, or preempts, pauses for over
@@ -136,7 +136,7 @@
 /// A [`Refusal`] if no endpoint answered.
 pub async fn serve<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    request: Work,
+    request: AdmittedRequest,
 ) -> Result<Response<Reply>, Refusal> {
     let mut attempts = Attempts::new(node, &request);
     let mut failure: Option<Response<Reply>> = None;
@@ -182,7 +182,7 @@
             request: &request,
             attempts,
             variant,
-            last: request.ask.last_event_id,
+            last: request.info.last_event_id,
             events: 0,
         };
         stream.run(writer, source, first).await;
@@ -194,7 +194,7 @@
 async fn begin<P: HeaderCodec + Codec, L: Log>(
     attempts: &mut Attempts<'_, P, L>,
     node: &Node<P, L>,
-    request: &Work,
+    request: &AdmittedRequest,
     opened: Opened,
 ) -> Result<Option<Begun>, Refusal> {
     let Opened {
@@ -306,7 +306,7 @@
 /// A stream on its way to a caller.
 struct Stream<'a, P, L> {
     node: &'a Node<P, L>,
-    request: &'a Work,
+    request: &'a AdmittedRequest,
     attempts: Attempts<'a, P, L>,
     variant: Variant,
     /// Id of the last event passed on.
@@ -352,7 +352,7 @@
         let route = &self.request.grant.route.name;
         self.node.metrics.ended(route, end, took);
         log::info!(
-            request = self.request.ask.id.as_str(),
+            request = self.request.info.id.as_str(),
             end,
             cause,
             events = self.events,
--- a/crates/relay/src/whole.rs
+++ b/crates/relay/src/whole.rs
@@ -13,6 +13,7 @@
 use pimento_serve::Writer;
 use pimento_units::Tokens;
 
+use crate::admitted::AdmittedRequest;
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
 use crate::attempts::Variant;
@@ -24,7 +25,6 @@
 use crate::poison;
 use crate::refusal::Refusal;
 use crate::topic::Log;
-use crate::work::Work;
 
 /// Bytes up to which an answer is kept back until it is whole. Answers of plain services are a few
 /// kilobytes; a VM has tens of megabytes for some hundred requests at once.
@@ -44,7 +44,7 @@
 /// A [`Refusal`] if no endpoint answered.
 pub async fn serve<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    request: &Work,
+    request: &AdmittedRequest,
 ) -> Result<Response<Reply>, Refusal> {
     let mut attempts = Attempts::new(node, request);
     // An endpoint's failure is handed on as it is if no other answer comes.
@@ -113,7 +113,7 @@
 }
 
 /// Tells of an endpoint's whole answer.
-fn answered<P, L>(node: &Node<P, L>, request: &Work, status: StatusCode, bytes: usize) {
+fn answered<P, L>(node: &Node<P, L>, request: &AdmittedRequest, status: StatusCode, bytes: usize) {
     let took = node.clock.now().since(request.began);
     let route = &request.grant.route.name;
     let end = if status.is_server_error() {
@@ -124,7 +124,7 @@
     node.metrics.began(route, took);
     node.metrics.ended(route, end, took);
     log::info!(
-        request = request.ask.id.as_str(),
+        request = request.info.id.as_str(),
         status = status.as_u16(),
         bytes,
         took_ms = millis(took);
