--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -48,7 +48,7 @@
 
 /// What to send in this attempt beside the request itself.
 #[derive(Debug, Clone, Default)]
-pub struct Variant {
+pub struct Overrides {
     /// The model to run.
     pub model: Option<id::Version>,
     /// The last event that the caller has.
@@ -129,10 +129,10 @@
     /// # Errors
     ///
     /// A [`Refusal`] once no further attempt may be made.
-    pub async fn open(&mut self, variant: &Variant) -> Result<Opened, Refusal> {
+    pub async fn open(&mut self, overrides: &Overrides) -> Result<Opened, Refusal> {
         loop {
             self.unbarred()?;
-            let permit = self.slot(variant).await?;
+            let permit = self.slot(overrides).await?;
             let asked = self.node.now();
             let bound = self.node.connect_times(|reach| reach.bound());
             let connection = match Connection::open(permit.address(), bound).await {
@@ -153,7 +153,7 @@
             if self.state.sent > 0 && !self.repeat() {
                 return Err(self.refuse(Refusal::new(Cause::Failed)));
             }
-            if let Some(opened) = self.send(permit, connection, variant).await? {
+            if let Some(opened) = self.send(permit, connection, overrides).await? {
                 return Ok(opened);
             }
         }
@@ -166,7 +166,7 @@
     }
 
     /// Waits for a slot at an endpoint that may still be used.
-    async fn slot(&mut self, variant: &Variant) -> Result<Permit, Refusal> {
+    async fn slot(&mut self, overrides: &Overrides) -> Result<Permit, Refusal> {
         let mut followed = false;
         loop {
             let pool = self.node.scheduler.pool(&self.request.pool);
@@ -174,7 +174,7 @@
             // token.
             let gone = CancellationToken::new();
             let asked = self.node.now();
-            let permit = pool.acquire(self.job(variant), &gone).await;
+            let permit = pool.acquire(self.job(overrides), &gone).await;
             let waited = self.node.now().since(asked);
             let route = &self.request.grant.route.name;
             self.node.metrics.queued(route, waited);
@@ -279,14 +279,14 @@
         &mut self,
         permit: Permit,
         connection: Connection,
-        variant: &Variant,
+        overrides: &Overrides,
     ) -> Result<Option<Opened>, Refusal> {
-        let message = self.message(&permit, variant);
+        let message = self.message(&permit, overrides);
         self.state.sent += 1;
         self.state.runs += 1;
         self.state.began = self.node.now();
         self.note(&permit);
-        self.sent(&permit, variant);
+        self.sent(&permit, overrides);
         let left = self.request.left(self.node.now());
         let sent = tokio::time::timeout(left, connection.send(message)).await;
         let fault = match sent {
@@ -393,9 +393,9 @@
 
     /// What the attempt would meet at the endpoint that it would get now.
     #[must_use]
-    pub fn estimate(&self, variant: &Variant) -> Option<Estimate> {
+    pub fn estimate(&self, overrides: &Overrides) -> Option<Estimate> {
         let pool = self.node.scheduler.pool(&self.request.pool);
-        pool.estimate(&self.job(variant))
+        pool.estimate(&self.job(overrides))
     }
 }
 
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -10,7 +10,7 @@
 use pimento_units::id;
 
 use super::Attempts;
-use super::Variant;
+use super::Overrides;
 use crate::boot;
 use crate::call::Message;
 use crate::cascade;
@@ -68,7 +68,7 @@
     }
 
     /// Tells where the request goes, and by what.
-    pub(super) fn sent(&self, permit: &Permit, variant: &Variant) {
+    pub(super) fn sent(&self, permit: &Permit, overrides: &Overrides) {
         let request = self.request;
         let belief = self.node.belief();
         let now = self.node.now();
@@ -79,8 +79,8 @@
             endpoint = permit.endpoint().as_str(),
             zone = permit.zone().as_str(),
             version = permit.version().map(id::Version::as_str),
-            model = variant.model.as_ref().map(id::Version::as_str),
-            resume = variant.resume,
+            model = overrides.model.as_ref().map(id::Version::as_str),
+            resume = overrides.resume,
             attempt = self.state.sent,
             since_ms = millis(now.since(request.began)),
             left_ms = millis(request.left(now)),
@@ -133,16 +133,16 @@
         self.node.rollouts(|r| r.record(&seen));
     }
 
-    pub(super) fn message(&self, permit: &Permit, variant: &Variant) -> Message {
+    pub(super) fn message(&self, permit: &Permit, overrides: &Overrides) -> Message {
         let request = self.request;
         let customer = request.grant.customer.as_ref();
         let attempt = AttemptInfo {
             endpoint: permit.endpoint(),
             customer: customer.map(|customer| &customer.name),
             time_left: Some(request.left(self.node.now())),
-            model: variant.model.as_ref(),
-            last_event_id: variant.resume.or(request.info.last_event_id),
-            urgency: Some(cascade::urgency(request, variant)),
+            model: overrides.model.as_ref(),
+            last_event_id: overrides.resume.or(request.info.last_event_id),
+            urgency: Some(cascade::urgency(request, overrides)),
         };
         Message {
             method: request.head.method.clone(),
@@ -160,7 +160,7 @@
         self.node.rollouts(|r| r.version(pool, session, now))
     }
 
-    pub(super) fn job(&self, variant: &Variant) -> Job {
+    pub(super) fn job(&self, overrides: &Overrides) -> Job {
         let request = self.request;
         let customer = request.grant.customer.as_ref();
         let name = customer.map_or_else(|| PUBLIC.parse(), |customer| Ok(customer.name.clone()));
@@ -175,7 +175,7 @@
             deadline: request.deadline,
             version: self.version(),
             prefix: request.prefix(),
-            prompt: variant.model.as_ref().and_then(|m| request.prompt(m)),
+            prompt: overrides.model.as_ref().and_then(|m| request.prompt(m)),
             tried: self.state.tried.clone(),
             returning: false,
             repeatable: request.grant.route.repeatable(),
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -13,7 +13,7 @@
 
 use crate::admitted::AdmittedRequest;
 use crate::attempts::Attempts;
-use crate::attempts::Variant;
+use crate::attempts::Overrides;
 use crate::codec::Codec;
 use crate::headers::HeaderCodec;
 use crate::headers::RequestedModel;
@@ -68,8 +68,8 @@
 }
 
 /// Urgency of an attempt at its engine.
-pub fn urgency(request: &AdmittedRequest, variant: &Variant) -> u8 {
-    let first = variant.model.as_ref() == request.grant.route.models.first();
+pub fn urgency(request: &AdmittedRequest, overrides: &Overrides) -> u8 {
+    let first = overrides.model.as_ref() == request.grant.route.models.first();
     if first { FIRST } else { LARGER }
 }
 
@@ -97,14 +97,14 @@
 /// that was dropped before.
 pub fn larger<P: HeaderCodec + Codec, L: Log>(
     attempts: &Attempts<'_, P, L>,
-    variant: &Variant,
+    overrides: &Overrides,
     confidence: Option<u8>,
     dropped: &mut Option<Dropped>,
 ) -> Option<id::Version> {
     let request = attempts.work();
     let models = &request.grant.route.models;
     let confidence = confidence?;
-    let model = variant.model.as_ref()?;
+    let model = overrides.model.as_ref()?;
     let place = models.iter().position(|known| known == model)?;
     let book = &attempts.node().models;
     let mut seen = book.seen.lock().unwrap_or_else(PoisonError::into_inner);
@@ -118,9 +118,9 @@
     let mut candidates: Vec<Larger> = Vec::new();
     let (mut full, mut next_wait) = (Duration::ZERO, Duration::ZERO);
     for (rank, larger) in models.iter().enumerate().skip(place + 1) {
-        let next = Variant {
+        let next = Overrides {
             model: Some(larger.clone()),
-            resume: variant.resume,
+            resume: overrides.resume,
         };
         let estimate = attempts.estimate(&next)?;
         (full, next_wait) = (estimate.full, estimate.next);
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -147,7 +147,7 @@
     pub fn order(&mut self, order: RolloutOrder, ended: Option<End>, now: Moment) {
         let mut progress = Progress::new(order, ended.map(|end| (end, now)));
         if ended.is_none() {
-            for session in self.sessions.live(now) {
+            for session in self.sessions.active(now) {
                 if self.tried(session, progress.target()) {
                     progress.keep(session, true);
                 }
@@ -240,7 +240,7 @@
 
     /// Notes that a request of a session is sent to a version of a service, or was answered by it.
     pub fn note(&mut self, pool: &id::Pool, session: u64, version: &id::Version, now: Moment) {
-        self.sessions.note(session, version, now);
+        self.sessions.record(session, version, now);
         let Some(rollout) = self.get(pool).filter(|r| r.ended().is_none()) else {
             return;
         };
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -95,7 +95,7 @@
     }
 
     /// Ends in order; false if requests were cut.
-    pub async fn end(self) -> bool {
+    pub async fn shut_down(self) -> bool {
         let begun = self.node.now();
         let grace = self.node.config.bounds.grace;
         log::info!("server: Leaving.");
--- a/crates/relay/src/sessions.rs
+++ b/crates/relay/src/sessions.rs
@@ -45,7 +45,7 @@
     }
 
     /// Notes that a request of a session runs or ran on a version.
-    pub fn note(&mut self, session: u64, version: &id::Version, now: Moment) {
+    pub fn record(&mut self, session: u64, version: &id::Version, now: Moment) {
         self.sweep(now);
         match self.seen.binary_search_by_key(&session, |s| s.session) {
             Ok(place) => {
@@ -67,7 +67,7 @@
     }
 
     /// The sessions that are not over.
-    pub fn live(&self, now: Moment) -> impl Iterator<Item = u64> {
+    pub fn active(&self, now: Moment) -> impl Iterator<Item = u64> {
         let limit = self.life;
         let seen = self.seen.iter();
         let live = seen.filter(move |seen| now.since(seen.at) <= limit);
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -22,7 +22,7 @@
 use crate::admitted::AdmittedRequest;
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
-use crate::attempts::Variant;
+use crate::attempts::Overrides;
 use crate::call::Answer;
 use crate::cascade;
 use crate::codec::Codec;
@@ -141,22 +141,22 @@
     let mut attempts = Attempts::new(node, &request);
     let mut failure: Option<Response<Reply>> = None;
     let mut dropped = None;
-    let mut variant = Variant {
+    let mut overrides = Overrides {
         model: cascade::first(&request),
         resume: None,
     };
     let (mut head, source, first) = loop {
-        let opened = match attempts.open(&variant).await {
+        let opened = match attempts.open(&overrides).await {
             Ok(opened) => opened,
             Err(refusal) => return failure.ok_or(refusal),
         };
         match begin(&mut attempts, node, &request, opened).await {
             Ok(Some(Begun::Stream(begun))) => {
-                let larger = cascade::larger(&attempts, &variant, begun.confidence, &mut dropped);
+                let larger = cascade::larger(&attempts, &overrides, begun.confidence, &mut dropped);
                 let Some(model) = larger else {
                     break (begun.head, begun.source, begun.event);
                 };
-                variant.model = Some(model);
+                overrides.model = Some(model);
             }
             Ok(Some(Begun::Failure(response))) => {
                 if !attempts.again() {
@@ -181,7 +181,7 @@
             node: &node,
             request: &request,
             attempts,
-            variant,
+            overrides,
             last: request.info.last_event_id,
             events: 0,
         };
@@ -308,7 +308,7 @@
     node: &'a Node<P, L>,
     request: &'a AdmittedRequest,
     attempts: Attempts<'a, P, L>,
-    variant: Variant,
+    overrides: Overrides,
     /// Id of the last event passed on.
     last: Option<u64>,
     /// Events passed on.
@@ -440,9 +440,9 @@
 
     /// Goes on after the last event at another endpoint.
     async fn resume(&mut self) -> Result<Source, Refusal> {
-        self.variant.resume = self.last;
+        self.overrides.resume = self.last;
         loop {
-            let opened = self.attempts.open(&self.variant).await?;
+            let opened = self.attempts.open(&self.overrides).await?;
             let Opened { permit, call, .. } = opened;
             if call.head.status == StatusCode::OK {
                 return Ok(Source::new(permit, call.body, &self.request.grant.route));
--- a/crates/relay/src/whole.rs
+++ b/crates/relay/src/whole.rs
@@ -16,7 +16,7 @@
 use crate::admitted::AdmittedRequest;
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
-use crate::attempts::Variant;
+use crate::attempts::Overrides;
 use crate::call::Answer;
 use crate::codec::Codec;
 use crate::headers::HeaderCodec;
@@ -50,7 +50,7 @@
     // An endpoint's failure is handed on as it is if no other answer comes.
     let mut failure: Option<Response<Reply>> = None;
     loop {
-        let opened = match attempts.open(&Variant::default()).await {
+        let opened = match attempts.open(&Overrides::default()).await {
             Ok(opened) => opened,
             Err(refusal) => return failure.ok_or(refusal),
         };
