--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -63,7 +63,7 @@
     }
     let route = table.route(&info.host, path).ok_or(Denial::Route)?;
     let route = Arc::clone(route);
-    if route.public || !table.keyed() {
+    if route.public || !table.requires_key() {
         return Ok(Grant {
             table,
             route,
@@ -133,7 +133,7 @@
 impl Grant {
     /// The service for a request.
     #[must_use]
-    pub fn pool(&self, random: u64) -> Option<id::Pool> {
-        self.route.target(random).cloned()
+    pub fn pick_service(&self, random: u64) -> Option<id::Pool> {
+        self.route.pick_service(random).cloned()
     }
 }
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -136,7 +136,7 @@
         model: key(model),
         confidence,
         began: request.began,
-        target: request.grant.route.target,
+        target: request.grant.route.latency_target,
         next: next_wait,
         stake: book.stake(request, full, place == 0),
     };
--- a/crates/relay/src/chain.rs
+++ b/crates/relay/src/chain.rs
@@ -81,8 +81,8 @@
         };
         let limits = table.limits();
         Limits {
-            head: limits.idle.max(limits.wait),
-            head_bytes: limits.head + OVER,
+            head: limits.idle_timeout.max(limits.receive_timeout),
+            head_bytes: limits.head_bytes + OVER,
         }
     }
 }
@@ -145,13 +145,13 @@
 ) -> Result<Response<Reply>, Refusal> {
     let grant = admit::admit(node, &info, head.uri.path()).await?;
     let limits = *grant.table.limits();
-    if bytes(&head) > limits.head {
+    if bytes(&head) > limits.head_bytes {
         return Err(Refusal::new(Cause::LargeHead));
     }
-    let body = read(body, limits.body, limits.wait).await?;
+    let body = read(body, limits.body_bytes, limits.receive_timeout).await?;
     let random = admitted::random(&info);
     let pool = grant
-        .pool(random)
+        .pick_service(random)
         .ok_or_else(|| Refusal::new(Cause::UnknownRoute))?;
     let timeout = grant.route.timeout;
     let wait = info.timeout.map_or(timeout, |wait| wait.min(timeout));
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -51,7 +51,7 @@
     let table = node.table();
     let memory = |pool: &id::Pool| {
         let service = table.as_ref()?.service(pool)?;
-        service.engine.as_ref().map(|engine| engine.memory)
+        service.engine.as_ref().map(|engine| engine.kv_capacity)
     };
     let mut members: Vec<(id::Pool, Member)> = node.directory.view(|view| {
         let seats = view.members().iter();
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -72,7 +72,7 @@
 
 impl Source {
     fn new(permit: Permit, body: Answer, route: &Route) -> Self {
-        let quiet = route.gap.map(|gap| gap.mul_f64(QUIET));
+        let quiet = route.max_event_gap.map(|gap| gap.mul_f64(QUIET));
         Self {
             permit,
             body,
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -36,9 +36,9 @@
     /// The longest that a request may be kept waiting.
     pub timeout: Duration,
     /// Within this time an answer, or a stream's first event, is on time.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// The longest pause between a stream's events that is on time.
-    pub gap: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Rank; lower goes first.
     pub priority: u8,
     /// The most endpoints that one request may be sent to.
@@ -75,7 +75,7 @@
 
     /// The service for a request, by random bits that stay the same for one request.
     #[must_use]
-    pub fn target(&self, random: u64) -> Option<&id::Pool> {
+    pub fn pick_service(&self, random: u64) -> Option<&id::Pool> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
         if total == 0 {
             return self.targets.first().map(|target| &target.pool);
@@ -115,9 +115,9 @@
     /// Requests in a batch.
     pub slots: u32,
     /// Memory for running requests and cached parts.
-    pub memory: Tokens,
+    pub kv_capacity: Tokens,
     /// Tokens in an event of a stream.
-    pub stride: Tokens,
+    pub tokens_per_event: Tokens,
     /// Models, sorted by name.
     pub models: Vec<Model>,
 }
@@ -146,13 +146,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of a request's head.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Bytes of a request's body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// How long a head may take to come.
-    pub wait: Duration,
+    pub receive_timeout: Duration,
     /// How long a kept connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A configuration that can't be used.
@@ -283,7 +283,7 @@
 
     /// Whether requests need a key at all.
     #[must_use]
-    pub const fn keyed(&self) -> bool {
+    pub const fn requires_key(&self) -> bool {
         self.keyed
     }
 }
