--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -18,9 +18,9 @@
 
 use crate::admit;
 use crate::admitted::AdmittedRequest;
-use crate::call::Call;
-use crate::call::Connection;
 use crate::codec::Codec;
+use crate::connection::Connection;
+use crate::connection::EndpointResponse;
 use crate::headers::HeaderCodec;
 use crate::headers::ResponseInfo;
 use crate::node::Node;
@@ -41,7 +41,7 @@
     /// The slot, to be given back with what became of the answer.
     pub permit: Permit,
     /// The answer.
-    pub call: Call,
+    pub call: EndpointResponse,
     /// What its head says.
     pub reply: ResponseInfo,
 }
@@ -347,7 +347,11 @@
     }
 
     /// Reads the head of an answer, and whether it is one to this request.
-    fn read(&self, endpoint: &id::Endpoint, call: Call) -> Result<(Call, ResponseInfo), Fault> {
+    fn read(
+        &self,
+        endpoint: &id::Endpoint,
+        call: EndpointResponse,
+    ) -> Result<(EndpointResponse, ResponseInfo), Fault> {
         let reply = self.node.platform.parse_response(&call.head);
         let status = call.head.status;
         if !reply.misdirected {
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -12,9 +12,9 @@
 use super::Attempts;
 use super::Overrides;
 use crate::boot;
-use crate::call::Message;
 use crate::cascade;
 use crate::codec::Codec;
+use crate::connection::OutgoingRequest;
 use crate::headers::AnnouncedLimit;
 use crate::headers::AttemptInfo;
 use crate::headers::HeaderCodec;
@@ -133,7 +133,7 @@
         self.node.rollouts(|r| r.record(&seen));
     }
 
-    pub(super) fn message(&self, permit: &Permit, overrides: &Overrides) -> Message {
+    pub(super) fn message(&self, permit: &Permit, overrides: &Overrides) -> OutgoingRequest {
         let request = self.request;
         let customer = request.grant.customer.as_ref();
         let attempt = AttemptInfo {
@@ -144,7 +144,7 @@
             last_event_id: overrides.resume.or(request.info.last_event_id),
             urgency: Some(cascade::urgency(request, overrides)),
         };
-        Message {
+        OutgoingRequest {
             method: request.head.method.clone(),
             uri: request.head.uri.clone(),
             headers: self.node.platform.attempt_headers(&request.head, &attempt),
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/connection.rs
@@ -3,7 +3,7 @@
 //! A kept connection may be reset while a request crosses its close, may carry a late second answer
 //! where the next one is due, or bytes that belong to no request. None of these can happen on a
 //! connection that carries one request and is then closed; what that costs is one round trip within
-//! a zone. Dropping a [`Call`] closes the connection, which stops the endpoint's work.
+//! a zone. Dropping a [`EndpointResponse`] closes the connection, which stops the endpoint's work.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 
 /// What is sent.
 #[derive(Debug, Clone)]
-pub struct Message {
+pub struct OutgoingRequest {
     /// Method, as the caller sent it.
     pub method: Method,
     /// Path and query, as the caller sent them.
@@ -46,25 +46,25 @@
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub struct Call {
+pub struct EndpointResponse {
     /// The head.
     pub head: response::Parts,
     /// The body.
-    pub body: Answer,
+    pub body: ResponseBody,
 }
 
 /// The body of an answer, with the connection that it comes on.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ResponseBody {
     incoming: Incoming,
     _sender: SendRequest<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
 }
 
-impl Answer {
+impl ResponseBody {
     /// Bytes that are known to come.
     #[must_use]
-    pub fn announced(&self) -> u64 {
+    pub fn min_remaining(&self) -> u64 {
         self.incoming.size_hint().lower()
     }
 
@@ -129,8 +129,8 @@
     /// # Errors
     ///
     /// [`Fault::Cut`] if the connection ended first; the request may have run.
-    pub async fn send(mut self, message: Message) -> Result<Call, Fault> {
-        let Message {
+    pub async fn send(mut self, message: OutgoingRequest) -> Result<EndpointResponse, Fault> {
+        let OutgoingRequest {
             method,
             uri,
             headers,
@@ -151,12 +151,12 @@
             Fault::Cut { reason }
         })?;
         let (head, body) = response.into_parts();
-        let body = Answer {
+        let body = ResponseBody {
             incoming: body,
             _sender: self.sender,
             _driver: self.driver,
         };
-        Ok(Call { head, body })
+        Ok(EndpointResponse { head, body })
     }
 }
 
--- a/crates/relay/src/passage.rs
+++ b/crates/relay/src/passage.rs
@@ -29,8 +29,8 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-use crate::call::Connection;
-use crate::call::Message;
+use crate::connection::Connection;
+use crate::connection::OutgoingRequest;
 use crate::follow::Part;
 use crate::topic::Record;
 use crate::topic::Topic;
@@ -240,7 +240,7 @@
     let connection = Connection::open(address, CONNECT).await;
     let connection = connection.map_err(|fault| Error::Call { fault })?;
     let uri = Uri::try_from(path);
-    let message = Message {
+    let message = OutgoingRequest {
         method: Method::GET,
         uri: uri.context(PathSnafu)?,
         headers: HeaderMap::new(),
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -23,9 +23,9 @@
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
 use crate::attempts::Overrides;
-use crate::call::Answer;
 use crate::cascade;
 use crate::codec::Codec;
+use crate::connection::ResponseBody;
 use crate::events::Event;
 use crate::events::Splitter;
 use crate::headers::HeaderCodec;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 struct Source {
     permit: Permit,
-    body: Answer,
+    body: ResponseBody,
     splitter: Splitter,
     /// How long it may be silent between events.
     silence: Duration,
@@ -71,7 +71,7 @@
 }
 
 impl Source {
-    fn new(permit: Permit, body: Answer, route: &Route) -> Self {
+    fn new(permit: Permit, body: ResponseBody, route: &Route) -> Self {
         let quiet = route.max_event_gap.map(|gap| gap.mul_f64(QUIET));
         Self {
             permit,
@@ -244,7 +244,7 @@
     }
 }
 
-async fn collect(body: &mut Answer) -> Result<Vec<u8>, Fault> {
+async fn collect(body: &mut ResponseBody) -> Result<Vec<u8>, Fault> {
     let mut bytes = Vec::new();
     while let Some(data) = body.next().await? {
         if bytes.len() + data.len() > FAILURE {
--- a/crates/relay/src/whole.rs
+++ b/crates/relay/src/whole.rs
@@ -17,8 +17,8 @@
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
 use crate::attempts::Overrides;
-use crate::call::Answer;
 use crate::codec::Codec;
+use crate::connection::ResponseBody;
 use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::node::millis;
@@ -34,7 +34,7 @@
 enum Read {
     Whole(Bytes),
     /// Too long to be kept back: its beginning and the rest.
-    Long(Bytes, Answer),
+    Long(Bytes, ResponseBody),
 }
 
 /// Answers a request that is no stream.
@@ -135,8 +135,8 @@
 /// Work of a plain call, as the scheduler counts it.
 const WORK: Tokens = Tokens(1);
 
-async fn read(mut body: Answer) -> Result<Read, Fault> {
-    if body.announced() > KEPT {
+async fn read(mut body: ResponseBody) -> Result<Read, Fault> {
+    if body.min_remaining() > KEPT {
         return Ok(Read::Long(Bytes::new(), body));
     }
     let mut kept = BytesMut::new();
@@ -149,7 +149,7 @@
     Ok(Read::Whole(kept.freeze()))
 }
 
-async fn pass(writer: &Writer, begun: Bytes, mut rest: Answer) -> Result<(), Fault> {
+async fn pass(writer: &Writer, begun: Bytes, mut rest: ResponseBody) -> Result<(), Fault> {
     let gone = |_| Fault::Cancelled;
     if !begun.is_empty() {
         writer.send(begun).await.map_err(gone)?;
