--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -113,7 +113,7 @@
 /// # Errors
 ///
 /// A [`Refusal`] of the request as not run.
-pub fn still<P: HeaderCodec + Codec, L: Log>(
+pub fn recheck<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     info: &RequestInfo,
     path: &str,
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -254,7 +254,7 @@
     pub fn allowed(&self) -> Result<(), Refusal> {
         self.unbarred()?;
         let request = self.request;
-        let grant = admit::still(self.node, &request.info, request.path());
+        let grant = admit::recheck(self.node, &request.info, request.path());
         let grant = grant.map_err(|refusal| self.refuse(refusal))?;
         let same = grant.customer == request.grant.customer;
         if !same || !grant.route.allows(&request.pool) {
--- a/crates/relay/src/chain.rs
+++ b/crates/relay/src/handler.rs
@@ -20,6 +20,7 @@
 use crate::admit;
 use crate::admitted;
 use crate::admitted::AdmittedRequest;
+use crate::buffered;
 use crate::codec::Codec;
 use crate::headers::HeaderCodec;
 use crate::headers::RequestInfo;
@@ -30,7 +31,6 @@
 use crate::stream;
 use crate::table::Kind;
 use crate::topic::Log;
-use crate::whole;
 
 /// What callers may send before a configuration says so.
 const FIRST_LIMITS: Limits = Limits {
@@ -44,15 +44,15 @@
 
 /// The callers' side.
 #[derive(Debug)]
-pub struct Callers<P, L>(pub Node<P, L>);
+pub struct RequestHandler<P, L>(pub Node<P, L>);
 
-impl<P: Clone, L: Clone> Clone for Callers<P, L> {
+impl<P: Clone, L: Clone> Clone for RequestHandler<P, L> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
-impl<P: HeaderCodec + Codec, L: Log> Serve for Callers<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for RequestHandler<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         let node = &self.0;
         let began = node.now();
@@ -170,7 +170,7 @@
     };
     node.retry_budgets.arrived(&request.pool, began);
     match kind {
-        Kind::Safe | Kind::Unsafe => whole::serve(node, &request).await,
+        Kind::Safe | Kind::Unsafe => buffered::serve(node, &request).await,
         Kind::Stream => stream::serve(node, request).await,
     }
 }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -19,9 +19,9 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-use crate::chain::Callers;
 use crate::codec::Codec;
 use crate::config::Config;
+use crate::handler::RequestHandler;
 use crate::headers::HeaderCodec;
 use crate::metrics::Page;
 use crate::node::Node;
@@ -84,7 +84,7 @@
             Page(node.clone()),
             Stop::default(),
         ));
-        let service = Callers(node.clone());
+        let service = RequestHandler(node.clone());
         let serving = tokio::spawn(pimento_serve::run(callers, service, stop.clone()));
         Ok(Self {
             node,
