--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -42,12 +42,12 @@
 use self::peers::Role;
 use self::update::Update;
 use crate::boot;
-use crate::border::Border;
 use crate::bundle::Bundle;
 use crate::bundle::SharedTopic;
 use crate::codec::Codec;
 use crate::follow::Lead;
 use crate::follow::RecordRange;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::rollouts::announcement::NodeAnnouncement;
 use crate::rollouts::announcement::PinnedSession;
@@ -107,7 +107,7 @@
 }
 
 /// Starts to exchange datagrams with the other VMs.
-pub fn start<P: Border + Codec, L: Log>(
+pub fn start<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: L,
     zone: Zone,
@@ -117,7 +117,7 @@
     tokio::spawn(async move { token.run_until_cancelled(run(node, log, zone)).await });
 }
 
-async fn run<P: Border + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
     let address = node.config.peer_listen;
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Arc::new(socket),
@@ -147,7 +147,7 @@
     );
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -232,7 +232,7 @@
             self.zone_datagram.notify_one();
         }
         for report in &message.poison {
-            let writes = self.node.reads();
+            let writes = self.node.reads_log();
             self.node.poison.receive(*report, !local, writes, now);
         }
         for pinned in &message.pinned_sessions {
@@ -320,7 +320,7 @@
         inner.peers.remove_expired(boot::now());
         let config = &self.node.config;
         let peers = inner.peers.in_zone(&config.zone);
-        self.node.repeats.share_among(inner.peers.count() + 1);
+        self.node.retry_budgets.set_vms(inner.peers.count() + 1);
         let owners = inner
             .peers
             .limit_owners(&config.node, &config.zone, boot::now());
--- a/crates/relay/src/neighbours/broadcast.rs
+++ b/crates/relay/src/neighbours/broadcast.rs
@@ -14,10 +14,10 @@
 use super::message::Proofs;
 use super::update::Update;
 use crate::boot;
-use crate::border::Border;
 use crate::bundle::Bundle;
 use crate::bundle::SharedTopic;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
 use crate::rollouts::Rollouts;
 use crate::topic::Log;
 
@@ -61,7 +61,7 @@
     poison: Offset,
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     /// Records to forward to the zone; empty unless this VM reads the log for it.
     fn take_passages(&self) -> Vec<Bundle> {
         let forwarded = self.lock().forwarded.take();
@@ -116,7 +116,7 @@
                 _ = endpoints.changed() => self.is_zone_reader(),
                 _ = blocklist.changed() => self.is_zone_reader(),
                 () = self.node.poison.reports_due.notified() => false,
-                () = self.node.limited.notified() => true,
+                () = self.node.limit_changed.notified() => true,
                 () = self.zone.proved.notified() => self.is_zone_reader(),
                 () = self.zone.unreachable.notified() => true,
             };
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -10,12 +10,12 @@
 use super::peers::Peer;
 use super::update::Update;
 use crate::boot;
-use crate::border::Border;
 use crate::calls::Reason;
 use crate::codec::Codec;
 use crate::fleet;
 use crate::fleet::VmRecord;
 use crate::follow::Lead;
+use crate::headers::HeaderCodec;
 use crate::topic::Log;
 use crate::topic::Topic;
 
@@ -37,7 +37,7 @@
     (delay * 2).min(MAX_RETRY_DELAY)
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     /// Discovers the other VMs by the log, and joins those of the zone by datagrams.
     ///
     /// Of two VMs that start together, the one whose record comes later must find the other's record.
@@ -59,7 +59,11 @@
     /// Writes this VM's record to the log.
     async fn publish(&self) {
         let mut delay = RETRY_DELAY;
-        while !self.node.say(&self.node.word(), &self.log).await {
+        while !self
+            .node
+            .publish(&self.node.announcement(), &self.log)
+            .await
+        {
             delay = back_off(delay).await;
         }
     }
@@ -137,10 +141,10 @@
     async fn publish_rates(&self) {
         loop {
             tokio::time::sleep(LEARNT_INTERVAL).await;
-            let word = self.node.word();
+            let word = self.node.announcement();
             let known = !word.seconds_per_token.is_empty();
             let alone = *self.zone.lead.borrow() != Lead::Led;
-            if known && alone && self.node.say(&word, &self.log).await {
+            if known && alone && self.node.publish(&word, &self.log).await {
                 return;
             }
         }
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -16,11 +16,11 @@
 use tokio::net::TcpListener;
 
 use crate::boot;
-use crate::border::Border;
 use crate::bundle::Bundle;
 use crate::bundle::PATH;
 use crate::bundle::SharedTopic;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::snapshot;
 use crate::snapshot::Snapshot;
@@ -54,7 +54,7 @@
 
 /// Serves until the process ends. If the address can't be bound, the other VMs read the log by
 /// themselves.
-pub async fn serve<P: Border + Codec, L: Log>(node: Node<P, L>) {
+pub async fn serve<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>) {
     let address = node.config.peer_listen;
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
@@ -81,7 +81,7 @@
     Some((SharedTopic::from_name(topic)?, Offset(from.parse().ok()?)))
 }
 
-impl<P: Border + Codec, L: Log> Records<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Records<P, L> {
     /// The view of a topic, read once more if the log can be read; none if there is none yet.
     async fn snapshot(&self, topic: SharedTopic) -> Option<Bytes> {
         let asked = boot::now();
@@ -150,7 +150,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Records<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for Records<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         let path = request.uri().path();
         let packed = match snapshot_request(path) {
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -32,11 +32,11 @@
 pub use self::report::Report;
 pub use self::writer::start;
 use crate::boot;
-use crate::border::Border;
 use crate::codec::Codec;
-use crate::endpoint::Entry;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::node::millis;
+use crate::registration::Registration;
 use crate::topic::Log;
 
 /// The longest random delay before a VM answers a crash report about a request that it knows to be
@@ -195,7 +195,7 @@
 
 /// Records that a request got a complete answer. This clears a suspect and removes its block from the
 /// log.
-pub fn record_answer<P: Border + Codec, L: Log>(node: &Node<P, L>, digest: Digest) {
+pub fn record_answer<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, digest: Digest) {
     let now = boot::now();
     let poison = &node.poison;
     let mut state = poison.lock();
@@ -215,7 +215,7 @@
 }
 
 /// How long a request is still blocked; none if it may be sent.
-pub fn block_remaining<P: Border + Codec, L: Log>(
+pub fn block_remaining<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     digest: Digest,
 ) -> Option<Duration> {
@@ -230,7 +230,7 @@
 }
 
 /// Records that a run failed at an endpoint. If its connection broke, the endpoint may have crashed.
-pub fn record_failure<P: Border + Codec, L: Log>(
+pub fn record_failure<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     digest: Digest,
     endpoint: &id::Endpoint,
@@ -246,7 +246,7 @@
     };
     let crash = Crash {
         endpoint: choice::hash(endpoint.as_str()),
-        incarnation: Some(member.entry.born),
+        incarnation: Some(member.entry.started_unix_ms),
     };
     let step = node.poison.lock().breaks.record(digest, crash);
     match step {
@@ -262,7 +262,11 @@
 
 /// Waits until it is known whether an endpoint crashed; if so, counts the crash for all requests that
 /// ran there.
-async fn confirm_crash<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry, crash: Crash) {
+async fn confirm_crash<P: HeaderCodec + Codec, L: Log>(
+    node: &Node<P, L>,
+    entry: &Registration,
+    crash: Crash,
+) {
     let evidence = crash_check::wait_for_crash(node, entry).await;
     let digests = node.poison.lock().breaks.resolve(crash, evidence.is_some());
     log::info!(
--- a/crates/relay/src/poison/writer.rs
+++ b/crates/relay/src/poison/writer.rs
@@ -9,9 +9,9 @@
 use super::Change;
 use super::blocklist;
 use crate::boot;
-use crate::border::Border;
 use crate::calls::Reason;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::topic::Log;
 use crate::topic::Topic;
@@ -26,12 +26,12 @@
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Starts the writer.
-pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
+pub fn start<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
     let node = node.clone();
     tokio::spawn(async move { token.run_until_cancelled(run(node, log)).await });
 }
 
-async fn run<P: Border + Codec, L: Log>(node: Node<P, L>, log: L) {
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L) {
     loop {
         tokio::select! {
             () = node.poison.writes_due.notified() => {}
@@ -47,13 +47,13 @@
 
 /// Ends the blocks that have expired. The VM that reads the log for its zone also removes obsolete
 /// blocks from the log.
-fn expire_blocks<P: Border + Codec, L: Log>(node: &Node<P, L>) {
+fn expire_blocks<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let mut state = node.poison.lock();
     for digest in state.table.expire_blocks(now) {
         log::info!(digest:%; "poison: Block expired.");
     }
-    if node.reads() {
+    if node.reads_log() {
         let cleared = |digest| state.table.is_cleared(digest, now);
         for digest in node.blocklist.view(|list| list.obsolete(cleared, now)) {
             state.schedule_write(digest, Change::Unblock);
@@ -63,7 +63,7 @@
 
 /// The next change to write. Drops changes that the log holds already, and blocks that are no longer
 /// in force.
-fn next_write<P: Border + Codec, L: Log>(node: &Node<P, L>) -> Option<(Digest, Change)> {
+fn next_write<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) -> Option<(Digest, Change)> {
     let now = boot::now();
     let state = &mut *node.poison.lock();
     let table = &state.table;
@@ -82,7 +82,7 @@
 
 /// Writes a change; whether nothing is left to do for it, because it is known to be written or can't be
 /// encoded.
-async fn write<P: Border + Codec, L: Log>(
+async fn write<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: &L,
     digest: Digest,
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -26,7 +26,7 @@
 use self::state::Step;
 use self::state::Visibility;
 use crate::config::Exposure;
-use crate::operators::Order;
+use crate::operators::RolloutOrder;
 use crate::sessions::Sessions;
 
 /// The longest time between announcements of a VM, which show the others that it is alive.
@@ -138,16 +138,16 @@
 
     /// Whether this order, or a later one for the same service, was added.
     #[must_use]
-    pub fn has_order(&self, order: &Order) -> bool {
+    pub fn has_order(&self, order: &RolloutOrder) -> bool {
         let known = self.get(&order.rollout.pool);
         known.is_some_and(|known| known.offset() >= order.offset)
     }
 
     /// Adds an order. `ended` is how it ended, if that was before this process started.
-    pub fn add_order(&mut self, order: Order, ended: Option<End>, now: Moment) {
+    pub fn add_order(&mut self, order: RolloutOrder, ended: Option<End>, now: Moment) {
         let mut rollout = RolloutState::new(order, ended.map(|end| (end, now)));
         if ended.is_none() {
-            for session in self.sessions.live(now) {
+            for session in self.sessions.active(now) {
                 if self.is_in_trial(session, rollout.target()) {
                     rollout.pin_session(session, true);
                 }
@@ -236,7 +236,7 @@
     }
 
     fn phase(&self, rollout: &RolloutState, now: Moment) -> Phase {
-        let lasts = rollout.order.rollout.lasts;
+        let lasts = rollout.order.rollout.time_limit;
         self.config
             .phase(rollout.age(now), lasts, self.exposure.share)
     }
@@ -249,7 +249,7 @@
         version: &id::Version,
         now: Moment,
     ) {
-        self.sessions.note(session, version, now);
+        self.sessions.record(session, version, now);
         let Some(rollout) = self.get(pool).filter(|r| r.ended().is_none()) else {
             return;
         };
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -24,11 +24,10 @@
 use super::state::Step;
 use super::state::Visibility;
 use crate::boot;
-use crate::border::Border;
 use crate::calls::Reason;
 use crate::codec::Codec;
-use crate::codec::Stage;
-use crate::codec::Status;
+use crate::codec::RolloutStage;
+use crate::codec::RolloutStatus;
 use crate::fleet;
 use crate::fleet::VmRecord;
 use crate::follow::Fold;
@@ -36,8 +35,9 @@
 use crate::follow::Polling;
 use crate::follow::RecordContext;
 use crate::follow::Timing;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
-use crate::operators::Order;
+use crate::operators::RolloutOrder;
 use crate::pools;
 use crate::topic::Error;
 use crate::topic::Log;
@@ -120,7 +120,7 @@
 }
 
 /// Starts the controller, which runs until `token` is cancelled.
-pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
+pub fn start<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
     let controller = Controller {
         node: node.clone(),
         log,
@@ -133,7 +133,7 @@
     tokio::spawn(async move { token.run_until_cancelled(controller.run()).await });
 }
 
-impl<P: Border + Codec, L: Log> Controller<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Controller<P, L> {
     async fn run(mut self) {
         let mut changes = self.node.operators.changes();
         let mut endpoints = self.node.directory.changes();
@@ -141,7 +141,7 @@
             let pending = self.accept_orders().await;
             let running = self.node.rollouts(|r| r.running());
             if running.is_empty() {
-                if self.node.reads() {
+                if self.node.reads_log() {
                     self.publish().await;
                 }
                 self.stop_following();
@@ -155,7 +155,7 @@
                 }
                 continue;
             }
-            if self.node.reads() {
+            if self.node.reads_log() {
                 self.follow();
                 self.merge();
                 self.publish().await;
@@ -178,28 +178,28 @@
     /// topic shows. While the service has a single version this makes no difference, and the topic is not
     /// read: VMs that start together would all call the log for nothing.
     async fn accept_orders(&mut self) -> Pending {
-        let orders: Vec<Order> = self.node.operators.view(|view| view.orders().to_vec());
-        let known = |order: &Order| self.node.rollouts(|r| r.has_order(order));
-        let new: Vec<Order> = orders.into_iter().filter(|order| !known(order)).collect();
+        let orders: Vec<RolloutOrder> = self.node.operators.view(|view| view.orders().to_vec());
+        let known = |order: &RolloutOrder| self.node.rollouts(|r| r.has_order(order));
+        let new: Vec<RolloutOrder> = orders.into_iter().filter(|order| !known(order)).collect();
         let now = boot::now();
-        if new.iter().any(|order| order.first) {
+        if new.iter().any(|order| order.initial) {
             // The pools may not know the versions of the endpoints yet.
             pools::refresh(&self.node);
         }
         let mut pending = Pending::Nothing;
         for order in new {
             let pool = &order.rollout.pool;
-            if order.first && !self.node.rollouts(|r| r.has_several_versions(pool)) {
+            if order.initial && !self.node.rollouts(|r| r.has_several_versions(pool)) {
                 pending = Pending::SeveralVersions;
                 continue;
             }
-            let ended = if order.first {
+            let ended = if order.initial {
                 let Some((statuses, _)) = self.read_statuses().await else {
                     return Pending::Status;
                 };
                 reported_end(&statuses, &order, Offset::default())
             } else {
-                if self.node.reads() {
+                if self.node.reads_log() {
                     let Some((_, end)) = self.read_statuses().await else {
                         return Pending::Status;
                     };
@@ -274,9 +274,9 @@
         }));
         let word = VmRecord {
             rollouts,
-            ..self.node.word()
+            ..self.node.announcement()
         };
-        if self.node.say(&word, &self.log).await {
+        if self.node.publish(&word, &self.log).await {
             self.published = own;
         }
     }
@@ -288,7 +288,7 @@
         };
         let now = boot::now();
         let drained = self.node.is_drained(pool, &order.rollout.target);
-        let reads = self.node.reads();
+        let reads = self.node.reads_log();
         let visibility = if reads {
             Visibility::AllZones
         } else {
@@ -322,7 +322,7 @@
 
     /// Reports an end to the operators unless one was reported already; whether one is known to be
     /// reported now.
-    async fn report_end(&self, order: &Order, end: End) -> bool {
+    async fn report_end(&self, order: &RolloutOrder, end: End) -> bool {
         let pool = &order.rollout.pool;
         let target = &order.rollout.target;
         let Some((statuses, at)) = self.read_statuses().await else {
@@ -338,15 +338,15 @@
             self.node.rollouts(|r| r.end(pool, reported, now));
             return true;
         }
-        let status = Status {
+        let status = RolloutStatus {
             pool: pool.clone(),
             target: target.clone(),
             stage: match end {
-                End::Done => Stage::Done,
-                End::Undone => Stage::Undone,
+                End::Done => RolloutStage::Done,
+                End::Undone => RolloutStage::RolledBack,
             },
         };
-        let (key, value) = self.node.platform.tell(&status);
+        let (key, value) = self.node.platform.encode_status(&status);
         self.node.calls.count(Topic::Status, Reason::Status);
         let append = self
             .log
@@ -372,7 +372,7 @@
     }
 
     /// The reports on the status topic, each with its offset, and the end of that topic.
-    async fn read_statuses(&self) -> Option<(Vec<(Offset, Status)>, Offset)> {
+    async fn read_statuses(&self) -> Option<(Vec<(Offset, RolloutStatus)>, Offset)> {
         self.node.calls.count(Topic::Status, Reason::Status);
         let progress = Progress::default();
         let newest = self.log.newest(Topic::Status, &progress);
@@ -389,7 +389,7 @@
         };
         let read = |record: &Record| {
             let value = record.value.as_ref()?;
-            match self.node.platform.status(&record.key, value) {
+            match self.node.platform.decode_status(&record.key, value) {
                 Ok(status) => status.map(|status| (record.offset, status)),
                 Err(error) => {
                     let key = &record.key;
@@ -405,20 +405,24 @@
 
 /// How an order ended by the reports from an offset on. Earlier ones may be about another order for the
 /// same version.
-fn reported_end(statuses: &[(Offset, Status)], order: &Order, since: Offset) -> Option<End> {
+fn reported_end(
+    statuses: &[(Offset, RolloutStatus)],
+    order: &RolloutOrder,
+    since: Offset,
+) -> Option<End> {
     let found = statuses.iter().find(|(offset, status)| {
         *offset >= since
             && status.pool == order.rollout.pool
             && status.target == order.rollout.target
     });
     match found?.1.stage {
-        Stage::Running => None,
-        Stage::Done => Some(End::Done),
-        Stage::Undone => Some(End::Undone),
+        RolloutStage::Running => None,
+        RolloutStage::Done => Some(End::Done),
+        RolloutStage::RolledBack => Some(End::Undone),
     }
 }
 
-impl<P: Border + Codec, L: Log> Node<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Node<P, L> {
     /// Whether no request of this VM is at an endpoint of another version than `target`.
     fn is_drained(&self, pool: &id::Pool, target: &id::Version) -> bool {
         self.scheduler.pool(pool).in_flight_without(target) == 0
--- a/crates/relay/tests/all/rollouts.rs
+++ b/crates/relay/tests/all/rollouts.rs
@@ -4,7 +4,7 @@
 
 use pimento_relay::codec::Rollout;
 use pimento_relay::config::Exposure;
-use pimento_relay::operators::Order;
+use pimento_relay::operators::RolloutOrder;
 use pimento_relay::rollouts::FinishedRequest;
 use pimento_relay::rollouts::Rollouts;
 use pimento_relay::rollouts::announcement::End;
@@ -50,16 +50,16 @@
     at(ORDERED)
 }
 
-fn order() -> Order {
-    Order {
+fn order() -> RolloutOrder {
+    RolloutOrder {
         rollout: Rollout {
             pool: pool(),
             target: new(),
-            lasts: LASTS,
+            time_limit: LASTS,
         },
         offset: Offset(7),
-        read: ordered(),
-        first: false,
+        read_at: ordered(),
+        initial: false,
     }
 }
 
@@ -233,7 +233,10 @@
     begin(&mut prompt);
     late.update_versions(&pool(), vec![(old(), 4), (new(), 4)]);
     let read = ordered() + Duration::from_secs(10);
-    let order = Order { read, ..order() };
+    let order = RolloutOrder {
+        read_at: read,
+        ..order()
+    };
     late.add_order(order, None, read);
     let now = ordered() + MOVED;
     let session = 3;
--- a/crates/relay/tests/all/timings.rs
+++ b/crates/relay/tests/all/timings.rs
@@ -38,10 +38,10 @@
         let timing = Timings::try_from(&bounds).unwrap().endpoints;
         let lost = timing.timeout + RETRY + ANSWER;
         assert!(
-            timing.max_proof_age + lost <= bounds.leaving + ANSWER,
+            timing.max_proof_age + lost <= bounds.drain + ANSWER,
             "{bounds:?}"
         );
-        assert!(timing.alone.pause + lost <= bounds.leaving, "{bounds:?}");
+        assert!(timing.alone.pause + lost <= bounds.drain, "{bounds:?}");
         assert!(
             timing.leading.pause + lost <= timing.max_proof_age,
             "{bounds:?}"
@@ -56,7 +56,10 @@
     for bounds in grid() {
         let timing = Timings::try_from(&bounds).unwrap().operators;
         let lost = timing.timeout * 2 + RETRY;
-        assert!(timing.alone.wait + lost <= bounds.apply, "{bounds:?}");
+        assert!(
+            timing.alone.wait + lost <= bounds.config_apply,
+            "{bounds:?}"
+        );
         if let Some(revoke) = bounds.revoke {
             let ready = revoke.mul_f64(READY);
             assert!(
