--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -166,7 +166,7 @@
     /// Returns the current limit.
     #[must_use]
     pub fn limit(&self) -> u32 {
-        number::small(self.limit + self.config.rounding_offset).max(1)
+        number::floor_u32(self.limit + self.config.rounding_offset).max(1)
     }
 
     /// Returns the number of free slots.
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -213,7 +213,7 @@
             self.lanes[index].work_ahead(customer, weight, tokens, self.config.quantum)
         });
         let work = number::float(waiting.0) + own.unwrap_or(0.0);
-        Tokens(number::whole(work / self.drain_share(priority)))
+        Tokens(number::floor(work / self.drain_share(priority)))
     }
 
     /// Returns the share of the drain rate that is left for a class, at least the minimum share: lower
@@ -257,7 +257,7 @@
     }
 
     fn max_long(&self, slots: u32) -> u32 {
-        number::small(f64::from(slots) * self.config.long_share).max(1)
+        number::floor_u32(f64::from(slots) * self.config.long_share).max(1)
     }
 
     fn lane_index(&self, priority: u8) -> Result<usize, usize> {
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -105,7 +105,7 @@
     if !participants.contains(&own) {
         return 0.0;
     }
-    let max_owners = number::small(limit.0 * OWNER_INTERVAL.as_secs_f64()).saturating_add(1);
+    let max_owners = number::floor_u32(limit.0 * OWNER_INTERVAL.as_secs_f64()).saturating_add(1);
     let count = u32::try_from(participants.len()).unwrap_or(u32::MAX);
     let owners = max_owners.min(count);
     let weight = |vm: u64| number::mix(endpoint, vm);
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -38,8 +38,8 @@
             own,
             limit,
             others,
-            age: Duration::from_millis(age),
-            run: Duration::from_millis(500),
+            report_age: Duration::from_millis(age),
+            run_time: Duration::from_millis(500),
         };
         drawn.into_iter().map(candidate).collect()
     })
@@ -96,19 +96,19 @@
             now = now + Duration::from_millis(after);
             let endpoint = endpoint(place % size);
             let state = pool.state(&endpoint, now);
-            if state == eject::State::Out {
+            if state == eject::State::Ejected {
                 continue;
             }
-            pool.sent(&endpoint, now);
+            pool.record_sent(&endpoint, now);
             if state == eject::State::Probe {
-                assert_eq!(pool.state(&endpoint, now), eject::State::Out, "one probe at a time");
+                assert_eq!(pool.state(&endpoint, now), eject::State::Ejected, "one probe at a time");
             }
-            let outcome = if good { eject::Outcome::Served { pace: 0.05 } } else { eject::Outcome::Failed };
+            let outcome = if good { eject::Outcome::Served { seconds_per_token: 0.05 } } else { eject::Outcome::Failed };
             pool.record(&endpoint, outcome, now);
-            assert!(pool.out() * 3 <= size.max(3) + 1, "{} of {size}", pool.out());
-            assert!(pool.out() < size);
-            let out = pool.states(now).filter(|state| *state != eject::State::In).count();
-            assert_eq!(pool.out(), out);
+            assert!(pool.ejected() * 3 <= size.max(3) + 1, "{} of {size}", pool.ejected());
+            assert!(pool.ejected() < size);
+            let out = pool.states(now).filter(|state| *state != eject::State::Active).count();
+            assert_eq!(pool.ejected(), out);
         }
     }
 
@@ -127,8 +127,8 @@
             } else {
                 retries += u32::from(budget.withdraw(now));
             }
-            let reserve = config.reserve * now.since(Moment::ZERO).as_secs_f64();
-            let most = 1.0 + config.share * f64::from(successes) + reserve;
+            let reserve = config.reserve_per_second * now.since(Moment::ZERO).as_secs_f64();
+            let most = 1.0 + config.retries_per_success * f64::from(successes) + reserve;
             assert!(f64::from(retries) <= most + 1e-6, "{retries} retries, {most} allowed");
         }
     }
@@ -136,7 +136,7 @@
     /// A quantile errs by at most one bucket.
     #[test]
     fn tail_is_within_a_bucket(mut millis in vec(1_u64..100_000, 20..200)) {
-        let mut tail = hedge::Tail::default();
+        let mut tail = hedge::LatencyHistogram::default();
         for one in &millis {
             tail.record(Duration::from_millis(*one), Moment::ZERO);
         }
@@ -159,22 +159,22 @@
     let failure = retry::Failure {
         repeatable: false,
         attempts: 1,
-        run: Duration::from_secs(1),
+        run_time: Duration::from_secs(1),
         deadline: Moment::from_millis(60_000),
     };
-    assert!(!retry::again(failure, &mut customer, &mut pool, now));
+    assert!(!retry::try_retry(failure, &mut customer, &mut pool, now));
     assert!(
-        customer.affords(now) && pool.affords(now),
+        customer.can_withdraw(now) && pool.can_withdraw(now),
         "nothing was drawn"
     );
-    let mut tail = hedge::Tail::default();
+    let mut tail = hedge::LatencyHistogram::default();
     for _ in 0..100 {
         tail.record(Duration::from_millis(100), now);
     }
     let attempt = |repeatable, long| hedge::Attempt {
         repeatable,
         long,
-        left: Duration::from_secs(9),
+        time_left: Duration::from_secs(9),
     };
     assert_eq!(hedge::delay(&tail, attempt(false, false)), None);
     assert_eq!(
@@ -195,17 +195,17 @@
     let failure = retry::Failure {
         repeatable: true,
         attempts: 1,
-        run: Duration::from_secs(1),
+        run_time: Duration::from_secs(1),
         deadline: Moment::from_millis(60_000),
     };
-    assert!(!retry::again(failure, &mut customer, &mut pool, now));
-    assert!(customer.affords(now), "the customer's retry is kept");
+    assert!(!retry::try_retry(failure, &mut customer, &mut pool, now));
+    assert!(customer.can_withdraw(now), "the customer's retry is kept");
     let late = retry::Failure {
         deadline: Moment::from_millis(500),
         ..failure
     };
     assert!(
-        !retry::elsewhere(late, now),
+        !retry::can_retry_unsent(late, now),
         "no attempt that can't end in time"
     );
 }
@@ -216,14 +216,14 @@
 fn prefix_stays_with_its_endpoint() {
     let make = |names: &[usize]| -> Vec<Candidate> {
         let candidate = |number: &usize| Candidate {
-            key: choice::key(endpoint(*number).as_str()),
+            key: choice::hash(endpoint(*number).as_str()),
             usable: true,
             distance: Duration::ZERO,
             own: 0,
             limit: 8,
             others: 0,
-            age: Duration::ZERO,
-            run: Duration::from_millis(500),
+            report_age: Duration::ZERO,
+            run_time: Duration::from_millis(500),
         };
         names.iter().map(candidate).collect()
     };
@@ -254,8 +254,8 @@
         own,
         limit: 8,
         others: 0,
-        age: Duration::ZERO,
-        run: Duration::from_millis(run),
+        report_age: Duration::ZERO,
+        run_time: Duration::from_millis(run),
     };
     let config = choice::Config::default();
     let chosen = |near: Candidate, far: Candidate| {
--- a/crates/relay/src/whole.rs
+++ b/crates/relay/src/buffered.rs
@@ -13,18 +13,18 @@
 use pimento_serve::Writer;
 use pimento_units::Tokens;
 
+use crate::admitted::AdmittedRequest;
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
-use crate::attempts::Variant;
-use crate::border::Border;
-use crate::call::Answer;
+use crate::attempts::Overrides;
 use crate::codec::Codec;
+use crate::connection::ResponseBody;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::node::millis;
 use crate::poison;
 use crate::refusal::Refusal;
 use crate::topic::Log;
-use crate::work::Work;
 
 /// Bytes up to which an answer is kept back until it is whole. Answers of plain services are a few
 /// kilobytes; a VM has tens of megabytes for some hundred requests at once.
@@ -34,7 +34,7 @@
 enum Read {
     Whole(Bytes),
     /// Too long to be kept back: its beginning and the rest.
-    Long(Bytes, Answer),
+    Long(Bytes, ResponseBody),
 }
 
 /// Answers a request that is no stream.
@@ -42,15 +42,15 @@
 /// # Errors
 ///
 /// A [`Refusal`] if no endpoint answered.
-pub async fn serve<P: Border + Codec, L: Log>(
+pub async fn serve<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    request: &Work,
+    request: &AdmittedRequest,
 ) -> Result<Response<Reply>, Refusal> {
     let mut attempts = Attempts::new(node, request);
     // An endpoint's failure is handed on as it is if no other answer comes.
     let mut failure: Option<Response<Reply>> = None;
     loop {
-        let opened = match attempts.open(&Variant::default()).await {
+        let opened = match attempts.open(&Overrides::default()).await {
             Ok(opened) => opened,
             Err(refusal) => return failure.ok_or(refusal),
         };
@@ -59,7 +59,7 @@
         let left = request.left(node.now());
         let read = tokio::time::timeout(left, read(body)).await;
         let read = read.unwrap_or(Err(Fault::Timeout));
-        node.platform.strip(&mut head.headers);
+        node.platform.strip_connection_headers(&mut head.headers);
         match read {
             Ok(Read::Whole(bytes)) => {
                 let failed = head.status.is_server_error();
@@ -91,12 +91,12 @@
                     let passed = tokio::time::timeout(left, pass(&writer, begun, rest)).await;
                     match passed.unwrap_or(Err(Fault::Timeout)) {
                         Ok(()) => {
-                            poison::answered(&shared, digest);
+                            poison::record_answer(&shared, digest);
                             permit.served(WORK);
                             let _ = writer.end().await;
                         }
                         Err(fault) => {
-                            poison::failed(&shared, digest, permit.endpoint(), &fault);
+                            poison::record_failure(&shared, digest, permit.endpoint(), &fault);
                             permit.failed(&fault);
                         }
                     }
@@ -113,7 +113,7 @@
 }
 
 /// Tells of an endpoint's whole answer.
-fn answered<P, L>(node: &Node<P, L>, request: &Work, status: StatusCode, bytes: usize) {
+fn answered<P, L>(node: &Node<P, L>, request: &AdmittedRequest, status: StatusCode, bytes: usize) {
     let took = node.clock.now().since(request.began);
     let route = &request.grant.route.name;
     let end = if status.is_server_error() {
@@ -124,7 +124,7 @@
     node.metrics.began(route, took);
     node.metrics.ended(route, end, took);
     log::info!(
-        request = request.ask.id.as_str(),
+        request = request.info.id.as_str(),
         status = status.as_u16(),
         bytes,
         took_ms = millis(took);
@@ -135,8 +135,8 @@
 /// Work of a plain call, as the scheduler counts it.
 const WORK: Tokens = Tokens(1);
 
-async fn read(mut body: Answer) -> Result<Read, Fault> {
-    if body.announced() > KEPT {
+async fn read(mut body: ResponseBody) -> Result<Read, Fault> {
+    if body.min_remaining() > KEPT {
         return Ok(Read::Long(Bytes::new(), body));
     }
     let mut kept = BytesMut::new();
@@ -149,7 +149,7 @@
     Ok(Read::Whole(kept.freeze()))
 }
 
-async fn pass(writer: &Writer, begun: Bytes, mut rest: Answer) -> Result<(), Fault> {
+async fn pass(writer: &Writer, begun: Bytes, mut rest: ResponseBody) -> Result<(), Fault> {
     let gone = |_| Fault::Cancelled;
     if !begun.is_empty() {
         writer.send(begun).await.map_err(gone)?;
--- /dev/null
+++ b/crates/relay/src/poison/writer.rs
@@ -0,0 +1,119 @@
+//! Writes blocks to the log, and removes those that have expired.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use pimento_units::Digest;
+use tokio_util::sync::CancellationToken;
+
+use super::Change;
+use super::blocklist;
+use crate::boot;
+use crate::calls::Reason;
+use crate::codec::Codec;
+use crate::headers::HeaderCodec;
+use crate::node::Node;
+use crate::topic::Log;
+use crate::topic::Topic;
+
+/// How often blocks are checked for expiry.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
+
+/// A call of the log takes at most this long.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Pause after a call that failed.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+
+/// Starts the writer.
+pub fn start<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, log: L, token: CancellationToken) {
+    let node = node.clone();
+    tokio::spawn(async move { token.run_until_cancelled(run(node, log)).await });
+}
+
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L) {
+    loop {
+        tokio::select! {
+            () = node.poison.writes_due.notified() => {}
+            () = tokio::time::sleep(EXPIRY_INTERVAL) => expire_blocks(&node),
+        }
+        while let Some((digest, change)) = next_write(&node) {
+            if !write(&node, &log, digest, change).await {
+                tokio::time::sleep(RETRY_DELAY).await;
+            }
+        }
+    }
+}
+
+/// Ends the blocks that have expired. The VM that reads the log for its zone also removes obsolete
+/// blocks from the log.
+fn expire_blocks<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) {
+    let now = boot::now();
+    let mut state = node.poison.lock();
+    for digest in state.table.expire_blocks(now) {
+        log::info!(digest:%; "poison: Block expired.");
+    }
+    if node.reads_log() {
+        let cleared = |digest| state.table.is_cleared(digest, now);
+        for digest in node.blocklist.view(|list| list.obsolete(cleared, now)) {
+            state.schedule_write(digest, Change::Unblock);
+        }
+    }
+}
+
+/// The next change to write. Drops changes that the log holds already, and blocks that are no longer
+/// in force.
+fn next_write<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) -> Option<(Digest, Change)> {
+    let now = boot::now();
+    let state = &mut *node.poison.lock();
+    let table = &state.table;
+    node.blocklist.view(|blocklist| {
+        state
+            .pending_writes
+            .retain(|(digest, change)| match change {
+                Change::Block(_) => {
+                    !blocklist.contains(*digest) && table.blocked_for(*digest, now).is_some()
+                }
+                Change::Unblock => blocklist.contains(*digest),
+            });
+    });
+    state.pending_writes.first().copied()
+}
+
+/// Writes a change; whether nothing is left to do for it, because it is known to be written or can't be
+/// encoded.
+async fn write<P: HeaderCodec + Codec, L: Log>(
+    node: &Node<P, L>,
+    log: &L,
+    digest: Digest,
+    change: Change,
+) -> bool {
+    let done = || {
+        let mut state = node.poison.lock();
+        state
+            .pending_writes
+            .retain(|known| *known != (digest, change));
+        true
+    };
+    let value = match change {
+        Change::Unblock => Ok(Bytes::new()),
+        Change::Block(lasts) => blocklist::encode(lasts),
+    };
+    let value = match value {
+        Ok(value) => value,
+        Err(error) => {
+            log::error!("poison: A block can't be encoded: {error}.");
+            return done();
+        }
+    };
+    node.calls.count(Topic::Poison, Reason::Announcement);
+    let key = digest.to_string();
+    let append = log.append(Topic::Poison, &key, value, None);
+    let problem = match tokio::time::timeout(CALL_TIMEOUT, append).await {
+        Ok(Ok(_)) => return done(),
+        Ok(Err(error)) => error.to_string(),
+        Err(_) => "no answer in time".into(),
+    };
+    log::warn!(digest:%, problem:%; "poison: The change may not be on the log.");
+    false
+}
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -19,22 +19,22 @@
 use pimento_units::Tokens;
 use tokio::time::Instant;
 
+use crate::admitted::AdmittedRequest;
 use crate::attempts::Attempts;
 use crate::attempts::Opened;
-use crate::attempts::Variant;
-use crate::border::Border;
-use crate::call::Answer;
+use crate::attempts::Overrides;
 use crate::cascade;
 use crate::codec::Codec;
+use crate::connection::ResponseBody;
 use crate::events::Event;
 use crate::events::Splitter;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::node::millis;
 use crate::refusal::Cause;
 use crate::refusal::Refusal;
 use crate::table::Route;
 use crate::topic::Log;
-use crate::work::Work;
 
 /// How long a stream may be silent before it is taken up elsewhere, where its route says nothing of
 /// pauses. An engine that reads long prompts between the tokens of others, or preempts, pauses for over
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 struct Source {
     permit: Permit,
-    body: Answer,
+    body: ResponseBody,
     splitter: Splitter,
     /// How long it may be silent between events.
     silence: Duration,
@@ -71,8 +71,8 @@
 }
 
 impl Source {
-    fn new(permit: Permit, body: Answer, route: &Route) -> Self {
-        let quiet = route.gap.map(|gap| gap.mul_f64(QUIET));
+    fn new(permit: Permit, body: ResponseBody, route: &Route) -> Self {
+        let quiet = route.max_event_gap.map(|gap| gap.mul_f64(QUIET));
         Self {
             permit,
             body,
@@ -134,29 +134,29 @@
 /// # Errors
 ///
 /// A [`Refusal`] if no endpoint answered.
-pub async fn serve<P: Border + Codec, L: Log>(
+pub async fn serve<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    request: Work,
+    request: AdmittedRequest,
 ) -> Result<Response<Reply>, Refusal> {
     let mut attempts = Attempts::new(node, &request);
     let mut failure: Option<Response<Reply>> = None;
     let mut dropped = None;
-    let mut variant = Variant {
+    let mut overrides = Overrides {
         model: cascade::first(&request),
         resume: None,
     };
     let (mut head, source, first) = loop {
-        let opened = match attempts.open(&variant).await {
+        let opened = match attempts.open(&overrides).await {
             Ok(opened) => opened,
             Err(refusal) => return failure.ok_or(refusal),
         };
         match begin(&mut attempts, node, &request, opened).await {
             Ok(Some(Begun::Stream(begun))) => {
-                let larger = cascade::larger(&attempts, &variant, begun.confidence, &mut dropped);
+                let larger = cascade::larger(&attempts, &overrides, begun.confidence, &mut dropped);
                 let Some(model) = larger else {
                     break (begun.head, begun.source, begun.event);
                 };
-                variant.model = Some(model);
+                overrides.model = Some(model);
             }
             Ok(Some(Begun::Failure(response))) => {
                 if !attempts.again() {
@@ -169,7 +169,7 @@
         }
     };
     let state = attempts.state();
-    node.platform.strip(&mut head.headers);
+    node.platform.strip_connection_headers(&mut head.headers);
     let took = node.now().since(request.began);
     node.metrics.began(&request.grant.route.name, took);
     let (writer, reply) = Reply::stream();
@@ -181,8 +181,8 @@
             node: &node,
             request: &request,
             attempts,
-            variant,
-            last: request.ask.resume,
+            overrides,
+            last: request.info.last_event_id,
             events: 0,
         };
         stream.run(writer, source, first).await;
@@ -191,10 +191,10 @@
 }
 
 /// Reads up to the first event; none if the answer broke off and another attempt may be made.
-async fn begin<P: Border + Codec, L: Log>(
+async fn begin<P: HeaderCodec + Codec, L: Log>(
     attempts: &mut Attempts<'_, P, L>,
     node: &Node<P, L>,
-    request: &Work,
+    request: &AdmittedRequest,
     opened: Opened,
 ) -> Result<Option<Begun>, Refusal> {
     let Opened {
@@ -215,7 +215,7 @@
                 permit.failed(&Fault::Failed {
                     status: head.status.as_u16(),
                 });
-                node.platform.strip(&mut head.headers);
+                node.platform.strip_connection_headers(&mut head.headers);
                 let response = Response::from_parts(head, Reply::whole(bytes));
                 Ok(Some(Begun::Failure(response)))
             }
@@ -244,7 +244,7 @@
     }
 }
 
-async fn collect(body: &mut Answer) -> Result<Vec<u8>, Fault> {
+async fn collect(body: &mut ResponseBody) -> Result<Vec<u8>, Fault> {
     let mut bytes = Vec::new();
     while let Some(data) = body.next().await? {
         if bytes.len() + data.len() > FAILURE {
@@ -306,9 +306,9 @@
 /// A stream on its way to a caller.
 struct Stream<'a, P, L> {
     node: &'a Node<P, L>,
-    request: &'a Work,
+    request: &'a AdmittedRequest,
     attempts: Attempts<'a, P, L>,
-    variant: Variant,
+    overrides: Overrides,
     /// Id of the last event passed on.
     last: Option<u64>,
     /// Events passed on.
@@ -325,7 +325,7 @@
     Broken(Cause),
 }
 
-impl<P: Border + Codec, L: Log> Stream<'_, P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Stream<'_, P, L> {
     async fn run(&mut self, writer: Writer, source: Source, first: Event) {
         let left = self.request.left(self.node.now());
         let passing = self.pass(&writer, source, first);
@@ -352,7 +352,7 @@
         let route = &self.request.grant.route.name;
         self.node.metrics.ended(route, end, took);
         log::info!(
-            request = self.request.ask.id.as_str(),
+            request = self.request.info.id.as_str(),
             end,
             cause,
             events = self.events,
@@ -440,9 +440,9 @@
 
     /// Goes on after the last event at another endpoint.
     async fn resume(&mut self) -> Result<Source, Refusal> {
-        self.variant.resume = self.last;
+        self.overrides.resume = self.last;
         loop {
-            let opened = self.attempts.open(&self.variant).await?;
+            let opened = self.attempts.open(&self.overrides).await?;
             let Opened { permit, call, .. } = opened;
             if call.head.status == StatusCode::OK {
                 return Ok(Source::new(permit, call.body, &self.request.grant.route));
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -142,7 +142,7 @@
 pub(crate) fn initial_state(member: Member) -> EndpointState {
     let inputs = LimiterInputs::of(&member);
     EndpointState {
-        key: choice::key(member.endpoint.as_str()),
+        key: choice::hash(member.endpoint.as_str()),
         limiter: limiter(inputs),
         inputs,
         consecutive_refusals: 0,
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -100,7 +100,7 @@
             let state = match former.next_if(same) {
                 Some(known) => {
                     if known.member.incarnation != member.incarnation {
-                        self.health.renew(&member.endpoint);
+                        self.health.reset(&member.endpoint);
                     }
                     refresh(known, member)
                 }
@@ -124,7 +124,7 @@
 
     pub fn expected_run_time(&self, version: Option<&id::Version>, tokens: Tokens) -> Duration {
         let entry = self.versions.iter().find(|s| s.version.as_ref() == version);
-        entry.map_or(INITIAL_RUN_TIME, |s| s.gate.run(tokens))
+        entry.map_or(INITIAL_RUN_TIME, |s| s.gate.run_time(tokens))
     }
 
     /// Returns the input of the admission gate, or `None` if no usable endpoint holds the version.
@@ -151,7 +151,7 @@
             ahead,
             slots,
             free,
-            run: entry.gate.run(job.tokens),
+            run_time: entry.gate.run_time(job.tokens),
             deadline: job.deadline,
         })
     }
@@ -165,7 +165,7 @@
     ) -> admission::Verdict {
         let entry = self.version_queue(job.version.as_ref());
         if job.previously_refused {
-            return entry.gate.welcome(demand, now, random);
+            return entry.gate.decide_returning(demand, now, random);
         }
         entry.gate.decide(demand, now, random)
     }
@@ -199,7 +199,7 @@
             return INITIAL_RUN_TIME;
         };
         let entry = self.version_queue(job.version.as_ref());
-        entry.gate.again(demand, now, random)
+        entry.gate.retry_after(demand, now, random)
     }
 
     fn slots(&self, version: Option<&id::Version>) -> u32 {
@@ -278,7 +278,7 @@
 
     fn any_open(&self, version: Option<&id::Version>, now: Moment) -> bool {
         self.endpoints.iter().any(|state| {
-            let out = self.health.state(&state.member.endpoint, now) == eject::State::Out;
+            let out = self.health.state(&state.member.endpoint, now) == eject::State::Ejected;
             state.is_open(now) && state.member.holds(version) && !out && state.limiter.free() > 0
         })
     }
@@ -300,7 +300,7 @@
         if let Some(limit) = &mut state.limit {
             limit.consume(now);
         }
-        self.health.sent(&state.member.endpoint, now);
+        self.health.record_sent(&state.member.endpoint, now);
         let call = job.prompt.as_ref().zip(state.engine.as_mut());
         let call = call.map(|(prompt, engine)| {
             self.last_call += 1;
@@ -360,10 +360,10 @@
     /// Returns the endpoint that is due for a probe, if the job may be sent twice and so may serve as one.
     /// The regular choice would try an ejected endpoint late, or with many calls at once.
     fn probe(&self, job: &Job, now: Moment, usable: impl Fn(usize) -> bool) -> Option<usize> {
-        if !job.repeatable || self.health.out() == 0 {
+        if !job.repeatable || self.health.ejected() == 0 {
             return None;
         }
-        let due = self.health.due(now)?;
+        let due = self.health.probe_due(now)?;
         let index = self
             .endpoints
             .iter()
@@ -374,7 +374,7 @@
     fn candidates(&self, job: &Job, now: Moment) -> Vec<choice::Candidate> {
         let baseline = self.baseline();
         let candidate = |state: &EndpointState| {
-            let healthy = self.health.state(&state.member.endpoint, now) != eject::State::Out;
+            let healthy = self.health.state(&state.member.endpoint, now) != eject::State::Ejected;
             let own = state.limiter.in_flight();
             let (others, age) = state
                 .member
@@ -390,8 +390,8 @@
                 own,
                 limit: state.limiter.limit(),
                 others,
-                age,
-                run: typical_run_time(state.limiter.seconds_per_token(), baseline),
+                report_age: age,
+                run_time: typical_run_time(state.limiter.seconds_per_token(), baseline),
             }
         };
         self.endpoints.iter().map(candidate).collect()
@@ -441,7 +441,7 @@
             entry.queue.release(dispatch);
         }
         if let limit::Outcome::Served { tokens, took } = outcome {
-            entry.gate.served(tokens, took, now);
+            entry.gate.record(tokens, took, now);
         }
     }
 
@@ -460,7 +460,7 @@
             .iter()
             .filter(|s| s.member.usable && s.member.holds(version));
         let retry_at = |state: &EndpointState| {
-            let out = self.health.back(&state.member.endpoint);
+            let out = self.health.ejected_until(&state.member.endpoint);
             state.retry_at.max(out).max(state.next_allowed(now))
         };
         let earliest = states.map(retry_at).min()?;
@@ -496,7 +496,7 @@
             waiting: self.versions.iter().map(|s| s.queue.len()).sum(),
             in_flight: self.endpoints.iter().map(|s| s.limiter.in_flight()).sum(),
             slots: usable.clone().map(EndpointState::slots).sum(),
-            ejected: self.health.out(),
+            ejected: self.health.ejected(),
             limited: usable.clone().filter(|s| s.throttle().is_some()).count(),
             usable: usable.count(),
         }
--- a/crates/scheduler/src/inner/placement.rs
+++ b/crates/scheduler/src/inner/placement.rs
@@ -90,7 +90,7 @@
     fn is_free(&self, state: &EndpointState, job: &Job, now: Moment) -> bool {
         state.accepts(job, now)
             && state.limiter.free() > 0
-            && self.health.state(&state.member.endpoint, now) != eject::State::Out
+            && self.health.state(&state.member.endpoint, now) != eject::State::Ejected
     }
 
     /// Estimates the wait and the prefill time of a job with a prompt.
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -100,9 +100,11 @@
         // The duration of an engine's answer depends on its model and length, and says nothing about its
         // health.
         let health = if self.slot.call.is_some() {
-            eject::Outcome::Answered
+            eject::Outcome::AnsweredUntimed
         } else {
-            eject::Outcome::Served { pace }
+            eject::Outcome::Served {
+                seconds_per_token: pace,
+            }
         };
         self.release(outcome, health, now);
     }
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -242,7 +242,7 @@
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"llm".parse().unwrap());
     pool.update(vec![engine(Some(MEMORY))]);
-    let key = pimento_policy::choice::key("i-1");
+    let key = pimento_policy::choice::hash("i-1");
     let wait = || pool.estimate(&job()).unwrap().wait;
     let busy = Duration::from_secs(20);
     pool.merge_waits(1, &[(key, busy)]);
@@ -264,7 +264,7 @@
         ..engine(Some(MEMORY))
     };
     pool.update(vec![member("i-5"), member("i-3"), member("i-1")]);
-    let key = pimento_policy::choice::key("i-3");
+    let key = pimento_policy::choice::hash("i-3");
     let busy = Duration::from_secs(20);
     pool.merge_waits(1, &[(key, busy)]);
     for others in [["i-0", "i-4"], ["i-2", "i-9"], ["i-1", "i-5"]] {
