--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -223,8 +223,8 @@
 
     fn below(&mut self, count: usize) -> usize {
         let count = u32::try_from(count).unwrap();
-        let place = self.share() * f64::from(count);
-        (0..count).rfind(|n| f64::from(*n) <= place).unwrap_or(0) as usize
+        let point = self.share() * f64::from(count);
+        (0..count).rfind(|n| f64::from(*n) <= point).unwrap_or(0) as usize
     }
 
     fn up_to(&mut self, span: Duration) -> Duration {
@@ -356,7 +356,7 @@
         match event {
             Event::Ask { vm, attempt } => {
                 let running: Vec<usize> = (0..self.endpoints.len())
-                    .filter(|place| self.endpoints[*place].1)
+                    .filter(|index| self.endpoints[*index].1)
                     .collect();
                 let blocked = self.tables[vm].blocked_for(self.bad, now).is_some();
                 if blocked || running.is_empty() {
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Returns when the caller of a job that expired may retry: once the work ahead of it has drained, with
-    /// jitter from `random`.
+    /// Returns when the caller of a job that expired may retry: once the work ahead of it has drained, and
+    /// spaced out from other callers.
     pub fn retry_after(&mut self, job: &Job, now: Moment, random: u64) -> Duration {
         let Some(demand) = self.demand(job, now) else {
             return INITIAL_RUN_TIME;
@@ -278,8 +278,11 @@
 
     fn any_open(&self, version: Option<&id::Version>, now: Moment) -> bool {
         self.endpoints.iter().any(|state| {
-            let out = self.health.state(&state.member.endpoint, now) == eject::State::Ejected;
-            state.is_open(now) && state.member.holds(version) && !out && state.limiter.free() > 0
+            let ejected = self.health.state(&state.member.endpoint, now) == eject::State::Ejected;
+            state.is_open(now)
+                && state.member.holds(version)
+                && !ejected
+                && state.limiter.free() > 0
         })
     }
 
@@ -376,13 +379,14 @@
         let candidate = |state: &EndpointState| {
             let healthy = self.health.state(&state.member.endpoint, now) != eject::State::Ejected;
             let own = state.limiter.in_flight();
-            let (others, age) = state
-                .member
-                .report
-                .map_or((0, Duration::MAX), |(load, at)| {
-                    let all = load.running.saturating_add(load.waiting);
-                    (all.saturating_sub(own), now.since(at))
-                });
+            let (others, report_age) =
+                state
+                    .member
+                    .report
+                    .map_or((0, Duration::MAX), |(load, at)| {
+                        let all = load.running.saturating_add(load.waiting);
+                        (all.saturating_sub(own), now.since(at))
+                    });
             choice::Candidate {
                 key: state.key,
                 usable: state.accepts(job, now) && healthy,
@@ -390,7 +394,7 @@
                 own,
                 limit: state.limiter.limit(),
                 others,
-                report_age: age,
+                report_age,
                 run_time: typical_run_time(state.limiter.seconds_per_token(), baseline),
             }
         };
@@ -451,7 +455,7 @@
     /// time is up.
     pub fn unavailable_for(&self, job: &Job, now: Moment) -> Option<Duration> {
         let version = job.version.as_ref();
-        let last = job
+        let slack = job
             .deadline
             .since(now)
             .saturating_sub(self.expected_run_time(version, job.tokens));
@@ -460,12 +464,15 @@
             .iter()
             .filter(|s| s.member.usable && s.member.holds(version));
         let retry_at = |state: &EndpointState| {
-            let out = self.health.ejected_until(&state.member.endpoint);
-            state.retry_at.max(out).max(state.next_allowed(now))
+            let ejected_until = self.health.ejected_until(&state.member.endpoint);
+            state
+                .retry_at
+                .max(ejected_until)
+                .max(state.next_allowed(now))
         };
         let earliest = states.map(retry_at).min()?;
         let after = earliest.since(now);
-        (after > last).then_some(after)
+        (after > slack).then_some(after)
     }
 
     /// Sends no calls for a while to an endpoint that refused one, and returns for how long. `after` is the
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/inner/limits.rs
@@ -149,7 +149,7 @@
     }
 }
 
-/// Minimum time between two scheduled dispatches.
+/// Minimum time until a scheduled dispatch.
 const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(10);
 
 fn set_limit(
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -95,16 +95,14 @@
         let now = self.shared.clock.now();
         let took = now.since(self.slot.since);
         #[expect(clippy::cast_precision_loss, reason = "token counts are small")]
-        let pace = took.as_secs_f64() / tokens.0.max(1) as f64;
+        let seconds_per_token = took.as_secs_f64() / tokens.0.max(1) as f64;
         let outcome = limit::Outcome::Served { tokens, took };
         // The duration of an engine's answer depends on its model and length, and says nothing about its
         // health.
         let health = if self.slot.call.is_some() {
             eject::Outcome::AnsweredUntimed
         } else {
-            eject::Outcome::Served {
-                seconds_per_token: pace,
-            }
+            eject::Outcome::Served { seconds_per_token }
         };
         self.release(outcome, health, now);
     }
