--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -231,7 +231,7 @@
     }
 
     /// Receives the proof of another VM, which read up to the end of the topic after it had this VM's stamp.
-    /// It proves this VM's view if the view lacks no change; otherwise this VM reads at once.
+    /// It proves this VM's view if the view lacks no change; otherwise this VM fetches the change.
     pub fn receive_proof(&self, proof: Proof) {
         // Another VM may still use a stamp of an earlier incarnation. If the machine restarted since, that
         // stamp may lie in the future, and the view would seem young until then.
@@ -440,7 +440,9 @@
     }
 
     /// Marks the log as disconnected if the view has not been proven for too long. Called after a failed
-    /// read. A VM that is led stays connected through its leader's proofs, which may be as old as
+    /// read, and in place of one that must wait for its turn.
+    ///
+    /// A VM that is led stays connected through its leader's proofs, which may be as old as
     /// `max_proof_age`. By its own reads alone it would disconnect and reconnect several times a second
     /// while the log refuses it.
     fn check_disconnected(&self, role: Lead, polling: Polling) {
--- a/crates/relay/src/follow/timing.rs
+++ b/crates/relay/src/follow/timing.rs
@@ -82,8 +82,8 @@
 }
 
 /// The longest wait after failed reads of a VM in this role, which knows `others` other VMs in its zone.
-/// It is shorter if the view `lacks` a change: no other VM's read can replace its own, and it refuses
-/// callers once it has lacked the change for too long.
+/// It does not grow with the zone if the view `lacks` a change: no other VM's read can replace its own, and
+/// it refuses callers once it has lacked the change for too long.
 #[must_use]
 pub fn max_backoff(role: Lead, others: usize, lacks: bool) -> Duration {
     if role != Lead::Led {
--- a/crates/relay/tests/all/bundle.rs
+++ b/crates/relay/tests/all/bundle.rs
@@ -1,4 +1,4 @@
-//! Records that are handed on over a connection: packed, unpacked, and what is refused.
+//! Bundles of records that VMs fetch from each other: packing, unpacking, and what is refused.
 
 use bytes::Bytes;
 use pimento_relay::bundle::Bundle;
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn a_passage_comes_back_as_it_was_packed() {
+fn a_packed_bundle_unpacks_unchanged() {
     let long = bundle("route ".repeat(100_000));
     let packed = long.pack().unwrap();
     assert!(packed.len() < 60_000, "{}", packed.len());
     assert_eq!(Bundle::unpack(&packed).unwrap(), long);
 }
 
-// Bytes on the internal port that are cut off, or of something else. The view must not change by them.
+// Guards against a view that is changed by truncated or foreign bytes on the internal port.
 #[test]
-fn what_is_no_passage_is_refused() {
+fn invalid_bytes_are_refused() {
     let packed = bundle("x".repeat(1_000)).pack().unwrap();
     let half = &packed[..packed.len() / 2];
     for bytes in [&b""[..], b"HTTP/1.1 200 OK", half] {
@@ -36,10 +36,10 @@
     }
 }
 
-// Some kilobytes unpack to more than any answer of the log may have. They are refused before they fill the
-// memory of a small VM.
+// Guards against some kilobytes that unpack to more than an answer of the log may have and fill the memory
+// of a small VM.
 #[test]
-fn a_passage_that_unpacks_without_end_is_refused() {
+fn a_bundle_that_unpacks_without_end_is_refused() {
     let packed = bundle(vec![0; 64 << 20]).pack().unwrap();
     assert!(packed.len() < 1 << 20, "{}", packed.len());
     let unpacked = Bundle::unpack(&packed);
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -20,10 +20,10 @@
 use pimento_units::Offset;
 use tokio_util::sync::CancellationToken;
 
-use crate::log::Memory;
+use crate::log::MemoryLog;
 
-/// Longer than anything here takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any step of a test takes.
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
 pub const QUICK: Polling = Polling {
     wait: Duration::from_millis(20),
@@ -37,7 +37,7 @@
     timeout: Duration::from_millis(200),
 };
 
-/// Keeps all records, what was known when each came, and how often touch was lost.
+/// Stores all records with their contexts, and how often the connection to the log was lost.
 #[derive(Debug, Default)]
 pub struct All(pub Vec<(CompactString, Offset, RecordContext)>, pub usize);
 
@@ -74,23 +74,23 @@
 }
 
 pub struct Fixture {
-    pub log: Memory,
+    pub log: MemoryLog,
     pub calls: LogCalls,
     pub zone: Zone,
-    pub follower: Follower<All, Memory>,
+    pub follower: Follower<All, MemoryLog>,
     _token: tokio_util::sync::DropGuard,
 }
 
 impl Fixture {
     pub fn new() -> Self {
-        Self::with(TIMING)
+        Self::with_timing(TIMING)
     }
 
-    pub fn with(timing: Timing) -> Self {
-        Self::over(Memory::new(), timing)
+    pub fn with_timing(timing: Timing) -> Self {
+        Self::with_log(MemoryLog::new(), timing)
     }
 
-    pub fn over(log: Memory, timing: Timing) -> Self {
+    pub fn with_log(log: MemoryLog, timing: Timing) -> Self {
         let zone = Zone::default();
         let token = CancellationToken::new();
         let calls = LogCalls::default();
@@ -118,20 +118,20 @@
     }
 
     pub async fn until(&self, what: &str, reached: impl Fn(&Self) -> bool) {
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         while !reached(self) {
-            assert!(begun.elapsed() < PATIENCE, "not reached: {what}");
+            assert!(started.elapsed() < MAX_WAIT, "not reached: {what}");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Lets another VM read for this one.
-    pub async fn led(&self) {
+    /// Makes another VM read for this one, once this one has a view.
+    pub async fn make_led(&self) {
         self.until("a first proof", |f| f.follower.proven_at().is_some())
             .await;
         self.zone.lead.send_replace(Lead::Led);
         let mut calls = self.log.calls();
-        // The read that is under way ends first.
+        // The running read ends first.
         loop {
             tokio::time::sleep(Duration::from_millis(60)).await;
             if self.log.calls() == calls {
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -1,4 +1,4 @@
-//! Following a topic: order, age, and what another VM's reads prove.
+//! Following a topic: the order of records, the age of the view, and proofs by other VMs' reads.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 use pimento_units::Offset;
 
 use crate::fixture::Fixture;
-use crate::fixture::PATIENCE;
+use crate::fixture::MAX_WAIT;
 use crate::fixture::QUICK;
 use crate::fixture::TIMING;
-use crate::log::Mood;
+use crate::log::Behaviour;
 
 #[tokio::test]
-async fn records_come_once_and_in_order() {
+async fn records_are_applied_once_and_in_order() {
     let fixture = Fixture::new();
     fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
@@ -31,54 +31,54 @@
         .await;
 }
 
-// The log has dropped its history, and with it the record that ended a key. The follower reads the
-// newest of each key instead, and ends the keys that are no longer there.
+// Guards against keys that stay in the view because the log has dropped the records that removed them. The
+// follower reads the newest record of each key instead, and removes the keys that are not among them.
 #[tokio::test]
-async fn what_vanished_with_the_history_is_dropped() {
+async fn keys_that_ended_in_dropped_history_are_removed() {
     let fixture = Fixture::new();
     fixture.log.put("a", Some("1"));
     fixture.log.put("b", Some("1"));
     fixture.until("both", |f| f.keys().len() == 2).await;
-    fixture.log.set(Mood::Down);
+    fixture.log.set_behaviour(Behaviour::Refusing);
     fixture.log.put("a", None);
     let next = fixture.log.put("c", Some("1"));
-    fixture.log.forget(next.0);
-    fixture.log.set(Mood::Well);
+    fixture.log.drop_history(next.0);
+    fixture.log.set_behaviour(Behaviour::Healthy);
     fixture
-        .until("a ended, c begun", |f| {
+        .until("a removed, c added", |f| {
             let keys = f.keys();
             keys.len() == 4 && keys[2..].contains(&"a".into()) && keys[2..].contains(&"c".into())
         })
         .await;
 }
 
-// A connection fell silent: a read gets no answer for ever. It is given up, and the age of the view
-// meanwhile counts from the last read that was answered.
+// Guards against a silent connection on which a read never gets an answer. The read times out, and meanwhile
+// the age of the view counts from the last answered read.
 #[tokio::test]
 async fn a_read_without_an_answer_proves_nothing() {
     let fixture = Fixture::new();
     fixture
         .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
-    fixture.log.set(Mood::Silent);
+    fixture.log.set_behaviour(Behaviour::Silent);
     let silent = boot::now();
     tokio::time::sleep(TIMING.timeout + QUICK.wait * 3).await;
     assert!(fixture.follower.proven_at().unwrap() <= silent);
     assert!(!fixture.follower.confirm(boot::now()).await);
-    fixture.log.set(Mood::Well);
+    fixture.log.set_behaviour(Behaviour::Healthy);
     fixture
         .until("a new proof", |f| f.follower.proven_at().unwrap() > silent)
         .await;
 }
 
-// Another VM reads for this one. While nothing changes this one makes no calls, and its view is as
-// young as the stamp that the other one had before its read.
+// A VM that is led makes no calls while nothing changes. Its view is as young as the stamp that the leader
+// had received before its read.
 #[tokio::test]
-async fn another_vms_read_proves_the_view_as_of_the_own_stamp() {
+async fn a_proof_dates_the_view_by_its_own_stamp() {
     let fixture = Fixture::new();
     let next = fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
-    fixture.led().await;
+    fixture.make_led().await;
     let calls = fixture.log.calls();
     let stamp = boot::now();
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -90,12 +90,11 @@
     assert_eq!(fixture.log.calls(), calls);
 }
 
-// Something changed that this VM has not read. The other VM's word is no proof then: the VM reads by
-// itself, at once.
+// A proof that covers a change which this VM has not read proves nothing yet. The VM reads the log at once.
 #[tokio::test]
-async fn word_of_a_change_is_no_proof_but_makes_the_vm_read() {
+async fn a_proof_with_a_change_makes_the_vm_read() {
     let fixture = Fixture::new();
-    fixture.led().await;
+    fixture.make_led().await;
     let before = fixture.follower.proven_at();
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
@@ -107,14 +106,14 @@
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
-// A VM was started anew and its clock began again, while others still have the stamp of its former
-// life. Taken as a proof it would make the view look young for as long as that life had lasted.
+// Guards against a proof with a stamp of an earlier incarnation of the VM, whose clock began again. The view
+// would look young for as long as that incarnation had lasted.
 #[tokio::test]
-async fn a_stamp_of_another_life_proves_nothing() {
+async fn a_stamp_of_another_incarnation_proves_nothing() {
     let fixture = Fixture::new();
-    fixture.led().await;
+    fixture.make_led().await;
     let before = fixture.follower.proven_at();
-    for stamp in [boot::now() + PATIENCE, Moment::ZERO] {
+    for stamp in [boot::now() + MAX_WAIT, Moment::ZERO] {
         fixture.follower.receive_proof(Proof {
             changed: Offset::default(),
             stamp,
@@ -123,42 +122,43 @@
     }
 }
 
-// The log was out; other VMs found it back and vouched for this one, which made no call. Seconds
-// later an endpoint leaves for good. It was not the outage that ended its entry, so it must count as
-// gone at once: with the outage's grace it went on getting requests for two seconds.
+// Guards against requests to an endpoint that left some time after an outage of the log. This VM made no call
+// after the outage, but received the proof of another VM. If the log counted as reachable only from this VM's
+// next read on, the endpoint's entry would seem to have expired because of the outage, and the endpoint would
+// get requests for two more seconds.
 #[tokio::test]
-async fn the_logs_return_counts_from_when_another_vm_vouched() {
+async fn the_log_counts_as_reachable_from_another_vms_proof_on() {
     let fixture = Fixture::new();
     let next = fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
-    fixture.log.set(Mood::Down);
-    // Long enough that the follower knows itself to be out of touch.
+    fixture.log.set_behaviour(Behaviour::Refusing);
+    // Long enough for the follower to count the log as disconnected.
     tokio::time::sleep(Duration::from_secs(2)).await;
     fixture.zone.lead.send_replace(Lead::Led);
-    fixture.log.set(Mood::Well);
+    fixture.log.set_behaviour(Behaviour::Healthy);
     let back = boot::now();
     fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: back,
     });
-    let vouched = boot::now();
+    let proof_received = boot::now();
     tokio::time::sleep(Duration::from_millis(300)).await;
     let next = fixture.log.put("a", None);
     fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
-    fixture.until("a ended", |f| f.keys().len() == 2).await;
+    fixture.until("a removed", |f| f.keys().len() == 2).await;
     let connected_since = fixture.follower.view(|all| all.0[1].2.connected_since);
     assert!(
-        connected_since <= vouched,
-        "in touch since {connected_since}, vouched {vouched}"
+        connected_since <= proof_received,
+        "connected since {connected_since}, proof received {proof_received}"
     );
 }
 
-// What this VM proves to another: only what it read after it had the other one's stamp.
+// Guards against a proof with a stamp that arrived only after the read was sent.
 #[tokio::test]
-async fn a_proof_names_a_stamp_that_came_before_the_read() {
+async fn a_proof_names_a_stamp_received_before_the_read() {
     let fixture = Fixture::new();
     fixture
         .until("a proof", |f| f.follower.proven_at().is_some())
@@ -173,24 +173,24 @@
     assert_eq!(fixture.follower.proof(node).unwrap().stamp, at);
 }
 
-/// What another VM that reads for this one has read since `from`.
-fn handed(other: &Fixture, from: Offset) -> (Vec<Vec<Record>>, Offset) {
-    let (parts, to) = other.follower.chunks_from(from);
-    (parts.expect("all records are kept"), to)
+/// The records from `from` on as the leader forwards them, and the offset after the last of them.
+fn forwarded(other: &Fixture, from: Offset) -> (Vec<Vec<Record>>, Offset) {
+    let (chunks, to) = other.follower.chunks_from(from);
+    (chunks.expect("all records are cached"), to)
 }
 
 const fn range(from: Offset, to: Offset, records: Vec<Record>) -> RecordRange {
     RecordRange { from, to, records }
 }
 
-// Dozens of endpoints register at once, and their records take several datagrams, which overtake each
-// other; the word that tells of them comes first. All are taken in their order and no VM of the zone
-// calls the log: before, each one did for each such burst.
+// Guards against a call of the log by each VM of a zone when dozens of endpoints register at once. Their
+// records take several datagrams, which overtake each other, and the proof that covers them arrives first.
+// The records are still applied in order.
 #[tokio::test]
-async fn records_that_overtake_each_other_need_no_read() {
+async fn records_in_reordered_datagrams_need_no_read() {
     let other = Fixture::new();
     let own = Fixture::new();
-    own.led().await;
+    own.make_led().await;
     let calls = own.log.calls();
     let from = own.follower.next_offset().unwrap();
     let long = "x".repeat(500);
@@ -199,62 +199,62 @@
         other.log.put(key, Some(long.as_str()));
     }
     other.until("six", |f| f.keys().len() == 6).await;
-    let (parts, to) = handed(&other, from);
-    assert!(parts.len() > 2, "they fit a datagram");
-    let word = Proof {
+    let (chunks, to) = forwarded(&other, from);
+    assert!(chunks.len() > 2, "they fit a datagram");
+    let proof = Proof {
         changed: to,
         stamp: boot::now(),
     };
-    own.follower.receive_proof(word);
-    let mut begins = from;
+    own.follower.receive_proof(proof);
+    let mut start = from;
     let mut sent = Vec::new();
-    for records in parts {
-        let ends = records.last().map_or(to, |record| record.offset.next());
-        sent.push(range(begins, ends, records));
-        begins = ends;
+    for records in chunks {
+        let end = records.last().map_or(to, |record| record.offset.next());
+        sent.push(range(start, end, records));
+        start = end;
     }
     for range in sent.into_iter().rev() {
         own.follower.receive(range);
     }
     assert_eq!(own.keys(), keys);
-    // The word is looked at again once what came beside it had its time.
+    // The VM checks what it lacks again after the time for reordered datagrams.
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(own.log.calls(), calls);
-    own.follower.receive_proof(word);
-    assert_eq!(own.follower.proven_at(), Some(word.stamp));
+    own.follower.receive_proof(proof);
+    assert_eq!(own.follower.proven_at(), Some(proof.stamp));
 }
 
-// Dozens of endpoints are replaced. One VM of the zone reads so and hands the records on: the others
-// know them without a call of the log, and its word then proves their view.
+// Records that the leader read and forwarded reach the view without a call of the log, and the leader's
+// proof then proves the view.
 #[tokio::test]
-async fn records_that_are_handed_on_need_no_read() {
+async fn forwarded_records_need_no_read() {
     let other = Fixture::new();
     let own = Fixture::new();
     for fixture in [&other, &own] {
         fixture.log.put("a", Some("1"));
         fixture.until("a", |f| f.keys() == ["a"]).await;
     }
-    own.led().await;
+    own.make_led().await;
     let calls = own.log.calls();
     let from = own.follower.next_offset().unwrap();
     let stamp = boot::now();
     other.log.put("b", Some("1"));
     other.log.put("a", None);
     other.until("three", |f| f.keys() == ["a", "b", "a"]).await;
-    let (parts, to) = handed(&other, from);
-    own.follower.receive(range(from, to, parts.concat()));
+    let (chunks, to) = forwarded(&other, from);
+    own.follower.receive(range(from, to, chunks.concat()));
     own.follower.receive_proof(Proof { changed: to, stamp });
     assert_eq!(own.keys(), ["a", "b", "a"]);
     assert_eq!(own.follower.proven_at(), Some(stamp));
     assert_eq!(own.log.calls(), calls);
 }
 
-// A datagram with records was lost. Those of the next one must not be taken, or what the lost one
-// said would never be known: the VM reads by itself.
+// Guards against records that are skipped because their datagram was lost. The records of the next datagram
+// must not be applied; the VM reads the log instead.
 #[tokio::test]
 async fn records_after_a_gap_are_read_instead() {
     let own = Fixture::new();
-    own.led().await;
+    own.make_led().await;
     own.log.put("lost", Some("1"));
     let from = own.log.put("c", Some("1"));
     let record = Record {
@@ -273,9 +273,9 @@
         .await;
 }
 
-// Records come again, or late, after the view has moved on. Nothing is taken back.
+// Guards against records that arrive late, or a second time, and revert newer ones in the view.
 #[tokio::test]
-async fn records_that_come_late_take_nothing_back() {
+async fn late_records_revert_nothing() {
     let other = Fixture::new();
     other
         .until("read", |f| f.follower.next_offset().is_some())
@@ -287,18 +287,18 @@
     own.log.put("a", None);
     own.until("read", |f| f.follower.next_offset() == Some(Offset(2)))
         .await;
-    own.led().await;
+    own.make_led().await;
     let before = own.keys();
-    let (parts, to) = handed(&other, Offset(0));
-    own.follower.receive(range(Offset(0), to, parts.concat()));
+    let (chunks, to) = forwarded(&other, Offset(0));
+    own.follower.receive(range(Offset(0), to, chunks.concat()));
     assert_eq!(own.keys(), before);
     assert_eq!(own.follower.next_offset(), Some(Offset(2)));
 }
 
-// A record is too large to be handed on, or so many changed that some are no longer kept. Whoever
-// lacks them must hear so, and read.
+// If a record is too large to be forwarded, or some are no longer cached, nothing is forwarded and the other
+// VMs must read the log. An incomplete list would leave their views without those records.
 #[tokio::test]
-async fn records_that_are_not_kept_are_not_handed_on() {
+async fn records_that_are_not_cached_are_not_forwarded() {
     let other = Fixture::new();
     other
         .until("read", |f| f.follower.next_offset().is_some())
@@ -313,20 +313,20 @@
     }
     other.until("all", |f| f.keys().len() == 2_001).await;
     assert_eq!(other.follower.chunks_from(Offset(1)).0, None);
-    let (parts, to) = handed(&other, Offset(1_990));
-    let offsets: Vec<u64> = parts.concat().iter().map(|r| r.offset.0).collect();
+    let (chunks, to) = forwarded(&other, Offset(1_990));
+    let offsets: Vec<u64> = chunks.concat().iter().map(|r| r.offset.0).collect();
     assert_eq!(offsets, (1_990..2_001).collect::<Vec<u64>>());
     assert_eq!(to, Offset(2_001));
 }
 
-// The log turns this VM away while it serves the VM that reads for it, which tells of a change again
-// and again. Each refused call is paid for: the VM asks less and less often, not at each word.
+// Guards against a call of the log for each proof. The log refuses this VM and serves its leader, which
+// announces a change again and again. Refused calls are paid for, so that the VM must back off.
 #[tokio::test]
-async fn word_of_a_change_does_not_hasten_a_vm_that_is_turned_away() {
+async fn proofs_do_not_shorten_the_backoff_of_a_refused_vm() {
     let fixture = Fixture::new();
-    fixture.led().await;
+    fixture.make_led().await;
     let next = fixture.log.put("a", Some("1"));
-    fixture.log.set(Mood::Down);
+    fixture.log.set_behaviour(Behaviour::Refusing);
     let calls = fixture.log.calls();
     for _ in 0..100 {
         fixture.follower.receive_proof(Proof {
@@ -337,42 +337,42 @@
     }
     let refused = fixture.log.calls() - calls;
     assert!((1..=10).contains(&refused), "{refused} calls in a second");
-    fixture.log.set(Mood::Well);
+    fixture.log.set_behaviour(Behaviour::Healthy);
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
-// The log turns this VM away and serves the one that reads for it, whose word comes every second. The
-// VM is in touch by that word all the while. By its own reads it fell out of touch and back with each
-// word, and every entry that ended meanwhile seemed to have been ended by an outage.
+// Guards against a VM that counts as disconnected although its leader's proofs arrive every two seconds. The
+// log refuses the VM and serves the leader. By its own reads alone the VM would disconnect and reconnect with
+// each proof, and every entry that ended meanwhile would seem to have expired because of an outage.
 #[tokio::test]
-async fn a_vm_that_is_turned_away_is_in_touch_by_anothers_word() {
+async fn a_refused_vm_stays_connected_through_its_leaders_proofs() {
     let timing = Timing {
         max_proof_age: Duration::from_millis(1_500),
         ..TIMING
     };
-    let fixture = Fixture::with(timing);
-    fixture.led().await;
-    fixture.log.set(Mood::Down);
+    let fixture = Fixture::with_timing(timing);
+    fixture.make_led().await;
+    fixture.log.set_behaviour(Behaviour::Refusing);
     for _ in 0..4 {
         fixture.follower.receive_proof(Proof {
             changed: Offset::default(),
             stamp: boot::now(),
         });
-        // Reads begin once the word is older than the trust in it.
+        // The VM begins to read once the proof is older than its timing allows.
         tokio::time::sleep(Duration::from_millis(1_900)).await;
     }
     assert_eq!(fixture.follower.view(|all| all.1), 0);
 }
 
-// One word of a change comes while the log turns this VM away, and no other follows. The VM knows that
-// it lacks something: it reads as soon as the log serves it again, not when its trust in the other
-// VM's last proof is used up.
+// Guards against a change that is read late after a single announcement. It arrives while the log refuses
+// this VM, and no other follows. The VM must read as soon as the log serves it again, not only when its last
+// proof is too old.
 #[tokio::test]
 async fn a_change_that_could_not_be_read_is_read_later() {
     let fixture = Fixture::new();
-    fixture.led().await;
+    fixture.make_led().await;
     let next = fixture.log.put("a", Some("1"));
-    fixture.log.set(Mood::Down);
+    fixture.log.set_behaviour(Behaviour::Refusing);
     let calls = fixture.log.calls();
     fixture.follower.receive_proof(Proof {
         changed: next,
@@ -382,14 +382,14 @@
         .until("a refused read", |f| f.log.calls() > calls)
         .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    fixture.log.set(Mood::Well);
+    fixture.log.set_behaviour(Behaviour::Healthy);
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
 #[tokio::test]
 async fn calls_are_counted_by_reason() {
     let fixture = Fixture::new();
-    fixture.led().await;
+    fixture.make_led().await;
     let next = fixture.log.put("a", Some("1"));
     fixture.follower.receive_proof(Proof {
         changed: next,
@@ -408,13 +408,13 @@
     assert_eq!(calls(Reason::Unproven), 0);
 }
 
-// Guards against a VM that reads the log for what it has just been handed: the proof that came before the
-// records counts once they are there.
+// Guards against a VM that reads the log for records which it has just received: a proof that arrived before
+// the records counts once they have arrived.
 #[tokio::test]
-async fn a_proof_counts_once_its_records_are_there() {
+async fn a_proof_counts_once_its_records_have_arrived() {
     let fixture = Fixture::new();
-    fixture.led().await;
-    fixture.log.set(Mood::Silent);
+    fixture.make_led().await;
+    fixture.log.set_behaviour(Behaviour::Silent);
     let from = fixture.follower.next_offset().unwrap();
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
@@ -435,10 +435,10 @@
 
 // Guards against each VM of a zone reading the log when all endpoints of a service are replaced at once.
 #[tokio::test]
-async fn endpoints_that_are_replaced_together_are_handed_on() {
+async fn records_of_endpoints_replaced_together_are_forwarded() {
     let other = Fixture::new();
     let own = Fixture::new();
-    own.led().await;
+    own.make_led().await;
     let from = own.follower.next_offset().unwrap();
     for place in 0..400 {
         other.log.put(&format!("old-{place}"), None);
@@ -446,12 +446,12 @@
     }
     other.until("all", |f| f.keys().len() == 800).await;
     let calls = own.log.calls();
-    let (parts, to) = handed(&other, from);
-    let mut begins = from;
-    for records in parts {
-        let ends = records.last().unwrap().offset.next();
-        own.follower.receive(range(begins, ends, records));
-        begins = ends;
+    let (chunks, to) = forwarded(&other, from);
+    let mut start = from;
+    for records in chunks {
+        let end = records.last().unwrap().offset.next();
+        own.follower.receive(range(start, end, records));
+        start = end;
     }
     assert_eq!(own.follower.next_offset(), Some(to));
     assert_eq!(own.keys().len(), 800);
--- a/crates/relay/tests/all/large.rs
+++ b/crates/relay/tests/all/large.rs
@@ -12,57 +12,59 @@
 
 use crate::fixture::Fixture;
 use crate::fixture::TIMING;
-use crate::log::Memory;
-use crate::log::Mood;
+use crate::log::Behaviour;
+use crate::log::MemoryLog;
 
-// An answer takes several times as long as a silent log is waited for, and comes steadily all the while.
-// Under a bound on the whole answer each read was given up before its end and begun anew from its first
-// byte, for ever, and callers were served by a view that no longer changed.
+// Guards against a timeout of the whole answer instead of the time without data. An answer takes several
+// times the timeout and arrives steadily. Each read was given up before its end and begun again, for ever,
+// and callers were served from a view that no longer changed.
 #[tokio::test]
-async fn an_answer_that_keeps_coming_is_waited_for() {
+async fn an_answer_that_keeps_arriving_does_not_time_out() {
     let fixture = Fixture::new();
     fixture
         .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
-    fixture.log.set(Mood::Long(TIMING.timeout / 4));
+    fixture
+        .log
+        .set_behaviour(Behaviour::Slow(TIMING.timeout / 4));
     fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
     assert!(fixture.follower.confirm(boot::now()).await);
     assert_eq!(fixture.follower.read_counts().given_up, 0);
 }
 
-// An answer begins and then nothing more of it comes: its connection fell silent. The read is given up
-// and made again, and the view changes as soon as the log answers.
+// Guards against a read that never ends because its connection falls silent within an answer. It times out
+// and is retried, and the view changes as soon as the log answers.
 #[tokio::test]
-async fn an_answer_that_stops_coming_is_given_up() {
+async fn an_answer_that_stops_arriving_times_out() {
     let fixture = Fixture::new();
     fixture
         .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
-    fixture.log.set(Mood::Broken);
+    fixture.log.set_behaviour(Behaviour::Stalled);
     fixture
-        .until("reads given up", |f| f.follower.read_counts().given_up > 1)
+        .until("timeouts", |f| f.follower.read_counts().given_up > 1)
         .await;
     assert!(!fixture.follower.confirm(boot::now()).await);
-    fixture.log.set(Mood::Well);
+    fixture.log.set_behaviour(Behaviour::Healthy);
     fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
-// A VM is told of records that the log does not hold, by a datagram that is false or of another log. It
-// reads, finds that they are not there, and no longer holds itself for behind. Otherwise it would read the
-// log at each word and refuse its callers, until the log holds as many records.
+// Guards against a datagram that announces records which the log does not hold, because it is false or about
+// another log. The VM reads, finds that the records are missing, and no longer counts as behind. Otherwise
+// it would read the log at each proof and refuse callers until the log holds as many records.
 #[tokio::test]
-async fn word_of_records_that_do_not_exist_is_dropped() {
+async fn an_announcement_of_records_that_do_not_exist_is_dropped() {
     let fixture = Fixture::new();
-    fixture.led().await;
+    fixture.make_led().await;
     fixture.follower.receive_proof(Proof {
         changed: Offset(1_000),
         stamp: boot::now(),
     });
     assert!(fixture.follower.behind().is_some());
     fixture
-        .until("word refuted", |f| f.follower.behind().is_none())
+        .until("announcement dropped", |f| f.follower.behind().is_none())
         .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     let calls = fixture.log.calls();
@@ -70,15 +72,15 @@
     assert_eq!(fixture.log.calls(), calls);
 }
 
-// A VM knows that it lacks a change, and for how long, until it has read it.
+// A VM knows for how long it has lacked an announced change, until it has read the change.
 #[tokio::test]
 async fn a_view_knows_how_long_it_is_behind() {
     let fixture = Fixture::new();
-    fixture.led().await;
+    fixture.make_led().await;
     assert_eq!(fixture.follower.behind(), None);
-    fixture.log.set(Mood::Down);
+    fixture.log.set_behaviour(Behaviour::Refusing);
     let next = fixture.log.put("a", Some("1"));
-    let told = boot::now();
+    let announced = boot::now();
     for _ in 0..3 {
         fixture.follower.receive_proof(Proof {
             changed: next,
@@ -88,62 +90,65 @@
     }
     let behind = fixture.follower.behind().unwrap();
     assert!(behind >= Duration::from_millis(150), "{behind:?}");
-    assert!(behind <= boot::now().since(told), "{behind:?}");
-    fixture.log.set(Mood::Well);
+    assert!(behind <= boot::now().since(announced), "{behind:?}");
+    fixture.log.set_behaviour(Behaviour::Healthy);
     fixture.until("a", |f| f.keys() == ["a"]).await;
     assert_eq!(fixture.follower.behind(), None);
 }
 
-// A large answer is coming over a slow link when a caller asks for a route that it may add. The caller's
-// question waits for it: a second read would fetch the same records, and each would take twice as long.
+// Guards against a second read while a large answer is arriving over a slow link. A caller asks for a route
+// that the answer may add. A read for that caller would fetch the same records again, and both reads would
+// take twice as long.
 #[tokio::test]
-async fn a_confirmation_does_not_fetch_what_is_coming() {
+async fn a_confirmation_waits_for_a_running_answer() {
     let fixture = Fixture::new();
     fixture
         .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     let pause = TIMING.timeout / 4;
-    fixture.log.set(Mood::Long(pause));
+    fixture.log.set_behaviour(Behaviour::Slow(pause));
     tokio::time::sleep(pause * 2).await;
     fixture.log.put("a", Some("1"));
     let follower = fixture.follower.clone();
-    let asked = tokio::spawn(async move { follower.confirm(boot::now()).await });
+    let confirmed = tokio::spawn(async move { follower.confirm(boot::now()).await });
     fixture.until("a", |f| f.keys() == ["a"]).await;
     assert_eq!(fixture.log.overlapping(), 0);
-    assert!(asked.await.unwrap());
+    assert!(confirmed.await.unwrap());
 }
 
-// The log was out for long, and the VMs of a large zone that others read for ask it seldom. When it is
-// back, operators write a configuration too large to be handed on. A VM that is told of it while it rests
-// must read it itself: resting as long as one that lacks nothing, it refused its callers meanwhile.
+// Guards against a VM that refuses callers for the whole backoff of a large zone. After a long outage the
+// VMs that are led call the log seldom. When it is reachable again, operators write a configuration that is
+// too large to be forwarded, and a VM that receives the announcement during its backoff must read it itself.
 #[test]
-fn a_vm_that_lacks_a_change_rests_less() {
+fn a_vm_that_lacks_a_change_backs_off_less() {
     for others in [0, 5, 16, 400] {
-        let rests = max_backoff(Lead::Led, others, false);
-        let lacks = max_backoff(Lead::Led, others, true);
-        assert!(lacks <= rests, "{others}: {lacks:?}, {rests:?}");
-        assert!(lacks <= Duration::from_millis(1_200), "{lacks:?}");
+        let current = max_backoff(Lead::Led, others, false);
+        let lacking = max_backoff(Lead::Led, others, true);
+        assert!(lacking <= current, "{others}: {lacking:?}, {current:?}");
+        assert!(lacking <= Duration::from_millis(1_200), "{lacking:?}");
     }
     let large = max_backoff(Lead::Led, 16, false);
     let small = max_backoff(Lead::Led, 2, false);
     assert!(
         large > small,
-        "a large zone asks a log that is out less often"
+        "the VMs of a large zone call an unreachable log less often"
     );
     for role in [Lead::Alone, Lead::Leading] {
         assert!(max_backoff(role, 16, false) < small);
     }
 }
 
-// A large configuration is written, and the log, which all VMs ask for it at once, begins to answer after
-// several times the time that a silent log is waited for. Each VM gave up before its turn and asked anew,
-// so that the log worked on answers that nobody waited for any more: no VM got the configuration until the
-// end of the day, and all refused their callers.
+// Guards against a log that stays busy with abandoned answers. All VMs read a large configuration at once,
+// and the log begins to answer after several times the timeout. Each VM gave up before its turn and asked
+// again, so that the log worked on answers that nobody waited for. No VM got the configuration until the end
+// of the day, and all refused their callers.
 #[tokio::test]
-async fn a_log_that_is_busy_with_a_change_is_waited_for_longer() {
+async fn the_timeout_grows_while_the_log_is_busy_with_a_change() {
     let fixture = Fixture::new();
-    fixture.led().await;
-    fixture.log.set(Mood::Busy(TIMING.timeout * 3));
+    fixture.make_led().await;
+    fixture
+        .log
+        .set_behaviour(Behaviour::Delayed(TIMING.timeout * 3));
     let next = fixture.log.put("a", Some("1"));
     fixture.follower.receive_proof(Proof {
         changed: next,
@@ -152,19 +157,20 @@
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
-// The same for VMs that start all at once: each has everything to read.
+// The same for VMs that all start at once, each of which reads the whole topic.
 #[tokio::test]
-async fn a_log_that_is_busy_with_starts_is_waited_for_longer() {
-    let log = Memory::new();
+async fn the_timeout_grows_while_the_log_is_busy_with_starts() {
+    let log = MemoryLog::new();
     log.put("a", Some("1"));
-    log.set(Mood::Busy(TIMING.timeout * 3));
-    let fixture = Fixture::over(log, TIMING);
+    log.set_behaviour(Behaviour::Delayed(TIMING.timeout * 3));
+    let fixture = Fixture::with_log(log, TIMING);
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
-// A silent log is not waited for longer where nothing is known to be missing: its return would go unnoticed.
+// Guards against a log whose recovery goes unnoticed for longer because of a timeout that grows although no
+// change is known to be missing.
 #[test]
-fn only_a_view_that_lacks_something_waits_longer() {
+fn the_timeout_grows_only_for_a_view_that_lacks_a_change() {
     for silent in 0..10 {
         assert_eq!(answer_timeout(&TIMING, false, silent), TIMING.timeout);
         assert!(answer_timeout(&TIMING, true, silent) <= answer_timeout(&TIMING, true, silent + 1));
@@ -174,16 +180,16 @@
     assert_eq!(answer_timeout(&TIMING, true, 1), TIMING.timeout * 2);
 }
 
-/// Keys of the records that another VM can have from an offset on.
-fn kept(fixture: &Fixture, from: u64) -> Option<Vec<CompactString>> {
+/// Keys of the cached records from an offset on.
+fn cached(fixture: &Fixture, from: u64) -> Option<Vec<CompactString>> {
     let (records, _) = fixture.follower.records_from(Offset(from));
     Some(records?.into_iter().map(|record| record.key).collect())
 }
 
-// A record too large for datagrams is kept for those that ask for it. Of two with one key only the newer
-// is, which is all that there is to know; of another key, whoever lacks the older one must read the log.
+// A record too large for datagrams is cached for the VMs that request it. Of two with the same key the newer
+// one is enough. If the newer one has another key, a VM that lacks the older one must read the log.
 #[tokio::test]
-async fn one_large_record_is_kept_for_those_that_lack_it() {
+async fn one_large_record_is_cached_for_other_vms() {
     let fixture = Fixture::new();
     fixture
         .until("read", |f| f.follower.next_offset().is_some())
@@ -194,10 +200,10 @@
     }
     fixture.until("four", |f| f.keys().len() == 4).await;
     let all = ["a", "b", "config"].map(CompactString::from);
-    assert_eq!(kept(&fixture, 0).unwrap(), all);
+    assert_eq!(cached(&fixture, 0).unwrap(), all);
     assert_eq!(fixture.follower.chunks_from(Offset(0)).0, None);
     fixture.log.put("other", Some(large));
     fixture.until("five", |f| f.keys().len() == 5).await;
-    assert_eq!(kept(&fixture, 3), None);
-    assert_eq!(kept(&fixture, 4).unwrap(), ["other"]);
+    assert_eq!(cached(&fixture, 3), None);
+    assert_eq!(cached(&fixture, 4).unwrap(), ["other"]);
 }
--- a/crates/relay/tests/all/log.rs
+++ b/crates/relay/tests/all/log.rs
@@ -14,7 +14,7 @@
 use pimento_units::Offset;
 use tokio::sync::Notify;
 
-/// Pieces of a long answer.
+/// Pieces of a slow answer.
 pub const PIECES: u32 = 10;
 
 /// Bytes of a piece.
@@ -22,47 +22,47 @@
 
 /// How calls are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mood {
-    Well,
+pub enum Behaviour {
+    Healthy,
     /// Every call is refused.
-    Down,
+    Refusing,
     /// No call is answered.
     Silent,
-    /// Answers come piece by piece, [`PIECES`] of them, each after this long.
-    Long(Duration),
-    /// Some pieces come, then nothing more.
-    Broken,
-    /// Nothing comes for this long, then the whole answer at once.
-    Busy(Duration),
+    /// Answers arrive in [`PIECES`] pieces, with this time before each.
+    Slow(Duration),
+    /// One piece of an answer arrives, then nothing more.
+    Stalled,
+    /// Nothing arrives for this long, then the whole answer at once.
+    Delayed(Duration),
 }
 
 #[derive(Debug)]
 struct State {
     records: Vec<Record>,
     first: u64,
-    mood: Mood,
+    behaviour: Behaviour,
     calls: usize,
-    /// Long answers of which something has come.
-    coming: usize,
-    /// Calls that were made meanwhile.
+    /// Slow answers of which a piece has arrived.
+    arriving: usize,
+    /// Calls that were made while such an answer was arriving.
     overlapping: usize,
 }
 
-/// One topic. Clones share it.
+/// A log with one topic. Clones share it.
 #[derive(Debug, Clone)]
-pub struct Memory {
+pub struct MemoryLog {
     state: Arc<Mutex<State>>,
     appended: Arc<Notify>,
 }
 
-impl Memory {
+impl MemoryLog {
     pub fn new() -> Self {
         let state = State {
             records: Vec::new(),
             first: 0,
-            mood: Mood::Well,
+            behaviour: Behaviour::Healthy,
             calls: 0,
-            coming: 0,
+            arriving: 0,
             overlapping: 0,
         };
         Self {
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Appends a record. Returns the new end of the topic.
     pub fn put(&self, key: &str, value: Option<&str>) -> Offset {
         let mut state = self.state.lock().unwrap();
         let offset = Offset(state.records.len() as u64);
@@ -84,12 +85,12 @@
         offset.next()
     }
 
-    pub fn set(&self, mood: Mood) {
-        self.state.lock().unwrap().mood = mood;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.state.lock().unwrap().behaviour = behaviour;
     }
 
-    /// Records before `first` are no longer kept, but for the newest of each key.
-    pub fn forget(&self, first: u64) {
+    /// Drops the records before `first`, except for the newest of each key.
+    pub fn drop_history(&self, first: u64) {
         self.state.lock().unwrap().first = first;
     }
 
@@ -97,45 +98,45 @@
         self.state.lock().unwrap().calls
     }
 
-    /// Calls that were made while a long answer was coming.
+    /// Calls that were made while a slow answer was arriving.
     pub fn overlapping(&self) -> usize {
         self.state.lock().unwrap().overlapping
     }
 
     async fn answer(&self, progress: &Progress) -> Result<(), Error> {
-        let mood = {
+        let behaviour = {
             let mut state = self.state.lock().unwrap();
             state.calls += 1;
-            state.overlapping += usize::from(state.coming > 0);
-            state.mood
+            state.overlapping += usize::from(state.arriving > 0);
+            state.behaviour
         };
-        match mood {
-            Mood::Well => Ok(()),
-            Mood::Down => Err(Error::Refused {
+        match behaviour {
+            Behaviour::Healthy => Ok(()),
+            Behaviour::Refusing => Err(Error::Refused {
                 reason: "down".into(),
             }),
-            Mood::Silent => std::future::pending().await,
-            Mood::Long(pause) => {
+            Behaviour::Silent => std::future::pending().await,
+            Behaviour::Slow(pause) => {
                 for piece in 0..PIECES {
                     tokio::time::sleep(pause).await;
                     progress.add(PIECE);
-                    self.state.lock().unwrap().coming += usize::from(piece == 0);
+                    self.state.lock().unwrap().arriving += usize::from(piece == 0);
                 }
-                self.state.lock().unwrap().coming -= 1;
+                self.state.lock().unwrap().arriving -= 1;
                 Ok(())
             }
-            Mood::Busy(wait) => {
+            Behaviour::Delayed(wait) => {
                 tokio::time::sleep(wait).await;
                 Ok(())
             }
-            Mood::Broken => {
+            Behaviour::Stalled => {
                 progress.add(PIECE);
                 std::future::pending().await
             }
         }
     }
 
-    fn from(&self, from: Offset) -> Result<Batch, Error> {
+    fn records_from(&self, from: Offset) -> Result<Batch, Error> {
         let state = self.state.lock().unwrap();
         if from.0 < state.first {
             return Err(Error::Gone {
@@ -150,7 +151,7 @@
     }
 }
 
-impl Log for Memory {
+impl Log for MemoryLog {
     async fn newest(&self, _: Topic, progress: &Progress) -> Result<Batch, Error> {
         self.answer(progress).await?;
         let state = self.state.lock().unwrap();
@@ -176,12 +177,12 @@
     ) -> Result<Batch, Error> {
         self.answer(progress).await?;
         let appended = self.appended.notified();
-        let batch = self.from(from)?;
+        let batch = self.records_from(from)?;
         if !batch.records.is_empty() || wait.is_zero() {
             return Ok(batch);
         }
         let _ = tokio::time::timeout(wait, appended).await;
-        self.from(from)
+        self.records_from(from)
     }
 
     async fn append(
--- a/crates/relay/tests/all/main.rs
+++ b/crates/relay/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the relay's parts over its public surface.
+//! Tests of the relay's modules through its public interface.
 
 mod bundle;
 mod fixture;
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -1,8 +1,8 @@
-//! A small model of the reading of the log in one zone: the real choice of who reads, the real timings and
-//! the real knowledge of refused reads, over a network and a log that are steps of a loop.
+//! A small model of how the VMs of one zone read the log. The choice of the reader, the timings and the
+//! tracking of refused reads are the real ones; the network and the log are simulated in steps of a loop.
 //!
-//! It is walked exhaustively over the moment at which something goes wrong, and checks that whoever can
-//! read the log never believes a list of endpoints that is older than the bound.
+//! The tests try every step at which a failure may begin, and check that the list of endpoints is never
+//! older than the bound on a VM that can read the log.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,42 +24,43 @@
 
 const STEP: Duration = Duration::from_millis(20);
 
-/// How long an answer of the log takes, and how long a read without one is waited for.
+/// How long an answer of the log takes.
 const ANSWER: Duration = Duration::from_millis(20);
 
-/// A VM whose view is older reads for nobody.
-const BLIND: Duration = Duration::from_millis(2_600);
+/// A VM whose view is older than this does not read for others.
+const MAX_READER_AGE: Duration = Duration::from_millis(2_600);
 
-/// Time between those that try a log which turned several away.
-const SUCCESSION: Duration = Duration::from_millis(400);
+/// Time between the attempts of VMs that take turns at a log which refused several of them.
+const TURN: Duration = Duration::from_millis(400);
 
-/// When the walk begins to go wrong: all VMs have met and one reads.
-const SETTLED: Duration = Duration::from_secs(4);
+/// Time until all VMs know each other and one reads. Failures begin after it.
+const STARTUP: Duration = Duration::from_secs(4);
 
-const LASTS: Duration = Duration::from_secs(8);
+/// How long the model runs after the failure.
+const OBSERVED: Duration = Duration::from_secs(8);
 
 /// How the log treats a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
-    Open,
+enum Access {
+    Answered,
     Refused,
     Silent,
 }
 
-/// What a walk changes in the safeguards, to see that it can fail.
+/// A safeguard that is disabled, to check that the model finds the fault that it prevents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// Proofs are trusted for too long.
-    Trusting,
-    /// A reader that is refused passes for able until its view is old.
-    Late,
-    /// Reads take place without regard for who else reads; what that costs is told.
-    Each,
+    /// Proofs are accepted for twice as long.
+    LongProofs,
+    /// A reader that the log refuses counts as able until its view is old.
+    LateUnable,
+    /// Each VM reads for itself, for a comparison of the cost.
+    EachReads,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Word {
+struct Datagram {
     from: usize,
     standing: Standing,
     stamp: Moment,
@@ -71,16 +72,17 @@
     peers: Peers,
     zone: Zone,
     up: bool,
-    way: Way,
-    /// Since when the log can be read.
-    open_since: Moment,
+    access: Access,
+    /// When the log's treatment of the VM last changed.
+    access_since: Moment,
     proven: Moment,
     stamps: Vec<Moment>,
-    /// The stamps when the read began that proves the view.
+    /// The stamps that had arrived when the read that proved the view was sent.
     proofs: Vec<Moment>,
+    /// The running read: when it was sent, when it ends, and the stamps that had arrived.
     read: Option<(Moment, Moment, Vec<Moment>)>,
-    due: Moment,
-    said: Moment,
+    next_read: Moment,
+    last_sent: Moment,
     lead: Lead,
     standing: Standing,
     failures: u32,
@@ -91,9 +93,10 @@
     timing: Timing,
     bound: Duration,
     vms: Vec<Vm>,
-    words: Vec<(usize, Word)>,
-    /// One in so many datagrams is lost; none if zero.
-    lost: usize,
+    /// Datagrams in transit, with their receivers.
+    datagrams: Vec<(usize, Datagram)>,
+    /// Every `lose_every`th datagram is lost; none if zero.
+    lose_every: usize,
     sent: usize,
     calls: usize,
     mutant: Mutant,
@@ -121,14 +124,14 @@
             peers: Peers::default(),
             zone: Zone::default(),
             up: true,
-            way: Way::Open,
-            open_since: start,
+            access: Access::Answered,
+            access_since: start,
             proven: start,
             stamps: vec![Moment::ZERO; count],
             proofs: vec![Moment::ZERO; count],
             read: None,
-            due: start,
-            said: start,
+            next_read: start,
+            last_sent: start,
             lead: Lead::Alone,
             standing: Standing::Able,
             failures: 0,
@@ -140,23 +143,23 @@
                 .endpoints,
             bound,
             vms: (0..count).map(vm).collect(),
-            words: Vec::new(),
-            lost: 0,
+            datagrams: Vec::new(),
+            lose_every: 0,
             sent: 0,
             calls: 0,
             mutant,
         }
     }
 
-    fn trust(&self) -> Duration {
+    fn max_proof_age(&self) -> Duration {
         match self.mutant {
-            Mutant::Trusting => self.timing.max_proof_age * 2,
+            Mutant::LongProofs => self.timing.max_proof_age * 2,
             _ => self.timing.max_proof_age,
         }
     }
 
-    fn run(&mut self, lasts: Duration) {
-        let end = self.now + lasts;
+    fn run(&mut self, time: Duration) {
+        let end = self.now + time;
         while self.now < end {
             self.step();
         }
@@ -164,75 +167,75 @@
 
     fn step(&mut self) {
         self.now = self.now + STEP;
-        for (to, word) in std::mem::take(&mut self.words) {
-            self.take(to, word);
+        for (to, datagram) in std::mem::take(&mut self.datagrams) {
+            self.receive(to, datagram);
         }
         for place in 0..self.vms.len() {
             if self.vms[place].up {
-                self.finish(place);
-                self.settle(place);
-                self.begin(place);
-                self.tell(place);
+                self.end_read(place);
+                self.choose_reader(place);
+                self.start_read(place);
+                self.send(place);
                 self.check(place);
             }
         }
     }
 
-    fn take(&mut self, to: usize, word: Word) {
+    fn receive(&mut self, to: usize, datagram: Datagram) {
         let now = self.now;
         let vm = &mut self.vms[to];
         if !vm.up {
             return;
         }
-        let spoken = peer(word.from, now).speaks(word.standing, now);
-        vm.peers.met(spoken, now);
-        vm.stamps[word.from] = word.stamp;
-        vm.proven = vm.proven.max(word.proof.unwrap_or_default());
+        let sender = peer(datagram.from, now).speaks(datagram.standing, now);
+        vm.peers.met(sender, now);
+        vm.stamps[datagram.from] = datagram.stamp;
+        vm.proven = vm.proven.max(datagram.proof.unwrap_or_default());
     }
 
-    /// A read ends.
-    fn finish(&mut self, place: usize) {
-        let (now, polling) = (self.now, self.timing);
+    /// Ends the running read if its time has come.
+    fn end_read(&mut self, place: usize) {
+        let (now, timing) = (self.now, self.timing);
         let vm = &mut self.vms[place];
-        let Some((sent, ends, stamps)) = vm.read.take_if(|(_, ends, _)| *ends <= now) else {
+        let Some((sent, end, stamps)) = vm.read.take_if(|(_, end, _)| *end <= now) else {
             return;
         };
-        debug_assert!(sent <= ends);
-        match vm.way {
-            Way::Open => {
+        debug_assert!(sent <= end);
+        match vm.access {
+            Access::Answered => {
                 vm.proven = sent;
                 vm.proofs = stamps;
                 vm.failures = 0;
                 vm.zone.read_answered();
                 let polling = if vm.lead == Lead::Alone {
-                    polling.alone
+                    timing.alone
                 } else {
-                    polling.leading
+                    timing.leading
                 };
-                vm.due = now + polling.pause;
+                vm.next_read = now + polling.pause;
                 if vm.lead == Lead::Leading {
-                    vm.said = Moment::ZERO;
+                    vm.last_sent = Moment::ZERO;
                 }
             }
-            Way::Refused | Way::Silent => {
-                let failure = if vm.way == Way::Refused {
+            Access::Refused | Access::Silent => {
+                let failure = if vm.access == Access::Refused {
                     Failure::Refused
                 } else {
                     Failure::Unanswered
                 };
                 vm.failures += 1;
                 vm.zone.read_failed(failure, now);
-                let pause = Duration::from_millis(50) * (1 << vm.failures.min(4)) / 2;
-                vm.due = now + pause.min(SUCCESSION);
+                let backoff = Duration::from_millis(50) * (1 << vm.failures.min(4)) / 2;
+                vm.next_read = now + backoff.min(TURN);
             }
         }
     }
 
-    /// Who reads.
-    fn settle(&mut self, place: usize) {
-        let (now, late) = (self.now, self.mutant == Mutant::Late);
+    /// Determines which VM reads.
+    fn choose_reader(&mut self, place: usize) {
+        let (now, late) = (self.now, self.mutant == Mutant::LateUnable);
         let vm = &mut self.vms[place];
-        let young = now.since(vm.proven) < BLIND;
+        let young = now.since(vm.proven) < MAX_READER_AGE;
         let standing = match vm.zone.reachability(now) {
             Reachability::Unreachable if !late => Standing::Unable,
             Reachability::Untested if !late => Standing::Untested,
@@ -240,151 +243,153 @@
             _ => Standing::Untested,
         };
         if standing != vm.standing {
-            vm.said = Moment::ZERO;
+            vm.last_sent = Moment::ZERO;
         }
         vm.standing = standing;
         let role = vm.peers.role(&vm.name, &zone(), standing, now);
         if role.lead == Lead::Leading && vm.lead != Lead::Leading {
-            let doubt = if role.state.outage_suspected {
-                SUCCESSION
+            let wait = if role.state.outage_suspected {
+                TURN
             } else {
                 Duration::ZERO
             };
-            vm.due = now + doubt;
+            vm.next_read = now + wait;
         }
         vm.lead = role.lead;
         vm.zone.set_log_state(role.state);
     }
 
-    /// A read begins.
-    fn begin(&mut self, place: usize) {
-        let (now, trust) = (self.now, self.trust());
+    /// Starts a read if one is due.
+    fn start_read(&mut self, place: usize) {
+        let (now, max_proof_age) = (self.now, self.max_proof_age());
         let count = self.vms.len();
-        let each = self.mutant == Mutant::Each;
+        let each = self.mutant == Mutant::EachReads;
         let vm = &mut self.vms[place];
         let led = vm.lead == Lead::Led && !each;
-        let trusts = now.since(vm.proven) < trust;
-        // Turns by chance are played as turns by name.
-        let turn = now.since(Moment::ZERO).as_millis() / SUCCESSION.as_millis();
+        let proven = now.since(vm.proven) < max_proof_age;
+        // The model takes the turns in the order of names, where the real VMs take them at random.
+        let turn = now.since(Moment::ZERO).as_millis() / TURN.as_millis();
         let waits =
             vm.zone.log_state().no_able_reader && usize::try_from(turn).unwrap() % count != place;
-        if vm.read.is_some() || vm.due > now || led && (trusts || waits) {
+        if vm.read.is_some() || vm.next_read > now || led && (proven || waits) {
             return;
         }
-        let takes = if vm.way == Way::Silent {
+        let time = if vm.access == Access::Silent {
             self.timing.timeout
         } else {
             ANSWER
         };
-        vm.read = Some((now, now + takes, vm.stamps.clone()));
+        vm.read = Some((now, now + time, vm.stamps.clone()));
         self.calls += 1;
     }
 
-    fn tell(&mut self, place: usize) {
+    /// Sends datagrams to the other VMs if they are due.
+    fn send(&mut self, place: usize) {
         let now = self.now;
         let count = self.vms.len();
-        if now.since(self.vms[place].said) < period(count - 1).max(Duration::from_millis(400)) {
+        let interval = period(count - 1).max(Duration::from_millis(400));
+        if now.since(self.vms[place].last_sent) < interval {
             return;
         }
-        self.vms[place].said = now;
+        self.vms[place].last_sent = now;
         for to in (0..count).filter(|to| *to != place) {
             self.sent += 1;
-            if self.lost > 0 && self.sent.is_multiple_of(self.lost) {
+            if self.lose_every > 0 && self.sent.is_multiple_of(self.lose_every) {
                 continue;
             }
             let vm = &self.vms[place];
             let proof = (vm.lead == Lead::Leading).then_some(vm.proofs[to]);
-            let word = Word {
+            let datagram = Datagram {
                 from: place,
                 standing: vm.standing,
                 stamp: now,
                 proof,
             };
-            self.words.push((to, word));
+            self.datagrams.push((to, datagram));
         }
     }
 
-    /// Whoever has been able to read the log for a moment knows the endpoints within the bound.
+    /// The view of a VM that could read the log for at least the bound is no older than the bound.
     fn check(&self, place: usize) {
         let vm = &self.vms[place];
-        let could = self.now.since(vm.open_since);
-        if vm.way != Way::Open || could < self.bound {
+        let time = self.now.since(vm.access_since);
+        if vm.access != Access::Answered || time < self.bound {
             return;
         }
         let age = self.now.since(vm.proven);
         assert!(
             age <= self.bound,
-            "{} believes what is {age:?} old, {:?} after the start: {:?}",
+            "the view of {} is {age:?} old, {:?} after the start: {:?}",
             vm.name,
             self.now.since(Moment::ZERO),
             vm.lead
         );
     }
 
-    fn way(&mut self, place: usize, way: Way) {
-        self.vms[place].way = way;
-        self.vms[place].open_since = self.now;
+    fn set_access(&mut self, place: usize, access: Access) {
+        self.vms[place].access = access;
+        self.vms[place].access_since = self.now;
     }
 }
 
-/// Bounds that are in use.
+/// Bounds on leaving endpoints that are in use.
 const BOUNDS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(3),
     Duration::from_secs(4),
 ];
 
-/// Goes wrong at each step of a second, at zones of several sizes.
-fn walk(mutant: Mutant, wrong: impl Fn(&mut Model)) {
+/// Runs the model with a failure at each step of a second, for all bounds and zones of several sizes.
+fn check_all(mutant: Mutant, fail: impl Fn(&mut Model)) {
     for bound in BOUNDS {
         for count in [2, 3, 8] {
             for step in 0..50 {
                 let mut model = Model::new(count, bound, mutant);
-                model.run(SETTLED + STEP * step);
-                wrong(&mut model);
-                model.run(LASTS);
+                model.run(STARTUP + STEP * step);
+                fail(&mut model);
+                model.run(OBSERVED);
             }
         }
     }
 }
 
-// Guards against endpoints believed in past the bound after the VM that read for its zone died.
+// Guards against a list of endpoints older than the bound after the VM that read for its zone died.
 #[test]
 fn the_bound_holds_when_the_reader_dies() {
-    walk(Mutant::None, |model| model.vms[0].up = false);
+    check_all(Mutant::None, |model| model.vms[0].up = false);
 }
 
-// Guards against the same when the log turns the reader away, or falls silent for it.
+// Guards against the same when the log refuses the reader, or falls silent for it.
 #[test]
-fn the_bound_holds_when_the_reader_is_turned_away() {
-    walk(Mutant::None, |model| model.way(0, Way::Refused));
-    walk(Mutant::None, |model| model.way(0, Way::Silent));
+fn the_bound_holds_when_the_log_refuses_the_reader() {
+    check_all(Mutant::None, |model| model.set_access(0, Access::Refused));
+    check_all(Mutant::None, |model| model.set_access(0, Access::Silent));
 }
 
-// Guards against the same when the first VMs by name are turned away one and all, and serve again.
+// Guards against the same when the log refuses the first VMs by name, and later answers them again.
 #[test]
-fn the_bound_holds_when_half_of_a_zone_is_turned_away_and_comes_back() {
-    walk(Mutant::None, |model| {
+fn the_bound_holds_when_the_log_refuses_half_of_a_zone_for_a_while() {
+    check_all(Mutant::None, |model| {
         for place in 0..model.vms.len() / 2 {
-            model.way(place, Way::Refused);
+            model.set_access(place, Access::Refused);
         }
         model.run(Duration::from_secs(9));
         for place in 0..model.vms.len() / 2 {
-            model.way(place, Way::Open);
+            model.set_access(place, Access::Answered);
         }
     });
 }
 
-// Guards against a zone that does not find out that the log is back.
+// Guards against a zone that does not notice that the log answers again.
 #[test]
 fn the_bound_holds_after_an_outage_for_all() {
-    walk(Mutant::None, |model| {
+    check_all(Mutant::None, |model| {
         for place in 0..model.vms.len() {
-            model.way(place, Way::Refused);
+            model.set_access(place, Access::Refused);
         }
         model.run(Duration::from_secs(9));
         for place in 0..model.vms.len() {
-            model.way(place, Way::Open);
+            model.set_access(place, Access::Answered);
         }
     });
 }
@@ -392,60 +397,61 @@
 // Guards against a bound that holds only while no datagram is lost.
 #[test]
 fn the_bound_holds_while_datagrams_are_lost() {
-    for lost in 2..12 {
+    for lose_every in 2..12 {
         let mut model = Model::new(7, BOUNDS[0], Mutant::None);
-        model.lost = lost;
-        model.run(SETTLED + LASTS);
+        model.lose_every = lose_every;
+        model.run(STARTUP + OBSERVED);
     }
 }
 
-/// Whether a walk finds an old belief.
-fn fails(mutant: Mutant, wrong: impl Fn(&mut Model) + std::panic::UnwindSafe) -> bool {
-    std::panic::catch_unwind(move || walk(mutant, wrong)).is_err()
+/// Whether the model finds a view that is too old.
+fn finds_old_view(mutant: Mutant, fail: impl Fn(&mut Model) + std::panic::UnwindSafe) -> bool {
+    std::panic::catch_unwind(move || check_all(mutant, fail)).is_err()
 }
 
-// Guards against a model that finds nothing: it must fail with a safeguard taken away.
+// Guards against a model that finds nothing: it must fail without a safeguard.
 #[test]
 fn the_model_finds_what_the_safeguards_prevent() {
-    assert!(fails(Mutant::Trusting, |model| model.vms[0].up = false));
+    let reader_dies = |model: &mut Model| model.vms[0].up = false;
+    assert!(finds_old_view(Mutant::LongProofs, reader_dies));
 }
 
-/// Calls of the log in so many seconds, in zones of so many VMs.
-fn calls(zones: usize, vms: usize, lasts: Duration, mutant: Mutant) -> usize {
+/// Calls of the log within `time`, in `zones` zones of `vms` VMs each.
+fn calls(zones: usize, vms: usize, time: Duration, mutant: Mutant) -> usize {
     let mut model = Model::new(vms, BOUNDS[2], mutant);
-    model.run(SETTLED);
+    model.run(STARTUP);
     model.calls = 0;
-    model.run(lasts);
+    model.run(time);
     model.calls * zones
 }
 
-// Guards against reads that grow with the VMs of a zone.
+// Guards against a number of reads that grows with the number of VMs of a zone.
 #[test]
 fn steady_reads_do_not_grow_with_the_vms_of_a_zone() {
-    let lasts = Duration::from_secs(4);
-    let few = calls(5, 2, lasts, Mutant::None);
+    let time = Duration::from_secs(4);
+    let few = calls(5, 2, time, Mutant::None);
     for vms in [16, 39, 60, 120] {
-        let many = calls(5, vms, lasts, Mutant::None);
-        println!("{} VMs in 5 zones: {many} reads in {lasts:?}", vms * 5);
+        let many = calls(5, vms, time, Mutant::None);
+        println!("{} VMs in 5 zones: {many} reads in {time:?}", vms * 5);
         assert!(many <= few, "{many} reads of {vms} VMs, {few} of 2");
     }
-    assert!(calls(5, 16, lasts, Mutant::Each) > few * 8);
+    assert!(calls(5, 16, time, Mutant::EachReads) > few * 8);
 }
 
-// Guards against a reader that is turned away and passes for able: the others all read by themselves.
+// Guards against a refused reader that still counts as able, so that the others all read for themselves.
 #[test]
-fn a_reader_that_is_turned_away_costs_few_reads() {
+fn a_refused_reader_costs_few_reads() {
     let cost = |mutant| {
         let mut model = Model::new(39, BOUNDS[2], mutant);
-        model.run(SETTLED);
+        model.run(STARTUP);
         model.calls = 0;
         for place in 0..13 {
-            model.way(place * 3, Way::Refused);
+            model.set_access(place * 3, Access::Refused);
         }
         model.run(Duration::from_secs(9));
         model.calls
     };
-    let (now, late) = (cost(Mutant::None), cost(Mutant::Late));
-    println!("a third of 39 VMs turned away for 9 s: {now} reads, {late} where it is known late");
-    assert!(now * 2 < late, "{now} reads, {late} where it is known late");
+    let (normal, late) = (cost(Mutant::None), cost(Mutant::LateUnable));
+    println!("a third of 39 VMs refused for 9 s: {normal} reads, {late} if noticed late");
+    assert!(normal * 2 < late, "{normal} reads, {late} if noticed late");
 }
--- a/crates/relay/tests/all/snapshot.rs
+++ b/crates/relay/tests/all/snapshot.rs
@@ -1,4 +1,4 @@
-//! Views that a VM which starts takes from another one.
+//! Snapshots of views, which a VM that starts adopts from another one.
 
 use std::time::Duration;
 
@@ -16,9 +16,9 @@
 
 use crate::fixture::All;
 use crate::fixture::Fixture;
-use crate::log::Mood;
+use crate::log::Behaviour;
 
-const HERE: &str = "10.0.0.1:8223";
+const DEPLOYMENT: &str = "10.0.0.1:8223";
 const AGE: Duration = Duration::from_millis(70);
 
 fn bundle() -> Bundle {
@@ -30,62 +30,62 @@
     }
 }
 
-fn sealed(bundle: &Bundle) -> Bytes {
-    snapshot::encode(HERE, AGE, bundle.pack().unwrap()).unwrap()
+fn encoded(bundle: &Bundle) -> Bytes {
+    snapshot::encode(DEPLOYMENT, AGE, bundle.pack().unwrap()).unwrap()
 }
 
 #[test]
-fn a_snapshot_comes_back_as_it_was_sealed() {
-    let opened = snapshot::decode(HERE, SharedTopic::Operators, &sealed(&bundle())).unwrap();
+fn an_encoded_snapshot_decodes_unchanged() {
+    let opened = snapshot::decode(DEPLOYMENT, SharedTopic::Operators, &encoded(&bundle())).unwrap();
     assert_eq!(opened.records, bundle().records());
     assert_eq!((opened.to, opened.age), (Offset(9), AGE));
 }
 
-// Guards against a VM that starts with a view which was cut off or altered on its way.
+// Guards against a VM that starts with a view which was truncated or altered in transit.
 #[test]
 fn a_snapshot_that_was_cut_or_altered_is_refused() {
-    let whole = sealed(&bundle());
+    let whole = encoded(&bundle());
     for length in 0..whole.len() {
-        assert!(snapshot::decode(HERE, SharedTopic::Operators, &whole[..length]).is_err());
+        assert!(snapshot::decode(DEPLOYMENT, SharedTopic::Operators, &whole[..length]).is_err());
     }
     for place in 0..whole.len() {
         let mut altered = whole.to_vec();
         altered[place] ^= 1;
-        let opened = snapshot::decode(HERE, SharedTopic::Operators, &altered);
+        let opened = snapshot::decode(DEPLOYMENT, SharedTopic::Operators, &altered);
         assert!(matches!(opened, Err(Error::Digest)), "at {place}");
     }
 }
 
-// Guards against a VM that starts with the routes and keys of another system, whose VM had the address
-// before.
+// Guards against a VM that starts with the routes and keys of another system because one of its VMs now has
+// a neighbour's former address.
 #[test]
 fn a_snapshot_of_another_deployment_is_refused() {
-    let opened = snapshot::decode("10.0.0.2:8223", SharedTopic::Operators, &sealed(&bundle()));
+    let opened = snapshot::decode("10.0.0.2:8223", SharedTopic::Operators, &encoded(&bundle()));
     assert!(matches!(opened, Err(Error::WrongDeployment { .. })));
 }
 
-// Guards against a view that lacks the records before its beginning, or is of another topic.
+// Guards against a view of another topic, and against one that lacks the first records of the topic.
 #[test]
 fn a_snapshot_of_a_part_or_another_topic_is_refused() {
-    let opened = snapshot::decode(HERE, SharedTopic::Endpoints, &sealed(&bundle()));
+    let opened = snapshot::decode(DEPLOYMENT, SharedTopic::Endpoints, &encoded(&bundle()));
     assert!(matches!(opened, Err(Error::WrongContent { .. })));
     let part = Bundle {
         from: Offset(2),
         ..bundle()
     };
-    let opened = snapshot::decode(HERE, SharedTopic::Operators, &sealed(&part));
+    let opened = snapshot::decode(DEPLOYMENT, SharedTopic::Operators, &encoded(&part));
     assert!(matches!(opened, Err(Error::WrongContent { .. })));
 }
 
-// Guards against a snapshot that fills a small VM's memory.
+// Guards against a snapshot of some kilobytes that unpacks without end and fills a small VM's memory.
 #[test]
 fn a_snapshot_that_unpacks_without_end_is_refused() {
     let mut long = bundle();
     long.records[0].2 = Some(Bytes::from(vec![0; 64 << 20]));
-    assert!(snapshot::decode(HERE, SharedTopic::Operators, &sealed(&long)).is_err());
+    assert!(snapshot::decode(DEPLOYMENT, SharedTopic::Operators, &encoded(&long)).is_err());
 }
 
-// Guards against a view that seems younger than it is on a VM whose clock began after it was proven.
+// Guards against a view that seems younger than it is on a VM whose clock began after the view was proven.
 #[test]
 fn a_view_older_than_the_clock_is_proven_by_nothing() {
     let sent = Moment::ZERO + Duration::from_secs(1);
@@ -96,10 +96,10 @@
     assert_eq!(snapshot::proven_at(sent, Duration::from_secs(2)), None);
 }
 
-// Guards against the view of a reader that is a second old being taken for one of the moment of asking:
-// the reader reads once more, and once for all that ask together.
+// Guards against a snapshot that is older than its request. The answering VM reads the log once more first,
+// and concurrent requests share that read.
 #[tokio::test]
-async fn a_view_is_read_once_more_for_those_that_ask() {
+async fn concurrent_requests_for_a_snapshot_share_one_read() {
     let fixture = Fixture::new();
     fixture.log.put("a", Some("1"));
     fixture.log.put("b", Some("1"));
@@ -107,12 +107,12 @@
     fixture
         .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
-    fixture.led().await;
+    fixture.make_led().await;
     let calls = fixture.log.calls();
-    let asked = boot::now();
+    let requested = boot::now();
     let (one, other) = tokio::join!(
-        fixture.follower.snapshot(asked),
-        fixture.follower.snapshot(asked)
+        fixture.follower.snapshot(requested),
+        fixture.follower.snapshot(requested)
     );
     assert_eq!(fixture.log.calls(), calls + 1);
     let (one, other) = (one.unwrap(), other.unwrap());
@@ -121,10 +121,10 @@
     assert_eq!((keys, one.age), (vec!["a"], Duration::ZERO));
 }
 
-// Guards against endpoints that stay in use though they are gone: their ends were in history that the log
-// forgot, and a neighbour's view, which lacks them, took its place.
+// Guards against endpoints that stay in use after they ended: the log has dropped the records that removed
+// them, and the view was replaced by a neighbour's, which does not have the endpoints.
 #[test]
-fn a_view_that_takes_anothers_place_drops_what_that_lacks() {
+fn adopting_a_snapshot_removes_keys_that_it_lacks() {
     let mut view = View::new(All::default());
     let record = |offset, key: &str| Record {
         offset: Offset(offset),
@@ -148,21 +148,21 @@
     assert_eq!(view.proven_at, Some(now));
 }
 
-// Guards against an old view being taken for a young one while the log is out, and against asking a log
-// that is out once for each VM that starts.
+// Guards against an old view that is taken for a young one while the log is unreachable, and against calling
+// an unreachable log once for each VM that starts.
 #[tokio::test]
 async fn a_view_that_cannot_be_read_again_tells_its_age() {
     let fixture = Fixture::new();
     fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
-    fixture.led().await;
-    fixture.log.set(Mood::Down);
+    fixture.make_led().await;
+    fixture.log.set_behaviour(Behaviour::Refusing);
     tokio::time::sleep(Duration::from_millis(100)).await;
     let calls = fixture.log.calls();
     for _ in 0..5 {
         let snapshot = fixture.follower.snapshot(boot::now()).await.unwrap();
         assert!(snapshot.age >= Duration::from_millis(100));
     }
-    let asked = fixture.log.calls() - calls;
-    assert!(asked <= 2, "{asked} calls");
+    let calls = fixture.log.calls() - calls;
+    assert!(calls <= 2, "{calls} calls");
 }
--- a/crates/relay/tests/all/timings.rs
+++ b/crates/relay/tests/all/timings.rs
@@ -1,4 +1,4 @@
-//! How often topics are read, as a function of the bounds that must hold.
+//! The intervals and timeouts of reads that follow from the bounds that must hold.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 use crate::fixture::bounds;
 
-/// Pause before a read that got no answer is made again.
+/// Pause before the retry of a read that got no answer.
 const RETRY: Duration = Duration::from_millis(50);
 
-/// How long the network and the log take for an answer beside the waiting.
+/// Time that the network and the log take for an answer, besides the wait.
 const ANSWER: Duration = Duration::from_millis(20);
 
-/// The share of the bound on revoked keys at which a VM calls itself unready.
+/// The share of the bound on revoked keys at which a VM reports itself unready.
 const READY: f64 = 0.6;
 
-/// Bounds from the shortest that can be held to some that are long.
+/// Bounds from the shortest that can be held to some long ones.
 fn grid() -> Vec<Bounds> {
     let mut grid = Vec::new();
     for leaving in (600..=8_000).step_by(200) {
@@ -30,10 +30,9 @@
     grid
 }
 
-// Guards against an endpoint that leaves and still gets requests past its bound, since one read got no
-// answer.
+// Guards against requests to a leaving endpoint after the bound because one read got no answer.
 #[test]
-fn a_leaving_endpoint_is_known_in_time_though_a_read_gets_no_answer() {
+fn a_leaving_endpoint_is_known_in_time_despite_an_unanswered_read() {
     for bounds in grid() {
         let timing = Timings::try_from(&bounds).unwrap().endpoints;
         let lost = timing.timeout + RETRY + ANSWER;
@@ -49,10 +48,10 @@
     }
 }
 
-// Guards against a change, or a revoked key, that is not known in time since one read got no answer, and
-// against VMs that call themselves unready for that.
+// Guards against a change or a revoked key that becomes known too late because one read got no answer, and
+// against VMs that report themselves unready for that reason.
 #[test]
-fn a_change_is_known_in_time_though_a_read_gets_no_answer() {
+fn a_change_is_known_in_time_despite_an_unanswered_read() {
     for bounds in grid() {
         let timing = Timings::try_from(&bounds).unwrap().operators;
         let lost = timing.timeout * 2 + RETRY;
@@ -68,9 +67,9 @@
     }
 }
 
-// Guards against paying for reads that a longer bound does not ask for.
+// Guards against paying for reads that a longer bound does not require.
 #[test]
-fn longer_bounds_are_read_for_less_often() {
+fn longer_bounds_need_fewer_reads() {
     let short = Timings::try_from(&bounds(2_000, 2_000, Some(5_000))).unwrap();
     let long = Timings::try_from(&bounds(4_000, 4_000, Some(5_000))).unwrap();
     assert_eq!(
@@ -81,7 +80,7 @@
     assert_eq!(longest.endpoints, long.endpoints);
 }
 
-// Guards against a system that starts with bounds which it then breaks.
+// Guards against a system that starts with bounds which it can't hold.
 #[test]
 fn bounds_that_cannot_be_held_are_refused() {
     let leaving = Timings::try_from(&bounds(500, 2_000, None));
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -1,4 +1,4 @@
-//! Following a topic while the log turns VMs of the zone away.
+//! Following a topic while the log refuses VMs of the zone.
 
 use std::time::Duration;
 
@@ -14,23 +14,23 @@
 use pimento_units::Moment;
 
 use crate::fixture::Fixture;
-use crate::fixture::PATIENCE;
+use crate::fixture::MAX_WAIT;
 use crate::fixture::QUICK;
 use crate::fixture::TIMING;
-use crate::log::Mood;
+use crate::log::Behaviour;
 
-/// A proof is trusted for so short a time that the VM has to read by itself.
-const DISTRUSTING: Timing = Timing {
+/// Proofs expire so soon that a VM that is led has to read the log itself.
+const SHORT_PROOFS: Timing = Timing {
     max_proof_age: Duration::from_millis(50),
     ..TIMING
 };
 
-/// VMs of the zone, so many that a turn comes once in a dozen seconds.
-const MANY: u64 = 60;
+/// Other VMs of the zone, so many that each gets a turn once in a dozen seconds.
+const OTHER_VMS: u64 = 60;
 
-/// Another VM of a large zone reads for the fixture's, and nobody is able to.
-fn make_blind(fixture: &Fixture) {
-    for node in 0..MANY {
+/// Makes the fixture's VM one that is led, in a large zone in which the log answers no VM.
+fn leave_without_able_reader(fixture: &Fixture) {
+    for node in 0..OTHER_VMS {
         let at = Moment::ZERO;
         fixture.zone.record_stamp(Stamp { node, at });
     }
@@ -41,22 +41,22 @@
     fixture.zone.lead.send_replace(Lead::Led);
 }
 
-// Guards against all VMs of a zone asking a log that is out: each asked at once when its trust was used
-// up, and again after short pauses.
+// Guards against all VMs of a zone calling an unreachable log: each did as soon as its last proof expired,
+// and again after short pauses.
 #[tokio::test]
-async fn a_vm_of_a_zone_that_is_turned_away_waits_for_its_turn() {
-    let fixture = Fixture::with(DISTRUSTING);
+async fn a_vm_waits_for_its_turn_while_the_log_refuses_its_zone() {
+    let fixture = Fixture::with_timing(SHORT_PROOFS);
     let next = fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
-    make_blind(&fixture);
-    fixture.log.set(Mood::Down);
+    leave_without_able_reader(&fixture);
+    fixture.log.set_behaviour(Behaviour::Refusing);
     let calls = fixture.log.calls();
     tokio::time::sleep(Duration::from_secs(2)).await;
-    // Sixty VMs that take turns: this one asks once in a dozen seconds.
-    let asked = fixture.log.calls() - calls;
-    assert!(asked <= 3, "{asked} calls");
-    // The one that goes on trying tells that the log is back, which ends the waiting.
-    fixture.log.set(Mood::Well);
+    // Sixty VMs take turns, so that this one calls once in a dozen seconds.
+    let calls = fixture.log.calls() - calls;
+    assert!(calls <= 3, "{calls} calls");
+    // The first VM whose read is answered sends a proof, which ends the wait.
+    fixture.log.set_behaviour(Behaviour::Healthy);
     let stamp = boot::now();
     fixture.follower.receive_proof(Proof {
         changed: next,
@@ -65,11 +65,11 @@
     assert_eq!(fixture.follower.proven_at(), Some(stamp));
 }
 
-// Guards against a zone whose VMs succeed each other at a log that is out as fast as it says no.
+// Guards against a zone whose VMs replace each other as the leader as fast as the log refuses them.
 #[tokio::test]
-async fn a_successor_hesitates_when_several_were_turned_away() {
+async fn a_new_leader_waits_before_reading_when_an_outage_is_suspected() {
     let fixture = Fixture::new();
-    fixture.led().await;
+    fixture.make_led().await;
     fixture.zone.set_log_state(LogState {
         no_able_reader: false,
         outage_suspected: true,
@@ -79,13 +79,13 @@
     tokio::time::sleep(Duration::from_millis(150)).await;
     assert_eq!(fixture.log.calls(), calls);
     fixture
-        .until("it reads all the same", |f| f.log.calls() > calls)
+        .until("a read after the wait", |f| f.log.calls() > calls)
         .await;
 }
 
-// Guards against a single lost answer moving the reading of the log from VM to VM.
+// Guards against a change of the leader because of a single lost answer.
 #[test]
-fn one_lost_answer_is_no_outage_and_a_refusal_is() {
+fn one_lost_answer_is_not_an_outage_but_a_refusal_is() {
     let now = boot::now();
     let zone = Zone::default();
     zone.read_failed(Failure::Unanswered, now);
@@ -96,19 +96,19 @@
     assert_eq!(zone.reachability(now), Reachability::Reachable);
     zone.read_failed(Failure::Refused, now);
     assert_eq!(zone.reachability(now), Reachability::Unreachable);
-    // It stays in doubt until a read is answered.
-    assert_eq!(zone.reachability(now + PATIENCE), Reachability::Untested);
+    // It stays untested until a read is answered.
+    assert_eq!(zone.reachability(now + MAX_WAIT), Reachability::Untested);
 }
 
-// Guards against leaving endpoints that get requests past the bound: a VM that waited for its turn at a
-// log that turned others away did not hear that its reader knew more.
+// Guards against requests to leaving endpoints after the bound: a VM that waited for its turn, because the
+// log refused others, did not react when its leader announced a change.
 #[tokio::test]
-async fn word_of_a_change_ends_the_waiting_for_a_turn() {
-    let fixture = Fixture::with(DISTRUSTING);
+async fn a_proof_ends_the_wait_for_a_turn() {
+    let fixture = Fixture::with_timing(SHORT_PROOFS);
     fixture
         .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
-    make_blind(&fixture);
+    leave_without_able_reader(&fixture);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let next = fixture.log.put("a", Some("1"));
     fixture.zone.set_log_state(LogState::default());
@@ -116,25 +116,25 @@
         changed: next,
         stamp: boot::now(),
     });
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     fixture.until("a", |f| f.keys() == ["a"]).await;
-    // Its turn would come in twenty seconds at the latest, in ten on average.
-    assert!(begun.elapsed() < Duration::from_secs(1));
+    // Its turn would come after twelve seconds on average, and after 24 at the latest.
+    assert!(started.elapsed() < Duration::from_secs(1));
 }
 
-// Guards against a log that is out being asked over and over by each VM whose trust has just run out.
+// Guards against each VM whose last proof has just expired calling an unreachable log over and over.
 #[tokio::test]
-async fn a_vm_that_another_one_reads_for_takes_a_refusal_as_meant() {
-    let fixture = Fixture::with(DISTRUSTING);
+async fn a_led_vm_backs_off_after_a_refusal() {
+    let fixture = Fixture::with_timing(SHORT_PROOFS);
     fixture
         .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
-    fixture.log.set(Mood::Down);
+    fixture.log.set_behaviour(Behaviour::Refusing);
     tokio::time::sleep(QUICK.wait * 2).await;
     fixture.zone.lead.send_replace(Lead::Led);
     tokio::time::sleep(QUICK.wait * 2).await;
     let calls = fixture.log.calls();
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let asked = fixture.log.calls() - calls;
-    assert!(asked <= 1, "{asked} calls");
+    let calls = fixture.log.calls() - calls;
+    assert!(calls <= 1, "{calls} calls");
 }
