--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -109,11 +109,11 @@
                 "directory: Endpoint registered."
             );
         }
-        self.put(entry);
+        self.insert(entry);
         true
     }
 
-    fn put(&mut self, entry: Entry) {
+    fn insert(&mut self, entry: Entry) {
         let member = Member {
             entry,
             grace_end: None,
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -267,9 +267,9 @@
             before = role;
             // A view that lacks a change is read until it has the change. Otherwise a VM whose read was
             // refused would wait for the next proof, or until its last proof is too old.
-            let whole = role == Lead::Led
+            let current = role == Lead::Led
                 && (!self.lacks_changes().await || self.fetch_from_leader().await);
-            if whole && self.has_recent_proof() {
+            if current && self.has_recent_proof() {
                 let left = self
                     .age()
                     .map(|age| self.timing.max_proof_age.saturating_sub(age));
@@ -295,10 +295,10 @@
                 Lead::Led => AT_ONCE,
             };
             match self.read(polling.wait, self.reason(role)).await {
-                Ok(whole) => {
+                Ok(complete) => {
                     backoff = INITIAL_BACKOFF;
                     self.zone.read_answered();
-                    if whole {
+                    if complete {
                         tokio::time::sleep(polling.pause).await;
                     }
                 }
@@ -413,12 +413,12 @@
         } else {
             inner.extend(batch, now)
         };
-        let whole = inner.next >= Some(batch.end);
-        if whole && inner.drop_false_announcement(sent) {
+        let complete = inner.next >= Some(batch.end);
+        if complete && inner.drop_false_announcement(sent) {
             let topic = self.topic.as_str();
             log::warn!(topic; "follower: Another VM announced records that the log does not hold.");
         }
-        if whole && inner.proven_at < Some(sent) {
+        if complete && inner.proven_at < Some(sent) {
             inner.proven_at = Some(sent);
             inner.stamps = stamps;
             self.zone.proved.notify_one();
@@ -427,7 +427,7 @@
         if changed {
             self.changed.send_modify(|count| *count += 1);
         }
-        whole
+        complete
     }
 
     /// Records that a read was answered, by this VM or by one that proved this VM's view.
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -134,13 +134,13 @@
         let timeout = self.answer_timeout();
         let answer = self.wait(&exchange, answer, wait + timeout, timeout);
         let answer = self.count(&exchange, answer.await);
-        let whole = match &answer {
+        let complete = match &answer {
             Ok(Ok(batch)) => self.apply(batch, exchange.sent, stamps),
             _ => false,
         };
         self.read_ended.notify_waiters();
         match answer? {
-            Ok(_) => Ok(whole),
+            Ok(_) => Ok(complete),
             Err(Error::Gone { oldest }) => {
                 log::info!(
                     topic = self.topic.as_str(),
