--- a/crates/relay/src/zone.rs
+++ b/crates/relay/src/zone.rs
@@ -15,8 +15,8 @@
 use crate::config::Config;
 use crate::follow::Lead;
 
-/// The last stamp received from another VM: a moment of that VM's own boot-time clock, which can't be compared with
-/// the clocks of other VMs.
+/// The last stamp received from another VM: a moment of that VM's own boot-time clock, which can't be
+/// compared with the clocks of other VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stamp {
     /// Hash of the VM's name.
