--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -58,14 +58,14 @@
         health.retain(endpoints.iter().cloned());
         let limiter = limit::Limiter::new(limit::Config::default());
         let candidate = |(place, endpoint): (usize, &id::Endpoint)| Candidate {
-            key: choice::key(endpoint.as_str()),
+            key: choice::hash(endpoint.as_str()),
             usable: true,
             distance: Duration::from_millis(if place % 3 == 0 { 0 } else { 10 }),
             own: 0,
             limit: 8,
             others: u32::try_from(place % 7).expect("a small number"),
-            age: Duration::from_millis(300),
-            run: Duration::from_millis(500),
+            report_age: Duration::from_millis(300),
+            run_time: Duration::from_millis(500),
         };
         let mut node = Self {
             gate: admission::Gate::new(admission::Config::default()),
@@ -102,10 +102,10 @@
         let customer = &self.customers[place];
         let priority = u8::try_from(place % 3).expect("a small number");
         let demand = admission::Demand {
-            ahead: self.queue.ahead(customer, 1, priority, Tokens(100)),
+            ahead: self.queue.work_ahead(customer, 1, priority, Tokens(100)),
             slots: u32::try_from(self.limiters.len() * 8).expect("a small number"),
             free: 0,
-            run: self.gate.run(Tokens(100)),
+            run_time: self.gate.run_time(Tokens(100)),
             deadline: self.now() + Duration::from_secs(10),
         };
         self.gate.decide(demand, self.now(), self.turn)
@@ -113,22 +113,22 @@
 
     /// One candidate as it stands now: all that changes with a call is at its own endpoint.
     fn update(&mut self, place: usize) {
-        self.candidates[place].own = self.limiters[place].flying();
+        self.candidates[place].own = self.limiters[place].in_flight();
         self.candidates[place].limit = self.limiters[place].limit();
     }
 
     /// All candidates as they stand now, in the place of the former ones.
     fn refresh(&mut self) {
         for (candidate, limiter) in self.candidates.iter_mut().zip(&self.limiters) {
-            candidate.own = limiter.flying();
+            candidate.own = limiter.in_flight();
             candidate.limit = limiter.limit();
         }
-        if self.health.out() == 0 {
+        if self.health.ejected() == 0 {
             return;
         }
         let states = self.health.states(self.now());
         for (candidate, state) in self.candidates.iter_mut().zip(states) {
-            candidate.usable = state == eject::State::In;
+            candidate.usable = state == eject::State::Active;
         }
     }
 
@@ -153,15 +153,17 @@
         let chosen = self.choose(Some(self.turn % 64)).expect("slots are free");
         assert!(self.limiters[chosen].acquire());
         self.update(chosen);
-        self.health.sent(&self.endpoints[chosen], now);
+        self.health.record_sent(&self.endpoints[chosen], now);
         let took = Duration::from_millis(500);
         let tokens = Tokens(100);
         self.limiters[chosen].release(limit::Outcome::Served { tokens, took });
         self.update(chosen);
-        let served = eject::Outcome::Served { pace: 0.005 };
+        let served = eject::Outcome::Served {
+            seconds_per_token: 0.005,
+        };
         self.health.record(&self.endpoints[chosen], served, now);
-        self.gate.served(tokens, took, now);
-        self.queue.done(&dispatch);
+        self.gate.record(tokens, took, now);
+        self.queue.release(&dispatch);
     }
 }
 
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -7,18 +7,18 @@
 use pimento_policy::choice;
 use pimento_policy::confidence;
 use pimento_policy::confidence::Answer;
-use pimento_policy::confidence::Larger;
-use pimento_policy::worth;
+use pimento_policy::confidence::LargerModel;
+use pimento_policy::value;
 use pimento_units::id;
 
+use crate::admitted::AdmittedRequest;
 use crate::attempts::Attempts;
-use crate::attempts::Variant;
-use crate::border::Border;
-use crate::border::Wish;
+use crate::attempts::Overrides;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
+use crate::headers::RequestedModel;
 use crate::node::millis;
 use crate::topic::Log;
-use crate::work::Work;
 
 /// Urgency of a first answer, which is short work for an engine and which all that follows waits for.
 const FIRST: u8 = 1;
@@ -31,24 +31,29 @@
 #[derive(Debug, Default)]
 pub struct Book {
     config: confidence::Config,
-    seen: Mutex<confidence::Book>,
-    usual: Mutex<worth::Usual>,
+    seen: Mutex<confidence::PassRates>,
+    usual: Mutex<value::Baseline>,
 }
 
 impl Book {
     /// What is at stake with a request's answer. It counts as one more request with its first answer.
-    fn stake(&self, request: &Work, full: Duration, first: bool) -> worth::Stake {
+    fn stake(
+        &self,
+        request: &AdmittedRequest,
+        full: Duration,
+        first: bool,
+    ) -> value::RelativeValue {
         let (prompt, most) = request.usage().unwrap_or_default();
-        let asked = worth::Request {
+        let asked = value::Request {
             prompt,
-            answer: request.ask.length.unwrap_or(most).min(most),
+            answer: request.info.expected_tokens.unwrap_or(most).min(most),
             priority: request.grant.route.priority,
         };
         let mut usual = self.usual.lock().unwrap_or_else(PoisonError::into_inner);
         if first {
-            usual.count(&asked, full);
+            usual.record(&asked, full);
         }
-        usual.stake(&asked)
+        usual.compare(&asked)
     }
 }
 
@@ -60,21 +65,21 @@
 }
 
 /// The model to begin with: the smallest, or the one that the caller named.
-pub fn first(request: &Work) -> Option<id::Version> {
-    match &request.ask.model {
-        Some(Wish::Named(model)) => Some(model.clone()),
+pub fn first(request: &AdmittedRequest) -> Option<id::Version> {
+    match &request.info.model {
+        Some(RequestedModel::Named(model)) => Some(model.clone()),
         _ => request.grant.route.models.first().cloned(),
     }
 }
 
 /// Urgency of an attempt at its engine.
-pub fn urgency(request: &Work, variant: &Variant) -> u8 {
-    let first = variant.model.as_ref() == request.grant.route.models.first();
+pub fn urgency(request: &AdmittedRequest, overrides: &Overrides) -> u8 {
+    let first = overrides.model.as_ref() == request.grant.route.models.first();
     if first { FIRST } else { LARGER }
 }
 
 /// What a model's use costs, as a share of what the service's most expensive one costs.
-fn cost(request: &Work, model: &id::Version) -> f64 {
+fn cost(request: &AdmittedRequest, model: &id::Version) -> f64 {
     let engine = request.grant.table.service(&request.pool);
     let Some(engine) = engine.and_then(|service| service.engine.as_ref()) else {
         return 1.0;
@@ -86,7 +91,7 @@
 }
 
 fn key(model: &id::Version) -> u64 {
-    choice::key(model.as_str())
+    choice::hash(model.as_str())
 }
 
 fn waits(times: impl Iterator<Item = Duration>) -> Vec<u64> {
@@ -95,64 +100,64 @@
 
 /// The larger model to drop an answer for; none if the answer is passed on. `dropped` is the answer
 /// that was dropped before.
-pub fn larger<P: Border + Codec, L: Log>(
+pub fn larger<P: HeaderCodec + Codec, L: Log>(
     attempts: &Attempts<'_, P, L>,
-    variant: &Variant,
+    overrides: &Overrides,
     confidence: Option<u8>,
     dropped: &mut Option<Dropped>,
 ) -> Option<id::Version> {
     let request = attempts.work();
     let models = &request.grant.route.models;
     let confidence = confidence?;
-    let model = variant.model.as_ref()?;
+    let model = overrides.model.as_ref()?;
     let place = models.iter().position(|known| known == model)?;
     let book = &attempts.node().models;
     let mut seen = book.seen.lock().unwrap_or_else(PoisonError::into_inner);
     if let Some(before) = dropped.take() {
-        seen.learn((before.model, before.confidence), (key(model), confidence));
+        seen.record((before.model, before.confidence), (key(model), confidence));
     }
-    let asked = matches!(request.ask.model, Some(Wish::Named(_)));
+    let asked = matches!(request.info.model, Some(RequestedModel::Named(_)));
     if asked || !attempts.again() || !attempts.affords() {
         return None;
     }
-    let mut candidates: Vec<Larger> = Vec::new();
+    let mut candidates: Vec<LargerModel> = Vec::new();
     let (mut full, mut next_wait) = (Duration::ZERO, Duration::ZERO);
     for (rank, larger) in models.iter().enumerate().skip(place + 1) {
-        let next = Variant {
+        let next = Overrides {
             model: Some(larger.clone()),
-            resume: variant.resume,
+            resume: overrides.resume,
         };
         let estimate = attempts.estimate(&next)?;
-        (full, next_wait) = (estimate.full, estimate.next);
-        candidates.push(Larger {
+        (full, next_wait) = (estimate.full_prefill, estimate.next_wait);
+        candidates.push(LargerModel {
             model: key(larger),
             rank: confidence::rank(rank, models.len()),
             cost: cost(request, larger),
             wait: estimate.wait,
-            work: estimate.work,
+            prefill: estimate.prefill,
         });
     }
     let answer = Answer {
         model: key(model),
         confidence,
-        began: request.began,
-        target: request.grant.route.target,
-        next: next_wait,
-        stake: book.stake(request, full, place == 0),
+        received: request.began,
+        target: request.grant.route.latency_target,
+        next_wait,
+        relative: book.stake(request, full, place == 0),
     };
     let now = attempts.node().now();
     let chosen = book.config.choose(&answer, &candidates, &seen, now);
     let named = |place: usize| models.get(place).map(id::Version::as_str);
     log::info!(
-        request = request.ask.id.as_str(),
+        request = request.info.id.as_str(),
         model = model.as_str(),
         confidence,
         since_ms = millis(now.since(request.began)),
         waits_ms:? = waits(candidates.iter().map(|larger| larger.wait)),
-        reads_ms:? = waits(candidates.iter().map(|larger| larger.work)),
-        next_ms = millis(answer.next),
-        worth = answer.stake.worth,
-        price = answer.stake.price,
+        reads_ms:? = waits(candidates.iter().map(|larger| larger.prefill)),
+        next_ms = millis(answer.next_wait),
+        worth = answer.relative.value,
+        price = answer.relative.price,
         larger = chosen.and_then(|chosen| named(place + 1 + chosen));
         "cascade: Weighed larger models."
     );
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -11,10 +11,10 @@
 use pimento_units::id;
 
 use crate::codec::Codec;
-use crate::endpoint::Entry;
 use crate::follow::Connectivity;
 use crate::follow::Fold;
 use crate::follow::RecordContext;
+use crate::registration::Registration;
 use crate::topic::Record;
 
 /// Time after the log's recovery within which an expired entry may be renewed: endpoints renew their entries
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// The entry.
-    pub entry: Entry,
+    pub entry: Registration,
     /// If the entry expired during an outage of the log, the end of the time for its renewal.
     pub grace_end: Option<Moment>,
 }
@@ -92,7 +92,7 @@
     }
 
     /// Stores an entry. Returns false if it only shows that the endpoint is still alive.
-    fn renew(&mut self, entry: Entry, offset: Offset) -> bool {
+    fn renew(&mut self, entry: Registration, offset: Offset) -> bool {
         let known = self.member(&entry.id);
         let same = known.is_some_and(|member| member.grace_end.is_none() && member.entry == entry);
         if same {
@@ -113,7 +113,7 @@
         true
     }
 
-    fn insert(&mut self, entry: Entry) {
+    fn insert(&mut self, entry: Registration) {
         let member = Member {
             entry,
             grace_end: None,
@@ -167,7 +167,7 @@
             self.remove(&id, context);
             return true;
         };
-        match self.codec.endpoint(&record.key, value) {
+        match self.codec.decode_registration(&record.key, value) {
             Ok(entry) => self.renew(entry, record.offset),
             Err(error) => {
                 // Without a valid entry the endpoint can't be used. If it is alive it writes again soon.
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -23,10 +23,10 @@
 use prometheus::IntCounterVec;
 use prometheus::Registry;
 
-use crate::border::Border;
 use crate::codec::Codec;
 use crate::follow::Fold;
 use crate::follow::Follower;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::refusal::Refusal;
 use crate::topic::Log;
@@ -269,7 +269,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Page<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Page<P, L> {
     /// Sets the figures that are read when asked for.
     fn gauges(&self) {
         let node = &self.0;
@@ -282,10 +282,10 @@
             let gauge = metrics.calls.with_label_values(&labels);
             gauge.set(figure(count.calls));
         }
-        for (pool, left) in node.repeats.left(node.now()) {
+        for (pool, left) in node.retry_budgets.left(node.now()) {
             metrics.pool(&pool, "repeats_left", left);
         }
-        for (pool, sum) in node.rollouts(|rollouts| rollouts.sums()) {
+        for (pool, sum) in node.rollouts(|rollouts| rollouts.target_counts()) {
             let served = sum.attempts.saturating_sub(sum.failed);
             let outcomes = [("served", served), ("failed", sum.failed)];
             for (outcome, count) in outcomes {
@@ -294,7 +294,7 @@
                 gauge.set(f64::from(count));
             }
         }
-        metrics.follower("poison", &node.bars);
+        metrics.follower("poison", &node.blocklist);
         let (suspect, barred) = node.poison.counts();
         for (state, count) in [("suspect", suspect), ("barred", barred)] {
             let count = u64::try_from(count).unwrap_or(u64::MAX);
@@ -310,7 +310,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Page<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for Page<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         if request.uri().path() != PATH {
             let mut response = Response::new(Reply::whole("not found\n"));
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -1,22 +1,24 @@
-//! What the entry VMs tell each other by datagrams: how long engines take for their prompts, which
-//! prompts engines have read, and what one VM of a zone, which reads the log for the others, found.
+//! Datagrams between the entry VMs: how long engines take for their prompts, which prompts they have
+//! prefilled, and what the VM that reads the log for its zone found there. Endpoints' limits,
+//! announcements about roll-outs and reports of requests that crash endpoints go along.
 //!
-//! All but the last is a hint. A datagram that is lost makes a prompt wait a little longer or be read
-//! once more, or a VM read the log by itself. What was found are records and what proves them; it is
-//! taken from whoever reaches the internal ports, which the platform keeps to the system's own VMs.
-//! VMs find each other by the topic that they share, read once at the start; who starts later is met
-//! by its first datagram. Records too large for datagrams are asked for over a connection.
+//! What is said of engines is a hint: if it is lost, a prompt waits a little longer or is prefilled once
+//! more. What the zone's reader found are records and proofs; if they are lost, a VM reads the log by
+//! itself. They are accepted from any sender that reaches the internal ports, which the platform
+//! restricts to the system's own VMs. VMs discover each other by a topic that they share, read once at
+//! the start; a VM that starts later is discovered by its first datagram. Records too large for datagrams
+//! are fetched over a connection.
 //!
-//! Within a zone each VM tells all others. To another zone it tells one VM, which passes it on there,
-//! so that bytes between zones grow with the number of zones and not with that of VMs.
+//! Within a zone each VM sends to all others. In each other zone it sends to one VM, which forwards
+//! within that zone, so that traffic between zones grows with the number of zones and not of VMs.
 
+pub mod broadcast;
+mod discovery;
 mod limit;
-mod meet;
 mod message;
-mod news;
 pub mod peers;
 mod records;
-pub mod tell;
+mod update;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,57 +28,59 @@
 use std::time::Duration;
 
 use pimento_policy::choice;
-use pimento_scheduler::limited;
+use pimento_scheduler::endpoint_limit;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
 use self::message::Message;
+use self::message::Prefill;
 use self::message::Proofs;
-use self::message::Read;
-use self::news::News;
 use self::peers::Peer;
 use self::peers::Peers;
+use self::peers::ReaderStatus;
 use self::peers::Role;
-use self::peers::Standing;
+use self::update::Update;
 use crate::boot;
-use crate::border::Border;
 use crate::bundle::Bundle;
 use crate::bundle::SharedTopic;
 use crate::codec::Codec;
 use crate::follow::Lead;
 use crate::follow::RecordRange;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
-use crate::rollouts::announcement::Kept;
-use crate::rollouts::announcement::Said;
+use crate::rollouts::announcement::NodeAnnouncement;
+use crate::rollouts::announcement::PinnedSession;
 use crate::topic::Log;
 use crate::zone::Reachability;
 use crate::zone::Stamp;
 use crate::zone::Zone;
 
-/// A VM whose view of the log is older than this reads for nobody else: reads of others prove it
-/// every 2.2 s at least.
-const BLIND: Duration = Duration::from_millis(2_600);
+/// A VM whose view of the log is older than this does not read for others. The reads of other VMs prove a
+/// view at least every 2.2 s.
+const MAX_VIEW_AGE: Duration = Duration::from_millis(2_600);
 
-/// Pause after a failure, so that one that stays doesn't take the whole processor.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failure, so that one that persists doesn't use up the processor.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The largest datagram that is taken: one with the largest record that is handed on, and some.
-const LARGEST: usize = 10 << 10;
+/// The largest datagram that is received, in bytes: one with the largest record that is forwarded by
+/// datagrams, and some.
+const MAX_DATAGRAM: usize = 10 << 10;
 
 #[derive(Debug, Default)]
 struct Inner {
     peers: Peers,
-    /// What other zones are to be told.
-    far: Vec<Read>,
-    /// What other zones told and the own one is to be told.
-    passed: Vec<Read>,
-    /// The same of sessions that keep a version.
-    far_kept: Vec<Kept>,
-    passed_kept: Vec<Kept>,
-    /// Up to which offsets the zone was told of the records of each topic; none while this VM does not
-    /// read for it.
-    told: Option<tell::Ends>,
+    /// Prefixes to send to other zones.
+    remote_prefills: Vec<Prefill>,
+    /// Prefixes received from other zones, to forward within this one.
+    forwarded_prefills: Vec<Prefill>,
+    /// Pinned sessions to send to other zones.
+    remote_sessions: Vec<PinnedSession>,
+    /// Pinned sessions received from other zones, to forward within this one.
+    forwarded_sessions: Vec<PinnedSession>,
+    /// The offsets up to which records were forwarded to the zone; none while this VM does not read
+    /// the log for it.
+    forwarded: Option<broadcast::ForwardedOffsets>,
 }
 
 struct Neighbours<P, L> {
@@ -85,8 +89,8 @@
     zone: Zone,
     socket: Arc<UdpSocket>,
     inner: Arc<Mutex<Inner>>,
-    /// Told of each word of a VM of the zone.
-    heard: Arc<Notify>,
+    /// Notified of each datagram from a VM of the zone.
+    zone_datagram: Arc<Notify>,
 }
 
 impl<P: Clone, L: Clone> Clone for Neighbours<P, L> {
@@ -97,13 +101,13 @@
             zone: self.zone.clone(),
             socket: Arc::clone(&self.socket),
             inner: Arc::clone(&self.inner),
-            heard: Arc::clone(&self.heard),
+            zone_datagram: Arc::clone(&self.zone_datagram),
         }
     }
 }
 
-/// Starts to tell other VMs and to listen to them.
-pub fn start<P: Border + Codec, L: Log>(
+/// Starts to exchange datagrams with the other VMs.
+pub fn start<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: L,
     zone: Zone,
@@ -113,12 +117,12 @@
     tokio::spawn(async move { token.run_until_cancelled(run(node, log, zone)).await });
 }
 
-async fn run<P: Border + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
     let address = node.config.peer_listen;
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Arc::new(socket),
         Err(error) => {
-            log::error!("neighbours: No datagrams at {address}: {error}.");
+            log::error!("neighbours: Can't listen at {address} for datagrams: {error}.");
             return;
         }
     };
@@ -129,118 +133,126 @@
         zone,
         socket,
         inner: Arc::default(),
-        heard: Arc::default(),
+        zone_datagram: Arc::default(),
     };
-    let meet = neighbours.clone();
-    let listen = neighbours.clone();
-    let far = neighbours.clone();
+    let discovery = neighbours.clone();
+    let listener = neighbours.clone();
+    let remote = neighbours.clone();
     tokio::join!(
-        meet.meet(),
-        listen.listen(),
-        neighbours.tell_near(),
-        far.tell_far(),
+        discovery.discover(),
+        listener.listen(),
+        neighbours.broadcast_to_zone(),
+        remote.broadcast_to_remote_zones(),
         records
     );
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether another VM reads the log for this one, and has read it.
-    fn is_led_by_able(&self) -> bool {
+    /// Whether another VM, which has read the log, reads it for this one.
+    fn has_eligible_reader(&self) -> bool {
         let role = self.role();
         !role.state.no_able_reader && role.lead == Lead::Led
     }
 
-    /// Who reads the log for whom, by what is known now.
+    /// This VM's part in reading the log for the zone, by what is known now.
     fn role(&self) -> Role {
         let config = &self.node.config;
-        let standing = self.standing();
+        let status = self.reader_status();
         let peers = &self.lock().peers;
-        peers.role(&config.node, &config.zone, standing, boot::now())
+        peers.role(&config.node, &config.zone, status, boot::now())
     }
 
     async fn listen(&self) {
-        let mut buffer = vec![0; LARGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             let received = self.socket.recv_from(&mut buffer).await;
             let (length, from) = match received {
                 Ok(received) => received,
                 Err(error) => {
-                    log::debug!("neighbours: Nothing received: {error}.");
-                    tokio::time::sleep(PAUSE).await;
+                    log::debug!("neighbours: A datagram can't be received: {error}.");
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
             };
             match postcard::from_bytes::<Message>(&buffer[..length]) {
-                Ok(message) => self.answer(message, from).await,
-                Err(error) => log::warn!("neighbours: Datagram from {from} left out: {error}."),
+                Ok(message) => self.handle(message, from).await,
+                Err(error) => {
+                    log::warn!(
+                        "neighbours: Ignoring a datagram from {from}, which can't be decoded: {error}."
+                    );
+                }
             }
         }
     }
 
-    /// Takes a datagram, and answers that of a VM which starts if this one reads the log: the other one
-    /// waits to know whom it can ask.
-    async fn answer(&self, message: Message, from: SocketAddr) {
-        let near = message.zone == self.node.config.zone;
-        let starts = near && message.standing == Standing::Starting;
-        let teller = starts.then(|| choice::key(message.node.as_str()));
-        self.take(message, from);
+    /// Merges a datagram. If it comes from a VM that starts, and this one reads the log, it is answered
+    /// at once: the other VM waits to learn from whom it can get the records.
+    async fn handle(&self, message: Message, from: SocketAddr) {
+        let local = message.zone == self.node.config.zone;
+        let starts = local && message.reader_status == ReaderStatus::Starting;
+        let sender = starts.then(|| choice::hash(message.node.as_str()));
+        self.merge(message, from);
         let reads = *self.zone.lead.borrow() != Lead::Led;
-        if let Some(teller) = teller
+        if let Some(sender) = sender
             && reads
-            && self.standing() == Standing::Able
+            && self.reader_status() == ReaderStatus::Eligible
         {
-            self.send(from, Some(teller), &News::default()).await;
+            self.send(from, Some(sender), &Update::default()).await;
         }
     }
 
-    fn take(&self, message: Message, from: SocketAddr) {
+    fn merge(&self, message: Message, from: SocketAddr) {
         let config = &self.node.config;
         if message.node == config.node {
             return;
         }
-        let near = message.zone == config.zone;
+        let local = message.zone == config.zone;
         let now = boot::now();
-        let peer = Peer::told_of(message.node.clone(), message.zone, from, now);
-        let peer = peer.speaks(message.standing, now);
-        let teller = peer.key;
-        let other = {
+        let peer = Peer::discovered(message.node.clone(), message.zone, from, now);
+        let peer = peer.with_datagram(message.reader_status, now);
+        let sender = peer.key;
+        let changed = {
             let mut inner = self.lock();
-            let other = inner.peers.met(peer, now);
-            if !near {
-                inner.passed.extend(message.reads.iter().cloned());
-                inner.passed_kept.extend(&message.kept);
+            let changed = inner.peers.update(peer, now);
+            if !local {
+                let prefills = message.prefills.iter().cloned();
+                inner.forwarded_prefills.extend(prefills);
+                inner.forwarded_sessions.extend(&message.pinned_sessions);
             }
-            other
+            changed
         };
-        if other && near {
-            self.settle();
+        if changed && local {
+            self.update_role();
         }
-        if near {
-            self.heard.notify_one();
+        if local {
+            self.zone_datagram.notify_one();
         }
-        for word in &message.poison {
-            let writes = self.node.reads();
-            self.node.poison.hear(*word, !near, writes, now);
+        for report in &message.poison {
+            let writes = self.node.reads_log();
+            self.node.poison.receive(*report, !local, writes, now);
         }
-        for kept in &message.kept {
-            self.node.rollouts(|r| r.keep(*kept));
+        for pinned in &message.pinned_sessions {
+            self.node.rollouts(|r| r.pin_session(*pinned));
         }
-        if near {
+        if local {
             self.zone.record_stamp(Stamp {
-                node: teller,
+                node: sender,
                 at: message.stamp,
             });
             for bundle in &message.passages {
-                self.hand(bundle);
+                self.apply_passage(bundle);
             }
-            self.vouch(message.proofs);
-            for what in message.rollouts {
-                let node = message.node.clone();
-                self.node.rollouts(|r| r.hear(&Said { node, what }, now));
+            self.apply_proofs(message.proofs);
+            for announcement in message.rollouts {
+                let received = NodeAnnouncement {
+                    node: message.node.clone(),
+                    announcement,
+                };
+                self.node.rollouts(|r| r.receive(&received, now));
             }
         }
         let waits: Vec<(u64, Duration)> = message
@@ -248,22 +260,23 @@
             .iter()
             .map(|(engine, millis)| (*engine, Duration::from_millis(u64::from(*millis))))
             .collect();
-        let limits: Vec<limited::Word> = message.limits.iter().filter_map(limit::read).collect();
+        let limits: Vec<endpoint_limit::Report> =
+            message.limits.iter().filter_map(limit::decode).collect();
         for (_, pool) in self.node.scheduler.pools() {
-            if near {
-                pool.hear(teller, &waits);
-                for word in &limits {
-                    pool.hear_limit(*word);
+            if local {
+                pool.merge_waits(sender, &waits);
+                for limit in &limits {
+                    pool.merge_limit(*limit);
                 }
             }
-            for read in &message.reads {
-                pool.learn(read.engine, &read.prompt());
+            for prefill in &message.prefills {
+                pool.merge_prefilled(prefill.engine, &prefill.prompt());
             }
         }
     }
 
-    /// Takes records that another VM read.
-    fn hand(&self, bundle: &Bundle) {
+    /// Applies records that another VM read from the log.
+    fn apply_passage(&self, bundle: &Bundle) {
         let Bundle {
             topic, from, to, ..
         } = *bundle;
@@ -272,71 +285,80 @@
         match topic {
             SharedTopic::Operators => self.node.operators.receive(range),
             SharedTopic::Endpoints => self.node.directory.receive(range),
-            SharedTopic::Poison => self.node.bars.receive(range),
+            SharedTopic::Poison => self.node.blocklist.receive(range),
         }
     }
 
     /// Whether this VM reads the log for its zone.
-    fn leads(&self) -> bool {
+    fn is_zone_reader(&self) -> bool {
         *self.zone.lead.borrow() == Lead::Leading
     }
 
-    /// What another VM read proves to this one.
-    fn vouch(&self, proofs: Proofs) {
+    /// Applies what the reads of another VM prove to this one.
+    fn apply_proofs(&self, proofs: Proofs) {
         if let Some(proof) = proofs.operators {
-            self.node.operators.receive_proof(message::read(proof));
+            self.node
+                .operators
+                .receive_proof(message::decode_proof(proof));
         }
         if let Some(proof) = proofs.endpoints {
-            self.node.directory.receive_proof(message::read(proof));
+            self.node
+                .directory
+                .receive_proof(message::decode_proof(proof));
         }
         if let Some(proof) = proofs.poison {
-            self.node.bars.receive_proof(message::read(proof));
+            self.node
+                .blocklist
+                .receive_proof(message::decode_proof(proof));
         }
     }
 
-    /// The VMs of the zone.
-    fn peers(&self) -> Vec<Peer> {
+    /// The other VMs of the zone. Forgets VMs that are gone, and passes on who is left to what is shared
+    /// among VMs.
+    fn refresh_peers(&self) -> Vec<Peer> {
         let mut inner = self.lock();
-        inner.peers.sweep(boot::now());
+        inner.peers.remove_expired(boot::now());
         let config = &self.node.config;
-        let peers = inner.peers.of(&config.zone);
-        self.node.repeats.share_among(inner.peers.count() + 1);
-        let sharers = inner.peers.sharers(&config.node, &config.zone, boot::now());
+        let peers = inner.peers.in_zone(&config.zone);
+        self.node.retry_budgets.set_vms(inner.peers.count() + 1);
+        let owners = inner
+            .peers
+            .limit_owners(&config.node, &config.zone, boot::now());
         drop(inner);
-        self.node.scheduler.share(&sharers);
+        self.node.scheduler.set_participants(&owners);
         self.zone
             .retain_stamps(|node| peers.iter().any(|peer| peer.key == node));
         peers
     }
 
-    /// Settles who reads the log for whom.
-    fn settle(&self) {
+    /// Updates who reads the log for whom.
+    fn update_role(&self) {
         let role = self.role();
         self.zone.set_leader_address(role.reader);
         self.zone.set_log_state(role.state);
         let lead = role.lead;
-        let settle = |known: &mut Lead| {
+        let update = |known: &mut Lead| {
             let changed = *known != lead;
             *known = lead;
             changed
         };
-        if self.zone.lead.send_if_modified(settle) {
-            log::info!("neighbours: Reading the log: {lead:?}.");
+        if self.zone.lead.send_if_modified(update) {
+            log::info!("neighbours: Role in reading the log: {lead:?}.");
         }
     }
 
-    /// What this VM says of its reads of the log.
-    fn standing(&self) -> Standing {
+    /// Whether this VM can read the log for others.
+    fn reader_status(&self) -> ReaderStatus {
         if self.node.leaving.is_cancelled() {
-            return Standing::Leaving;
+            return ReaderStatus::Leaving;
         }
         let ages = [self.node.operators.age(), self.node.directory.age()];
-        let young = |age: &Option<Duration>| age.is_some_and(|age| age < BLIND);
+        let young = |age: &Option<Duration>| age.is_some_and(|age| age < MAX_VIEW_AGE);
         match self.zone.reachability(boot::now()) {
-            Reachability::Unreachable => Standing::Unable,
-            Reachability::Reachable if ages.iter().any(Option::is_none) => Standing::Starting,
-            Reachability::Reachable if ages.iter().all(young) => Standing::Able,
-            Reachability::Reachable | Reachability::Untested => Standing::Untested,
+            Reachability::Unreachable => ReaderStatus::Unanswered,
+            Reachability::Reachable if ages.iter().any(Option::is_none) => ReaderStatus::Starting,
+            Reachability::Reachable if ages.iter().all(young) => ReaderStatus::Eligible,
+            Reachability::Reachable | Reachability::Untested => ReaderStatus::Untested,
         }
     }
 }
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -10,9 +10,9 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::boot;
-use crate::border::Border;
 use crate::codec::Codec;
 use crate::directory;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::topic::Log;
 
@@ -21,12 +21,12 @@
 const FAR: Duration = Duration::from_millis(10);
 
 /// Starts to follow the endpoints and the services.
-pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, token: CancellationToken) {
+pub fn start<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, token: CancellationToken) {
     let node = node.clone();
     tokio::spawn(async move { token.run_until_cancelled(follow(node)).await });
 }
 
-async fn follow<P: Border + Codec, L: Log>(node: Node<P, L>) {
+async fn follow<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>) {
     let mut endpoints = node.directory.changes();
     let mut operators = node.operators.changes();
     loop {
@@ -45,13 +45,13 @@
 }
 
 /// Brings the scheduler's pools up to the list of endpoints and to the services.
-pub(crate) fn refresh<P: Border + Codec, L: Log>(node: &Node<P, L>) {
+pub(crate) fn refresh<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let zone = &node.config.zone;
     let table = node.table();
     let memory = |pool: &id::Pool| {
         let service = table.as_ref()?.service(pool)?;
-        service.engine.as_ref().map(|engine| engine.memory)
+        service.engine.as_ref().map(|engine| engine.kv_capacity)
     };
     let mut members: Vec<(id::Pool, Member)> = node.directory.view(|view| {
         let seats = view.members().iter();
@@ -72,7 +72,7 @@
         let of_pool = members.iter().filter(|(name, _)| *name == pool);
         let list: Vec<Member> = of_pool.map(|(_, member)| member.clone()).collect();
         let versions = versions(&list);
-        node.rollouts(|rollouts| rollouts.see(&pool, versions));
+        node.rollouts(|rollouts| rollouts.update_versions(&pool, versions));
         node.scheduler.pool(&pool).update(list);
     }
 }
@@ -112,6 +112,6 @@
         versions: Some(vec![entry.version.clone()]),
         report: Some((report, Moment::ZERO)),
         memory,
-        life: entry.born,
+        incarnation: entry.started_unix_ms,
     }
 }
--- a/crates/relay/src/repeats.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -3,12 +3,12 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-use pimento_policy::retry::Bound;
 use pimento_policy::retry::Window;
+use pimento_policy::retry::WindowConfig;
 use pimento_units::Moment;
 use pimento_units::id;
 
-use crate::config::Retry;
+use crate::config::RetryBudget;
 
 /// Part of the share and of the extra that is used. A request counts here when it comes and at its
 /// endpoint when it arrives there, which may be in the next window; a repeat that was sent may arrive
@@ -21,8 +21,8 @@
 
 /// The budgets of all pools.
 #[derive(Debug)]
-pub struct Repeats {
-    config: Retry,
+pub struct RetryBudgets {
+    config: RetryBudget,
     state: Mutex<State>,
 }
 
@@ -34,10 +34,10 @@
     windows: Vec<(id::Pool, Window)>,
 }
 
-impl Repeats {
+impl RetryBudgets {
     /// Budgets by the bounds that all VMs keep together.
     #[must_use]
-    pub fn new(config: Retry) -> Self {
+    pub fn new(config: RetryBudget) -> Self {
         let state = State {
             extra: part(config.extra, 0),
             windows: Vec::new(),
@@ -53,36 +53,36 @@
         let extra = state.extra;
         let found = state.windows.binary_search_by(|(known, _)| known.cmp(pool));
         let place = found.unwrap_or_else(|place| {
-            let bound = Bound {
-                share: self.config.share * USED,
+            let config = WindowConfig {
+                share: self.config.ratio * USED,
                 extra,
                 span: self.config.window,
             };
             state
                 .windows
-                .insert(place, (pool.clone(), Window::new(bound)));
+                .insert(place, (pool.clone(), Window::new(config)));
             place
         });
         let window = &mut state.windows[place].1;
-        window.allow(extra);
+        window.set_extra(extra);
         act(window)
     }
 
     /// Takes the number of VMs that are known.
-    pub fn share_among(&self, vms: usize) {
+    pub fn set_vms(&self, vms: usize) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.extra = part(self.config.extra, vms);
     }
 
     /// Counts a request.
     pub fn arrived(&self, pool: &id::Pool, now: Moment) {
-        self.with(pool, |window| window.request(now));
+        self.with(pool, |window| window.record_request(now));
     }
 
     /// Takes a repeat out, if there is one.
     #[must_use]
     pub fn take(&self, pool: &id::Pool, now: Moment) -> bool {
-        self.with(pool, |window| window.take(now))
+        self.with(pool, |window| window.try_acquire(now))
     }
 
     /// Repeats that are left, by pool.
@@ -91,14 +91,14 @@
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let windows = state.windows.iter_mut();
         windows
-            .map(|(pool, window)| (pool.clone(), window.left(now)))
+            .map(|(pool, window)| (pool.clone(), window.remaining(now)))
             .collect()
     }
 
     /// Whether a repeat could be paid for.
     #[must_use]
     pub fn affords(&self, pool: &id::Pool, now: Moment) -> bool {
-        self.with(pool, |window| window.affords(now))
+        self.with(pool, |window| window.can_acquire(now))
     }
 }
 
--- a/crates/relay/src/timings.rs
+++ b/crates/relay/src/timings.rs
@@ -104,7 +104,9 @@
 
 fn operators(bounds: &Bounds) -> Result<Timing, Error> {
     let revoke = bounds.revoke.map(|revoke| revoke.mul_f64(REVOKE_SHARE));
-    let bound = bounds.apply.min(revoke.unwrap_or(bounds.apply));
+    let bound = bounds
+        .config_apply
+        .min(revoke.unwrap_or(bounds.config_apply));
     if bound < SHORTEST_CHANGE {
         return Err(Error::Change { bound });
     }
@@ -122,7 +124,7 @@
 }
 
 fn endpoints(bounds: &Bounds) -> Result<Timing, Error> {
-    let bound = bounds.leaving;
+    let bound = bounds.drain;
     if bound < SHORTEST_LEAVING {
         return Err(Error::Leaving { bound });
     }
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -9,10 +9,10 @@
 
 use pimento_relay::follow::Lead;
 use pimento_relay::follow::Timing;
+use pimento_relay::neighbours::broadcast::zone_interval;
 use pimento_relay::neighbours::peers::Peer;
 use pimento_relay::neighbours::peers::Peers;
-use pimento_relay::neighbours::peers::Standing;
-use pimento_relay::neighbours::tell::period;
+use pimento_relay::neighbours::peers::ReaderStatus;
 use pimento_relay::timings::Timings;
 use pimento_relay::zone::Failure;
 use pimento_relay::zone::Reachability;
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Datagram {
     from: usize,
-    standing: Standing,
+    status: ReaderStatus,
     stamp: Moment,
     proof: Option<Moment>,
 }
@@ -84,7 +84,7 @@
     next_read: Moment,
     last_sent: Moment,
     lead: Lead,
-    standing: Standing,
+    status: ReaderStatus,
     failures: u32,
 }
 
@@ -108,7 +108,7 @@
 
 fn peer(place: usize, now: Moment) -> Peer {
     let address = SocketAddr::from(([127, 0, 0, 1], u16::try_from(place + 1).unwrap()));
-    Peer::told_of(name(place), zone(), address, now)
+    Peer::discovered(name(place), zone(), address, now)
 }
 
 fn name(place: usize) -> id::Node {
@@ -133,7 +133,7 @@
             next_read: start,
             last_sent: start,
             lead: Lead::Alone,
-            standing: Standing::Able,
+            status: ReaderStatus::Eligible,
             failures: 0,
         };
         Self {
@@ -187,8 +187,8 @@
         if !vm.up {
             return;
         }
-        let sender = peer(datagram.from, now).speaks(datagram.standing, now);
-        vm.peers.met(sender, now);
+        let sender = peer(datagram.from, now).with_datagram(datagram.status, now);
+        vm.peers.update(sender, now);
         vm.stamps[datagram.from] = datagram.stamp;
         vm.proven = vm.proven.max(datagram.proof.unwrap_or_default());
     }
@@ -236,17 +236,17 @@
         let (now, late) = (self.now, self.mutant == Mutant::LateUnable);
         let vm = &mut self.vms[place];
         let young = now.since(vm.proven) < MAX_READER_AGE;
-        let standing = match vm.zone.reachability(now) {
-            Reachability::Unreachable if !late => Standing::Unable,
-            Reachability::Untested if !late => Standing::Untested,
-            _ if young => Standing::Able,
-            _ => Standing::Untested,
+        let status = match vm.zone.reachability(now) {
+            Reachability::Unreachable if !late => ReaderStatus::Unanswered,
+            Reachability::Untested if !late => ReaderStatus::Untested,
+            _ if young => ReaderStatus::Eligible,
+            _ => ReaderStatus::Untested,
         };
-        if standing != vm.standing {
+        if status != vm.status {
             vm.last_sent = Moment::ZERO;
         }
-        vm.standing = standing;
-        let role = vm.peers.role(&vm.name, &zone(), standing, now);
+        vm.status = status;
+        let role = vm.peers.role(&vm.name, &zone(), status, now);
         if role.lead == Lead::Leading && vm.lead != Lead::Leading {
             let wait = if role.state.outage_suspected {
                 TURN
@@ -287,7 +287,7 @@
     fn send(&mut self, place: usize) {
         let now = self.now;
         let count = self.vms.len();
-        let interval = period(count - 1).max(Duration::from_millis(400));
+        let interval = zone_interval(count - 1).max(Duration::from_millis(400));
         if now.since(self.vms[place].last_sent) < interval {
             return;
         }
@@ -301,7 +301,7 @@
             let proof = (vm.lead == Lead::Leading).then_some(vm.proofs[to]);
             let datagram = Datagram {
                 from: place,
-                standing: vm.standing,
+                status: vm.status,
                 stamp: now,
                 proof,
             };
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -25,18 +25,18 @@
     pub dispatch: Option<queue::Dispatch>,
     pub since: Moment,
     /// Its prompt at an engine.
-    pub ticket: Option<engine::Ticket>,
+    pub call: Option<engine::CallId>,
     /// The prompt itself.
     pub prompt: Option<engine::Prompt>,
 }
 
-/// The right to make one call at one endpoint. Dropped without a word, it says nothing about the
+/// The right to make one call at one endpoint. Dropped without a report, it says nothing about the
 /// endpoint's health.
 #[derive(Debug)]
 pub struct Permit {
     shared: Arc<Shared>,
     slot: Slot,
-    ended: bool,
+    released: bool,
 }
 
 impl Permit {
@@ -44,17 +44,17 @@
         Self {
             shared,
             slot,
-            ended: false,
+            released: false,
         }
     }
 
     /// Takes the slot out without giving it back, for a holder of the pool's lock.
-    pub(crate) fn defuse(mut self) -> Slot {
-        self.ended = true;
+    pub(crate) fn into_slot(mut self) -> Slot {
+        self.released = true;
         self.slot.clone()
     }
 
-    pub(crate) const fn dispatched(&mut self, dispatch: queue::Dispatch) {
+    pub(crate) const fn set_dispatch(&mut self, dispatch: queue::Dispatch) {
         self.slot.dispatch = Some(dispatch);
     }
 
@@ -83,11 +83,11 @@
     }
 
     /// The first token has come: the prompt is read.
-    pub fn begun(&mut self) {
+    pub fn first_token(&mut self) {
         let now = self.shared.clock.now();
         let mut inner = self.shared.lock();
-        inner.begun(&self.slot, now);
-        inner.pump(&self.shared, now);
+        inner.first_token(&self.slot, now);
+        inner.dispatch_waiting(&self.shared, now);
     }
 
     /// Gives the slot back after a whole answer of `tokens`, prompt included.
@@ -98,12 +98,14 @@
         let pace = took.as_secs_f64() / tokens.0.max(1) as f64;
         let outcome = limit::Outcome::Served { tokens, took };
         // Answers of engines take as long as their model and their length make them.
-        let health = if self.slot.ticket.is_some() {
-            eject::Outcome::Answered
+        let health = if self.slot.call.is_some() {
+            eject::Outcome::AnsweredUntimed
         } else {
-            eject::Outcome::Served { pace }
+            eject::Outcome::Served {
+                seconds_per_token: pace,
+            }
         };
-        self.end(outcome, health, now);
+        self.release(outcome, health, now);
     }
 
     /// Gives the slot back after a fault.
@@ -120,36 +122,36 @@
         };
         // Closed before its slot is given back, or the next job would be sent there at once.
         if let Fault::Refused { after, .. } = fault {
-            self.close(after.unwrap_or_default(), now);
+            self.back_off(after.unwrap_or_default(), now);
         }
-        self.end(limit, health, now);
+        self.release(limit, health, now);
     }
 
     /// Leaves an endpoint that is full alone for a while, and then looks for waiting work again.
-    fn close(&self, after: Duration, now: Moment) {
+    fn back_off(&self, after: Duration, now: Moment) {
         let endpoint = &self.slot.endpoint;
-        let span = self.shared.lock().close(endpoint, after, now);
+        let span = self.shared.lock().back_off(endpoint, after, now);
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
             tokio::time::sleep(span).await;
             let now = shared.clock.now();
-            shared.lock().pump(&shared, now);
+            shared.lock().dispatch_waiting(&shared, now);
         });
     }
 
-    fn end(&mut self, limit: limit::Outcome, health: eject::Outcome, now: Moment) {
-        self.ended = true;
+    fn release(&mut self, limit: limit::Outcome, health: eject::Outcome, now: Moment) {
+        self.released = true;
         let mut inner = self.shared.lock();
         inner.release(&self.slot, limit, health, now);
-        inner.pump(&self.shared, now);
+        inner.dispatch_waiting(&self.shared, now);
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.released {
             let now = self.shared.clock.now();
-            self.end(limit::Outcome::Unknown, eject::Outcome::Unknown, now);
+            self.release(limit::Outcome::Unknown, eject::Outcome::Unknown, now);
         }
     }
 }
