--- a/crates/relay/src/bundle.rs
+++ b/crates/relay/src/bundle.rs
@@ -246,13 +246,13 @@
     let connection = Connection::open(address, CONNECT_TIMEOUT).await;
     let connection = connection.map_err(|fault| Error::Call { fault })?;
     let uri = Uri::try_from(path);
-    let message = OutgoingRequest {
+    let request = OutgoingRequest {
         method: Method::GET,
         uri: uri.context(PathSnafu)?,
         headers: HeaderMap::new(),
         body: Bytes::new(),
     };
-    let call = connection.send(message).await;
+    let call = connection.send(request).await;
     let mut call = call.map_err(|fault| Error::Call { fault })?;
     if call.head.status != StatusCode::OK {
         let status = call.head.status;
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -1,8 +1,9 @@
 //! The endpoints that registered themselves, and which of them may get work.
 //!
-//! While the log is unreachable, the entries of live endpoints expire because they can't be renewed. They
-//! reappear within about two seconds of the log's recovery. Until then an endpoint whose entry expired
-//! still gets work, because it is most likely alive. One whose entry is missing after that is removed.
+//! While the log is unreachable, the registrations of live endpoints expire because they can't be renewed.
+//! They reappear within about two seconds of the log's recovery. Until then an endpoint whose registration
+//! expired still gets work, because it is most likely alive. One whose registration is missing after that
+//! is removed.
 
 use std::time::Duration;
 
@@ -17,16 +18,16 @@
 use crate::registration::Registration;
 use crate::topic::Record;
 
-/// Time after the log's recovery within which an expired entry may be renewed: endpoints renew their entries
+/// Time after the log's recovery within which an expired registration may be renewed: endpoints renew theirs
 /// within about two seconds of it.
 pub const RENEWAL: Duration = Duration::from_millis(2_200);
 
-/// An endpoint and the state of its entry.
+/// An endpoint and the state of its registration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// The entry.
+    /// The registration.
     pub entry: Registration,
-    /// If the entry expired during an outage of the log, the end of the time for its renewal.
+    /// If the registration expired during an outage of the log, the end of the time for its renewal.
     pub grace_end: Option<Moment>,
 }
 
@@ -73,7 +74,8 @@
         self.member(id).is_some_and(|member| member.is_usable(now))
     }
 
-    /// Removes the endpoints whose expired entries were not renewed in time. Returns whether there were any.
+    /// Removes the endpoints whose expired registrations were not renewed in time. Returns whether there were
+    /// any.
     pub fn remove_expired(&mut self, now: Moment) -> bool {
         let before = self.members.len();
         self.members
@@ -81,8 +83,8 @@
         self.members.len() != before
     }
 
-    /// When [`remove_expired`](Self::remove_expired) may next remove an endpoint; none if no entry has
-    /// expired.
+    /// When [`remove_expired`](Self::remove_expired) may next remove an endpoint; none if no
+    /// registration has expired.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Moment> {
         self.members
@@ -91,7 +93,7 @@
             .min()
     }
 
-    /// Stores an entry. Returns false if it only shows that the endpoint is still alive.
+    /// Stores a registration. Returns false if it only shows that the endpoint is still alive.
     fn renew(&mut self, entry: Registration, offset: Offset) -> bool {
         let known = self.member(&entry.id);
         let same = known.is_some_and(|member| member.grace_end.is_none() && member.entry == entry);
@@ -134,7 +136,7 @@
             Some(end) if !self.members[place].entry.leaving => {
                 log::info!(
                     endpoint = id.as_str();
-                    "directory: The entry expired during an outage of the log, waiting for its renewal."
+                    "directory: The registration expired during an outage of the log, waiting for its renewal."
                 );
                 self.members[place].grace_end = Some(end);
             }
@@ -170,9 +172,9 @@
         match self.codec.decode_registration(&record.key, value) {
             Ok(entry) => self.renew(entry, record.offset),
             Err(error) => {
-                // Without a valid entry the endpoint can't be used. If it is alive it writes again soon.
+                // Without a valid registration the endpoint can't be used. If it is alive it writes again soon.
                 log::warn!(
-                    "directory: Ignoring the entry of {id} at offset {}: {error}.",
+                    "directory: Ignoring the registration of {id} at offset {}: {error}.",
                     record.offset
                 );
                 let before = self.members.len();
