--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -95,7 +95,7 @@
     /// Fetches the records that the view lacks from the VM that reads for this one. Returns whether the
     /// view lacks no announced change afterwards.
     pub(super) async fn fetch_from_leader(&self) -> bool {
-        let (Some(leader), Some(next)) = (self.zone.leader_address(), self.next_offset()) else {
+        let (Some(leader), Some(next)) = (self.zone.reader_address(), self.next_offset()) else {
             return false;
         };
         let exchange = Exchange::new(self.topic);
--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -22,7 +22,7 @@
     /// Fetches and adopts the view of the VM that reads for this one. Returns false if the log must be read
     /// instead.
     pub(super) async fn fetch_snapshot(&self) -> bool {
-        let leader = self.zone.leader_address();
+        let leader = self.zone.reader_address();
         let (Some(leader), Ok(topic)) = (leader, SharedTopic::try_from(self.topic)) else {
             return false;
         };
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -334,7 +334,7 @@
     /// Updates who reads the log for whom.
     fn update_role(&self) {
         let role = self.role();
-        self.zone.set_leader_address(role.reader);
+        self.zone.set_reader_address(role.reader);
         self.zone.set_log_state(role.state);
         let lead = role.lead;
         let update = |known: &mut Lead| {
--- a/crates/relay/src/zone.rs
+++ b/crates/relay/src/zone.rs
@@ -98,7 +98,7 @@
     /// Notified of each read of this VM that proved its view as of a later moment.
     pub proved: Arc<Notify>,
     /// Where the VM that reads for this one accepts connections.
-    leader_address: Arc<Mutex<Option<SocketAddr>>>,
+    reader_address: Arc<Mutex<Option<SocketAddr>>>,
     reads: Arc<Mutex<Reads>>,
     discovery: Arc<watch::Sender<Discovery>>,
     /// Notified when the log becomes unreachable for this VM.
@@ -165,18 +165,18 @@
     }
 
     /// Sets the address of the VM that reads for this one; none if this VM reads itself.
-    pub fn set_leader_address(&self, reader: Option<SocketAddr>) {
+    pub fn set_reader_address(&self, reader: Option<SocketAddr>) {
         *self
-            .leader_address
+            .reader_address
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = reader;
     }
 
     /// Where the VM that reads for this one accepts connections; none if this VM reads itself.
     #[must_use]
-    pub fn leader_address(&self) -> Option<SocketAddr> {
+    pub fn reader_address(&self) -> Option<SocketAddr> {
         *self
-            .leader_address
+            .reader_address
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
