--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -5,9 +5,9 @@
 //! late, and the topic may have grown since. Reads that get no answer are given up after a timeout and
 //! retried on another connection, because a connection may fall silent for good.
 //!
-//! In each zone one VM, the leader, reads for the others ([`Lead`]), which make no calls while nothing
-//! changes. The leader's proof dates another VM's view by that VM's own clock: it names the last stamp
-//! which the leader had received from that VM before it sent the read. A datagram that was delayed, by
+//! In each zone one VM, the reader, reads for the others ([`Lead`]), which make no calls while nothing
+//! changes. The reader's proof dates another VM's view by that VM's own clock: it names the last stamp
+//! which the reader had received from that VM before it sent the read. A datagram that was delayed, by
 //! the network or by a suspended VM, can therefore never make a view look younger than it is.
 
 mod exchange;
@@ -268,7 +268,7 @@
             // A view that lacks a change is read until it has the change. Otherwise a VM whose read was
             // refused would wait for the next proof, or until its last proof is too old.
             let current = role == Lead::Led
-                && (!self.lacks_changes().await || self.fetch_from_leader().await);
+                && (!self.lacks_changes().await || self.fetch_from_reader().await);
             if current && self.has_recent_proof() {
                 let left = self
                     .age()
@@ -372,7 +372,7 @@
     }
 
     /// Waits after a failed read. A proof does not end the wait: proofs arrive several times a second, also
-    /// while the log refuses this VM and serves its leader. It only shortens the wait to the limit for a
+    /// while the log refuses this VM and serves its reader. It only shortens the wait to the limit for a
     /// view that lacks changes.
     async fn back_off(&self, role: Lead, backoff: Duration) {
         let end = Instant::now() + backoff;
@@ -442,7 +442,7 @@
     /// Marks the log as disconnected if the view has not been proven for too long. Called after a failed
     /// read, and in place of one that must wait for its turn.
     ///
-    /// A VM that is led stays connected through its leader's proofs, which may be as old as
+    /// A VM that is led stays connected through its reader's proofs, which may be as old as
     /// `max_proof_age`. By its own reads alone it would disconnect and reconnect several times a second
     /// while the log refuses it.
     fn check_disconnected(&self, role: Lead, polling: Polling) {
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -94,12 +94,12 @@
 
     /// Fetches the records that the view lacks from the VM that reads for this one. Returns whether the
     /// view lacks no announced change afterwards.
-    pub(super) async fn fetch_from_leader(&self) -> bool {
-        let (Some(leader), Some(next)) = (self.zone.reader_address(), self.next_offset()) else {
+    pub(super) async fn fetch_from_reader(&self) -> bool {
+        let (Some(reader), Some(next)) = (self.zone.reader_address(), self.next_offset()) else {
             return false;
         };
         let exchange = Exchange::new(self.topic);
-        let answer = bundle::fetch(leader, self.topic, next, &exchange.progress);
+        let answer = bundle::fetch(reader, self.topic, next, &exchange.progress);
         let timeout = self.timing.timeout;
         let problem = match self.wait(&exchange, answer, timeout, timeout).await {
             Ok(Ok(range)) => {
--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -22,13 +22,13 @@
     /// Fetches and adopts the view of the VM that reads for this one. Returns false if the log must be read
     /// instead.
     pub(super) async fn fetch_snapshot(&self) -> bool {
-        let leader = self.zone.reader_address();
-        let (Some(leader), Ok(topic)) = (leader, SharedTopic::try_from(self.topic)) else {
+        let reader = self.zone.reader_address();
+        let (Some(reader), Ok(topic)) = (reader, SharedTopic::try_from(self.topic)) else {
             return false;
         };
         let exchange = Exchange::new(self.topic);
         let progress = &exchange.progress;
-        let answer = snapshot::fetch(leader, self.zone.deployment(), topic, progress);
+        let answer = snapshot::fetch(reader, self.zone.deployment(), topic, progress);
         let timeout = self.timing.timeout;
         let answer = self.wait(&exchange, answer, FIRST_READ + timeout, timeout);
         let problem = match answer.await {
--- a/crates/relay/src/follow/timing.rs
+++ b/crates/relay/src/follow/timing.rs
@@ -31,15 +31,15 @@
     pause: Duration::ZERO,
 };
 
-/// Who reads for whom among the VMs of a zone.
+/// The role of this VM in reading the log for its zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Lead {
-    /// There are no other VMs.
+    /// It reads for itself; no other VM of the zone is alive.
     #[default]
     Alone,
-    /// This VM reads for the others.
+    /// It is the reader: it reads for the other VMs as well.
     Leading,
-    /// Another VM reads for this one.
+    /// Another VM, the reader, reads for it.
     Led,
 }
 
@@ -47,7 +47,7 @@
 /// bounds on changes of the configuration and on leaving endpoints are two seconds.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// The longest wait of a VM that is led, whose leader reports as soon as the log is reachable again. All
+/// The longest wait of a VM that is led, whose reader reports as soon as the log is reachable again. All
 /// calls are paid for, including refused ones.
 pub const LED_BACKOFF: Duration = Duration::from_millis(1_200);
 
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -71,7 +71,7 @@
         .await;
 }
 
-// A VM that is led makes no calls while nothing changes. Its view is as young as the stamp that the leader
+// A VM that is led makes no calls while nothing changes. Its view is as young as the stamp that the reader
 // had received before its read.
 #[tokio::test]
 async fn a_proof_dates_the_view_by_its_own_stamp() {
@@ -173,7 +173,7 @@
     assert_eq!(fixture.follower.proof(node).unwrap().stamp, at);
 }
 
-/// The records from `from` on as the leader forwards them, and the offset after the last of them.
+/// The records from `from` on as the reader forwards them, and the offset after the last of them.
 fn forwarded(other: &Fixture, from: Offset) -> (Vec<Vec<Record>>, Offset) {
     let (chunks, to) = other.follower.chunks_from(from);
     (chunks.expect("all records are cached"), to)
@@ -224,7 +224,7 @@
     assert_eq!(own.follower.proven_at(), Some(proof.stamp));
 }
 
-// Records that the leader read and forwarded reach the view without a call of the log, and the leader's
+// Records that the reader read and forwarded reach the view without a call of the log, and the reader's
 // proof then proves the view.
 #[tokio::test]
 async fn forwarded_records_need_no_read() {
@@ -319,7 +319,7 @@
     assert_eq!(to, Offset(2_001));
 }
 
-// Guards against a call of the log for each proof. The log refuses this VM and serves its leader, which
+// Guards against a call of the log for each proof. The log refuses this VM and serves its reader, which
 // announces a change again and again. Refused calls are paid for, so that the VM must back off.
 #[tokio::test]
 async fn proofs_do_not_shorten_the_backoff_of_a_refused_vm() {
@@ -341,11 +341,11 @@
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
-// Guards against a VM that counts as disconnected although its leader's proofs arrive every two seconds. The
-// log refuses the VM and serves the leader. By its own reads alone the VM would disconnect and reconnect with
+// Guards against a VM that counts as disconnected although its reader's proofs arrive every two seconds. The
+// log refuses the VM and serves the reader. By its own reads alone the VM would disconnect and reconnect with
 // each proof, and every entry that ended meanwhile would seem to have expired because of an outage.
 #[tokio::test]
-async fn a_refused_vm_stays_connected_through_its_leaders_proofs() {
+async fn a_refused_vm_stays_connected_through_its_readers_proofs() {
     let timing = Timing {
         max_proof_age: Duration::from_millis(1_500),
         ..TIMING
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -65,9 +65,9 @@
     assert_eq!(fixture.follower.proven_at(), Some(stamp));
 }
 
-// Guards against a zone whose VMs replace each other as the leader as fast as the log refuses them.
+// Guards against a zone whose VMs replace each other as the reader as fast as the log refuses them.
 #[tokio::test]
-async fn a_new_leader_waits_before_reading_when_an_outage_is_suspected() {
+async fn a_new_reader_waits_when_an_outage_is_suspected() {
     let fixture = Fixture::new();
     fixture.make_led().await;
     fixture.zone.set_log_state(LogState {
@@ -83,7 +83,7 @@
         .await;
 }
 
-// Guards against a change of the leader because of a single lost answer.
+// Guards against a change of the reader because of a single lost answer.
 #[test]
 fn one_lost_answer_is_not_an_outage_but_a_refusal_is() {
     let now = boot::now();
@@ -101,7 +101,7 @@
 }
 
 // Guards against requests to leaving endpoints after the bound: a VM that waited for its turn, because the
-// log refused others, did not react when its leader announced a change.
+// log refused others, did not react when its reader announced a change.
 #[tokio::test]
 async fn a_proof_ends_the_wait_for_a_turn() {
     let fixture = Fixture::with_timing(SHORT_PROOFS);
