--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -5,9 +5,9 @@
 //! late, and the topic may have grown since. Reads that get no answer are given up after a timeout and
 //! retried on another connection, because a connection may fall silent for good.
 //!
-//! In each zone one VM, the leader, reads for the others ([`Lead`]), which make no calls while nothing
-//! changes. The leader's proof dates another VM's view by that VM's own clock: it names the last stamp
-//! which the leader had received from that VM before it sent the read. A datagram that was delayed, by
+//! In each zone one VM, the reader, reads for the others ([`Lead`]), which make no calls while nothing
+//! changes. The reader's proof dates another VM's view by that VM's own clock: it names the last stamp
+//! which the reader had received from that VM before it sent the read. A datagram that was delayed, by
 //! the network or by a suspended VM, can therefore never make a view look younger than it is.
 
 mod exchange;
@@ -231,7 +231,7 @@
     }
 
     /// Receives the proof of another VM, which read up to the end of the topic after it had this VM's stamp.
-    /// It proves this VM's view if the view lacks no change; otherwise this VM reads at once.
+    /// It proves this VM's view if the view lacks no change; otherwise this VM fetches the change.
     pub fn receive_proof(&self, proof: Proof) {
         // Another VM may still use a stamp of an earlier incarnation. If the machine restarted since, that
         // stamp may lie in the future, and the view would seem young until then.
@@ -267,9 +267,9 @@
             before = role;
             // A view that lacks a change is read until it has the change. Otherwise a VM whose read was
             // refused would wait for the next proof, or until its last proof is too old.
-            let whole = role == Lead::Led
-                && (!self.lacks_changes().await || self.fetch_from_leader().await);
-            if whole && self.has_recent_proof() {
+            let current = role == Lead::Led
+                && (!self.lacks_changes().await || self.fetch_from_reader().await);
+            if current && self.has_recent_proof() {
                 let left = self
                     .age()
                     .map(|age| self.timing.max_proof_age.saturating_sub(age));
@@ -295,10 +295,10 @@
                 Lead::Led => AT_ONCE,
             };
             match self.read(polling.wait, self.reason(role)).await {
-                Ok(whole) => {
+                Ok(complete) => {
                     backoff = INITIAL_BACKOFF;
                     self.zone.read_answered();
-                    if whole {
+                    if complete {
                         tokio::time::sleep(polling.pause).await;
                     }
                 }
@@ -372,7 +372,7 @@
     }
 
     /// Waits after a failed read. A proof does not end the wait: proofs arrive several times a second, also
-    /// while the log refuses this VM and serves its leader. It only shortens the wait to the limit for a
+    /// while the log refuses this VM and serves its reader. It only shortens the wait to the limit for a
     /// view that lacks changes.
     async fn back_off(&self, role: Lead, backoff: Duration) {
         let end = Instant::now() + backoff;
@@ -413,12 +413,12 @@
         } else {
             inner.extend(batch, now)
         };
-        let whole = inner.next >= Some(batch.end);
-        if whole && inner.drop_false_announcement(sent) {
+        let complete = inner.next >= Some(batch.end);
+        if complete && inner.drop_false_announcement(sent) {
             let topic = self.topic.as_str();
             log::warn!(topic; "follower: Another VM announced records that the log does not hold.");
         }
-        if whole && inner.proven_at < Some(sent) {
+        if complete && inner.proven_at < Some(sent) {
             inner.proven_at = Some(sent);
             inner.stamps = stamps;
             self.zone.proved.notify_one();
@@ -427,7 +427,7 @@
         if changed {
             self.changed.send_modify(|count| *count += 1);
         }
-        whole
+        complete
     }
 
     /// Records that a read was answered, by this VM or by one that proved this VM's view.
@@ -440,7 +440,9 @@
     }
 
     /// Marks the log as disconnected if the view has not been proven for too long. Called after a failed
-    /// read. A VM that is led stays connected through its leader's proofs, which may be as old as
+    /// read, and in place of one that must wait for its turn.
+    ///
+    /// A VM that is led stays connected through its reader's proofs, which may be as old as
     /// `max_proof_age`. By its own reads alone it would disconnect and reconnect several times a second
     /// while the log refuses it.
     fn check_disconnected(&self, role: Lead, polling: Polling) {
