--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Tells the VMs of the zone that this one starts, and settles from which of them it gets what it
+    /// Tells the VMs of the zone that this one starts, and finds out from which of them it gets what it
     /// lacks: one that has read the log already answers at once.
     async fn join(&self) {
         let peers = self.refresh_peers();
@@ -119,8 +119,8 @@
     /// they are an earlier incarnation's.
     fn is_own(&self, node: &id::Node, word: &Word) -> bool {
         let config = &self.node.config;
-        let place = word.zone == config.zone && word.address == config.peer_listen;
-        *node == config.node && place && word.rollouts.is_empty()
+        let same_place = word.zone == config.zone && word.address == config.peer_listen;
+        *node == config.node && same_place && word.rollouts.is_empty()
     }
 
     fn add_record(&self, node: id::Node, word: Word) {
--- a/crates/relay/src/neighbours/message.rs
+++ b/crates/relay/src/neighbours/message.rs
@@ -28,8 +28,7 @@
     pub stamp: Moment,
     /// Whether the sender can read the log.
     pub reader_status: ReaderStatus,
-    /// Records that changed the sender's views of the log. The receiver applies them before it takes the
-    /// proofs.
+    /// Records that changed the sender's views of the log. The receiver applies them before the proofs.
     pub passages: Vec<Passage>,
     /// What the sender's last reads of the log prove to the receiver.
     pub proofs: Proofs,
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -43,8 +43,8 @@
 #[derive(Debug)]
 struct PoolVersions {
     pool: id::Pool,
-    /// The version in use when no roll-out is under way.
-    settled: id::Version,
+    /// The version in use as long as the service has had no order.
+    stable: id::Version,
     /// Sorted by version.
     versions: Vec<(id::Version, usize)>,
 }
@@ -170,7 +170,7 @@
         let place = place.unwrap_or_else(|place| {
             let known = PoolVersions {
                 pool: pool.clone(),
-                settled: most.clone(),
+                stable: most.clone(),
                 versions: Vec::new(),
             };
             self.pools.insert(place, known);
@@ -178,8 +178,8 @@
         });
         let known = &mut self.pools[place];
         known.versions = versions;
-        if known.count(&known.settled) == 0 {
-            known.settled = most;
+        if known.count(&known.stable) == 0 {
+            known.stable = most;
         }
     }
 
@@ -196,7 +196,7 @@
     pub fn version(&self, pool: &id::Pool, session: u64, now: Moment) -> Option<id::Version> {
         let versions = self.pool_versions(pool)?;
         let Some(rollout) = self.get(pool) else {
-            return Some(versions.settled.clone());
+            return Some(versions.stable.clone());
         };
         let target = rollout.target();
         let Some(old) = versions.other(target) else {
