--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -139,7 +139,7 @@
             prefix: beginning.map(|m| xxhash_rust::xxh3::xxh3_64(m.content.as_bytes())),
             prompt: None,
             tried: ask.trace.tried.clone(),
-            returning: request.identity.returning,
+            previously_refused: request.identity.returning,
             repeatable: true,
         }
     }
@@ -184,14 +184,14 @@
         let failure = retry::Failure {
             repeatable: true,
             attempts: ask.trace.attempts,
-            run: pool.run(Some(ask.version), self.tokens(ask)),
+            run_time: pool.expected_run_time(Some(ask.version), self.tokens(ask)),
             deadline: request.identity.deadline,
         };
         if ask.paid.swap(false, Ordering::Relaxed) {
-            return ask.trace.attempts < retry::ATTEMPTS;
+            return ask.trace.attempts < retry::MAX_ATTEMPTS;
         }
         if matches!(fault, Fault::Unreachable { .. }) {
-            return retry::elsewhere(failure, now);
+            return retry::can_retry_unsent(failure, now);
         }
         node.retries
             .again(&request.customer, ask.pool, failure, now)
@@ -267,7 +267,7 @@
         let attempt = hedge::Attempt {
             repeatable: true,
             long,
-            left,
+            time_left: left,
         };
         let delay = node.retries.delay(ask.version, attempt);
         ask.trace.attempts += 1;
@@ -302,7 +302,7 @@
         node.unbarred(ask.request.digest).ok()?;
         let mut job = self.job(ask);
         job.tried.push(first.clone());
-        let permit = node.scheduler.pool(ask.pool).take(&job)?;
+        let permit = node.scheduler.pool(ask.pool).try_acquire(&job)?;
         let customer = &ask.request.customer;
         let paid =
             permit.endpoint() != first && node.retries.hedge(customer, ask.pool, node.clock.now());
--- a/crates/policy/examples/proxy.rs
+++ b/crates/policy/examples/proxy.rs
@@ -17,15 +17,15 @@
 
 fn candidate(place: usize, limiter: &limit::Limiter) -> choice::Candidate {
     choice::Candidate {
-        key: choice::key(["a", "b", "c"][place]),
+        key: choice::hash(["a", "b", "c"][place]),
         usable: true,
         distance: Duration::ZERO,
-        own: limiter.flying(),
+        own: limiter.in_flight(),
         limit: limiter.limit(),
         others: 0,
-        age: Duration::ZERO,
+        report_age: Duration::ZERO,
         // The third takes three times as long.
-        run: Duration::from_secs([4, 4, 12][place]),
+        run_time: Duration::from_secs([4, 4, 12][place]),
     }
 }
 
@@ -48,15 +48,15 @@
     for n in 0_u64..18 {
         let customer = &names[usize::from(n >= 14)];
         let demand = admission::Demand {
-            ahead: queue.ahead(customer, 1, 0, WORK),
+            ahead: queue.work_ahead(customer, 1, 0, WORK),
             slots: limits.iter().map(limit::Limiter::limit).sum(),
-            free: limits.iter().map(limit::Limiter::room).sum(),
-            run: gate.run(WORK),
+            free: limits.iter().map(limit::Limiter::free).sum(),
+            run_time: gate.run_time(WORK),
             deadline: Moment::ZERO + Duration::from_secs(10),
         };
         match gate.decide(demand, Moment::ZERO, n << 58) {
-            admission::Verdict::Refuse { after } => {
-                println!("{customer}: refused, again in {after:.1?}");
+            admission::Verdict::Refuse { retry_after } => {
+                println!("{customer}: refused, again in {retry_after:.1?}");
             }
             admission::Verdict::Admit { start_by } => {
                 let ticket = queue.enqueue(job(customer, start_by));
@@ -65,7 +65,7 @@
         }
     }
     for n in 0_u64.. {
-        let random = choice::key(&n.to_string());
+        let random = choice::hash(&n.to_string());
         let candidates = [0, 1, 2].map(|place| candidate(place, &limits[place]));
         let chosen = choice::choose(&candidates, None, random, &choice::Config::default());
         let Some(place) = chosen else { break };
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -89,7 +89,7 @@
     pub queue: queue::Queue,
     pub limiters: Vec<limit::Limiter>,
     pub health: eject::Pool,
-    pub tails: [hedge::Tail; CLASSES.len()],
+    pub tails: [hedge::LatencyHistogram; CLASSES.len()],
     pub lengths: [admission::Length; CLASSES.len()],
     pub customers: Vec<retry::Budget>,
     pub pool: retry::Budget,
@@ -120,15 +120,15 @@
         health.retain(endpoints.iter().cloned());
         let limits = limit::Config::default();
         let fixed = limit::Config {
-            start: 16.0,
-            least: 16.0,
-            most: 16.0,
+            initial: 16.0,
+            min: 16.0,
+            max: 16.0,
             ..limits
         };
         let limits = if mechanisms.limit { limits } else { fixed };
         let fair = queue::Config::default();
         let plain = queue::Config {
-            long: Tokens(u64::MAX),
+            long_threshold: Tokens(u64::MAX),
             ..fair
         };
         let mut random = Random(seed ^ (number as u64) << 32);
@@ -140,13 +140,13 @@
             limiters: (0..ENDPOINTS)
                 .map(|_| {
                     limit::Limiter::new(limit::Config {
-                        round: random.unit(),
+                        rounding_offset: random.unit(),
                         ..limits
                     })
                 })
                 .collect(),
             health,
-            tails: std::array::from_fn(|_| hedge::Tail::default()),
+            tails: std::array::from_fn(|_| hedge::LatencyHistogram::default()),
             lengths: CLASSES
                 .map(|class| admission::Length::new(Tokens(whole(class.output) as u64))),
             customers: vec![retry::Budget::new(retry::Config::default()); CUSTOMERS],
@@ -191,16 +191,18 @@
         let job = self.job(arrival, Moment::ZERO);
         let open = |e: &usize| self.open(*e, now);
         admission::Demand {
-            ahead: self.queue.ahead(&job.customer, 1, job.priority, job.tokens),
+            ahead: self
+                .queue
+                .work_ahead(&job.customer, 1, job.priority, job.tokens),
             slots: (0..ENDPOINTS)
                 .filter(open)
                 .map(|e| self.limiters[e].limit())
                 .sum(),
             free: (0..ENDPOINTS)
                 .filter(open)
-                .map(|e| self.limiters[e].room())
+                .map(|e| self.limiters[e].free())
                 .sum(),
-            run: self.gate.run(job.tokens),
+            run_time: self.gate.run_time(job.tokens),
             deadline: moment(deadline),
         }
     }
@@ -219,13 +221,15 @@
             let demand = self.demand(arrival, deadline, now);
             let random = self.random.bits();
             let verdict = if back {
-                self.gate.welcome(demand, moment(now), random)
+                self.gate.decide_returning(demand, moment(now), random)
             } else {
                 self.gate.decide(demand, moment(now), random)
             };
             match verdict {
                 admission::Verdict::Admit { start_by } => latest = start_by,
-                admission::Verdict::Refuse { after } => return Some(after.as_secs_f64()),
+                admission::Verdict::Refuse { retry_after } => {
+                    return Some(retry_after.as_secs_f64());
+                }
             }
         }
         let ticket = self.queue.enqueue(self.job(arrival, latest));
@@ -244,7 +248,9 @@
     pub fn again(&mut self, arrival: &Arrival, now: f64) -> f64 {
         let demand = self.demand(arrival, now, now);
         let random = self.random.bits();
-        self.gate.again(demand, moment(now), random).as_secs_f64()
+        self.gate
+            .retry_after(demand, moment(now), random)
+            .as_secs_f64()
     }
 
     pub fn slots(&self, now: f64) -> u32 {
@@ -257,16 +263,16 @@
 
     fn open(&self, place: usize, now: f64) -> bool {
         let state = self.health.state(&self.endpoints[place], moment(now));
-        !self.mechanisms.eject || state == eject::State::In
+        !self.mechanisms.eject || state == eject::State::Active
     }
 
     /// Whether any endpoint has a free slot.
     pub fn free(&self, now: f64) -> bool {
-        (0..ENDPOINTS).any(|e| self.open(e, now) && self.limiters[e].room() > 0)
+        (0..ENDPOINTS).any(|e| self.open(e, now) && self.limiters[e].free() > 0)
     }
 
     pub fn reported(&mut self, place: usize, load: (u32, u32), measured: f64) {
-        let own = self.limiters[place].flying();
+        let own = self.limiters[place].in_flight();
         let others = (load.0 + load.1).saturating_sub(own);
         self.seen[place] = Seen {
             others,
@@ -281,8 +287,8 @@
 
     /// The endpoint for an attempt.
     pub fn choose(&mut self, arrival: &Arrival, tried: &[usize], now: f64) -> Option<usize> {
-        let fits = |e: usize| !tried.contains(&e) && self.limiters[e].room() > 0;
-        let due = self.health.due(moment(now));
+        let fits = |e: usize| !tried.contains(&e) && self.limiters[e].free() > 0;
+        let due = self.health.probe_due(moment(now));
         let probe = due.and_then(|name| self.endpoints.iter().position(|e| e == name));
         if let Some(probe) =
             probe.filter(|p| self.mechanisms.eject && arrival.class == 0 && fits(*p))
@@ -305,27 +311,29 @@
                 let other = open[self.random.below(open.len())];
                 [one, other]
                     .into_iter()
-                    .min_by_key(|e| self.limiters[*e].flying())
+                    .min_by_key(|e| self.limiters[*e].in_flight())
             }
-            Choice::LeastInFlight => open.into_iter().min_by_key(|e| self.limiters[*e].flying()),
+            Choice::LeastInFlight => open
+                .into_iter()
+                .min_by_key(|e| self.limiters[*e].in_flight()),
         }
     }
 
     fn policy(&mut self, arrival: &Arrival, open: &[usize], now: f64) -> Option<usize> {
         let random = self.random.bits();
         let candidate = |e: usize| choice::Candidate {
-            key: choice::key(self.endpoints[e].as_str()),
+            key: choice::hash(self.endpoints[e].as_str()),
             usable: open.contains(&e),
             distance: if e % 3 == self.zone {
                 Duration::ZERO
             } else {
                 ACROSS
             },
-            own: self.limiters[e].flying(),
+            own: self.limiters[e].in_flight(),
             limit: self.limiters[e].limit(),
             others: self.seen[e].others,
-            age: Duration::from_secs_f64((now - self.seen[e].at).max(0.0)),
-            run: Duration::from_secs_f64(self.limiters[e].pace() * 100.0),
+            report_age: Duration::from_secs_f64((now - self.seen[e].at).max(0.0)),
+            run_time: Duration::from_secs_f64(self.limiters[e].seconds_per_token() * 100.0),
         };
         let candidates: Vec<choice::Candidate> = (0..ENDPOINTS).map(candidate).collect();
         choice::choose(
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -17,11 +17,12 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::admit;
-use crate::border::Border;
-use crate::border::Reply;
-use crate::call::Call;
-use crate::call::Connection;
+use crate::admitted::AdmittedRequest;
 use crate::codec::Codec;
+use crate::connection::Connection;
+use crate::connection::EndpointResponse;
+use crate::headers::HeaderCodec;
+use crate::headers::ResponseInfo;
 use crate::node::Node;
 use crate::node::millis;
 use crate::poison;
@@ -29,7 +30,6 @@
 use crate::refusal::Cause;
 use crate::refusal::Refusal;
 use crate::topic::Log;
-use crate::work::Work;
 
 /// Endpoints that are asked for one request and did not run it, at most. Each costs a round trip,
 /// and where so many refuse the pool is full or its list out of date.
@@ -41,14 +41,14 @@
     /// The slot, to be given back with what became of the answer.
     pub permit: Permit,
     /// The answer.
-    pub call: Call,
+    pub call: EndpointResponse,
     /// What its head says.
-    pub reply: Reply,
+    pub reply: ResponseInfo,
 }
 
 /// What to send in this attempt beside the request itself.
 #[derive(Debug, Clone, Default)]
-pub struct Variant {
+pub struct Overrides {
     /// The model to run.
     pub model: Option<id::Version>,
     /// The last event that the caller has.
@@ -73,20 +73,20 @@
 #[derive(Debug)]
 pub struct Attempts<'a, P, L> {
     node: &'a Node<P, L>,
-    request: &'a Work,
+    request: &'a AdmittedRequest,
     state: State,
 }
 
-impl<'a, P: Border + Codec, L: Log> Attempts<'a, P, L> {
+impl<'a, P: HeaderCodec + Codec, L: Log> Attempts<'a, P, L> {
     /// No attempt yet.
     #[must_use]
-    pub fn new(node: &'a Node<P, L>, request: &'a Work) -> Self {
+    pub fn new(node: &'a Node<P, L>, request: &'a AdmittedRequest) -> Self {
         Self::resume(node, request, State::default())
     }
 
     /// Goes on after what was done so far.
     #[must_use]
-    pub const fn resume(node: &'a Node<P, L>, request: &'a Work, state: State) -> Self {
+    pub const fn resume(node: &'a Node<P, L>, request: &'a AdmittedRequest, state: State) -> Self {
         Self {
             node,
             request,
@@ -129,16 +129,16 @@
     /// # Errors
     ///
     /// A [`Refusal`] once no further attempt may be made.
-    pub async fn open(&mut self, variant: &Variant) -> Result<Opened, Refusal> {
+    pub async fn open(&mut self, overrides: &Overrides) -> Result<Opened, Refusal> {
         loop {
             self.unbarred()?;
-            let permit = self.slot(variant).await?;
+            let permit = self.slot(overrides).await?;
             let asked = self.node.now();
-            let bound = self.node.reach(|reach| reach.bound());
+            let bound = self.node.connect_times(|reach| reach.current());
             let connection = match Connection::open(permit.address(), bound).await {
                 Ok(connection) => {
                     let took = self.node.now().since(asked);
-                    self.node.reach(|reach| reach.made(took));
+                    self.node.connect_times(|reach| reach.record(took));
                     connection
                 }
                 Err(fault) => {
@@ -153,7 +153,7 @@
             if self.state.sent > 0 && !self.repeat() {
                 return Err(self.refuse(Refusal::new(Cause::Failed)));
             }
-            if let Some(opened) = self.send(permit, connection, variant).await? {
+            if let Some(opened) = self.send(permit, connection, overrides).await? {
                 return Ok(opened);
             }
         }
@@ -162,11 +162,11 @@
     /// Takes a repeat out of the budget.
     fn repeat(&self) -> bool {
         let now = self.node.now();
-        self.node.repeats.take(&self.request.pool, now)
+        self.node.retry_budgets.take(&self.request.pool, now)
     }
 
     /// Waits for a slot at an endpoint that may still be used.
-    async fn slot(&mut self, variant: &Variant) -> Result<Permit, Refusal> {
+    async fn slot(&mut self, overrides: &Overrides) -> Result<Permit, Refusal> {
         let mut followed = false;
         loop {
             let pool = self.node.scheduler.pool(&self.request.pool);
@@ -174,7 +174,7 @@
             // token.
             let gone = CancellationToken::new();
             let asked = self.node.now();
-            let permit = pool.acquire(self.job(variant), &gone).await;
+            let permit = pool.acquire(self.job(overrides), &gone).await;
             let waited = self.node.now().since(asked);
             let route = &self.request.grant.route.name;
             self.node.metrics.queued(route, waited);
@@ -182,7 +182,7 @@
                 Ok(permit) => permit,
                 // Whoever could take it may have registered since the pool was last brought up to
                 // the list. Once is enough: nothing else runs between the two looks.
-                Err(Refused::Nobody { .. }) if !followed => {
+                Err(Refused::NoEndpoint { .. }) if !followed => {
                     followed = true;
                     pools::refresh(self.node);
                     continue;
@@ -239,7 +239,7 @@
             return Ok(());
         };
         log::info!(
-            request = request.ask.id.as_str(),
+            request = request.info.id.as_str(),
             digest:% = request.digest,
             left_ms = millis(left);
             "attempt: Not sent, endpoints ended under it."
@@ -255,7 +255,7 @@
     pub fn allowed(&self) -> Result<(), Refusal> {
         self.unbarred()?;
         let request = self.request;
-        let grant = admit::still(self.node, &request.ask, request.path());
+        let grant = admit::recheck(self.node, &request.info, request.path());
         let grant = grant.map_err(|refusal| self.refuse(refusal))?;
         let same = grant.customer == request.grant.customer;
         if !same || !grant.route.allows(&request.pool) {
@@ -280,14 +280,14 @@
         &mut self,
         permit: Permit,
         connection: Connection,
-        variant: &Variant,
+        overrides: &Overrides,
     ) -> Result<Option<Opened>, Refusal> {
-        let message = self.message(&permit, variant);
+        let message = self.message(&permit, overrides);
         self.state.sent += 1;
         self.state.runs += 1;
         self.state.began = self.node.now();
         self.note(&permit);
-        self.sent(&permit, variant);
+        self.sent(&permit, overrides);
         let left = self.request.left(self.node.now());
         let sent = tokio::time::timeout(left, connection.send(message)).await;
         let fault = match sent {
@@ -348,8 +348,12 @@
     }
 
     /// Reads the head of an answer, and whether it is one to this request.
-    fn read(&self, endpoint: &id::Endpoint, call: Call) -> Result<(Call, Reply), Fault> {
-        let reply = self.node.platform.reply(&call.head);
+    fn read(
+        &self,
+        endpoint: &id::Endpoint,
+        call: EndpointResponse,
+    ) -> Result<(EndpointResponse, ResponseInfo), Fault> {
+        let reply = self.node.platform.parse_response(&call.head);
         let status = call.head.status;
         if !reply.misdirected {
             self.named(endpoint, &reply.limit);
@@ -363,7 +367,7 @@
         let other = reply
             .id
             .as_ref()
-            .is_some_and(|id| *id != self.request.ask.id);
+            .is_some_and(|id| *id != self.request.info.id);
         if other {
             return Err(nonsense("the answer is to another request"));
         }
@@ -375,7 +379,7 @@
 
     /// What is sent.
     #[must_use]
-    pub const fn work(&self) -> &Work {
+    pub const fn work(&self) -> &AdmittedRequest {
         self.request
     }
 
@@ -389,14 +393,14 @@
     #[must_use]
     pub fn affords(&self) -> bool {
         let now = self.node.now();
-        self.node.repeats.affords(&self.request.pool, now)
+        self.node.retry_budgets.affords(&self.request.pool, now)
     }
 
     /// What the attempt would meet at the endpoint that it would get now.
     #[must_use]
-    pub fn estimate(&self, variant: &Variant) -> Option<Estimate> {
+    pub fn estimate(&self, overrides: &Overrides) -> Option<Estimate> {
         let pool = self.node.scheduler.pool(&self.request.pool);
-        pool.estimate(&self.job(variant))
+        pool.estimate(&self.job(overrides))
     }
 }
 
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -10,14 +10,14 @@
 use pimento_units::id;
 
 use super::Attempts;
-use super::Variant;
+use super::Overrides;
 use crate::boot;
-use crate::border::Border;
-use crate::border::Named;
-use crate::border::Order;
-use crate::call::Message;
 use crate::cascade;
 use crate::codec::Codec;
+use crate::connection::OutgoingRequest;
+use crate::headers::AnnouncedLimit;
+use crate::headers::AttemptInfo;
+use crate::headers::HeaderCodec;
 use crate::node::millis;
 use crate::rollouts::FinishedRequest;
 use crate::rollouts::announcement::Outcome;
@@ -29,12 +29,12 @@
 /// Whose requests on public routes are, for fairness among customers.
 const PUBLIC: &str = "public";
 
-impl<P: Border + Codec, L: Log> Attempts<'_, P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Attempts<'_, P, L> {
     /// Tells what became of an attempt.
     pub(super) fn tell(&self, permit: &Permit, fault: &Fault, what: &str) {
         let now = self.node.now();
         log::info!(
-            request = self.request.ask.id.as_str(),
+            request = self.request.info.id.as_str(),
             endpoint = permit.endpoint().as_str(),
             fault:%,
             attempt = self.state.sent,
@@ -46,41 +46,41 @@
     }
 
     /// Takes the limit that an endpoint names.
-    pub(super) fn named(&self, endpoint: &id::Endpoint, limit: &Named) {
-        let request = self.request.ask.id.as_str();
+    pub(super) fn named(&self, endpoint: &id::Endpoint, limit: &AnnouncedLimit) {
+        let request = self.request.info.id.as_str();
         let limit = match limit {
-            Named::Nothing => None,
-            Named::Limit(limit) => Some(*limit),
+            AnnouncedLimit::Absent => None,
+            AnnouncedLimit::Limit(limit) => Some(*limit),
             // What was known holds on.
-            Named::Unreadable(error) => {
+            AnnouncedLimit::Invalid(error) => {
                 let endpoint = endpoint.as_str();
                 log::warn!(request, endpoint, error:%; "attempt: The endpoint names what is no limit.");
                 return;
             }
         };
         let pool = self.node.scheduler.pool(&self.request.pool);
-        if pool.named(endpoint, limit, self.state.began) {
+        if pool.record_limit(endpoint, limit, self.state.began) {
             let limit = limit.map(Limit::per_second);
             let endpoint = endpoint.as_str();
             log::info!(request, endpoint, limit; "attempt: The endpoint names another limit.");
-            self.node.limited.notify_one();
+            self.node.limit_changed.notify_one();
         }
     }
 
     /// Tells where the request goes, and by what.
-    pub(super) fn sent(&self, permit: &Permit, variant: &Variant) {
+    pub(super) fn sent(&self, permit: &Permit, overrides: &Overrides) {
         let request = self.request;
         let belief = self.node.belief();
         let now = self.node.now();
         log::info!(
-            request = request.ask.id.as_str(),
+            request = request.info.id.as_str(),
             digest:% = request.digest,
             route = request.grant.route.name.as_str(),
             endpoint = permit.endpoint().as_str(),
             zone = permit.zone().as_str(),
             version = permit.version().map(id::Version::as_str),
-            model = variant.model.as_ref().map(id::Version::as_str),
-            resume = variant.resume,
+            model = overrides.model.as_ref().map(id::Version::as_str),
+            resume = overrides.resume,
             attempt = self.state.sent,
             since_ms = millis(now.since(request.began)),
             left_ms = millis(request.left(now)),
@@ -99,7 +99,7 @@
 
     /// Notes the version of the request's session.
     pub fn note(&self, permit: &Permit) {
-        let session = self.request.ask.session;
+        let session = self.request.info.session;
         if let Some((session, version)) = session.zip(permit.version()) {
             let now = boot::now();
             let pool = &self.request.pool;
@@ -134,34 +134,34 @@
         self.node.rollouts(|r| r.record(&seen));
     }
 
-    pub(super) fn message(&self, permit: &Permit, variant: &Variant) -> Message {
+    pub(super) fn message(&self, permit: &Permit, overrides: &Overrides) -> OutgoingRequest {
         let request = self.request;
         let customer = request.grant.customer.as_ref();
-        let order = Order {
+        let attempt = AttemptInfo {
             endpoint: permit.endpoint(),
             customer: customer.map(|customer| &customer.name),
-            left: Some(request.left(self.node.now())),
-            model: variant.model.as_ref(),
-            resume: variant.resume.or(request.ask.resume),
-            urgency: Some(cascade::urgency(request, variant)),
+            time_left: Some(request.left(self.node.now())),
+            model: overrides.model.as_ref(),
+            last_event_id: overrides.resume.or(request.info.last_event_id),
+            urgency: Some(cascade::urgency(request, overrides)),
         };
-        Message {
+        OutgoingRequest {
             method: request.head.method.clone(),
             uri: request.head.uri.clone(),
-            headers: self.node.platform.order(&request.head, &order),
+            headers: self.node.platform.attempt_headers(&request.head, &attempt),
             body: request.body.clone(),
         }
     }
 
     /// The version that the request uses now.
     pub(super) fn version(&self) -> Option<id::Version> {
-        let session = self.request.ask.session.unwrap_or(self.request.random);
+        let session = self.request.info.session.unwrap_or(self.request.random);
         let now = boot::now();
         let pool = &self.request.pool;
         self.node.rollouts(|r| r.version(pool, session, now))
     }
 
-    pub(super) fn job(&self, variant: &Variant) -> Job {
+    pub(super) fn job(&self, overrides: &Overrides) -> Job {
         let request = self.request;
         let customer = request.grant.customer.as_ref();
         let name = customer.map_or_else(|| PUBLIC.parse(), |customer| Ok(customer.name.clone()));
@@ -176,9 +176,9 @@
             deadline: request.deadline,
             version: self.version(),
             prefix: request.prefix(),
-            prompt: variant.model.as_ref().and_then(|m| request.prompt(m)),
+            prompt: overrides.model.as_ref().and_then(|m| request.prompt(m)),
             tried: self.state.tried.clone(),
-            returning: false,
+            previously_refused: false,
             repeatable: request.grant.route.repeatable(),
         }
     }
--- a/crates/relay/src/chain.rs
+++ b/crates/relay/src/handler.rs
@@ -18,9 +18,12 @@
 use pimento_units::Moment;
 
 use crate::admit;
-use crate::border::Ask;
-use crate::border::Border;
+use crate::admitted;
+use crate::admitted::AdmittedRequest;
+use crate::buffered;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
+use crate::headers::RequestInfo;
 use crate::node::Node;
 use crate::node::millis;
 use crate::refusal::Cause;
@@ -28,9 +31,6 @@
 use crate::stream;
 use crate::table::Kind;
 use crate::topic::Log;
-use crate::whole;
-use crate::work;
-use crate::work::Work;
 
 /// What callers may send before a configuration says so.
 const FIRST_LIMITS: Limits = Limits {
@@ -44,21 +44,21 @@
 
 /// The callers' side.
 #[derive(Debug)]
-pub struct Callers<P, L>(pub Node<P, L>);
+pub struct RequestHandler<P, L>(pub Node<P, L>);
 
-impl<P: Clone, L: Clone> Clone for Callers<P, L> {
+impl<P: Clone, L: Clone> Clone for RequestHandler<P, L> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Callers<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for RequestHandler<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         let node = &self.0;
         let began = node.now();
         let (head, body) = request.into_parts();
-        let ask = match node.platform.ask(&head) {
-            Ok(ask) => ask,
+        let info = match node.platform.parse_request(&head) {
+            Ok(info) => info,
             Err(error) => {
                 let refusal = Refusal::new(Cause::BadHead);
                 log::info!(path = head.uri.path(), error:%; "request: Head not read.");
@@ -66,8 +66,8 @@
                 return refusal.response();
             }
         };
-        let mut story = Story::new(ask.id.clone(), began, node.clock);
-        let answer = answer(node, (head, body), ask, began).await;
+        let mut story = Story::new(info.id.clone(), began, node.clock);
+        let answer = answer(node, (head, body), info, began).await;
         story.told = true;
         answer.unwrap_or_else(|refusal| {
             story.refused(node, &refusal);
@@ -81,8 +81,8 @@
         };
         let limits = table.limits();
         Limits {
-            head: limits.idle.max(limits.wait),
-            head_bytes: limits.head + OVER,
+            head: limits.idle_timeout.max(limits.receive_timeout),
+            head_bytes: limits.head_bytes + OVER,
         }
     }
 }
@@ -110,7 +110,7 @@
         millis(self.clock.now().since(self.began))
     }
 
-    fn refused<P: Border + Codec, L: Log>(&self, node: &Node<P, L>, refusal: &Refusal) {
+    fn refused<P: HeaderCodec + Codec, L: Log>(&self, node: &Node<P, L>, refusal: &Refusal) {
         node.metrics.refused(refusal);
         let belief = node.belief();
         log::info!(
@@ -137,28 +137,28 @@
     }
 }
 
-async fn answer<P: Border + Codec, L: Log>(
+async fn answer<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     (head, body): (request::Parts, Incoming),
-    ask: Ask,
+    info: RequestInfo,
     began: Moment,
 ) -> Result<Response<Reply>, Refusal> {
-    let grant = admit::admit(node, &ask, head.uri.path()).await?;
+    let grant = admit::admit(node, &info, head.uri.path()).await?;
     let limits = *grant.table.limits();
-    if bytes(&head) > limits.head {
+    if bytes(&head) > limits.head_bytes {
         return Err(Refusal::new(Cause::LargeHead));
     }
-    let body = read(body, limits.body, limits.wait).await?;
-    let random = work::random(&ask);
+    let body = read(body, limits.body_bytes, limits.receive_timeout).await?;
+    let random = admitted::random(&info);
     let pool = grant
-        .pool(random)
+        .pick_service(random)
         .ok_or_else(|| Refusal::new(Cause::UnknownRoute))?;
     let timeout = grant.route.timeout;
-    let wait = ask.wait.map_or(timeout, |wait| wait.min(timeout));
+    let wait = info.timeout.map_or(timeout, |wait| wait.min(timeout));
     let kind = grant.route.kind;
-    let digest = work::digest(&ask, &head, &body, &grant);
-    let request = Work {
-        ask,
+    let digest = admitted::digest(&info, &head, &body, &grant);
+    let request = AdmittedRequest {
+        info,
         head,
         body,
         grant,
@@ -168,9 +168,9 @@
         random,
         digest,
     };
-    node.repeats.arrived(&request.pool, began);
+    node.retry_budgets.arrived(&request.pool, began);
     match kind {
-        Kind::Safe | Kind::Unsafe => whole::serve(node, &request).await,
+        Kind::Safe | Kind::Unsafe => buffered::serve(node, &request).await,
         Kind::Stream => stream::serve(node, request).await,
     }
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -23,10 +23,10 @@
 use prometheus::IntCounterVec;
 use prometheus::Registry;
 
-use crate::border::Border;
 use crate::codec::Codec;
 use crate::follow::Fold;
 use crate::follow::Follower;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::refusal::Refusal;
 use crate::topic::Log;
@@ -237,12 +237,12 @@
         self.behind
             .with_label_values(&[topic])
             .set(behind.as_secs_f64());
-        let tally = follower.tally();
+        let reads = follower.read_counts();
         let figures = [
-            ("answered", tally.answered),
-            ("failed", tally.failed),
-            ("given_up", tally.given_up),
-            ("bytes", tally.bytes),
+            ("answered", reads.answered),
+            ("failed", reads.failed),
+            ("given_up", reads.given_up),
+            ("bytes", reads.bytes),
         ];
         for (name, count) in figures {
             self.reads
@@ -269,7 +269,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Page<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Page<P, L> {
     /// Sets the figures that are read when asked for.
     fn gauges(&self) {
         let node = &self.0;
@@ -282,7 +282,7 @@
             let gauge = metrics.calls.with_label_values(&labels);
             gauge.set(figure(count.calls));
         }
-        for (pool, left) in node.repeats.left(node.now()) {
+        for (pool, left) in node.retry_budgets.left(node.now()) {
             metrics.pool(&pool, "repeats_left", left);
         }
         for (pool, sum) in node.rollouts(|rollouts| rollouts.target_counts()) {
@@ -310,7 +310,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Page<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for Page<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         if request.uri().path() != PATH {
             let mut response = Response::new(Reply::whole("not found\n"));
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -28,7 +28,7 @@
 use std::time::Duration;
 
 use pimento_policy::choice;
-use pimento_scheduler::limited;
+use pimento_scheduler::endpoint_limit;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
@@ -42,17 +42,17 @@
 use self::peers::Role;
 use self::update::Update;
 use crate::boot;
-use crate::border::Border;
+use crate::bundle::Bundle;
+use crate::bundle::SharedTopic;
 use crate::codec::Codec;
 use crate::follow::Lead;
-use crate::follow::Part;
+use crate::follow::RecordRange;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
-use crate::passage::Passage;
-use crate::passage::Shared;
 use crate::rollouts::announcement::NodeAnnouncement;
 use crate::rollouts::announcement::PinnedSession;
 use crate::topic::Log;
-use crate::zone::Reach;
+use crate::zone::Reachability;
 use crate::zone::Stamp;
 use crate::zone::Zone;
 
@@ -107,7 +107,7 @@
 }
 
 /// Starts to exchange datagrams with the other VMs.
-pub fn start<P: Border + Codec, L: Log>(
+pub fn start<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: L,
     zone: Zone,
@@ -117,7 +117,7 @@
     tokio::spawn(async move { token.run_until_cancelled(run(node, log, zone)).await });
 }
 
-async fn run<P: Border + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
     let address = node.config.peer_listen;
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Arc::new(socket),
@@ -147,7 +147,7 @@
     );
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -155,7 +155,7 @@
     /// Whether another VM, which has read the log, reads it for this one.
     fn has_eligible_reader(&self) -> bool {
         let role = self.role();
-        !role.state.blind && role.lead == Lead::Led
+        !role.state.no_able_reader && role.lead == Lead::Led
     }
 
     /// This VM's part in reading the log for the zone, by what is known now.
@@ -194,7 +194,7 @@
     async fn handle(&self, message: Message, from: SocketAddr) {
         let local = message.zone == self.node.config.zone;
         let starts = local && message.reader_status == ReaderStatus::Starting;
-        let sender = starts.then(|| choice::key(message.node.as_str()));
+        let sender = starts.then(|| choice::hash(message.node.as_str()));
         self.merge(message, from);
         let reads = *self.zone.lead.borrow() != Lead::Led;
         if let Some(sender) = sender
@@ -232,19 +232,19 @@
             self.zone_datagram.notify_one();
         }
         for report in &message.poison {
-            let writes = self.node.reads();
+            let writes = self.node.reads_log();
             self.node.poison.receive(*report, !local, writes, now);
         }
         for pinned in &message.pinned_sessions {
             self.node.rollouts(|r| r.pin_session(*pinned));
         }
         if local {
-            self.zone.heard(Stamp {
+            self.zone.record_stamp(Stamp {
                 node: sender,
                 at: message.stamp,
             });
-            for passage in &message.passages {
-                self.apply_passage(passage);
+            for bundle in &message.passages {
+                self.apply_passage(bundle);
             }
             self.apply_proofs(message.proofs);
             for announcement in message.rollouts {
@@ -260,31 +260,32 @@
             .iter()
             .map(|(engine, millis)| (*engine, Duration::from_millis(u64::from(*millis))))
             .collect();
-        let limits: Vec<limited::Word> = message.limits.iter().filter_map(limit::decode).collect();
+        let limits: Vec<endpoint_limit::Report> =
+            message.limits.iter().filter_map(limit::decode).collect();
         for (_, pool) in self.node.scheduler.pools() {
             if local {
-                pool.hear(sender, &waits);
+                pool.merge_waits(sender, &waits);
                 for limit in &limits {
-                    pool.hear_limit(*limit);
+                    pool.merge_limit(*limit);
                 }
             }
             for prefill in &message.prefills {
-                pool.learn(prefill.engine, &prefill.prompt());
+                pool.merge_prefilled(prefill.engine, &prefill.prompt());
             }
         }
     }
 
     /// Applies records that another VM read from the log.
-    fn apply_passage(&self, passage: &Passage) {
-        let Passage {
+    fn apply_passage(&self, bundle: &Bundle) {
+        let Bundle {
             topic, from, to, ..
-        } = *passage;
-        let records = passage.records();
-        let part = Part { from, to, records };
+        } = *bundle;
+        let records = bundle.records();
+        let range = RecordRange { from, to, records };
         match topic {
-            Shared::Operators => self.node.operators.hand(part),
-            Shared::Endpoints => self.node.directory.hand(part),
-            Shared::Poison => self.node.blocklist.hand(part),
+            SharedTopic::Operators => self.node.operators.receive(range),
+            SharedTopic::Endpoints => self.node.directory.receive(range),
+            SharedTopic::Poison => self.node.blocklist.receive(range),
         }
     }
 
@@ -296,13 +297,19 @@
     /// Applies what the reads of another VM prove to this one.
     fn apply_proofs(&self, proofs: Proofs) {
         if let Some(proof) = proofs.operators {
-            self.node.operators.vouch(message::decode_proof(proof));
+            self.node
+                .operators
+                .receive_proof(message::decode_proof(proof));
         }
         if let Some(proof) = proofs.endpoints {
-            self.node.directory.vouch(message::decode_proof(proof));
+            self.node
+                .directory
+                .receive_proof(message::decode_proof(proof));
         }
         if let Some(proof) = proofs.poison {
-            self.node.blocklist.vouch(message::decode_proof(proof));
+            self.node
+                .blocklist
+                .receive_proof(message::decode_proof(proof));
         }
     }
 
@@ -313,22 +320,22 @@
         inner.peers.remove_expired(boot::now());
         let config = &self.node.config;
         let peers = inner.peers.in_zone(&config.zone);
-        self.node.repeats.share_among(inner.peers.count() + 1);
+        self.node.retry_budgets.set_vms(inner.peers.count() + 1);
         let owners = inner
             .peers
             .limit_owners(&config.node, &config.zone, boot::now());
         drop(inner);
-        self.node.scheduler.share(&owners);
+        self.node.scheduler.set_participants(&owners);
         self.zone
-            .keep(|node| peers.iter().any(|peer| peer.key == node));
+            .retain_stamps(|node| peers.iter().any(|peer| peer.key == node));
         peers
     }
 
     /// Updates who reads the log for whom.
     fn update_role(&self) {
         let role = self.role();
-        self.zone.read_by(role.reader);
-        self.zone.set_state(role.state);
+        self.zone.set_leader_address(role.reader);
+        self.zone.set_log_state(role.state);
         let lead = role.lead;
         let update = |known: &mut Lead| {
             let changed = *known != lead;
@@ -347,11 +354,11 @@
         }
         let ages = [self.node.operators.age(), self.node.directory.age()];
         let young = |age: &Option<Duration>| age.is_some_and(|age| age < MAX_VIEW_AGE);
-        match self.zone.reach(boot::now()) {
-            Reach::Out => ReaderStatus::Unanswered,
-            Reach::Answered if ages.iter().any(Option::is_none) => ReaderStatus::Starting,
-            Reach::Answered if ages.iter().all(young) => ReaderStatus::Eligible,
-            Reach::Answered | Reach::Untested => ReaderStatus::Untested,
+        match self.zone.reachability(boot::now()) {
+            Reachability::Unreachable => ReaderStatus::Unanswered,
+            Reachability::Reachable if ages.iter().any(Option::is_none) => ReaderStatus::Starting,
+            Reachability::Reachable if ages.iter().all(young) => ReaderStatus::Eligible,
+            Reachability::Reachable | Reachability::Untested => ReaderStatus::Untested,
         }
     }
 }
--- a/crates/relay/src/neighbours/broadcast.rs
+++ b/crates/relay/src/neighbours/broadcast.rs
@@ -14,10 +14,10 @@
 use super::message::Proofs;
 use super::update::Update;
 use crate::boot;
-use crate::border::Border;
+use crate::bundle::Bundle;
+use crate::bundle::SharedTopic;
 use crate::codec::Codec;
-use crate::passage::Passage;
-use crate::passage::Shared;
+use crate::headers::HeaderCodec;
 use crate::rollouts::Rollouts;
 use crate::topic::Log;
 
@@ -61,17 +61,17 @@
     poison: Offset,
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     /// Records to forward to the zone; empty unless this VM reads the log for it.
-    fn take_passages(&self) -> Vec<Passage> {
+    fn take_passages(&self) -> Vec<Bundle> {
         let forwarded = self.lock().forwarded.take();
         if !self.is_zone_reader() {
             return Vec::new();
         }
         let from = forwarded.unwrap_or_default();
-        let (operator_parts, operators) = self.node.operators.since(from.operators);
-        let (endpoint_parts, endpoints) = self.node.directory.since(from.endpoints);
-        let (poison_parts, poison) = self.node.blocklist.since(from.poison);
+        let (operator_parts, operators) = self.node.operators.chunks_from(from.operators);
+        let (endpoint_parts, endpoints) = self.node.directory.chunks_from(from.endpoints);
+        let (poison_parts, poison) = self.node.blocklist.chunks_from(from.poison);
         self.lock().forwarded = Some(ForwardedOffsets {
             operators,
             endpoints,
@@ -82,16 +82,21 @@
         }
         // If records are missing here or too large, the others read the log by themselves.
         let list = |topic, from, parts: Option<_>, to| {
-            Passage::list(topic, from, parts.unwrap_or_default(), to)
+            Bundle::from_chunks(topic, from, parts.unwrap_or_default(), to)
         };
-        let mut passages = list(Shared::Operators, from.operators, operator_parts, operators);
+        let mut passages = list(
+            SharedTopic::Operators,
+            from.operators,
+            operator_parts,
+            operators,
+        );
         passages.extend(list(
-            Shared::Endpoints,
+            SharedTopic::Endpoints,
             from.endpoints,
             endpoint_parts,
             endpoints,
         ));
-        passages.extend(list(Shared::Poison, from.poison, poison_parts, poison));
+        passages.extend(list(SharedTopic::Poison, from.poison, poison_parts, poison));
         passages
     }
 
@@ -111,9 +116,9 @@
                 _ = endpoints.changed() => self.is_zone_reader(),
                 _ = blocklist.changed() => self.is_zone_reader(),
                 () = self.node.poison.reports_due.notified() => false,
-                () = self.node.limited.notified() => true,
+                () = self.node.limit_changed.notified() => true,
                 () = self.zone.proved.notified() => self.is_zone_reader(),
-                () = self.zone.stopped.notified() => true,
+                () = self.zone.unreachable.notified() => true,
             };
             let update = self.collect_update();
             let now = boot::now();
@@ -140,17 +145,17 @@
         };
         let mut shared = Vec::new();
         for (_, pool) in self.node.scheduler.pools() {
-            let read = pool.read();
+            let read = pool.take_prefilled();
             update.prefills.extend(read.iter().map(Prefill::new));
             shared.extend(read.iter().filter_map(Prefill::shared_prefix));
             let millis = |wait: Duration| u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
-            let waits = pool.waits().into_iter();
+            let waits = pool.engine_waits().into_iter();
             update
                 .waits
                 .extend(waits.map(|(key, wait)| (key, millis(wait))));
             update
                 .limits
-                .extend(pool.limits().iter().map(limit::encode));
+                .extend(pool.limit_reports().iter().map(limit::encode));
         }
         let mut inner = self.lock();
         inner.remote_prefills.extend(shared);
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -10,12 +10,12 @@
 use super::peers::Peer;
 use super::update::Update;
 use crate::boot;
-use crate::border::Border;
 use crate::calls::Reason;
 use crate::codec::Codec;
 use crate::fleet;
-use crate::fleet::Word;
+use crate::fleet::VmRecord;
 use crate::follow::Lead;
+use crate::headers::HeaderCodec;
 use crate::topic::Log;
 use crate::topic::Topic;
 
@@ -37,7 +37,7 @@
     (delay * 2).min(MAX_RETRY_DELAY)
 }
 
-impl<P: Border + Codec, L: Log> Neighbours<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     /// Discovers the other VMs by the log, and joins those of the zone by datagrams.
     ///
     /// Of two VMs that start together, the one whose record comes later must find the other's record.
@@ -59,7 +59,11 @@
     /// Writes this VM's record to the log.
     async fn publish(&self) {
         let mut delay = RETRY_DELAY;
-        while !self.node.say(&self.node.word(), &self.log).await {
+        while !self
+            .node
+            .publish(&self.node.announcement(), &self.log)
+            .await
+        {
             delay = back_off(delay).await;
         }
     }
@@ -88,7 +92,7 @@
             log::info!("neighbours: No VM of the zone is known to have read the log.");
         }
         self.update_role();
-        self.zone.introduce();
+        self.zone.finish_discovery();
     }
 
     /// Reads the other VMs' addresses and the rates that they learnt. Whether this VM's own record is
@@ -96,13 +100,13 @@
     async fn read_fleet(&self) -> bool {
         let mut delay = RETRY_DELAY;
         loop {
-            self.node.calls.count(Topic::Fleet, Reason::Meet);
+            self.node.calls.count(Topic::Fleet, Reason::Discovery);
             let progress = Progress::default();
             let newest = self.log.newest(Topic::Fleet, &progress);
             match progress.wait(newest, CALL_TIMEOUT, CALL_TIMEOUT).await {
                 Ok(Ok(batch)) => {
                     let mut known = false;
-                    for (node, word) in batch.records.iter().filter_map(fleet::read) {
+                    for (node, word) in batch.records.iter().filter_map(fleet::decode) {
                         known |= self.is_own(&node, &word);
                         self.add_record(node, word);
                     }
@@ -117,14 +121,14 @@
 
     /// Whether a record is this VM's own and still true. One with announcements about roll-outs is not:
     /// they are an earlier incarnation's.
-    fn is_own(&self, node: &id::Node, word: &Word) -> bool {
+    fn is_own(&self, node: &id::Node, word: &VmRecord) -> bool {
         let config = &self.node.config;
         let same_place = word.zone == config.zone && word.address == config.peer_listen;
         *node == config.node && same_place && word.rollouts.is_empty()
     }
 
-    fn add_record(&self, node: id::Node, word: Word) {
-        self.node.scheduler.seed(&word.paces);
+    fn add_record(&self, node: id::Node, word: VmRecord) {
+        self.node.scheduler.seed_prefill(&word.seconds_per_token);
         if node != self.node.config.node {
             let now = boot::now();
             let peer = Peer::discovered(node, word.zone, word.address, now);
@@ -137,10 +141,10 @@
     async fn publish_rates(&self) {
         loop {
             tokio::time::sleep(LEARNT_INTERVAL).await;
-            let word = self.node.word();
-            let known = !word.paces.is_empty();
+            let word = self.node.announcement();
+            let known = !word.seconds_per_token.is_empty();
             let alone = *self.zone.lead.borrow() != Lead::Led;
-            if known && alone && self.node.say(&word, &self.log).await {
+            if known && alone && self.node.publish(&word, &self.log).await {
                 return;
             }
         }
--- a/crates/relay/src/neighbours/limit.rs
+++ b/crates/relay/src/neighbours/limit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pimento_policy::throttle::Limit;
-use pimento_scheduler::limited::Word;
+use pimento_scheduler::endpoint_limit::Report;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -19,7 +19,7 @@
 }
 
 /// Encodes a limit for a datagram.
-pub fn encode(word: &Word) -> LimitMessage {
+pub fn encode(word: &Report) -> LimitMessage {
     LimitMessage {
         endpoint: word.endpoint,
         limit: word.limit.map(Limit::per_second),
@@ -28,7 +28,7 @@
 }
 
 /// Decodes a limit; none if its rate is not valid.
-pub fn decode(message: &LimitMessage) -> Option<Word> {
+pub fn decode(message: &LimitMessage) -> Option<Report> {
     let limit = match message.limit.map(Limit::try_from).transpose() {
         Ok(limit) => limit,
         Err(error) => {
@@ -36,7 +36,7 @@
             return None;
         }
     };
-    Some(Word {
+    Some(Report {
         endpoint: message.endpoint,
         limit,
         age: Duration::from_millis(u64::from(message.age_ms)),
--- a/crates/relay/src/neighbours/message.rs
+++ b/crates/relay/src/neighbours/message.rs
@@ -11,8 +11,8 @@
 
 use super::limit::LimitMessage;
 use super::peers::ReaderStatus;
+use crate::bundle::Bundle;
 use crate::follow::Proof;
-use crate::passage::Passage;
 use crate::poison::Report;
 use crate::rollouts::announcement::Announcement;
 use crate::rollouts::announcement::PinnedSession;
@@ -29,7 +29,7 @@
     /// Whether the sender can read the log.
     pub reader_status: ReaderStatus,
     /// Records that changed the sender's views of the log. The receiver applies them before the proofs.
-    pub passages: Vec<Passage>,
+    pub passages: Vec<Bundle>,
     /// What the sender's last reads of the log prove to the receiver.
     pub proofs: Proofs,
     /// The sender's announcements about roll-outs, if they are due.
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use pimento_policy::choice;
-use pimento_scheduler::Sharers;
+use pimento_scheduler::Participants;
 use pimento_units::Moment;
 use pimento_units::id;
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::follow::Lead;
-use crate::zone::State;
+use crate::zone::LogState;
 
 /// A VM that sent no datagram for this long does not read for others. It is the time of three heartbeats,
 /// and some.
@@ -71,7 +71,7 @@
     #[must_use]
     pub fn discovered(node: id::Node, zone: id::Zone, address: SocketAddr, now: Moment) -> Self {
         Self {
-            key: choice::key(node.as_str()),
+            key: choice::hash(node.as_str()),
             node,
             zone,
             address,
@@ -103,7 +103,7 @@
     /// The VM that reads for this one; none if this one reads itself.
     pub reader: Option<SocketAddr>,
     /// How the reads of the zone go.
-    pub state: State,
+    pub state: LogState,
 }
 
 /// All other VMs, sorted by name.
@@ -152,7 +152,7 @@
     /// be cut off, and takes over no share. Datagrams from other zones are too rare to tell which VMs
     /// there are alive.
     #[must_use]
-    pub fn limit_owners(&self, own: &id::Node, zone: &id::Zone, now: Moment) -> Sharers {
+    pub fn limit_owners(&self, own: &id::Node, zone: &id::Zone, now: Moment) -> Participants {
         let local = |peer: &&Peer| peer.zone == *zone;
         let alone = !self
             .peers
@@ -163,14 +163,14 @@
             let stays = peer.status != ReaderStatus::Leaving;
             stays && (peer.zone != *zone || alone || peer.is_alive(now))
         };
-        let mut zones = vec![(zone.clone(), vec![choice::key(own.as_str())])];
+        let mut zones = vec![(zone.clone(), vec![choice::hash(own.as_str())])];
         for peer in self.peers.iter().filter(shares) {
             match zones.iter_mut().find(|(known, _)| *known == peer.zone) {
                 Some((_, vms)) => vms.push(peer.key),
                 None => zones.push((peer.zone.clone(), vec![peer.key])),
             }
         }
-        Sharers::new(choice::key(own.as_str()), zones)
+        Participants::new(choice::hash(own.as_str()), zones)
     }
 
     /// The VMs of a zone.
@@ -194,7 +194,7 @@
             return Role {
                 lead: Lead::Alone,
                 reader: None,
-                state: State::default(),
+                state: LogState::default(),
             };
         }
         let unanswered = |(status, ..): &&(ReaderStatus, &id::Node, Option<SocketAddr>)| {
@@ -208,9 +208,9 @@
         Role {
             lead: address.map_or(Lead::Leading, |_| Lead::Led),
             reader: address,
-            state: State {
-                blind: !eligible,
-                doubtful: all.iter().filter(unanswered).count() >= MANY_UNANSWERED,
+            state: LogState {
+                no_able_reader: !eligible,
+                outage_suspected: all.iter().filter(unanswered).count() >= MANY_UNANSWERED,
             },
         }
     }
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -16,12 +16,12 @@
 use tokio::net::TcpListener;
 
 use crate::boot;
-use crate::border::Border;
+use crate::bundle::Bundle;
+use crate::bundle::PATH;
+use crate::bundle::SharedTopic;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
-use crate::passage::PATH;
-use crate::passage::Passage;
-use crate::passage::Shared;
 use crate::snapshot;
 use crate::snapshot::Snapshot;
 use crate::topic::Log;
@@ -30,7 +30,7 @@
 /// The last records that were packed. They are reused, as the VMs of a zone lack the same ones.
 #[derive(Debug, Clone)]
 struct Packed {
-    topic: Shared,
+    topic: SharedTopic,
     from: Offset,
     to: Offset,
     bytes: Bytes,
@@ -54,7 +54,7 @@
 
 /// Serves until the process ends. If the address can't be bound, the other VMs read the log by
 /// themselves.
-pub async fn serve<P: Border + Codec, L: Log>(node: Node<P, L>) {
+pub async fn serve<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>) {
     let address = node.config.peer_listen;
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
@@ -71,28 +71,28 @@
 }
 
 /// The topic whose whole view a path requests.
-fn snapshot_request(path: &str) -> Option<Shared> {
-    Shared::named(path.strip_prefix(snapshot::PATH)?)
+fn snapshot_request(path: &str) -> Option<SharedTopic> {
+    SharedTopic::from_name(path.strip_prefix(snapshot::PATH)?)
 }
 
 /// The topic and first offset of the records that a path requests.
-fn records_request(path: &str) -> Option<(Shared, Offset)> {
+fn records_request(path: &str) -> Option<(SharedTopic, Offset)> {
     let (topic, from) = path.strip_prefix(PATH)?.split_once('/')?;
-    Some((Shared::named(topic)?, Offset(from.parse().ok()?)))
+    Some((SharedTopic::from_name(topic)?, Offset(from.parse().ok()?)))
 }
 
-impl<P: Border + Codec, L: Log> Records<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Records<P, L> {
     /// The view of a topic, read once more if the log can be read; none if there is none yet.
-    async fn snapshot(&self, topic: Shared) -> Option<Bytes> {
+    async fn snapshot(&self, topic: SharedTopic) -> Option<Bytes> {
         let asked = boot::now();
         let snapshot = match topic {
-            Shared::Operators => self.node.operators.snapshot(asked).await,
-            Shared::Endpoints => self.node.directory.snapshot(asked).await,
-            Shared::Poison => self.node.blocklist.snapshot(asked).await,
+            SharedTopic::Operators => self.node.operators.snapshot(asked).await,
+            SharedTopic::Endpoints => self.node.directory.snapshot(asked).await,
+            SharedTopic::Poison => self.node.blocklist.snapshot(asked).await,
         };
         let Snapshot { records, to, age } = snapshot?;
         let packed = self.pack(topic, Offset::default(), records, to)?;
-        match snapshot::seal(&self.node.config.deployment, age, packed) {
+        match snapshot::encode(&self.node.config.deployment, age, packed) {
             Ok(sealed) => Some(sealed),
             Err(error) => {
                 log::error!("neighbours: A snapshot can't be encoded: {error}.");
@@ -102,25 +102,31 @@
     }
 
     /// The records from an offset on, packed; none if this VM lacks one of them.
-    fn records(&self, topic: Shared, from: Offset) -> Option<Bytes> {
+    fn records(&self, topic: SharedTopic, from: Offset) -> Option<Bytes> {
         let (records, to) = match topic {
-            Shared::Operators => self.node.operators.all(from),
-            Shared::Endpoints => self.node.directory.all(from),
-            Shared::Poison => self.node.blocklist.all(from),
+            SharedTopic::Operators => self.node.operators.records_from(from),
+            SharedTopic::Endpoints => self.node.directory.records_from(from),
+            SharedTopic::Poison => self.node.blocklist.records_from(from),
         };
         self.pack(topic, from, records?, to)
     }
 
     /// Packs records, or returns the last packed ones if they are the same.
-    fn pack(&self, topic: Shared, from: Offset, records: Vec<Record>, to: Offset) -> Option<Bytes> {
+    fn pack(
+        &self,
+        topic: SharedTopic,
+        from: Offset,
+        records: Vec<Record>,
+        to: Offset,
+    ) -> Option<Bytes> {
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
         let same = |packed: &&Packed| (packed.topic, packed.from, packed.to) == (topic, from, to);
         if let Some(packed) = last.as_ref().filter(same) {
             return Some(packed.bytes.clone());
         }
         let parts = vec![records];
-        let passage = Passage::list(topic, from, parts, to).pop()?;
-        match passage.pack() {
+        let bundle = Bundle::from_chunks(topic, from, parts, to).pop()?;
+        match bundle.pack() {
             Ok(bytes) => {
                 log::info!(
                     topic = topic.topic().as_str(),
@@ -144,7 +150,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Records<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for Records<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         let path = request.uri().path();
         let packed = match snapshot_request(path) {
--- a/crates/relay/src/neighbours/update.rs
+++ b/crates/relay/src/neighbours/update.rs
@@ -2,7 +2,7 @@
 
 use super::limit::LimitMessage;
 use super::message::Prefill;
-use crate::passage::Passage;
+use crate::bundle::Bundle;
 use crate::poison::Report;
 use crate::rollouts::announcement::Announcement;
 use crate::rollouts::announcement::PinnedSession;
@@ -32,7 +32,7 @@
     /// Reports of requests that crash endpoints.
     pub poison: Vec<Report>,
     /// Records of the log.
-    pub passages: Vec<Passage>,
+    pub passages: Vec<Bundle>,
 }
 
 impl Update {
@@ -84,5 +84,5 @@
     /// Reports of requests that crash endpoints.
     pub poison: &'a [Report],
     /// Records of the log.
-    pub passages: &'a [Passage],
+    pub passages: &'a [Bundle],
 }
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -20,8 +20,8 @@
 use pimento_policy::poison::Crash;
 use pimento_policy::poison::Table;
 use pimento_policy::poison::Verdict;
-use pimento_policy::poison::breaks::Breaks;
-use pimento_policy::poison::breaks::Step;
+use pimento_policy::poison::broken_runs::Action;
+use pimento_policy::poison::broken_runs::BrokenRuns;
 use pimento_units::Digest;
 use pimento_units::Moment;
 use pimento_units::id;
@@ -32,11 +32,11 @@
 pub use self::report::Report;
 pub use self::writer::start;
 use crate::boot;
-use crate::border::Border;
 use crate::codec::Codec;
-use crate::endpoint::Entry;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::node::millis;
+use crate::registration::Registration;
 use crate::topic::Log;
 
 /// The longest random delay before a VM answers a crash report about a request that it knows to be
@@ -72,7 +72,7 @@
     zone_outbox: Outbox,
     /// Reports to send to other zones.
     remote_outbox: Outbox,
-    breaks: Breaks,
+    breaks: BrokenRuns,
     /// Changes to write to the log.
     pending_writes: Vec<(Digest, Change)>,
 }
@@ -81,8 +81,8 @@
     /// Counts a crash. If the request is cleared here, the other VMs are told so, as the one that
     /// reported the crash doesn't know it.
     fn count_crash(&mut self, digest: Digest, crash: Crash, now: Moment) -> Verdict {
-        let verdict = self.table.crashed(digest, crash, now);
-        if verdict == Verdict::Cleared && self.table.contradicts(digest, now) {
+        let verdict = self.table.record_crash(digest, crash, now);
+        if verdict == Verdict::Cleared && self.table.should_announce_answer(digest, now) {
             // All VMs that know the answer receive the crash report at the same moment. With a random
             // delay one of them answers first, and the others cancel theirs.
             let delay = Duration::ZERO..MAX_CLEARED_DELAY;
@@ -119,10 +119,10 @@
         for digest in digests {
             let verdict = state.count_crash(*digest, crash, now);
             log::info!(digest:%, verdict:?; "poison: An endpoint crashed while it ran a request of this VM.");
-            if matches!(verdict, Verdict::Suspected(_) | Verdict::Barred) {
+            if matches!(verdict, Verdict::Suspected(_) | Verdict::Blocked) {
                 state.broadcast(Report::crashed(*digest, crash), now);
             }
-            if verdict == Verdict::Barred {
+            if verdict == Verdict::Blocked {
                 self.schedule_block(&mut state, *digest, now);
             }
         }
@@ -132,7 +132,7 @@
 
     /// Schedules the write of a block to the log.
     fn schedule_block(&self, state: &mut State, digest: Digest, now: Moment) {
-        let Some(lasts) = state.table.barred(digest, now) else {
+        let Some(lasts) = state.table.blocked_for(digest, now) else {
             return;
         };
         log::warn!(digest:%, lasts_ms = millis(lasts); "poison: Request blocked.");
@@ -154,15 +154,22 @@
                 endpoint,
                 life,
             } => {
-                let verdict = state.count_crash(digest, Crash { endpoint, life }, now);
+                let verdict = state.count_crash(
+                    digest,
+                    Crash {
+                        endpoint,
+                        incarnation: life,
+                    },
+                    now,
+                );
                 match verdict {
-                    Verdict::Barred if writes => self.schedule_block(&mut state, digest, now),
+                    Verdict::Blocked if writes => self.schedule_block(&mut state, digest, now),
                     Verdict::Cleared => self.reports_due.notify_one(),
                     _ => {}
                 }
             }
             Report::Answered { digest } => {
-                state.table.heard(digest, now);
+                state.table.merge_answer(digest, now);
                 state.zone_outbox.cancel(report);
                 state.remote_outbox.cancel(report);
             }
@@ -188,11 +195,11 @@
 
 /// Records that a request got a complete answer. This clears a suspect and removes its block from the
 /// log.
-pub fn record_answer<P: Border + Codec, L: Log>(node: &Node<P, L>, digest: Digest) {
+pub fn record_answer<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, digest: Digest) {
     let now = boot::now();
     let poison = &node.poison;
     let mut state = poison.lock();
-    if state.table.answered(digest, now) {
+    if state.table.record_answer(digest, now) {
         log::info!(digest:%; "poison: Request cleared by a complete answer.");
         state.broadcast(Report::Answered { digest }, now);
         poison.reports_due.notify_one();
@@ -208,22 +215,22 @@
 }
 
 /// How long a request is still blocked; none if it may be sent.
-pub fn block_remaining<P: Border + Codec, L: Log>(
+pub fn block_remaining<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     digest: Digest,
 ) -> Option<Duration> {
     let now = boot::now();
     let table = &node.poison.lock().table;
     // The VM that wrote the block may have missed the report of the answer.
-    if table.clears(digest, now) {
+    if table.is_cleared(digest, now) {
         return None;
     }
     let on_log = node.blocklist.view(|list| list.remaining(digest, now));
-    table.barred(digest, now).max(on_log)
+    table.blocked_for(digest, now).max(on_log)
 }
 
 /// Records that a run failed at an endpoint. If its connection broke, the endpoint may have crashed.
-pub fn record_failure<P: Border + Codec, L: Log>(
+pub fn record_failure<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     digest: Digest,
     endpoint: &id::Endpoint,
@@ -238,26 +245,30 @@
         return;
     };
     let crash = Crash {
-        endpoint: choice::key(endpoint.as_str()),
-        life: Some(member.entry.born),
+        endpoint: choice::hash(endpoint.as_str()),
+        incarnation: Some(member.entry.started_unix_ms),
     };
-    let step = node.poison.lock().breaks.broke(digest, crash);
+    let step = node.poison.lock().breaks.record(digest, crash);
     match step {
-        Step::Count => node.poison.record_crash(crash, &[digest], boot::now()),
-        Step::Look => {
+        Action::Count => node.poison.record_crash(crash, &[digest], boot::now()),
+        Action::Probe => {
             let node = node.clone();
             // The task is bounded in time, and may be dropped when the VM stops.
             tokio::spawn(async move { confirm_crash(&node, &member.entry, crash).await });
         }
-        Step::Wait => {}
+        Action::Wait => {}
     }
 }
 
 /// Waits until it is known whether an endpoint crashed; if so, counts the crash for all requests that
 /// ran there.
-async fn confirm_crash<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry, crash: Crash) {
+async fn confirm_crash<P: HeaderCodec + Codec, L: Log>(
+    node: &Node<P, L>,
+    entry: &Registration,
+    crash: Crash,
+) {
     let evidence = crash_check::wait_for_crash(node, entry).await;
-    let digests = node.poison.lock().breaks.looked(crash, evidence.is_some());
+    let digests = node.poison.lock().breaks.resolve(crash, evidence.is_some());
     log::info!(
         endpoint = entry.id.as_str(),
         proof = evidence.map(crash_check::CrashEvidence::as_str),
--- a/crates/relay/src/poison/blocklist.rs
+++ b/crates/relay/src/poison/blocklist.rs
@@ -7,7 +7,7 @@
 use pimento_units::Moment;
 
 use crate::follow::Fold;
-use crate::follow::Told;
+use crate::follow::RecordContext;
 use crate::topic::Record;
 
 /// A blocked request.
@@ -64,7 +64,7 @@
 }
 
 impl Fold for Blocklist {
-    fn apply(&mut self, record: &Record, told: Told) -> bool {
+    fn apply(&mut self, record: &Record, context: RecordContext) -> bool {
         let Ok(digest) = record.key.parse::<Digest>() else {
             log::warn!(
                 "poison: Key {:?} of a block's record is no digest.",
@@ -95,7 +95,7 @@
             digest:%;
             "poison: Block read from the log."
         );
-        let until = told.at + lasts;
+        let until = context.received + lasts;
         match place {
             Ok(place) => self.blocks[place].until = until,
             Err(place) => self.blocks.insert(place, Block { digest, until }),
--- a/crates/relay/src/poison/crash_check.rs
+++ b/crates/relay/src/poison/crash_check.rs
@@ -7,10 +7,10 @@
 
 use pimento_endpoint::gone;
 
-use crate::border::Border;
 use crate::codec::Codec;
-use crate::endpoint::Entry;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
+use crate::registration::Registration;
 use crate::topic::Log;
 
 /// How long an endpoint that crashed may stay registered: its entry is removed after three missed
@@ -37,11 +37,11 @@
 }
 
 /// Waits until an endpoint is known to have crashed; none if it is still there.
-pub async fn wait_for_crash<P: Border + Codec, L: Log>(
+pub async fn wait_for_crash<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    entry: &Entry,
+    entry: &Registration,
 ) -> Option<CrashEvidence> {
-    let bound = node.reach(|reach| reach.bound());
+    let bound = node.connect_times(|reach| reach.current());
     if gone::is_refused(entry.address, bound).await {
         return Some(CrashEvidence::Refused);
     }
@@ -61,9 +61,9 @@
 
 /// Whether an endpoint is still registered with the same start. One that lost its entry while the log
 /// was out counts as registered.
-fn is_registered<P: Border + Codec, L: Log>(node: &Node<P, L>, entry: &Entry) -> bool {
+fn is_registered<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, entry: &Registration) -> bool {
     node.directory.view(|view| {
         let known = view.member(&entry.id);
-        known.is_some_and(|known| known.entry.born == entry.born)
+        known.is_some_and(|known| known.entry.started_unix_ms == entry.started_unix_ms)
     })
 }
--- a/crates/relay/src/poison/report.rs
+++ b/crates/relay/src/poison/report.rs
@@ -44,7 +44,7 @@
         Self::Crashed {
             digest,
             endpoint: crash.endpoint,
-            life: crash.life,
+            life: crash.incarnation,
         }
     }
 }
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -10,9 +10,9 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::boot;
-use crate::border::Border;
 use crate::codec::Codec;
 use crate::directory;
+use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::topic::Log;
 
@@ -21,37 +21,37 @@
 const FAR: Duration = Duration::from_millis(10);
 
 /// Starts to follow the endpoints and the services.
-pub fn start<P: Border + Codec, L: Log>(node: &Node<P, L>, token: CancellationToken) {
+pub fn start<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, token: CancellationToken) {
     let node = node.clone();
     tokio::spawn(async move { token.run_until_cancelled(follow(node)).await });
 }
 
-async fn follow<P: Border + Codec, L: Log>(node: Node<P, L>) {
+async fn follow<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>) {
     let mut endpoints = node.directory.changes();
     let mut operators = node.operators.changes();
     loop {
         refresh(&node);
-        let sweep = node.directory.view(directory::Directory::next_sweep);
+        let sweep = node.directory.view(directory::Directory::next_expiry);
         let now = boot::now();
         let pause = sweep.map_or(Duration::from_hours(1), |at| at.since(now));
         tokio::select! {
             _ = endpoints.changed() => {}
             _ = operators.changed() => {}
             () = tokio::time::sleep(pause) => {
-                node.directory.amend(|view| view.sweep(boot::now()));
+                node.directory.modify(|view| view.remove_expired(boot::now()));
             }
         }
     }
 }
 
 /// Brings the scheduler's pools up to the list of endpoints and to the services.
-pub(crate) fn refresh<P: Border + Codec, L: Log>(node: &Node<P, L>) {
+pub(crate) fn refresh<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let zone = &node.config.zone;
     let table = node.table();
     let memory = |pool: &id::Pool| {
         let service = table.as_ref()?.service(pool)?;
-        service.engine.as_ref().map(|engine| engine.memory)
+        service.engine.as_ref().map(|engine| engine.kv_capacity)
     };
     let mut members: Vec<(id::Pool, Member)> = node.directory.view(|view| {
         let seats = view.members().iter();
@@ -107,11 +107,11 @@
         endpoint: entry.id.clone(),
         zone: entry.zone.clone(),
         address: entry.address,
-        usable: member.usable(now),
+        usable: member.is_usable(now),
         distance: if near { Duration::ZERO } else { FAR },
         versions: Some(vec![entry.version.clone()]),
         report: Some((report, Moment::ZERO)),
         memory,
-        life: entry.born,
+        incarnation: entry.started_unix_ms,
     }
 }
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -26,7 +26,7 @@
 use self::state::Step;
 use self::state::Visibility;
 use crate::config::Exposure;
-use crate::operators::Order;
+use crate::operators::RolloutOrder;
 use crate::sessions::Sessions;
 
 /// The longest time between announcements of a VM, which show the others that it is alive.
@@ -138,16 +138,16 @@
 
     /// Whether this order, or a later one for the same service, was added.
     #[must_use]
-    pub fn has_order(&self, order: &Order) -> bool {
+    pub fn has_order(&self, order: &RolloutOrder) -> bool {
         let known = self.get(&order.rollout.pool);
         known.is_some_and(|known| known.offset() >= order.offset)
     }
 
     /// Adds an order. `ended` is how it ended, if that was before this process started.
-    pub fn add_order(&mut self, order: Order, ended: Option<End>, now: Moment) {
+    pub fn add_order(&mut self, order: RolloutOrder, ended: Option<End>, now: Moment) {
         let mut rollout = RolloutState::new(order, ended.map(|end| (end, now)));
         if ended.is_none() {
-            for session in self.sessions.live(now) {
+            for session in self.sessions.active(now) {
                 if self.is_in_trial(session, rollout.target()) {
                     rollout.pin_session(session, true);
                 }
@@ -213,10 +213,10 @@
         if used == Some(target) {
             return Some(target.clone());
         }
-        if phase.keeps() && (used.is_some() || rollout.is_pinned(session)) {
+        if phase.pins_known_sessions() && (used.is_some() || rollout.is_pinned(session)) {
             return Some(old.clone());
         }
-        let moves = rollout::moves(session_id(session), target, phase.weight());
+        let moves = rollout::uses_new_version(session_id(session), target, phase.weight());
         Some(if moves { target } else { old }.clone())
     }
 
@@ -236,7 +236,7 @@
     }
 
     fn phase(&self, rollout: &RolloutState, now: Moment) -> Phase {
-        let lasts = rollout.order.rollout.lasts;
+        let lasts = rollout.order.rollout.time_limit;
         self.config
             .phase(rollout.age(now), lasts, self.exposure.share)
     }
@@ -249,12 +249,12 @@
         version: &id::Version,
         now: Moment,
     ) {
-        self.sessions.note(session, version, now);
+        self.sessions.record(session, version, now);
         let Some(rollout) = self.get(pool).filter(|r| r.ended().is_none()) else {
             return;
         };
         let target = rollout.target();
-        let pinned = target != version && self.phase(rollout, now).keeps();
+        let pinned = target != version && self.phase(rollout, now).pins_known_sessions();
         if !pinned || !self.is_in_trial(session, target) {
             return;
         }
@@ -265,8 +265,8 @@
 
     /// Whether a session is in the share that the trial would move.
     fn is_in_trial(&self, session: u64, target: &id::Version) -> bool {
-        let share = self.config.share(self.exposure.share);
-        rollout::moves(session_id(session), target, share)
+        let share = self.config.trial_share(self.exposure.share);
+        rollout::uses_new_version(session_id(session), target, share)
     }
 
     /// Sessions that used the old version at this VM and were not announced to other VMs yet.
--- a/crates/relay/src/rollouts/announcement.rs
+++ b/crates/relay/src/rollouts/announcement.rs
@@ -56,7 +56,7 @@
             passed: 0,
             attempts: self.attempts,
             failed: self.failed,
-            pace,
+            mean_time: pace,
         })
     }
 }
--- a/crates/relay/src/rollouts/state.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -16,7 +16,7 @@
 use super::announcement::Outcome;
 use super::announcement::RequestCounts;
 use super::announcement::Route;
-use crate::operators::Order;
+use crate::operators::RolloutOrder;
 
 /// After this long without an announcement from a VM the roll-out no longer waits for it: the VM is
 /// down, or cut off from the log, in which case it admits no keys and sends no requests. It is a little
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct RolloutState {
     /// The order.
-    pub order: Order,
+    pub order: RolloutOrder,
     /// How old the order was when this VM read it, by the announcements of other VMs.
     read_delay: Duration,
     /// How the roll-out ended, and when this VM knew of it.
@@ -83,7 +83,7 @@
 impl RolloutState {
     /// A roll-out that begins, or that ended before this process started.
     #[must_use]
-    pub const fn new(order: Order, ended: Option<(End, Moment)>) -> Self {
+    pub const fn new(order: RolloutOrder, ended: Option<(End, Moment)>) -> Self {
         Self {
             order,
             read_delay: Duration::ZERO,
@@ -123,7 +123,7 @@
     /// The age of the order.
     #[must_use]
     pub fn age(&self, now: Moment) -> Duration {
-        now.since(self.order.read) + self.read_delay
+        now.since(self.order.read_at) + self.read_delay
     }
 
     /// The new version.
@@ -172,7 +172,7 @@
     /// Counts a request of a route. `new` is set if it used the new version.
     pub fn count(&mut self, route: &str, new: bool, endpoint: &id::Endpoint, outcome: Outcome) {
         if new && outcome == Outcome::Failed {
-            let hash = choice::key(endpoint.as_str());
+            let hash = choice::hash(endpoint.as_str());
             if let Err(place) = self.failing.binary_search(&hash) {
                 self.failing.insert(place, hash);
             }
@@ -183,7 +183,7 @@
     }
 
     /// The evidence of all VMs, for each route.
-    fn tallies(&self) -> Vec<shift::Tally> {
+    fn tallies(&self) -> Vec<shift::RouteEvidence> {
         let mut routes = self.routes.clone();
         let peers = self.peers.iter();
         for other in peers.flat_map(|peer| &peer.announcement.routes) {
@@ -191,7 +191,7 @@
             route.new.add(&other.new);
             route.old.add(&other.old);
         }
-        let tally = |route: &Route| shift::Tally {
+        let tally = |route: &Route| shift::RouteEvidence {
             new: route.new.evidence(),
             old: route.old.evidence(),
         };
@@ -230,7 +230,7 @@
         let cause = if reported {
             Some(CompactString::const_new("reported by another VM"))
         } else {
-            let cause = shift::verdict(&self.tallies(), self.failing(), endpoints);
+            let cause = shift::regression(&self.tallies(), self.failing(), endpoints);
             cause.map(|cause| CompactString::from(format!("{cause:?}")))
         };
         if let Some(cause) = cause {
@@ -324,7 +324,7 @@
         let all = drained
             && visibility == Visibility::AllZones
             && self.live_peers(now).all(|peer| peer.announcement.drained);
-        let late = self.age(now) + margin >= self.order.rollout.lasts;
+        let late = self.age(now) + margin >= self.order.rollout.time_limit;
         if phase == Phase::Moved && (all || late) {
             return Step::Report(End::Done);
         }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -19,10 +19,10 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-use crate::border::Border;
-use crate::chain::Callers;
 use crate::codec::Codec;
 use crate::config::Config;
+use crate::handler::RequestHandler;
+use crate::headers::HeaderCodec;
 use crate::metrics::Page;
 use crate::node::Node;
 use crate::topic::Log;
@@ -51,7 +51,7 @@
     background: CancellationToken,
 }
 
-impl<P: Border + Codec, L: Log> Running<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Running<P, L> {
     /// Binds all addresses and starts to serve.
     ///
     /// # Errors
@@ -84,7 +84,7 @@
             Page(node.clone()),
             Stop::default(),
         ));
-        let service = Callers(node.clone());
+        let service = RequestHandler(node.clone());
         let serving = tokio::spawn(pimento_serve::run(callers, service, stop.clone()));
         Ok(Self {
             node,
@@ -95,7 +95,7 @@
     }
 
     /// Ends in order; false if requests were cut.
-    pub async fn end(self) -> bool {
+    pub async fn shut_down(self) -> bool {
         let begun = self.node.now();
         let grace = self.node.config.bounds.grace;
         log::info!("server: Leaving.");
@@ -137,7 +137,7 @@
     }
 }
 
-impl<P: Border + Codec, L: Log> Serve for Ready<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for Ready<P, L> {
     async fn serve(&self, _request: Request<Incoming>) -> Response<Reply> {
         let ready = self.0.ready();
         let mut response =
--- /dev/null
+++ b/crates/relay/src/timings.rs
@@ -0,0 +1,143 @@
+//! Intervals and timeouts of the reads of the log, derived from the bounds that must hold.
+//!
+//! Every read is paid for, so that a topic is read no more often than its bound requires. A fixed share of a
+//! bound is the age that a proof may have. The rest is for one read that gets no answer and its retry.
+
+use std::time::Duration;
+
+use snafu::Snafu;
+
+use crate::config::Bounds;
+use crate::follow::Polling;
+use crate::follow::Timing;
+
+/// Longer bounds have the timings of these. They would save few calls, and callers would see new endpoints
+/// and changes later than necessary.
+const LONGEST_LEAVING: Duration = Duration::from_secs(4);
+const LONGEST_CHANGE: Duration = Duration::from_secs(2);
+
+/// The shortest bounds that can be held: an answer of the log takes up to a tenth of a second.
+const SHORTEST_LEAVING: Duration = Duration::from_millis(600);
+const SHORTEST_CHANGE: Duration = Duration::from_secs(1);
+
+/// The longest timeout of an answer.
+const MAX_TIMEOUT: Duration = Duration::from_millis(450);
+
+/// Pause before the retry of a read that got no answer.
+const RETRY: Duration = Duration::from_millis(50);
+
+/// Share of the bound on revoked keys within which a VM must know of a change. The rest is for proofs from
+/// other VMs, which are older, and for reporting itself unready before it must refuse callers.
+const REVOKE_SHARE: f64 = 0.4;
+
+/// Shares of the bound on leaving endpoints: the highest age of a proof, and the pauses between the reads of
+/// a VM that leads and of one that is alone. One proof may be lost before the last one is too old.
+const LEAVING_PROOF_AGE: f64 = 0.75;
+const LEAVING_LEADING: f64 = 0.25;
+const LEAVING_ALONE: f64 = 0.45;
+
+/// Shares of the bound on changes: the highest age of a proof, the waits at the log of a VM that leads and
+/// of one that is alone, and the timeout. A proof is as old as the read behind it, up to twice the wait.
+const CHANGE_PROOF_AGE: f64 = 1.15;
+const CHANGE_LEADING: f64 = 0.3;
+const CHANGE_ALONE: f64 = 0.5;
+const CHANGE_TIMEOUT: f64 = 0.225;
+
+/// Timing of the topic of requests during which endpoints crashed. VMs also send them to each other in
+/// datagrams, so that a silent connection may go unnoticed for some seconds.
+const POISON_WAIT: Polling = Polling {
+    wait: Duration::from_secs(5),
+    pause: Duration::ZERO,
+};
+const POISON: Timing = Timing {
+    alone: POISON_WAIT,
+    leading: POISON_WAIT,
+    max_proof_age: Duration::from_secs(20),
+    timeout: MAX_TIMEOUT,
+};
+
+/// Timings of the topics that all VMs read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Timings {
+    /// The operators' topic. Changes are rare, so that a read can wait at the log for one.
+    pub operators: Timing,
+    /// The endpoints' topic. Each endpoint writes about once a second. A read that waits at the log would
+    /// be answered for each of their records.
+    pub endpoints: Timing,
+    /// The topic of requests during which endpoints crashed. Records are rare, and a read that waits at the
+    /// log returns them at once.
+    pub poison: Timing,
+}
+
+/// A bound that can't be held.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
+pub enum Error {
+    /// The bound on leaving endpoints.
+    #[snafu(display(
+        "leaving endpoints can't be known within {bound:?}; the shortest possible bound is {SHORTEST_LEAVING:?}"
+    ))]
+    Leaving {
+        /// The bound.
+        bound: Duration,
+    },
+    /// The bound on changes of the configuration, or on revoked keys.
+    #[snafu(display(
+        "a change can't be known within {bound:?}; the bound on changes and {REVOKE_SHARE} of the bound on revoked keys must be at least {SHORTEST_CHANGE:?}"
+    ))]
+    Change {
+        /// The bound on changes, or the share of the bound on revoked keys if that is shorter.
+        bound: Duration,
+    },
+}
+
+impl TryFrom<&Bounds> for Timings {
+    type Error = Error;
+
+    fn try_from(bounds: &Bounds) -> Result<Self, Error> {
+        Ok(Self {
+            operators: operators(bounds)?,
+            endpoints: endpoints(bounds)?,
+            poison: POISON,
+        })
+    }
+}
+
+fn operators(bounds: &Bounds) -> Result<Timing, Error> {
+    let revoke = bounds.revoke.map(|revoke| revoke.mul_f64(REVOKE_SHARE));
+    let bound = bounds
+        .config_apply
+        .min(revoke.unwrap_or(bounds.config_apply));
+    if bound < SHORTEST_CHANGE {
+        return Err(Error::Change { bound });
+    }
+    let bound = bound.min(LONGEST_CHANGE);
+    let waiting = |share: f64| Polling {
+        wait: bound.mul_f64(share),
+        pause: Duration::ZERO,
+    };
+    Ok(Timing {
+        alone: waiting(CHANGE_ALONE),
+        leading: waiting(CHANGE_LEADING),
+        max_proof_age: bound.mul_f64(CHANGE_PROOF_AGE),
+        timeout: bound.mul_f64(CHANGE_TIMEOUT).min(MAX_TIMEOUT),
+    })
+}
+
+fn endpoints(bounds: &Bounds) -> Result<Timing, Error> {
+    let bound = bounds.drain;
+    if bound < SHORTEST_LEAVING {
+        return Err(Error::Leaving { bound });
+    }
+    let bound = bound.min(LONGEST_LEAVING);
+    let pausing = |share: f64| Polling {
+        wait: Duration::ZERO,
+        pause: bound.mul_f64(share),
+    };
+    let max_proof_age = bound.mul_f64(LEAVING_PROOF_AGE);
+    Ok(Timing {
+        alone: pausing(LEAVING_ALONE),
+        leading: pausing(LEAVING_LEADING),
+        max_proof_age,
+        timeout: bound.saturating_sub(max_proof_age + RETRY).min(MAX_TIMEOUT),
+    })
+}
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 use compact_str::CompactString;
-use pimento_relay::calls::Calls;
+use pimento_relay::calls::LogCalls;
 use pimento_relay::config::Bounds;
 use pimento_relay::config::Exposure;
-use pimento_relay::config::Retry;
+use pimento_relay::config::RetryBudget;
+use pimento_relay::follow::Connectivity;
 use pimento_relay::follow::Fold;
 use pimento_relay::follow::Follower;
-use pimento_relay::follow::Gait;
 use pimento_relay::follow::Lead;
-use pimento_relay::follow::Pace;
-use pimento_relay::follow::Told;
-use pimento_relay::follow::Touch;
+use pimento_relay::follow::Polling;
+use pimento_relay::follow::RecordContext;
+use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
 use pimento_relay::topic::Topic;
 use pimento_relay::zone::Zone;
@@ -25,42 +25,42 @@
 /// Longer than anything here takes.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-pub const QUICK: Gait = Gait {
+pub const QUICK: Polling = Polling {
     wait: Duration::from_millis(20),
     pause: Duration::ZERO,
 };
 
-pub const PACE: Pace = Pace {
+pub const TIMING: Timing = Timing {
     alone: QUICK,
     leading: QUICK,
-    trust: Duration::from_mins(1),
-    patience: Duration::from_millis(200),
+    max_proof_age: Duration::from_mins(1),
+    timeout: Duration::from_millis(200),
 };
 
 /// Keeps all records, what was known when each came, and how often touch was lost.
 #[derive(Debug, Default)]
-pub struct All(pub Vec<(CompactString, Offset, Told)>, pub usize);
+pub struct All(pub Vec<(CompactString, Offset, RecordContext)>, pub usize);
 
 impl Fold for All {
-    fn apply(&mut self, record: &Record, told: Told) -> bool {
-        self.0.push((record.key.clone(), record.offset, told));
+    fn apply(&mut self, record: &Record, context: RecordContext) -> bool {
+        self.0.push((record.key.clone(), record.offset, context));
         true
     }
 
-    fn touch(&mut self, touch: Touch) {
-        self.1 += usize::from(touch == Touch::Lost);
+    fn connectivity_changed(&mut self, connectivity: Connectivity) {
+        self.1 += usize::from(connectivity == Connectivity::Lost);
     }
 }
 
 /// Bounds with these milliseconds for leaving endpoints, changes and revoked keys.
 pub fn bounds(leaving: u64, apply: u64, revoke: Option<u64>) -> Bounds {
     Bounds {
-        leaving: Duration::from_millis(leaving),
-        apply: Duration::from_millis(apply),
+        drain: Duration::from_millis(leaving),
+        config_apply: Duration::from_millis(apply),
         revoke: revoke.map(Duration::from_millis),
         grace: Duration::from_secs(8),
-        retry: Retry {
-            share: 0.9,
+        retry_budget: RetryBudget {
+            ratio: 0.9,
             extra: 52,
             window: Duration::from_secs(10),
         },
@@ -69,13 +69,13 @@
             slack: 30,
             rollback: Duration::from_secs(5),
         },
-        session: Duration::from_secs(5),
+        session_timeout: Duration::from_secs(5),
     }
 }
 
 pub struct Fixture {
     pub log: Memory,
-    pub calls: Calls,
+    pub calls: LogCalls,
     pub zone: Zone,
     pub follower: Follower<All, Memory>,
     _token: tokio_util::sync::DropGuard,
@@ -83,21 +83,21 @@
 
 impl Fixture {
     pub fn new() -> Self {
-        Self::with(PACE)
+        Self::with(TIMING)
     }
 
-    pub fn with(pace: Pace) -> Self {
-        Self::over(Memory::new(), pace)
+    pub fn with(timing: Timing) -> Self {
+        Self::over(Memory::new(), timing)
     }
 
-    pub fn over(log: Memory, pace: Pace) -> Self {
+    pub fn over(log: Memory, timing: Timing) -> Self {
         let zone = Zone::default();
         let token = CancellationToken::new();
-        let calls = Calls::default();
+        let calls = LogCalls::default();
         let follower = Follower::start(
             log.clone(),
             Topic::Endpoints,
-            pace,
+            timing,
             zone.clone(),
             calls.clone(),
             All::default(),
@@ -127,7 +127,7 @@
 
     /// Lets another VM read for this one.
     pub async fn led(&self) {
-        self.until("a first proof", |f| f.follower.proven().is_some())
+        self.until("a first proof", |f| f.follower.proven_at().is_some())
             .await;
         self.zone.lead.send_replace(Lead::Led);
         let mut calls = self.log.calls();
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -5,18 +5,18 @@
 use pimento_relay::boot;
 use pimento_relay::calls::Reason;
 use pimento_relay::follow::Lead;
-use pimento_relay::follow::Pace;
-use pimento_relay::follow::Part;
 use pimento_relay::follow::Proof;
+use pimento_relay::follow::RecordRange;
+use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
 use pimento_relay::zone::Stamp;
 use pimento_units::Moment;
 use pimento_units::Offset;
 
 use crate::fixture::Fixture;
-use crate::fixture::PACE;
 use crate::fixture::PATIENCE;
 use crate::fixture::QUICK;
+use crate::fixture::TIMING;
 use crate::log::Mood;
 
 #[tokio::test]
@@ -58,16 +58,16 @@
 async fn a_read_without_an_answer_proves_nothing() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     fixture.log.set(Mood::Silent);
     let silent = boot::now();
-    tokio::time::sleep(PACE.patience + QUICK.wait * 3).await;
-    assert!(fixture.follower.proven().unwrap() <= silent);
+    tokio::time::sleep(TIMING.timeout + QUICK.wait * 3).await;
+    assert!(fixture.follower.proven_at().unwrap() <= silent);
     assert!(!fixture.follower.confirm(boot::now()).await);
     fixture.log.set(Mood::Well);
     fixture
-        .until("a new proof", |f| f.follower.proven().unwrap() > silent)
+        .until("a new proof", |f| f.follower.proven_at().unwrap() > silent)
         .await;
 }
 
@@ -82,11 +82,11 @@
     let calls = fixture.log.calls();
     let stamp = boot::now();
     tokio::time::sleep(Duration::from_millis(50)).await;
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp,
     });
-    assert_eq!(fixture.follower.proven(), Some(stamp));
+    assert_eq!(fixture.follower.proven_at(), Some(stamp));
     assert_eq!(fixture.log.calls(), calls);
 }
 
@@ -96,14 +96,14 @@
 async fn word_of_a_change_is_no_proof_but_makes_the_vm_read() {
     let fixture = Fixture::new();
     fixture.led().await;
-    let before = fixture.follower.proven();
+    let before = fixture.follower.proven_at();
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp,
     });
-    assert_eq!(fixture.follower.proven(), before);
+    assert_eq!(fixture.follower.proven_at(), before);
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
@@ -113,13 +113,13 @@
 async fn a_stamp_of_another_life_proves_nothing() {
     let fixture = Fixture::new();
     fixture.led().await;
-    let before = fixture.follower.proven();
+    let before = fixture.follower.proven_at();
     for stamp in [boot::now() + PATIENCE, Moment::ZERO] {
-        fixture.follower.vouch(Proof {
+        fixture.follower.receive_proof(Proof {
             changed: Offset::default(),
             stamp,
         });
-        assert_eq!(fixture.follower.proven(), before);
+        assert_eq!(fixture.follower.proven_at(), before);
     }
 }
 
@@ -137,22 +137,22 @@
     fixture.zone.lead.send_replace(Lead::Led);
     fixture.log.set(Mood::Well);
     let back = boot::now();
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: back,
     });
     let vouched = boot::now();
     tokio::time::sleep(Duration::from_millis(300)).await;
     let next = fixture.log.put("a", None);
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
     fixture.until("a ended", |f| f.keys().len() == 2).await;
-    let touch = fixture.follower.view(|all| all.0[1].2.touch);
+    let connected_since = fixture.follower.view(|all| all.0[1].2.connected_since);
     assert!(
-        touch <= vouched,
-        "in touch since {touch}, vouched {vouched}"
+        connected_since <= vouched,
+        "in touch since {connected_since}, vouched {vouched}"
     );
 }
 
@@ -161,12 +161,12 @@
 async fn a_proof_names_a_stamp_that_came_before_the_read() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     let node = 7;
     assert_eq!(fixture.follower.proof(node), None);
     let at = Moment::from_millis(1_234);
-    fixture.zone.heard(Stamp { node, at });
+    fixture.zone.record_stamp(Stamp { node, at });
     fixture
         .until("a proof for it", |f| f.follower.proof(node).is_some())
         .await;
@@ -175,12 +175,12 @@
 
 /// What another VM that reads for this one has read since `from`.
 fn handed(other: &Fixture, from: Offset) -> (Vec<Vec<Record>>, Offset) {
-    let (parts, to) = other.follower.since(from);
+    let (parts, to) = other.follower.chunks_from(from);
     (parts.expect("all records are kept"), to)
 }
 
-const fn part(from: Offset, to: Offset, records: Vec<Record>) -> Part {
-    Part { from, to, records }
+const fn range(from: Offset, to: Offset, records: Vec<Record>) -> RecordRange {
+    RecordRange { from, to, records }
 }
 
 // Dozens of endpoints register at once, and their records take several datagrams, which overtake each
@@ -192,7 +192,7 @@
     let own = Fixture::new();
     own.led().await;
     let calls = own.log.calls();
-    let from = own.follower.next().unwrap();
+    let from = own.follower.next_offset().unwrap();
     let long = "x".repeat(500);
     let keys: Vec<String> = (0..6).map(|number| format!("k{number}")).collect();
     for key in &keys {
@@ -205,23 +205,23 @@
         changed: to,
         stamp: boot::now(),
     };
-    own.follower.vouch(word);
+    own.follower.receive_proof(word);
     let mut begins = from;
     let mut sent = Vec::new();
     for records in parts {
         let ends = records.last().map_or(to, |record| record.offset.next());
-        sent.push(part(begins, ends, records));
+        sent.push(range(begins, ends, records));
         begins = ends;
     }
-    for part in sent.into_iter().rev() {
-        own.follower.hand(part);
+    for range in sent.into_iter().rev() {
+        own.follower.receive(range);
     }
     assert_eq!(own.keys(), keys);
     // The word is looked at again once what came beside it had its time.
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(own.log.calls(), calls);
-    own.follower.vouch(word);
-    assert_eq!(own.follower.proven(), Some(word.stamp));
+    own.follower.receive_proof(word);
+    assert_eq!(own.follower.proven_at(), Some(word.stamp));
 }
 
 // Dozens of endpoints are replaced. One VM of the zone reads so and hands the records on: the others
@@ -236,16 +236,16 @@
     }
     own.led().await;
     let calls = own.log.calls();
-    let from = own.follower.next().unwrap();
+    let from = own.follower.next_offset().unwrap();
     let stamp = boot::now();
     other.log.put("b", Some("1"));
     other.log.put("a", None);
     other.until("three", |f| f.keys() == ["a", "b", "a"]).await;
     let (parts, to) = handed(&other, from);
-    own.follower.hand(part(from, to, parts.concat()));
-    own.follower.vouch(Proof { changed: to, stamp });
+    own.follower.receive(range(from, to, parts.concat()));
+    own.follower.receive_proof(Proof { changed: to, stamp });
     assert_eq!(own.keys(), ["a", "b", "a"]);
-    assert_eq!(own.follower.proven(), Some(stamp));
+    assert_eq!(own.follower.proven_at(), Some(stamp));
     assert_eq!(own.log.calls(), calls);
 }
 
@@ -263,9 +263,9 @@
         value: Some(bytes::Bytes::from_static(b"1")),
     };
     let to = own.log.put("d", Some("1"));
-    own.follower.hand(part(from, to, vec![record]));
+    own.follower.receive(range(from, to, vec![record]));
     assert!(own.keys().is_empty());
-    own.follower.vouch(Proof {
+    own.follower.receive_proof(Proof {
         changed: to,
         stamp: boot::now(),
     });
@@ -277,20 +277,22 @@
 #[tokio::test]
 async fn records_that_come_late_take_nothing_back() {
     let other = Fixture::new();
-    other.until("read", |f| f.follower.next().is_some()).await;
+    other
+        .until("read", |f| f.follower.next_offset().is_some())
+        .await;
     other.log.put("a", Some("1"));
     other.until("a", |f| f.keys() == ["a"]).await;
     let own = Fixture::new();
     own.log.put("a", Some("1"));
     own.log.put("a", None);
-    own.until("read", |f| f.follower.next() == Some(Offset(2)))
+    own.until("read", |f| f.follower.next_offset() == Some(Offset(2)))
         .await;
     own.led().await;
     let before = own.keys();
     let (parts, to) = handed(&other, Offset(0));
-    own.follower.hand(part(Offset(0), to, parts.concat()));
+    own.follower.receive(range(Offset(0), to, parts.concat()));
     assert_eq!(own.keys(), before);
-    assert_eq!(own.follower.next(), Some(Offset(2)));
+    assert_eq!(own.follower.next_offset(), Some(Offset(2)));
 }
 
 // A record is too large to be handed on, or so many changed that some are no longer kept. Whoever
@@ -298,17 +300,19 @@
 #[tokio::test]
 async fn records_that_are_not_kept_are_not_handed_on() {
     let other = Fixture::new();
-    other.until("read", |f| f.follower.next().is_some()).await;
+    other
+        .until("read", |f| f.follower.next_offset().is_some())
+        .await;
     let large: &'static str = Box::leak("x".repeat(9_000).into_boxed_str());
     other.log.put("large", Some(large));
     other.until("large", |f| f.keys() == ["large"]).await;
-    assert_eq!(other.follower.since(Offset(0)).0, None);
-    assert!(other.follower.since(Offset(1)).0.is_some());
+    assert_eq!(other.follower.chunks_from(Offset(0)).0, None);
+    assert!(other.follower.chunks_from(Offset(1)).0.is_some());
     for _ in 0..2_000 {
         other.log.put("b", Some("1"));
     }
     other.until("all", |f| f.keys().len() == 2_001).await;
-    assert_eq!(other.follower.since(Offset(1)).0, None);
+    assert_eq!(other.follower.chunks_from(Offset(1)).0, None);
     let (parts, to) = handed(&other, Offset(1_990));
     let offsets: Vec<u64> = parts.concat().iter().map(|r| r.offset.0).collect();
     assert_eq!(offsets, (1_990..2_001).collect::<Vec<u64>>());
@@ -325,7 +329,7 @@
     fixture.log.set(Mood::Down);
     let calls = fixture.log.calls();
     for _ in 0..100 {
-        fixture.follower.vouch(Proof {
+        fixture.follower.receive_proof(Proof {
             changed: next,
             stamp: boot::now(),
         });
@@ -342,15 +346,15 @@
 // word, and every entry that ended meanwhile seemed to have been ended by an outage.
 #[tokio::test]
 async fn a_vm_that_is_turned_away_is_in_touch_by_anothers_word() {
-    let pace = Pace {
-        trust: Duration::from_millis(1_500),
-        ..PACE
+    let timing = Timing {
+        max_proof_age: Duration::from_millis(1_500),
+        ..TIMING
     };
-    let fixture = Fixture::with(pace);
+    let fixture = Fixture::with(timing);
     fixture.led().await;
     fixture.log.set(Mood::Down);
     for _ in 0..4 {
-        fixture.follower.vouch(Proof {
+        fixture.follower.receive_proof(Proof {
             changed: Offset::default(),
             stamp: boot::now(),
         });
@@ -370,7 +374,7 @@
     let next = fixture.log.put("a", Some("1"));
     fixture.log.set(Mood::Down);
     let calls = fixture.log.calls();
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
@@ -387,7 +391,7 @@
     let fixture = Fixture::new();
     fixture.led().await;
     let next = fixture.log.put("a", Some("1"));
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
@@ -411,13 +415,13 @@
     let fixture = Fixture::new();
     fixture.led().await;
     fixture.log.set(Mood::Silent);
-    let from = fixture.follower.next().unwrap();
+    let from = fixture.follower.next_offset().unwrap();
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
     let changed = next;
-    fixture.follower.vouch(Proof { changed, stamp });
-    assert!(fixture.follower.proven() < Some(stamp));
-    fixture.follower.hand(Part {
+    fixture.follower.receive_proof(Proof { changed, stamp });
+    assert!(fixture.follower.proven_at() < Some(stamp));
+    fixture.follower.receive(RecordRange {
         from,
         to: next,
         records: vec![Record {
@@ -426,7 +430,7 @@
             value: Some("1".into()),
         }],
     });
-    assert_eq!(fixture.follower.proven(), Some(stamp));
+    assert_eq!(fixture.follower.proven_at(), Some(stamp));
 }
 
 // Guards against each VM of a zone reading the log when all endpoints of a service are replaced at once.
@@ -435,7 +439,7 @@
     let other = Fixture::new();
     let own = Fixture::new();
     own.led().await;
-    let from = own.follower.next().unwrap();
+    let from = own.follower.next_offset().unwrap();
     for place in 0..400 {
         other.log.put(&format!("old-{place}"), None);
         other.log.put(&format!("new-{place}"), Some("1"));
@@ -446,10 +450,10 @@
     let mut begins = from;
     for records in parts {
         let ends = records.last().unwrap().offset.next();
-        own.follower.hand(part(begins, ends, records));
+        own.follower.receive(range(begins, ends, records));
         begins = ends;
     }
-    assert_eq!(own.follower.next(), Some(to));
+    assert_eq!(own.follower.next_offset(), Some(to));
     assert_eq!(own.keys().len(), 800);
     assert_eq!(own.log.calls(), calls);
 }
--- a/crates/relay/tests/all/peers.rs
+++ b/crates/relay/tests/all/peers.rs
@@ -11,7 +11,7 @@
 use pimento_relay::neighbours::peers::Peers;
 use pimento_relay::neighbours::peers::ReaderStatus;
 use pimento_relay::neighbours::peers::Role;
-use pimento_scheduler::Sharers;
+use pimento_scheduler::Participants;
 use pimento_units::Moment;
 use pimento_units::id;
 
@@ -109,7 +109,11 @@
         ("b", failing),
         ("c", ReaderStatus::Eligible),
     ]);
-    assert!(!role(&two, "d", ReaderStatus::Eligible).state.doubtful);
+    assert!(
+        !role(&two, "d", ReaderStatus::Eligible)
+            .state
+            .outage_suspected
+    );
     let three = alive(&[
         ("a", failing),
         ("b", failing),
@@ -117,7 +121,7 @@
         ("d", ReaderStatus::Eligible),
     ]);
     let doubtful = role(&three, "e", ReaderStatus::Eligible);
-    assert!(doubtful.state.doubtful && !doubtful.state.blind);
+    assert!(doubtful.state.outage_suspected && !doubtful.state.no_able_reader);
     let leaving = [
         ("a", ReaderStatus::Leaving),
         ("b", ReaderStatus::Leaving),
@@ -125,7 +129,7 @@
     ];
     let leaving = role(&alive(&leaving), "d", ReaderStatus::Eligible);
     assert_eq!(leaving.lead, Lead::Leading);
-    assert!(!leaving.state.doubtful);
+    assert!(!leaving.state.outage_suspected);
 }
 
 // Guards against VMs that wait for their turn to read, past the bounds, although another VM reads for them.
@@ -137,14 +141,14 @@
         ("b", failing),
         ("c", ReaderStatus::Eligible),
     ]);
-    assert!(!role(&last, "d", failing).state.blind);
+    assert!(!role(&last, "d", failing).state.no_able_reader);
     let none = alive(&[
         ("a", failing),
         ("b", ReaderStatus::Untested),
         ("c", failing),
     ]);
     let role = role(&none, "d", failing);
-    assert!(role.state.blind);
+    assert!(role.state.no_able_reader);
     // The VM that has not tried lately tries.
     assert_eq!(role.reader, Some(address(2)));
 }
@@ -177,13 +181,13 @@
     assert_eq!(zone_interval(2), zone_interval(1) * 2);
 }
 
-fn owners(peers: &Peers, own: &str, at: Moment) -> Sharers {
+fn owners(peers: &Peers, own: &str, at: Moment) -> Participants {
     peers.limit_owners(&node(own), &zone(), at)
 }
 
-fn owners_of(names: &[&str]) -> Sharers {
-    let keys = names.iter().map(|name| choice::key(name));
-    Sharers::new(choice::key("b"), vec![(zone(), keys.collect())])
+fn owners_of(names: &[&str]) -> Participants {
+    let keys = names.iter().map(|name| choice::hash(name));
+    Participants::new(choice::hash("b"), vec![(zone(), keys.collect())])
 }
 
 // Guards against a VM that receives no datagrams and takes over the whole limits of endpoints, and against
