--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -243,8 +243,8 @@
                 node: sender,
                 at: message.stamp,
             });
-            for bundle in &message.passages {
-                self.apply_passage(bundle);
+            for bundle in &message.bundles {
+                self.apply_bundle(bundle);
             }
             self.apply_proofs(message.proofs);
             for announcement in message.rollouts {
@@ -276,7 +276,7 @@
     }
 
     /// Applies records that another VM read from the log.
-    fn apply_passage(&self, bundle: &Bundle) {
+    fn apply_bundle(&self, bundle: &Bundle) {
         let Bundle {
             topic, from, to, ..
         } = *bundle;
@@ -321,11 +321,11 @@
         let config = &self.node.config;
         let peers = inner.peers.in_zone(&config.zone);
         self.node.retry_budgets.set_vms(inner.peers.count() + 1);
-        let owners = inner
+        let participants = inner
             .peers
-            .limit_owners(&config.node, &config.zone, boot::now());
+            .limit_participants(&config.node, &config.zone, boot::now());
         drop(inner);
-        self.node.scheduler.set_participants(&owners);
+        self.node.scheduler.set_participants(&participants);
         self.zone
             .retain_stamps(|node| peers.iter().any(|peer| peer.key == node));
         peers
--- a/crates/relay/src/neighbours/broadcast.rs
+++ b/crates/relay/src/neighbours/broadcast.rs
@@ -63,15 +63,15 @@
 
 impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     /// Records to forward to the zone; empty unless this VM reads the log for it.
-    fn take_passages(&self) -> Vec<Bundle> {
+    fn take_bundles(&self) -> Vec<Bundle> {
         let forwarded = self.lock().forwarded.take();
         if !self.is_zone_reader() {
             return Vec::new();
         }
         let from = forwarded.unwrap_or_default();
-        let (operator_parts, operators) = self.node.operators.chunks_from(from.operators);
-        let (endpoint_parts, endpoints) = self.node.directory.chunks_from(from.endpoints);
-        let (poison_parts, poison) = self.node.blocklist.chunks_from(from.poison);
+        let (operator_chunks, operators) = self.node.operators.chunks_from(from.operators);
+        let (endpoint_chunks, endpoints) = self.node.directory.chunks_from(from.endpoints);
+        let (poison_chunks, poison) = self.node.blocklist.chunks_from(from.poison);
         self.lock().forwarded = Some(ForwardedOffsets {
             operators,
             endpoints,
@@ -81,23 +81,28 @@
             return Vec::new();
         }
         // If records are missing here or too large, the others read the log by themselves.
-        let list = |topic, from, parts: Option<_>, to| {
-            Bundle::from_chunks(topic, from, parts.unwrap_or_default(), to)
+        let list = |topic, from, chunks: Option<_>, to| {
+            Bundle::from_chunks(topic, from, chunks.unwrap_or_default(), to)
         };
-        let mut passages = list(
+        let mut bundles = list(
             SharedTopic::Operators,
             from.operators,
-            operator_parts,
+            operator_chunks,
             operators,
         );
-        passages.extend(list(
+        bundles.extend(list(
             SharedTopic::Endpoints,
             from.endpoints,
-            endpoint_parts,
+            endpoint_chunks,
             endpoints,
         ));
-        passages.extend(list(SharedTopic::Poison, from.poison, poison_parts, poison));
-        passages
+        bundles.extend(list(
+            SharedTopic::Poison,
+            from.poison,
+            poison_chunks,
+            poison,
+        ));
+        bundles
     }
 
     /// Sends updates to all VMs of the zone.
@@ -140,14 +145,14 @@
             rollouts: self.node.due_announcements(boot::now()),
             pinned_sessions: self.node.rollouts(Rollouts::take_pending_sessions),
             poison: self.node.poison.take_zone_reports(boot::now()),
-            passages: self.take_passages(),
+            bundles: self.take_bundles(),
             ..Update::default()
         };
         let mut shared = Vec::new();
         for (_, pool) in self.node.scheduler.pools() {
-            let read = pool.take_prefilled();
-            update.prefills.extend(read.iter().map(Prefill::new));
-            shared.extend(read.iter().filter_map(Prefill::shared_prefix));
+            let prefilled = pool.take_prefilled();
+            update.prefills.extend(prefilled.iter().map(Prefill::new));
+            shared.extend(prefilled.iter().filter_map(Prefill::shared_prefix));
             let millis = |wait: Duration| u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
             let waits = pool.engine_waits().into_iter();
             update
@@ -194,10 +199,10 @@
 
     /// Sends an update to one VM. `zone_key` is its key if it is of this zone.
     pub(super) async fn send(&self, address: SocketAddr, zone_key: Option<u64>, update: &Update) {
-        for chunk in update.chunks() {
+        for part in update.split() {
             // A proof that came before the records that it covers would make the other VM read the log.
-            let proven = zone_key.filter(|_| chunk.last);
-            let (rollouts, limits) = if chunk.first {
+            let proven = zone_key.filter(|_| part.last);
+            let (rollouts, limits) = if part.first {
                 (&update.rollouts[..], &update.limits[..])
             } else {
                 (&[][..], &[][..])
@@ -207,14 +212,14 @@
                 zone: self.node.config.zone.clone(),
                 stamp: boot::now(),
                 reader_status: self.reader_status(),
-                passages: chunk.passages.to_vec(),
+                bundles: part.bundles.to_vec(),
                 proofs: proven.map(|node| self.proofs(node)).unwrap_or_default(),
                 rollouts: rollouts.to_vec(),
                 waits: update.waits.clone(),
                 limits: limits.to_vec(),
-                pinned_sessions: chunk.pinned_sessions.to_vec(),
-                poison: chunk.poison.to_vec(),
-                prefills: chunk.prefills.to_vec(),
+                pinned_sessions: part.pinned_sessions.to_vec(),
+                poison: part.poison.to_vec(),
+                prefills: part.prefills.to_vec(),
             };
             let bytes = match postcard::to_stdvec(&message) {
                 Ok(bytes) => bytes,
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -106,9 +106,9 @@
             match progress.wait(newest, CALL_TIMEOUT, CALL_TIMEOUT).await {
                 Ok(Ok(batch)) => {
                     let mut known = false;
-                    for (node, word) in batch.records.iter().filter_map(fleet::decode) {
-                        known |= self.is_own(&node, &word);
-                        self.add_record(node, word);
+                    for (node, record) in batch.records.iter().filter_map(fleet::decode) {
+                        known |= self.is_own(&node, &record);
+                        self.add_record(node, record);
                     }
                     return known;
                 }
@@ -121,17 +121,17 @@
 
     /// Whether a record is this VM's own and still true. One with announcements about roll-outs is not:
     /// they are an earlier incarnation's.
-    fn is_own(&self, node: &id::Node, word: &VmRecord) -> bool {
+    fn is_own(&self, node: &id::Node, record: &VmRecord) -> bool {
         let config = &self.node.config;
-        let same_place = word.zone == config.zone && word.address == config.peer_listen;
-        *node == config.node && same_place && word.rollouts.is_empty()
+        let same_place = record.zone == config.zone && record.address == config.peer_listen;
+        *node == config.node && same_place && record.rollouts.is_empty()
     }
 
-    fn add_record(&self, node: id::Node, word: VmRecord) {
-        self.node.scheduler.seed_prefill(&word.seconds_per_token);
+    fn add_record(&self, node: id::Node, record: VmRecord) {
+        self.node.scheduler.seed_prefill(&record.seconds_per_token);
         if node != self.node.config.node {
             let now = boot::now();
-            let peer = Peer::discovered(node, word.zone, word.address, now);
+            let peer = Peer::discovered(node, record.zone, record.address, now);
             self.lock().peers.update(peer, now);
         }
     }
@@ -141,10 +141,10 @@
     async fn publish_rates(&self) {
         loop {
             tokio::time::sleep(LEARNT_INTERVAL).await;
-            let word = self.node.announcement();
-            let known = !word.seconds_per_token.is_empty();
+            let record = self.node.announcement();
+            let known = !record.seconds_per_token.is_empty();
             let alone = *self.zone.lead.borrow() != Lead::Led;
-            if known && alone && self.node.publish(&word, &self.log).await {
+            if known && alone && self.node.publish(&record, &self.log).await {
                 return;
             }
         }
--- a/crates/relay/src/neighbours/limit.rs
+++ b/crates/relay/src/neighbours/limit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pimento_policy::throttle::Limit;
-use pimento_scheduler::endpoint_limit::Report;
+use pimento_scheduler::endpoint_limit;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -19,16 +19,16 @@
 }
 
 /// Encodes a limit for a datagram.
-pub fn encode(word: &Report) -> LimitMessage {
+pub fn encode(report: &endpoint_limit::Report) -> LimitMessage {
     LimitMessage {
-        endpoint: word.endpoint,
-        limit: word.limit.map(Limit::per_second),
-        age_ms: u32::try_from(word.age.as_millis()).unwrap_or(u32::MAX),
+        endpoint: report.endpoint,
+        limit: report.limit.map(Limit::per_second),
+        age_ms: u32::try_from(report.age.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
 /// Decodes a limit; none if its rate is not valid.
-pub fn decode(message: &LimitMessage) -> Option<Report> {
+pub fn decode(message: &LimitMessage) -> Option<endpoint_limit::Report> {
     let limit = match message.limit.map(Limit::try_from).transpose() {
         Ok(limit) => limit,
         Err(error) => {
@@ -36,7 +36,7 @@
             return None;
         }
     };
-    Some(Report {
+    Some(endpoint_limit::Report {
         endpoint: message.endpoint,
         limit,
         age: Duration::from_millis(u64::from(message.age_ms)),
--- a/crates/relay/src/neighbours/message.rs
+++ b/crates/relay/src/neighbours/message.rs
@@ -29,7 +29,7 @@
     /// Whether the sender can read the log.
     pub reader_status: ReaderStatus,
     /// Records that changed the sender's views of the log. The receiver applies them before the proofs.
-    pub passages: Vec<Bundle>,
+    pub bundles: Vec<Bundle>,
     /// What the sender's last reads of the log prove to the receiver.
     pub proofs: Proofs,
     /// The sender's announcements about roll-outs, if they are due.
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -152,7 +152,7 @@
     /// be cut off, and takes over no share. Datagrams from other zones are too rare to tell which VMs
     /// there are alive.
     #[must_use]
-    pub fn limit_owners(&self, own: &id::Node, zone: &id::Zone, now: Moment) -> Participants {
+    pub fn limit_participants(&self, own: &id::Node, zone: &id::Zone, now: Moment) -> Participants {
         let local = |peer: &&Peer| peer.zone == *zone;
         let alone = !self
             .peers
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -93,7 +93,7 @@
         let Snapshot { records, to, age } = snapshot?;
         let packed = self.pack(topic, Offset::default(), records, to)?;
         match snapshot::encode(&self.node.config.deployment, age, packed) {
-            Ok(sealed) => Some(sealed),
+            Ok(bytes) => Some(bytes),
             Err(error) => {
                 log::error!("neighbours: A snapshot can't be encoded: {error}.");
                 None
@@ -124,8 +124,8 @@
         if let Some(packed) = last.as_ref().filter(same) {
             return Some(packed.bytes.clone());
         }
-        let parts = vec![records];
-        let bundle = Bundle::from_chunks(topic, from, parts, to).pop()?;
+        let chunks = vec![records];
+        let bundle = Bundle::from_chunks(topic, from, chunks, to).pop()?;
         match bundle.pack() {
             Ok(bytes) => {
                 log::info!(
--- a/crates/relay/src/neighbours/update.rs
+++ b/crates/relay/src/neighbours/update.rs
@@ -32,7 +32,7 @@
     /// Reports of requests that crash endpoints.
     pub poison: Vec<Report>,
     /// Records of the log.
-    pub passages: Vec<Bundle>,
+    pub bundles: Vec<Bundle>,
 }
 
 impl Update {
@@ -41,38 +41,38 @@
     pub const fn is_empty(&self) -> bool {
         let prompts = self.prefills.is_empty() && self.waits.is_empty();
         let versions = self.rollouts.is_empty() && self.pinned_sessions.is_empty();
-        prompts && versions && self.poison.is_empty() && self.passages.is_empty()
+        prompts && versions && self.poison.is_empty() && self.bundles.is_empty()
     }
 
-    /// The update in chunks that each fit a datagram; at least one.
-    pub fn chunks(&self) -> Vec<Chunk<'_>> {
+    /// The update in parts that each fit a datagram; at least one.
+    pub fn split(&self) -> Vec<UpdatePart<'_>> {
         let mut prefills = self.prefills.chunks(MAX_PREFILLS);
         let mut pinned_sessions = self.pinned_sessions.chunks(MAX_SESSIONS);
         let mut poison = self.poison.chunks(MAX_REPORTS);
-        let mut passages = self.passages.chunks(1);
+        let mut bundles = self.bundles.chunks(1);
         let counts = [
             prefills.len(),
             pinned_sessions.len(),
             poison.len(),
-            passages.len(),
+            bundles.len(),
             1,
         ];
         let count = counts.into_iter().max().unwrap_or(1);
-        let chunk = |place| Chunk {
+        let part = |place| UpdatePart {
             first: place == 0,
             last: place + 1 == count,
             prefills: prefills.next().unwrap_or_default(),
             pinned_sessions: pinned_sessions.next().unwrap_or_default(),
             poison: poison.next().unwrap_or_default(),
-            passages: passages.next().unwrap_or_default(),
+            bundles: bundles.next().unwrap_or_default(),
         };
-        (0..count).map(chunk).collect()
+        (0..count).map(part).collect()
     }
 }
 
 /// The part of an update that goes in one datagram. Waits go in every datagram, announcements and limits
 /// in the first.
-pub struct Chunk<'a> {
+pub struct UpdatePart<'a> {
     /// Whether it is the first of the update.
     pub first: bool,
     /// Whether it is the last.
@@ -84,5 +84,5 @@
     /// Reports of requests that crash endpoints.
     pub poison: &'a [Report],
     /// Records of the log.
-    pub passages: &'a [Bundle],
+    pub bundles: &'a [Bundle],
 }
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -72,7 +72,7 @@
     zone_outbox: Outbox,
     /// Reports to send to other zones.
     remote_outbox: Outbox,
-    breaks: BrokenRuns,
+    broken_runs: BrokenRuns,
     /// Changes to write to the log.
     pending_writes: Vec<(Digest, Change)>,
 }
@@ -132,11 +132,11 @@
 
     /// Schedules the write of a block to the log.
     fn schedule_block(&self, state: &mut State, digest: Digest, now: Moment) {
-        let Some(lasts) = state.table.blocked_for(digest, now) else {
+        let Some(duration) = state.table.blocked_for(digest, now) else {
             return;
         };
-        log::warn!(digest:%, lasts_ms = millis(lasts); "poison: Request blocked.");
-        state.schedule_write(digest, Change::Block(lasts));
+        log::warn!(digest:%, lasts_ms = millis(duration); "poison: Request blocked.");
+        state.schedule_write(digest, Change::Block(duration));
         self.writes_due.notify_one();
     }
 
@@ -152,13 +152,13 @@
             Report::Crashed {
                 digest,
                 endpoint,
-                life,
+                incarnation,
             } => {
                 let verdict = state.count_crash(
                     digest,
                     Crash {
                         endpoint,
-                        incarnation: life,
+                        incarnation,
                     },
                     now,
                 );
@@ -248,7 +248,7 @@
         endpoint: choice::hash(endpoint.as_str()),
         incarnation: Some(member.entry.started_unix_ms),
     };
-    let step = node.poison.lock().breaks.record(digest, crash);
+    let step = node.poison.lock().broken_runs.record(digest, crash);
     match step {
         Action::Count => node.poison.record_crash(crash, &[digest], boot::now()),
         Action::Probe => {
@@ -264,13 +264,17 @@
 /// ran there.
 async fn confirm_crash<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    entry: &Registration,
+    registration: &Registration,
     crash: Crash,
 ) {
-    let evidence = crash_check::wait_for_crash(node, entry).await;
-    let digests = node.poison.lock().breaks.resolve(crash, evidence.is_some());
+    let evidence = crash_check::wait_for_crash(node, registration).await;
+    let digests = node
+        .poison
+        .lock()
+        .broken_runs
+        .resolve(crash, evidence.is_some());
     log::info!(
-        endpoint = entry.id.as_str(),
+        endpoint = registration.id.as_str(),
         proof = evidence.map(crash_check::CrashEvidence::as_str),
         runs = digests.len();
         "poison: Connections of running requests broke."
--- a/crates/relay/src/poison/blocklist.rs
+++ b/crates/relay/src/poison/blocklist.rs
@@ -59,8 +59,8 @@
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn encode(lasts: Duration) -> Result<Bytes, postcard::Error> {
-    postcard::to_stdvec(&lasts).map(Bytes::from)
+pub fn encode(duration: Duration) -> Result<Bytes, postcard::Error> {
+    postcard::to_stdvec(&duration).map(Bytes::from)
 }
 
 impl Fold for Blocklist {
@@ -80,8 +80,8 @@
             }
             return place.is_ok();
         };
-        let lasts: Duration = match postcard::from_bytes(value) {
-            Ok(lasts) => lasts,
+        let duration: Duration = match postcard::from_bytes(value) {
+            Ok(duration) => duration,
             Err(error) => {
                 log::warn!(
                     "poison: The block of {digest} can't be decoded and is ignored: {error}."
@@ -95,7 +95,7 @@
             digest:%;
             "poison: Block read from the log."
         );
-        let until = context.received + lasts;
+        let until = context.received + duration;
         match place {
             Ok(place) => self.blocks[place].until = until,
             Err(place) => self.blocks.insert(place, Block { digest, until }),
--- a/crates/relay/src/poison/crash_check.rs
+++ b/crates/relay/src/poison/crash_check.rs
@@ -39,15 +39,15 @@
 /// Waits until an endpoint is known to have crashed; none if it is still there.
 pub async fn wait_for_crash<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    entry: &Registration,
+    registration: &Registration,
 ) -> Option<CrashEvidence> {
-    let bound = node.connect_times(|reach| reach.current());
-    if gone::is_refused(entry.address, bound).await {
+    let bound = node.connect_times(|times| times.current());
+    if gone::is_refused(registration.address, bound).await {
         return Some(CrashEvidence::Refused);
     }
     let mut changes = node.directory.changes();
     let gone = async {
-        while is_registered(node, entry) {
+        while is_registered(node, registration) {
             if changes.changed().await.is_err() {
                 return std::future::pending().await;
             }
@@ -61,9 +61,12 @@
 
 /// Whether an endpoint is still registered with the same start. One that lost its entry while the log
 /// was out counts as registered.
-fn is_registered<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, entry: &Registration) -> bool {
+fn is_registered<P: HeaderCodec + Codec, L: Log>(
+    node: &Node<P, L>,
+    registration: &Registration,
+) -> bool {
     node.directory.view(|view| {
-        let known = view.member(&entry.id);
-        known.is_some_and(|known| known.entry.started_unix_ms == entry.started_unix_ms)
+        let known = view.member(&registration.id);
+        known.is_some_and(|known| known.entry.started_unix_ms == registration.started_unix_ms)
     })
 }
--- a/crates/relay/src/poison/report.rs
+++ b/crates/relay/src/poison/report.rs
@@ -28,7 +28,7 @@
         /// Hash of the endpoint's id.
         endpoint: u64,
         /// When the incarnation that crashed started, by the endpoint's clock.
-        life: Option<u64>,
+        incarnation: Option<u64>,
     },
     /// The request got a complete answer.
     Answered {
@@ -44,7 +44,7 @@
         Self::Crashed {
             digest,
             endpoint: crash.endpoint,
-            life: crash.incarnation,
+            incarnation: crash.incarnation,
         }
     }
 }
--- a/crates/relay/src/poison/writer.rs
+++ b/crates/relay/src/poison/writer.rs
@@ -97,7 +97,7 @@
     };
     let value = match change {
         Change::Unblock => Ok(Bytes::new()),
-        Change::Block(lasts) => blocklist::encode(lasts),
+        Change::Block(duration) => blocklist::encode(duration),
     };
     let value = match value {
         Ok(value) => value,
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -236,9 +236,9 @@
     }
 
     fn phase(&self, rollout: &RolloutState, now: Moment) -> Phase {
-        let lasts = rollout.order.rollout.time_limit;
+        let time_limit = rollout.order.rollout.time_limit;
         self.config
-            .phase(rollout.age(now), lasts, self.exposure.share)
+            .phase(rollout.age(now), time_limit, self.exposure.share)
     }
 
     /// Records that a request of a session is sent to a version of a service, or was answered by it.
--- a/crates/relay/src/rollouts/announcement.rs
+++ b/crates/relay/src/rollouts/announcement.rs
@@ -78,7 +78,7 @@
     /// All requests use the new version from now on.
     Done,
     /// The new version was bad: all requests use the old one from now on.
-    Undone,
+    RolledBack,
 }
 
 /// What a VM announces about one roll-out.
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -1,5 +1,5 @@
 //! Carries roll-outs through: shares evidence with the other VMs, and reports to the operators when a
-//! roll-out is done or undone.
+//! roll-out is done or rolled back.
 //!
 //! There is no leader. Within a zone VMs announce to each other by datagrams. The VM that reads the log
 //! for its zone writes to the VMs' own topic what it knows of all VMs there, and reads what other zones
@@ -242,7 +242,7 @@
         let records = fleet.modify(|unmerged| std::mem::take(&mut unmerged.records));
         let now = boot::now();
         let own = &self.node.config.node;
-        let received = records.iter().flat_map(|(_, word)| &word.rollouts);
+        let received = records.iter().flat_map(|(_, record)| &record.rollouts);
         for received in received.filter(|received| received.node != *own) {
             self.node.rollouts(|r| r.receive(received, now));
         }
@@ -272,11 +272,11 @@
             node: node.clone(),
             announcement: announcement.clone(),
         }));
-        let word = VmRecord {
+        let record = VmRecord {
             rollouts,
             ..self.node.announcement()
         };
-        if self.node.publish(&word, &self.log).await {
+        if self.node.publish(&record, &self.log).await {
             self.published = own;
         }
     }
@@ -303,7 +303,7 @@
         };
         // The other VMs must learn that the version is bad before this VM ends the roll-out.
         let announced = self.published.iter().any(|announcement| announcement.bad);
-        if end == End::Undone && reads && !announced {
+        if end == End::RolledBack && reads && !announced {
             return;
         }
         let due = *self.report_due.get_or_insert(now);
@@ -343,7 +343,7 @@
             target: target.clone(),
             stage: match end {
                 End::Done => RolloutStage::Done,
-                End::Undone => RolloutStage::RolledBack,
+                End::RolledBack => RolloutStage::RolledBack,
             },
         };
         let (key, value) = self.node.platform.encode_status(&status);
@@ -418,7 +418,7 @@
     match found?.1.stage {
         RolloutStage::Running => None,
         RolloutStage::Done => Some(End::Done),
-        RolloutStage::RolledBack => Some(End::Undone),
+        RolloutStage::RolledBack => Some(End::RolledBack),
     }
 }
 
--- a/crates/relay/src/rollouts/state.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -147,7 +147,7 @@
     /// Whether the new version is known to be bad.
     #[must_use]
     pub fn is_bad(&self) -> bool {
-        self.bad.is_some() || self.ended() == Some(End::Undone)
+        self.bad.is_some() || self.ended() == Some(End::RolledBack)
     }
 
     /// Whether it is announced to other VMs: while it is under way, and for some time after its end.
@@ -319,7 +319,7 @@
         now: Moment,
     ) -> Step {
         if self.bad.is_some() {
-            return Step::Report(End::Undone);
+            return Step::Report(End::RolledBack);
         }
         let all = drained
             && visibility == Visibility::AllZones
--- a/crates/relay/tests/all/peers.rs
+++ b/crates/relay/tests/all/peers.rs
@@ -181,11 +181,11 @@
     assert_eq!(zone_interval(2), zone_interval(1) * 2);
 }
 
-fn owners(peers: &Peers, own: &str, at: Moment) -> Participants {
-    peers.limit_owners(&node(own), &zone(), at)
+fn participants(peers: &Peers, own: &str, at: Moment) -> Participants {
+    peers.limit_participants(&node(own), &zone(), at)
 }
 
-fn owners_of(names: &[&str]) -> Participants {
+fn participants_of(names: &[&str]) -> Participants {
     let keys = names.iter().map(|name| choice::hash(name));
     Participants::new(choice::hash("b"), vec![(zone(), keys.collect())])
 }
@@ -195,14 +195,26 @@
 #[test]
 fn what_endpoints_take_is_shared_with_the_vms_that_are_heard() {
     let peers = alive(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Leaving)]);
-    assert_eq!(owners(&peers, "b", now()), owners_of(&["a", "b"]));
+    assert_eq!(
+        participants(&peers, "b", now()),
+        participants_of(&["a", "b"])
+    );
     let mut peers = alive(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
-    assert_eq!(owners(&peers, "b", now()), owners_of(&["a", "b", "c"]));
+    assert_eq!(
+        participants(&peers, "b", now()),
+        participants_of(&["a", "b", "c"])
+    );
     let later = now() + LIVENESS_TIMEOUT;
-    assert_eq!(owners(&peers, "b", later), owners_of(&["a", "b", "c"]));
+    assert_eq!(
+        participants(&peers, "b", later),
+        participants_of(&["a", "b", "c"])
+    );
     peers.update(
         discovered("c", 2).with_datagram(ReaderStatus::Eligible, later),
         later,
     );
-    assert_eq!(owners(&peers, "b", later), owners_of(&["b", "c"]));
+    assert_eq!(
+        participants(&peers, "b", later),
+        participants_of(&["b", "c"])
+    );
 }
--- a/crates/relay/tests/all/rollouts.rs
+++ b/crates/relay/tests/all/rollouts.rs
@@ -16,7 +16,7 @@
 use pimento_units::Offset;
 use pimento_units::id;
 
-const LASTS: Duration = Duration::from_secs(24);
+const TIME_LIMIT: Duration = Duration::from_secs(24);
 const SESSION: Duration = Duration::from_secs(5);
 
 /// Time from the order to a moment in the trial, which ends at half of the deadline.
@@ -55,7 +55,7 @@
         rollout: Rollout {
             pool: pool(),
             target: new(),
-            time_limit: LASTS,
+            time_limit: TIME_LIMIT,
         },
         offset: Offset(7),
         read_at: ordered(),
@@ -152,7 +152,7 @@
     let mut vm = vm();
     begin(&mut vm);
     vm.record_session(&pool(), session, &new(), ordered() + TRIAL);
-    for later in [TRIAL, LASTS / 2, MOVED] {
+    for later in [TRIAL, TIME_LIMIT / 2, MOVED] {
         assert_eq!(vm.version(&pool(), session, ordered() + later), Some(new()));
     }
 }
@@ -252,7 +252,7 @@
 
 #[test]
 fn an_announced_end_ends_the_roll_out_everywhere() {
-    for (end, version) in [(End::Done, new()), (End::Undone, old())] {
+    for (end, version) in [(End::Done, new()), (End::RolledBack, old())] {
         let mut vm = vm();
         begin(&mut vm);
         let now = ordered() + MOVED;
@@ -292,7 +292,7 @@
     let done = Step::Report(End::Done);
     assert_eq!(vm.next_step(&pool(), true, Visibility::AllZones, now), done);
     // Shortly before the deadline the end is reported in any case.
-    let late = ordered() + LASTS.saturating_sub(Duration::from_secs(1));
+    let late = ordered() + TIME_LIMIT.saturating_sub(Duration::from_secs(1));
     assert_eq!(vm.next_step(&pool(), true, Visibility::Zone, late), done);
 }
 
