--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -48,7 +48,7 @@
 /// How often a roll-out is checked. Several times within the second that evidence may take to spread.
 const TICK: Duration = Duration::from_millis(250);
 
-/// The longest time between a VM's records on the log.
+/// The longest time between the records that a VM writes to the log while a roll-out is under way.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The shortest time between them, for announcements that differ from the last ones.
--- a/crates/relay/src/rollouts/state.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -19,8 +19,8 @@
 use crate::operators::RolloutOrder;
 
 /// After this long without an announcement from a VM the roll-out no longer waits for it: the VM is
-/// down, or cut off from the log, in which case it admits no keys and sends no requests. It is a little
-/// more than the time between two further announcements.
+/// down, or cut off from the log, in which case it admits no keys and sends no requests. It is the time of
+/// two announcements, and some.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// An ended roll-out is announced for this long, for VMs that don't know of the end yet.
