--- a/crates/relay/src/rollouts/state.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -19,8 +19,8 @@
 use crate::operators::RolloutOrder;
 
 /// After this long without an announcement from a VM the roll-out no longer waits for it: the VM is
-/// down, or cut off from the log, in which case it admits no keys and sends no requests. It is a little
-/// more than the time between two further announcements.
+/// down, or cut off from the log, in which case it admits no keys and sends no requests. It is the time of
+/// two announcements, and some.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// An ended roll-out is announced for this long, for VMs that don't know of the end yet.
@@ -147,7 +147,7 @@
     /// Whether the new version is known to be bad.
     #[must_use]
     pub fn is_bad(&self) -> bool {
-        self.bad.is_some() || self.ended() == Some(End::Undone)
+        self.bad.is_some() || self.ended() == Some(End::RolledBack)
     }
 
     /// Whether it is announced to other VMs: while it is under way, and for some time after its end.
@@ -319,7 +319,7 @@
         now: Moment,
     ) -> Step {
         if self.bad.is_some() {
-            return Step::Report(End::Undone);
+            return Step::Report(End::RolledBack);
         }
         let all = drained
             && visibility == Visibility::AllZones
