--- a/crates/relay/src/boot.rs
+++ b/crates/relay/src/boot.rs
@@ -1,8 +1,8 @@
-//! A clock that goes on while the VM is suspended.
+//! A monotonic clock that includes the time for which the VM is suspended.
 //!
-//! The steady clock stands still meanwhile, and the time of day jumps. A belief whose age is taken
-//! from either would seem fresh after a suspension, and a key that was revoked in that time would
-//! be let in.
+//! `CLOCK_MONOTONIC` stops during a suspension and the time of day jumps. Data whose age is measured
+//! by either could look fresh afterwards, and the VM would accept a key that was revoked in the
+//! meantime.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use nix::time::clock_gettime;
 use pimento_units::Moment;
 
-/// Time since the VM booted, suspensions included.
+/// Time since the VM booted, including suspensions.
 ///
 /// # Panics
 ///
-/// If the kernel has no such clock; it came with Linux 2.6.39.
+/// If the kernel has no `CLOCK_BOOTTIME`, which Linux has had since 2.6.39.
 #[must_use]
 pub fn now() -> Moment {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the kernel has a boot-time clock");
--- a/crates/relay/src/codec.rs
+++ b/crates/relay/src/codec.rs
@@ -1,4 +1,4 @@
-//! What the relay asks of those who read the records of operators and endpoints.
+//! The trait that decodes the records of operators and endpoints, and its data types.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::registration::Registration;
 use crate::table::Table;
 
-/// A record that can't be read. It changes nothing; the others hold.
+/// A record that can't be decoded. It is ignored; records that were read before stay in force.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{problem}"))]
 pub struct InvalidRecord {
-    /// What is wrong with it.
+    /// What is wrong with the record.
     pub problem: CompactString,
 }
 
@@ -22,48 +22,48 @@
 pub struct Rollout {
     /// The service.
     pub pool: id::Pool,
-    /// The version to move to.
+    /// The new version.
     pub target: id::Version,
-    /// Time until it must be done or undone.
+    /// Time within which the roll-out must be completed or rolled back.
     pub time_limit: Duration,
 }
 
-/// What an operators' record says.
+/// The content of an operators' record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorRecord {
-    /// The whole configuration.
+    /// A complete configuration.
     Table(Box<Table>),
-    /// An order to roll out.
+    /// An order to roll out a version.
     Rollout(Rollout),
-    /// Something that this version of the program does not use.
+    /// A record that this version of the program does not use.
     Other,
 }
 
-/// How far a roll-out is.
+/// Stage of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutStage {
-    /// Under way.
+    /// In progress.
     Running,
-    /// Done: the old endpoints are stopped.
+    /// Completed: operators stop the old endpoints.
     Done,
-    /// Undone: the new endpoints are stopped.
+    /// Rolled back: operators stop the new endpoints.
     RolledBack,
 }
 
-/// What operators are told of a roll-out.
+/// Status of a roll-out, as reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// The service.
     pub pool: id::Pool,
-    /// The version that is moved to.
+    /// The new version.
     pub target: id::Version,
-    /// How far it is.
+    /// The stage that it has reached.
     pub stage: RolloutStage,
 }
 
-/// Reads and writes the values of records.
+/// Decodes and encodes the values of records.
 pub trait Codec: Clone + Send + Sync + 'static {
-    /// An operators' record.
+    /// Decodes an operators' record.
     ///
     /// # Errors
     ///
@@ -74,14 +74,14 @@
         value: &[u8],
     ) -> Result<OperatorRecord, InvalidRecord>;
 
-    /// An endpoint's record of itself.
+    /// Decodes the record by which an endpoint registers itself.
     ///
     /// # Errors
     ///
     /// [`InvalidRecord`] if it can't be used.
     fn decode_registration(&self, key: &str, value: &[u8]) -> Result<Registration, InvalidRecord>;
 
-    /// What operators were told of a roll-out; none if the record is of something else.
+    /// Decodes the status of a roll-out; none if the record holds something else.
     ///
     /// # Errors
     ///
@@ -92,6 +92,6 @@
         value: &[u8],
     ) -> Result<Option<RolloutStatus>, InvalidRecord>;
 
-    /// The key and value that tell operators of a roll-out.
+    /// Encodes the key and value of a record that reports a roll-out's status to operators.
     fn encode_status(&self, status: &RolloutStatus) -> (CompactString, Vec<u8>);
 }
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -1,4 +1,4 @@
-//! The checked settings of a relay.
+//! The validated settings of a relay.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,66 +13,67 @@
 pub struct Config {
     /// This VM.
     pub node: id::Node,
-    /// What tells this system from others whose VMs may have had the same addresses.
+    /// Name of this deployment. It distinguishes the VMs from those of other deployments that may have
+    /// used the same addresses.
     pub deployment: CompactString,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole deployment starts for the first time.
     pub first_start: bool,
-    /// Its zone.
+    /// The zone of this VM.
     pub zone: id::Zone,
     /// All zones with their regions, sorted by zone.
     pub zones: Vec<(id::Zone, String)>,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether the VM is ready.
+    /// Address of the readiness check for the load balancer.
     pub ready_listen: SocketAddr,
-    /// Where metrics are served.
+    /// Address at which metrics are served.
     pub metrics_listen: SocketAddr,
-    /// Where other VMs of the system send datagrams, and ask for records.
+    /// Address to which other VMs send datagrams and requests for records.
     pub peer_listen: SocketAddr,
-    /// What must hold, with its figures.
+    /// Guarantees that this VM must keep.
     pub bounds: Bounds,
-    /// How topics of the log are read, so that the bounds hold.
+    /// Polling intervals of the log's topics, derived from the bounds.
     pub paces: Paces,
 }
 
-/// What must hold, with its figures.
+/// Guarantees that an entry VM must keep, with their limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// After this long a leaving endpoint gets no new work.
+    /// Time after which a leaving endpoint gets no new work.
     pub drain: Duration,
-    /// After this long a change of the configuration is in force.
+    /// Time within which a change of the configuration takes effect.
     pub config_apply: Duration,
-    /// After this long a revoked key lets nobody in; none if a VM that can't know goes on.
+    /// Time after which a revoked key is rejected; none if a VM that can't confirm its configuration
+    /// continues to accept keys.
     pub revoke: Option<Duration>,
-    /// Time between being told to stop and being killed.
+    /// Time between the request to shut down and the kill.
     pub grace: Duration,
-    /// Calls to a service beyond one for each request: a share of the requests, and a number that
-    /// all VMs share, in a sliding window.
+    /// Limit on calls to a service beyond one for each request.
     pub retry_budget: RetryBudget,
-    /// What a version in roll-out may get.
+    /// Limits on the requests that a version in roll-out gets.
     pub exposure: Exposure,
-    /// Requests of a session that follow each other within this time belong together.
+    /// A session ends after this time without a request.
     pub session_timeout: Duration,
 }
 
-/// The budget of repeats over all VMs.
+/// The retry budget of all VMs together, counted in a sliding window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Repeats for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Repeats beyond those, for all VMs together.
+    /// Retries beyond those, for all VMs together.
     pub extra: u32,
-    /// The window that both are counted in.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// What a version in roll-out may get.
+/// Limits on the requests that a version in roll-out gets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Exposure {
-    /// The share of its service's requests that a bad version may get.
+    /// Share of its service's requests that a bad version may get, from 0 to 1.
     pub share: f64,
     /// Requests beyond that share.
     pub slack: u32,
-    /// After this long since its bad answers were many, a bad version gets nothing.
+    /// Time within which a bad version stops getting requests, once many of its answers were bad.
     pub rollback: Duration,
 }
--- a/crates/relay/src/headers.rs
+++ b/crates/relay/src/headers.rs
@@ -1,7 +1,8 @@
-//! What the relay asks of a border: how the head of a request is read, how it is passed on to an
-//! endpoint, and what the head of the endpoint's answer says.
+//! The trait that reads and writes HTTP heads for a platform, and its data types.
 //!
-//! A border knows the names of headers and decides nothing. Bodies pass as they are.
+//! An implementation parses the head of a caller's request, builds the headers of each attempt at an
+//! endpoint and parses the head of the endpoint's response. It knows the names of headers and makes no
+//! decisions. Bodies are forwarded unchanged.
 
 use std::time::Duration;
 
@@ -14,120 +15,122 @@
 use pimento_units::id;
 use snafu::Snafu;
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt. Requests whose prompts begin with the same parts can share an engine's prefix
+/// cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     /// Hash of the part's text.
     pub hash: u64,
-    /// Its length.
+    /// Length of the part.
     pub tokens: Tokens,
 }
 
-/// The model that a caller asks for.
+/// The model that a caller requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestedModel {
-    /// Whichever the route allows.
+    /// Any that the route allows.
     Any,
-    /// This one.
+    /// This model.
     Named(id::Version),
 }
 
-/// What the head of a caller's request says.
+/// What the relay reads from the head of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The id of this request, which the endpoint's answer repeats.
+    /// Id of the request. The endpoint's response repeats it.
     pub id: CompactString,
-    /// The host asked for, without a port.
+    /// The requested host, without a port.
     pub host: CompactString,
     /// The API key.
     pub key: Option<CompactString>,
-    /// How long the caller waits for the whole answer.
+    /// How long the caller waits for the complete response.
     pub timeout: Option<Duration>,
-    /// The last event that the caller has, if it resumes a stream.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event_id: Option<u64>,
-    /// The model asked for.
+    /// The requested model.
     pub model: Option<RequestedModel>,
-    /// Tokens of the prompt, and the most of the answer.
+    /// Tokens of the prompt, and the maximum tokens of the answer.
     pub usage: Option<(Tokens, Tokens)>,
     /// The prompt's parts in order.
     pub prompt_parts: Vec<PromptPart>,
     /// Hash of the session that the request belongs to.
     pub session: Option<u64>,
-    /// Tokens that the caller expects of the answer.
+    /// Tokens that the caller expects the answer to have.
     pub expected_tokens: Option<Tokens>,
 }
 
-/// A head that can't be read.
+/// A required header that is missing or malformed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{header}: {problem}"))]
 pub struct MalformedHeader {
-    /// The header.
+    /// Name of the header.
     pub header: &'static str,
     /// What is wrong with it.
     pub problem: &'static str,
 }
 
-/// How one attempt is to be made.
+/// What the headers of one attempt are built from.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptInfo<'a> {
-    /// The endpoint that it is meant for; another one at its address must not run it.
+    /// The endpoint that the attempt is addressed to. Another endpoint that has taken over its address
+    /// must not run the request.
     pub endpoint: &'a id::Endpoint,
-    /// Whose request it is.
+    /// The customer that sent the request.
     pub customer: Option<&'a id::Customer>,
-    /// Time left until the answer must be whole.
+    /// Time left until the response must be complete.
     pub time_left: Option<Duration>,
-    /// The model to run in place of the one asked for.
+    /// Model to run in place of the requested one.
     pub model: Option<&'a id::Version>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received.
     pub last_event_id: Option<u64>,
-    /// Urgency at the engine; lower goes first.
+    /// Priority class at the engine; lower runs first.
     pub urgency: Option<u8>,
 }
 
-/// What the head of an endpoint's answer says beside its status.
+/// What the relay reads from the head of an endpoint's response, in addition to its status.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ResponseInfo {
-    /// The id of the request that it answers.
+    /// Id of the request that it answers.
     pub id: Option<CompactString>,
-    /// Whether it bears an endpoint's signature.
+    /// Whether the response carries an endpoint's signature.
     pub signed: bool,
-    /// Whether the endpoint says that it did not run the request.
+    /// Whether the endpoint declares that it did not run the request.
     pub refused: bool,
-    /// Whether the address belongs to another endpoint by now, which did not run the request.
+    /// Whether another endpoint has taken over the address. It did not run the request.
     pub misdirected: bool,
-    /// The model's opinion of its answer, from 0 to 100.
+    /// The model's confidence in its answer, from 0 to 100.
     pub confidence: Option<u8>,
-    /// Requests a second that the endpoint takes from all VMs together, as it says.
+    /// Rate limit that the endpoint announces for the requests of all VMs together.
     pub limit: AnnouncedLimit,
 }
 
-/// What an answer says of its endpoint's limit.
+/// The rate limit that a response announces for its endpoint.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub enum AnnouncedLimit {
-    /// Nothing: there is none.
+    /// No limit is announced, so none applies.
     #[default]
     Absent,
-    /// This one.
+    /// This limit.
     Limit(throttle::Limit),
-    /// Something that is no limit.
+    /// The value is not a valid limit.
     Invalid(throttle::Error),
 }
 
-/// How heads are read and written.
+/// Reads and writes HTTP heads.
 pub trait HeaderCodec: Clone + Send + Sync + 'static {
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// [`MalformedHeader`] if a header that must be there is missing or can't be read.
+    /// [`MalformedHeader`] if a required header is missing or malformed.
     fn parse_request(&self, head: &request::Parts) -> Result<RequestInfo, MalformedHeader>;
 
-    /// The headers of an attempt.
+    /// Builds the headers of an attempt from the head of the caller's request.
     fn attempt_headers(&self, head: &request::Parts, attempt: &AttemptInfo<'_>) -> HeaderMap;
 
-    /// Reads the head of an endpoint's answer.
+    /// Parses the head of an endpoint's response.
     fn parse_response(&self, head: &response::Parts) -> ResponseInfo;
 
-    /// Takes out of an answer's headers what concerns only the connection to the endpoint.
+    /// Removes the headers of a response that apply only to the connection to the endpoint.
     fn strip_connection_headers(&self, headers: &mut HeaderMap);
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,10 +1,11 @@
-//! Passes requests on to endpoints as they are: the chain for borders whose bodies are not ours.
+//! An HTTP relay that forwards request and response bodies to endpoints and back unchanged.
 //!
-//! A [`HeaderCodec`](headers::HeaderCodec) reads and writes heads, a [`Codec`](codec::Codec) the records of
-//! operators and endpoints, and a [`Log`](topic::Log) carries them; none of them decides anything. What
-//! a request may do is told by the operators' [`Table`](table::Table), where it runs by
-//! `pimento_scheduler`, what may be sent again by its [`Attempts`](attempts::Attempts).
-//! [`Running`] binds the listeners and ends without cutting a request.
+//! Three traits adapt it to a platform: [`HeaderCodec`](headers::HeaderCodec) reads and writes HTTP
+//! heads, [`Codec`](codec::Codec) decodes the records of operators and endpoints, and
+//! [`Log`](topic::Log) transports those records. None of them makes decisions. The operators'
+//! [`Table`](table::Table) determines what a request may do, `pimento_scheduler` where it runs, and
+//! [`Attempts`](attempts::Attempts) whether it may be sent again. [`Running`] binds the listeners and
+//! shuts down without dropping requests that are in flight.
 
 pub mod admit;
 pub mod admitted;
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -1,26 +1,26 @@
-//! An endpoint as it registered itself.
+//! The record by which an endpoint registers itself.
 
 use std::net::SocketAddr;
 
 use pimento_units::id;
 
-/// An endpoint's record of itself.
+/// An endpoint, as it registered itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Registration {
-    /// Its id, new with most of its starts.
+    /// Its id. Most restarts assign a new one.
     pub id: id::Endpoint,
     /// The service that it belongs to.
     pub pool: id::Pool,
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: id::Zone,
     /// The version of its software.
     pub version: id::Version,
-    /// Requests that it works on at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving and takes no new work.
+    /// Whether it is leaving and accepts no new work.
     pub leaving: bool,
-    /// When it started, in milliseconds since the Unix epoch, by its own clock.
+    /// Start time by the endpoint's clock, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
 }
--- a/crates/relay/src/sessions.rs
+++ b/crates/relay/src/sessions.rs
@@ -1,85 +1,85 @@
-//! The version that each session used last, for as long as its requests belong together.
+//! The version that each active session used last.
 
 use std::time::Duration;
 
 use pimento_units::Moment;
 use pimento_units::id;
 
-/// A session that was seen lately.
+/// A session and its last request.
 #[derive(Debug)]
-struct Seen {
-    session: u64,
+struct Session {
+    id: u64,
     version: id::Version,
-    /// When its last request ended, or begins while it runs.
-    at: Moment,
+    /// When a request of the session was last sent or answered.
+    last_used: Moment,
 }
 
-/// Sessions that were seen lately, sorted by session.
+/// Recently used sessions, sorted by id.
 #[derive(Debug)]
 pub struct Sessions {
-    seen: Vec<Seen>,
-    life: Duration,
-    swept: Moment,
+    recent: Vec<Session>,
+    timeout: Duration,
+    last_sweep: Moment,
 }
 
-/// How often the sessions that are over are forgotten; between two sweeps they cost memory only.
-const SWEEP: Duration = Duration::from_secs(2);
+/// Interval at which expired sessions are removed. Until then they only occupy memory.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Sessions {
-    /// No session yet; one is over after `life` without a request.
+    /// Creates an empty set. A session expires after `timeout` without a request.
     #[must_use]
-    pub const fn new(life: Duration) -> Self {
+    pub const fn new(timeout: Duration) -> Self {
         Self {
-            seen: Vec::new(),
-            life,
-            swept: Moment::ZERO,
+            recent: Vec::new(),
+            timeout,
+            last_sweep: Moment::ZERO,
         }
     }
 
-    /// The version that a session used last; none if it is new or over.
+    /// The version that a session used last; none if it is new or expired.
     #[must_use]
     pub fn version(&self, session: u64, now: Moment) -> Option<&id::Version> {
-        let found = self.seen.binary_search_by_key(&session, |s| s.session);
-        let seen = &self.seen[found.ok()?];
-        (now.since(seen.at) <= self.life).then_some(&seen.version)
+        let found = self.recent.binary_search_by_key(&session, |s| s.id);
+        let found = &self.recent[found.ok()?];
+        (now.since(found.last_used) <= self.timeout).then_some(&found.version)
     }
 
-    /// Notes that a request of a session runs or ran on a version.
+    /// Records that a version runs or ran a request of a session.
     pub fn record(&mut self, session: u64, version: &id::Version, now: Moment) {
         self.sweep(now);
-        match self.seen.binary_search_by_key(&session, |s| s.session) {
-            Ok(place) => {
-                let seen = &mut self.seen[place];
-                seen.at = now;
-                if seen.version != *version {
-                    seen.version = version.clone();
+        match self.recent.binary_search_by_key(&session, |s| s.id) {
+            Ok(index) => {
+                let known = &mut self.recent[index];
+                known.last_used = now;
+                if known.version != *version {
+                    known.version = version.clone();
                 }
             }
-            Err(place) => {
-                let seen = Seen {
-                    session,
+            Err(index) => {
+                let new = Session {
+                    id: session,
                     version: version.clone(),
-                    at: now,
+                    last_used: now,
                 };
-                self.seen.insert(place, seen);
+                self.recent.insert(index, new);
             }
         }
     }
 
-    /// The sessions that are not over.
+    /// The sessions that have not expired.
     pub fn active(&self, now: Moment) -> impl Iterator<Item = u64> {
-        let limit = self.life;
-        let seen = self.seen.iter();
-        let live = seen.filter(move |seen| now.since(seen.at) <= limit);
-        live.map(|seen| seen.session)
+        let timeout = self.timeout;
+        let recent = self.recent.iter();
+        let active = recent.filter(move |s| now.since(s.last_used) <= timeout);
+        active.map(|s| s.id)
     }
 
     fn sweep(&mut self, now: Moment) {
-        if now.since(self.swept) < SWEEP {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
-        let life = self.life;
-        self.seen.retain(|seen| now.since(seen.at) <= life);
+        self.last_sweep = now;
+        let timeout = self.timeout;
+        self.recent.retain(|s| now.since(s.last_used) <= timeout);
     }
 }
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -1,7 +1,7 @@
-//! The operators' configuration: routes, services, customers and their keys, limits.
+//! The operators' configuration: routes, services, customers with their keys, and limits.
 //!
-//! A [`Table`] is one version of it, whole and checked; it never changes. Lookups are by binary
-//! search, since the configuration may grow by hundreds of routes.
+//! A [`Table`] is one complete, immutable version of it. Lookups use binary search, since a
+//! configuration may have hundreds of routes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,45 +11,45 @@
 use pimento_units::id;
 use snafu::Snafu;
 
-/// What may be repeated.
+/// How the requests of a route run, and whether they may run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// The request may run more than once.
+    /// A request may run more than once.
     Safe,
-    /// The request runs at most once.
+    /// A request runs at most once.
     Unsafe,
-    /// The answer is a stream of events.
+    /// The response is a stream of server-sent events.
     Stream,
 }
 
-/// A route: which requests it takes, where they go and how long they may take.
+/// A route: the requests that it matches, the services that they go to and their time limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name, used in logs and metrics.
     pub name: CompactString,
-    /// Host of the requests.
+    /// Host that requests name.
     pub host: CompactString,
-    /// How their paths begin.
+    /// Prefix of the requests' paths; it ends with a slash.
     pub prefix: CompactString,
-    /// What may be repeated.
+    /// How requests run, and whether they may run again.
     pub kind: Kind,
-    /// The longest that a request may be kept waiting.
+    /// Maximum time until the response is complete.
     pub timeout: Duration,
-    /// Within this time an answer, or a stream's first event, is on time.
+    /// Target for the time until the response, or the first event of a stream.
     pub latency_target: Duration,
-    /// The longest pause between a stream's events that is on time.
+    /// Target for the longest time between two events of a stream.
     pub max_event_gap: Option<Duration>,
-    /// Rank; lower goes first.
+    /// Priority; lower goes first.
     pub priority: u8,
-    /// The most endpoints that one request may be sent to.
+    /// Maximum number of attempts in which an endpoint may have run the request.
     pub attempts: u32,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Whether a broken stream may go on at another endpoint.
+    /// Whether another endpoint may resume a broken stream.
     pub resumable: bool,
     /// Services with their weights; never empty.
     pub targets: Vec<Target>,
-    /// Models to choose from, smallest first; empty if the caller names one or none.
+    /// Models to choose from, smallest first; empty if the route leaves the choice to the caller.
     pub models: Vec<id::Version>,
 }
 
@@ -58,12 +58,12 @@
 pub struct Target {
     /// The service.
     pub pool: id::Pool,
-    /// Its weight among the route's targets.
+    /// Its weight among the route's targets. The route sends it a share of requests in proportion.
     pub weight: u32,
 }
 
 impl Route {
-    /// Whether a request may run again after it may have run.
+    /// Whether a request that may have run may be sent again.
     #[must_use]
     pub const fn repeatable(&self) -> bool {
         match self.kind {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The service for a request, by random bits that stay the same for one request.
+    /// The service for a request. `random` must be the same for all attempts of one request.
     #[must_use]
     pub fn pick_service(&self, random: u64) -> Option<&id::Pool> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
@@ -81,18 +81,18 @@
             return self.targets.first().map(|target| &target.pool);
         }
         let wide = u128::from(random) * u128::from(total);
-        let mut place = u64::try_from(wide >> 64).unwrap_or(0);
+        let mut offset = u64::try_from(wide >> 64).unwrap_or(0);
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if place < weight {
+            if offset < weight {
                 return Some(&target.pool);
             }
-            place -= weight;
+            offset -= weight;
         }
         None
     }
 
-    /// Whether the route may send to a service.
+    /// Whether the route may send requests to a service.
     #[must_use]
     pub fn allows(&self, pool: &id::Pool) -> bool {
         let mut targets = self.targets.iter();
@@ -105,18 +105,18 @@
 pub struct Model {
     /// Its name.
     pub name: id::Version,
-    /// What 1,000 generated tokens cost; tokens read count a quarter.
+    /// Price of 1,000 generated tokens. A prompt token costs a quarter of a generated one.
     pub cost: f64,
 }
 
-/// What is known of a service's engines.
+/// Properties of a service's engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
     /// Requests in a batch.
     pub slots: u32,
-    /// Memory for running requests and cached parts.
+    /// KV-cache capacity for running requests and cached prompt parts.
     pub kv_capacity: Tokens,
-    /// Tokens in an event of a stream.
+    /// Tokens in each event of a stream.
     pub tokens_per_event: Tokens,
     /// Models, sorted by name.
     pub models: Vec<Model>,
@@ -125,11 +125,11 @@
 /// A service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name, which is that of its pool of endpoints.
+    /// Its name, which is also the name of its pool of endpoints.
     pub name: id::Pool,
-    /// Connections that one of its endpoints accepts from all callers.
+    /// Connections that each of its endpoints accepts from all callers together.
     pub connections: u32,
-    /// For a service of batching engines.
+    /// Engine properties; none for a plain service.
     pub engine: Option<Engine>,
 }
 
@@ -138,20 +138,20 @@
 pub struct Customer {
     /// Its name.
     pub name: id::Customer,
-    /// Its rank, which goes before the route's; lower goes first.
+    /// Its priority; lower goes first. Requests are queued by their route's priority, not by this one.
     pub priority: u8,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take to come.
+    /// Maximum time to receive a request's head, and likewise its body.
     pub receive_timeout: Duration,
-    /// How long a kept connection may be idle.
+    /// Maximum time that a keep-alive connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -159,7 +159,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{place}: {problem}"))]
 pub struct Finding {
-    /// Where.
+    /// Location of the error in the configuration.
     pub place: CompactString,
     /// What is wrong.
     pub problem: CompactString,
@@ -174,16 +174,16 @@
     /// Sorted by name.
     services: Vec<Service>,
     customers: Vec<Customer>,
-    /// Sorted by key, with the place of the customer.
+    /// Sorted by key, with the index of the customer.
     keys: Vec<(CompactString, usize)>,
     keyed: bool,
     limits: Limits,
 }
 
-/// The parts of a [`Table`].
+/// The unsorted contents of a [`Table`].
 #[derive(Debug, Clone)]
 pub struct Parts {
-    /// Version.
+    /// Version number.
     pub version: u64,
     /// Routes in any order.
     pub routes: Vec<Route>,
@@ -204,15 +204,15 @@
             customers,
             limits,
         } = parts;
-        routes.sort_by(|one, other| place(one).cmp(&place(other)));
+        routes.sort_by(|one, other| sort_key(one).cmp(&sort_key(other)));
         let routes = routes.into_iter().map(Arc::new).collect();
         services.sort_by(|one, other| one.name.cmp(&other.name));
         let mut keys = Vec::new();
         let mut known = Vec::new();
         let keyed = customers.is_some();
-        for (customer, held) in customers.unwrap_or_default() {
-            let place = known.len();
-            keys.extend(held.into_iter().map(|key| (key, place)));
+        for (customer, customer_keys) in customers.unwrap_or_default() {
+            let index = known.len();
+            keys.extend(customer_keys.into_iter().map(|key| (key, index)));
             known.push(customer);
         }
         keys.sort();
@@ -228,25 +228,25 @@
     }
 }
 
-fn place(route: &Route) -> (&str, &str) {
+fn sort_key(route: &Route) -> (&str, &str) {
     (&route.host, &route.prefix)
 }
 
 impl Table {
-    /// The version, which operators raise in uneven steps.
+    /// The version number. Operators increase it, not always by one.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     #[must_use]
     pub const fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The route with the longest prefix that begins `path`. Prefixes end with a slash, so that the
-    /// candidates are the beginnings of the path up to one of its slashes.
+    /// The route of `host` with the longest prefix of `path`. Route prefixes end with a slash, so the
+    /// candidates are the prefixes of the path that end with one of its slashes.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let ends = path.char_indices().rev().filter(|(_, c)| *c == '/');
@@ -254,16 +254,16 @@
         prefixes.find_map(|prefix| {
             let found = self
                 .routes
-                .binary_search_by(|route| place(route).cmp(&(host, prefix)));
-            found.ok().map(|place| &self.routes[place])
+                .binary_search_by(|route| sort_key(route).cmp(&(host, prefix)));
+            found.ok().map(|index| &self.routes[index])
         })
     }
 
-    /// A service.
+    /// The service of this name.
     #[must_use]
     pub fn service(&self, name: &id::Pool) -> Option<&Service> {
         let found = self.services.binary_search_by(|s| s.name.cmp(name));
-        found.ok().map(|place| &self.services[place])
+        found.ok().map(|index| &self.services[index])
     }
 
     /// All services, sorted by name.
@@ -272,16 +272,16 @@
         &self.services
     }
 
-    /// The customer that holds a key.
+    /// The customer that owns a key.
     #[must_use]
     pub fn customer(&self, key: &str) -> Option<&Customer> {
         let found = self
             .keys
-            .binary_search_by(|(held, _)| held.as_str().cmp(key));
-        found.ok().map(|place| &self.customers[self.keys[place].1])
+            .binary_search_by(|(known, _)| known.as_str().cmp(key));
+        found.ok().map(|index| &self.customers[self.keys[index].1])
     }
 
-    /// Whether requests need a key at all.
+    /// Whether requests on routes that are not public need a key.
     #[must_use]
     pub const fn requires_key(&self) -> bool {
         self.keyed
