--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -1,7 +1,8 @@
-//! What a request may do: its route, its customer and its deadline.
+//! Admission of requests: finds a request's route and checks its key.
 //!
-//! Asked when the request comes and again before each send: while a request waits, its key may be
-//! revoked, its route dropped or moved to another service, or the configuration grow too old.
+//! Requests are checked on arrival and again before each attempt. While a request waits, its key may be
+//! revoked, its route may be removed or moved to another service, or the configuration may become too
+//! old.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,28 +22,29 @@
 use crate::table::Table;
 use crate::topic::Log;
 
-/// Share of the bound on changes that a configuration may be old and still be taken at its word that
-/// a route or key does not exist: one that was added longer ago than the bound is then known. The
-/// rest covers the time that the answer takes. To ask the log for each request with a revoked key
-/// made up a third of its calls.
-const CERTAIN: f64 = 0.8;
+/// Maximum age of a configuration that may deny the existence of a route or key, as a share of the bound
+/// on configuration changes. A younger configuration has all that were added longer ago than the bound;
+/// the rest of the bound covers the time until the caller gets the response. Without this limit, each
+/// request with an unknown key would cause a call of the log: revoked keys alone made up a third of all
+/// calls.
+const DENIAL_MAX_AGE: f64 = 0.8;
 
-/// When to come back to a VM that can't know its configuration: its balancer has noticed by then,
-/// and other VMs of the zone take the request.
-const ELSEWHERE: Duration = Duration::from_millis(200);
+/// Retry delay for callers of a VM without a current configuration. By then the load balancer sends the
+/// caller to another VM of the zone.
+const OTHER_VM_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What a request may do.
+/// The result of a successful admission.
 #[derive(Debug, Clone)]
 pub struct Grant {
-    /// The configuration that says so.
+    /// The configuration that the request was checked against.
     pub table: Arc<Table>,
-    /// Its route.
+    /// The request's route.
     pub route: Arc<Route>,
-    /// Its customer; none on a public route.
+    /// The customer that owns the request's key; none if the request needs no key.
     pub customer: Option<Customer>,
 }
 
-/// Why the configuration at hand does not let a request in.
+/// Why the current configuration does not admit a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Denial {
     NoTable,
@@ -51,14 +53,14 @@
     Key,
 }
 
-/// What a request may do by the configuration at hand, without asking anybody.
-fn look<P: HeaderCodec + Codec, L: Log>(
+/// Checks a request against the current configuration, without a call of the log.
+fn check<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     info: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Denial> {
     let table = node.table().ok_or(Denial::NoTable)?;
-    if node.current() == Freshness::Stale {
+    if node.config_freshness() == Freshness::Stale {
         return Err(Denial::Stale);
     }
     let route = table.route(&info.host, path).ok_or(Denial::Route)?;
@@ -70,7 +72,7 @@
             customer: None,
         });
     }
-    if node.freshness() == Freshness::Stale {
+    if node.key_freshness() == Freshness::Stale {
         return Err(Denial::Stale);
     }
     let customer = info.key.as_deref().and_then(|key| table.customer(key));
@@ -82,8 +84,8 @@
     })
 }
 
-/// Lets a request in. An unknown route or key may have been added a moment ago, so that the log is
-/// asked once more before the caller hears that it does not exist.
+/// Admits a request. An unknown route or key may have been added a moment ago, so the log is read again
+/// before the caller is told that it does not exist.
 ///
 /// # Errors
 ///
@@ -93,45 +95,45 @@
     info: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Refusal> {
-    let denial = match look(node, info, path) {
+    let denial = match check(node, info, path) {
         Ok(grant) => return Ok(grant),
         Err(denial) => denial,
     };
     if matches!(denial, Denial::Route | Denial::Key) {
         let now = boot::now();
-        let bound = node.config.bounds.config_apply.mul_f64(CERTAIN);
-        let certain = node.operators.age().is_some_and(|age| age <= bound);
-        if !certain && !node.operators.confirm(now).await {
-            return Err(Refusal::new(Cause::Stale).after(ELSEWHERE));
+        let bound = node.config.bounds.config_apply.mul_f64(DENIAL_MAX_AGE);
+        let young = node.operators.age().is_some_and(|age| age <= bound);
+        if !young && !node.operators.confirm(now).await {
+            return Err(Refusal::new(Cause::Stale).with_retry_after(OTHER_VM_RETRY_AFTER));
         }
     }
-    look(node, info, path).map_err(refusal)
+    check(node, info, path).map_err(refusal)
 }
 
-/// Whether a request that was let in may still be sent to `pool`.
+/// Checks an admitted request again, without a call of the log.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] of the request as not run.
+/// A [`Refusal`] if the configuration no longer admits the request. It declares the request as not run.
 pub fn recheck<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     info: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Refusal> {
-    look(node, info, path).map_err(refusal)
+    check(node, info, path).map_err(refusal)
 }
 
 fn refusal(denial: Denial) -> Refusal {
     match denial {
-        Denial::NoTable => Refusal::new(Cause::NotReady).after(ELSEWHERE),
-        Denial::Stale => Refusal::new(Cause::Stale).after(ELSEWHERE),
+        Denial::NoTable => Refusal::new(Cause::NotReady).with_retry_after(OTHER_VM_RETRY_AFTER),
+        Denial::Stale => Refusal::new(Cause::Stale).with_retry_after(OTHER_VM_RETRY_AFTER),
         Denial::Route => Refusal::new(Cause::UnknownRoute),
         Denial::Key => Refusal::new(Cause::UnknownKey),
     }
 }
 
 impl Grant {
-    /// The service for a request.
+    /// The service for the request. `random` must be the same for all attempts of one request.
     #[must_use]
     pub fn pick_service(&self, random: u64) -> Option<id::Pool> {
         self.route.pick_service(random).cloned()
--- a/crates/relay/src/admitted.rs
+++ b/crates/relay/src/admitted.rs
@@ -1,4 +1,4 @@
-//! A request that was let in, with all that its attempts need.
+//! An admitted request, with everything that its attempts need.
 
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
 use crate::admit::Grant;
 use crate::headers::RequestInfo;
 
-/// A request that was let in.
+/// An admitted request.
 #[derive(Debug)]
 pub struct AdmittedRequest {
-    /// What its head says.
+    /// What was read from its head.
     pub info: RequestInfo,
     /// Its head.
     pub head: request::Parts,
     /// Its body.
     pub body: Bytes,
-    /// What it may do.
+    /// The result of its admission.
     pub grant: Grant,
-    /// The service that it goes to.
+    /// The service that it is sent to.
     pub pool: id::Pool,
-    /// When its head had come.
+    /// When its head was received.
     pub began: Moment,
-    /// When its caller and its route expect the whole answer.
+    /// When the response must be complete, by the caller's and the route's timeout.
     pub deadline: Moment,
-    /// Bits that are the same for each attempt of this request.
+    /// Pseudo-random number that is the same for all attempts of this request.
     pub random: u64,
-    /// What it shares with its caller's later tries, which have ids of their own; see [`digest`].
+    /// Identifies the request across its caller's retries, which have other ids; see [`digest`].
     pub digest: Digest,
 }
 
@@ -45,21 +45,21 @@
         self.head.uri.path()
     }
 
-    /// Time left until the answer must be whole.
+    /// Time left until the response must be complete.
     #[must_use]
     pub fn left(&self, now: Moment) -> Duration {
         self.deadline.since(now)
     }
 
-    /// Hash of the longest beginning of the prompt that other requests share: the last part belongs
-    /// to the request itself.
+    /// Hash of the last prompt part that other requests can share. The part after it is specific to
+    /// this request.
     #[must_use]
     pub fn prefix(&self) -> Option<u64> {
         let (_, shared) = self.info.prompt_parts.split_last()?;
         shared.last().map(|part| part.hash)
     }
 
-    /// The prompt for a model; none if its parts are not known.
+    /// The prompt as input of a model; none if its parts are unknown.
     #[must_use]
     pub fn prompt(&self, model: &id::Version) -> Option<Prompt> {
         let parts = self.info.prompt_parts.iter().map(|part| engine::Part {
@@ -73,21 +73,21 @@
         })
     }
 
-    /// Tokens of the prompt, and the most of the answer.
+    /// Tokens of the prompt, and the maximum tokens of the answer.
     #[must_use]
     pub fn usage(&self) -> Option<(Tokens, Tokens)> {
         self.info.usage
     }
 }
 
-/// Bits for a request's draws, from its id.
+/// Pseudo-random number for a request, derived from its id.
 #[must_use]
 pub fn random(info: &RequestInfo) -> u64 {
     choice::key(&info.id)
 }
 
-/// The digest of a request's customer, host, method, path and body. Nobody can make another customer's
-/// request look like one of their own, as the customer's name is known by the key.
+/// The digest of a request's customer, host, method, path with query, and body. The customer is
+/// determined by the key, so no caller can produce the digest of another customer's request.
 #[must_use]
 pub fn digest(info: &RequestInfo, head: &request::Parts, body: &[u8], grant: &Grant) -> Digest {
     let customer = grant.customer.as_ref();
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -1,8 +1,8 @@
-//! The attempts of one request: each at a slot of the scheduler, over a connection of its own, until
-//! an endpoint answers.
+//! Attempts to run a request on an endpoint. Each attempt takes a slot from the scheduler and a connection
+//! of its own; attempts continue until an endpoint answers.
 //!
-//! What may have run is known here, and only here: nothing else decides whether a refusal may
-//! promise that the request did not run, or whether it may be sent again.
+//! Only this module tracks whether the request may have run. It alone decides whether a refusal may
+//! promise that the request did not run, and whether the request may be sent again.
 
 mod detail;
 
@@ -31,42 +31,43 @@
 use crate::refusal::Refusal;
 use crate::topic::Log;
 
-/// Endpoints that are asked for one request and did not run it, at most. Each costs a round trip,
-/// and where so many refuse the pool is full or its list out of date.
-const ASKED: usize = 5;
+/// Maximum number of endpoints that are tried for one request without running it. Each costs a round
+/// trip, and if so many decline, the pool is full or the list of endpoints is out of date.
+const MAX_DECLINED: usize = 5;
 
-/// An answer of an endpoint whose head has come and belongs to the request.
+/// An endpoint's response whose head was received and belongs to the request.
 #[derive(Debug)]
 pub struct Opened {
-    /// The slot, to be given back with what became of the answer.
+    /// The endpoint's slot. It is released with the outcome of the response.
     pub permit: Permit,
-    /// The answer.
-    pub call: EndpointResponse,
-    /// What its head says.
-    pub reply: ResponseInfo,
+    /// The response.
+    pub response: EndpointResponse,
+    /// What was read from its head.
+    pub info: ResponseInfo,
 }
 
-/// What to send in this attempt beside the request itself.
+/// Values of one attempt that replace those of the caller's request.
 #[derive(Debug, Clone, Default)]
 pub struct Overrides {
     /// The model to run.
     pub model: Option<id::Version>,
-    /// The last event that the caller has.
-    pub resume: Option<u64>,
+    /// Id of the last event that the caller received.
+    pub last_event_id: Option<u64>,
 }
 
-/// What was done so far.
+/// The attempts made so far.
 #[derive(Debug, Clone, Default)]
 pub struct State {
-    /// Times that the request was sent to an endpoint that may have run it.
+    /// Number of attempts in which an endpoint may have run the request.
     runs: u32,
-    /// Times that it was sent to an endpoint at all.
+    /// Number of times that the request was sent to an endpoint.
     sent: u32,
+    /// Endpoints that the scheduler uses again only if no other can take the request.
     tried: Vec<id::Endpoint>,
-    /// Endpoints that did not run it.
-    asked: usize,
-    /// When the last attempt was sent.
-    began: Moment,
+    /// Number of endpoints that did not run the request.
+    declined: usize,
+    /// When the request was last sent.
+    last_sent: Moment,
 }
 
 /// The attempts of one request.
@@ -78,15 +79,19 @@
 }
 
 impl<'a, P: HeaderCodec + Codec, L: Log> Attempts<'a, P, L> {
-    /// No attempt yet.
+    /// Starts without any attempt made.
     #[must_use]
     pub fn new(node: &'a Node<P, L>, request: &'a AdmittedRequest) -> Self {
-        Self::resume(node, request, State::default())
+        Self::with_state(node, request, State::default())
     }
 
-    /// Goes on after what was done so far.
+    /// Continues after the attempts made so far.
     #[must_use]
-    pub const fn resume(node: &'a Node<P, L>, request: &'a AdmittedRequest, state: State) -> Self {
+    pub const fn with_state(
+        node: &'a Node<P, L>,
+        request: &'a AdmittedRequest,
+        state: State,
+    ) -> Self {
         Self {
             node,
             request,
@@ -94,31 +99,32 @@
         }
     }
 
-    /// What was done so far.
+    /// The attempts made so far.
     #[must_use]
-    pub fn state(self) -> State {
+    pub fn into_state(self) -> State {
         self.state
     }
 
     /// Whether the request may have run.
     #[must_use]
-    pub const fn ran(&self) -> bool {
+    pub const fn may_have_run(&self) -> bool {
         self.state.runs > 0
     }
 
-    /// Whether one more attempt may be made after one that may have run. Takes it out of the budget.
+    /// Whether the route and the deadline allow another attempt after one that may have run the request.
+    /// The retry budget is checked when the attempt is made.
     #[must_use]
-    pub fn again(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         let route = &self.request.grant.route;
         let left = !self.request.left(self.node.now()).is_zero();
         route.repeatable() && self.state.runs < route.attempts && left
     }
 
-    /// A refusal that promises no more than is known.
+    /// The refusal, without a promise that the request did not run if it may have run.
     #[must_use]
     pub const fn refuse(&self, refusal: Refusal) -> Refusal {
-        if self.ran() {
-            refusal.unsure()
+        if self.may_have_run() {
+            refusal.with_unknown_outcome()
         } else {
             refusal
         }
@@ -128,29 +134,29 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] once no further attempt may be made.
+    /// A [`Refusal`] if no further attempt may be made.
     pub async fn open(&mut self, overrides: &Overrides) -> Result<Opened, Refusal> {
         loop {
-            self.unbarred()?;
-            let permit = self.slot(overrides).await?;
-            let asked = self.node.now();
-            let bound = self.node.connect_times(|reach| reach.bound());
-            let connection = match Connection::open(permit.address(), bound).await {
+            self.check_not_blocked()?;
+            let permit = self.acquire_slot(overrides).await?;
+            let started = self.node.now();
+            let timeout = self.node.connect_times(|reach| reach.bound());
+            let connection = match Connection::open(permit.address(), timeout).await {
                 Ok(connection) => {
-                    let took = self.node.now().since(asked);
+                    let took = self.node.now().since(started);
                     self.node.connect_times(|reach| reach.made(took));
                     connection
                 }
                 Err(fault) => {
-                    self.not_run(permit, &fault)?;
+                    self.endpoint_declined(permit, &fault)?;
                     continue;
                 }
             };
-            if !self.check(&permit)? {
-                self.moved_on(permit.endpoint())?;
+            if !self.may_send_to(&permit)? {
+                self.skip_unusable(permit.endpoint())?;
                 continue;
             }
-            if self.state.sent > 0 && !self.repeat() {
+            if self.state.sent > 0 && !self.consume_retry() {
                 return Err(self.refuse(Refusal::new(Cause::Failed)));
             }
             if let Some(opened) = self.send(permit, connection, overrides).await? {
@@ -159,54 +165,53 @@
         }
     }
 
-    /// Takes a repeat out of the budget.
-    fn repeat(&self) -> bool {
+    /// Consumes a retry from the budget. Returns false if it is exhausted.
+    fn consume_retry(&self) -> bool {
         let now = self.node.now();
-        self.node.retry_budgets.take(&self.request.pool, now)
+        self.node.retry_budgets.try_consume(&self.request.pool, now)
     }
 
-    /// Waits for a slot at an endpoint that may still be used.
-    async fn slot(&mut self, overrides: &Overrides) -> Result<Permit, Refusal> {
-        let mut followed = false;
+    /// Waits for a slot at an endpoint that is still usable.
+    async fn acquire_slot(&mut self, overrides: &Overrides) -> Result<Permit, Refusal> {
+        let mut refreshed = false;
         loop {
             let pool = self.node.scheduler.pool(&self.request.pool);
-            // Dropping this future takes the job out of the queue, so that nothing is cancelled by
-            // token.
-            let gone = CancellationToken::new();
-            let asked = self.node.now();
-            let permit = pool.acquire(self.job(overrides), &gone).await;
-            let waited = self.node.now().since(asked);
+            // Dropping this future removes the job from the queue, so the token is never cancelled.
+            let never = CancellationToken::new();
+            let started = self.node.now();
+            let permit = pool.acquire(self.job(overrides), &never).await;
+            let waited = self.node.now().since(started);
             let route = &self.request.grant.route.name;
-            self.node.metrics.queued(route, waited);
+            self.node.metrics.observe_queue_wait(route, waited);
             let permit = match permit {
                 Ok(permit) => permit,
-                // Whoever could take it may have registered since the pool was last brought up to
-                // the list. Once is enough: nothing else runs between the two looks.
-                Err(Refused::Nobody { .. }) if !followed => {
-                    followed = true;
+                // A suitable endpoint may have registered since the pool was last updated. One refresh is
+                // enough, since no other task runs between the refresh and the next try.
+                Err(Refused::Nobody { .. }) if !refreshed => {
+                    refreshed = true;
                     pools::refresh(self.node);
                     continue;
                 }
                 Err(refused) => return Err(self.refuse(refused.into())),
             };
-            if self.node.usable(permit.endpoint()) && !self.withdrawn(&permit) {
+            if self.node.usable(permit.endpoint()) && !self.version_is_bad(&permit) {
                 return Ok(permit);
             }
-            self.moved_on(permit.endpoint())?;
+            self.skip_unusable(permit.endpoint())?;
         }
     }
 
-    /// The list says that an endpoint takes no new work while the pool still offers it: the task that
-    /// brings the pool up to the list runs only once this one waits. Without this a request went
-    /// round the same leaving endpoint until it was refused, while others were free.
-    fn moved_on(&mut self, endpoint: &id::Endpoint) -> Result<(), Refusal> {
+    /// Avoids an endpoint that the pool offered although it accepts no new work, and updates the pool.
+    /// The task that updates the pool runs only once this one waits. Without the update, the request would
+    /// get the same leaving endpoint again until it is refused, although others are free.
+    fn skip_unusable(&mut self, endpoint: &id::Endpoint) -> Result<(), Refusal> {
         self.state.tried.push(endpoint.clone());
         pools::refresh(self.node);
-        self.count()
+        self.count_declined()
     }
 
-    /// Whether the version was found to be bad while the job waited.
-    fn withdrawn(&self, permit: &Permit) -> bool {
+    /// Whether the endpoint's version was found to be bad while the job waited.
+    fn version_is_bad(&self, permit: &Permit) -> bool {
         let Some(version) = permit.version() else {
             return false;
         };
@@ -214,25 +219,32 @@
     }
 
     /// Counts an endpoint that did not run the request.
-    fn count(&mut self) -> Result<(), Refusal> {
-        self.state.asked += 1;
-        if self.state.asked >= ASKED {
-            let refusal = Refusal::new(Cause::NoEndpoint).after(AGAIN);
+    fn count_declined(&mut self) -> Result<(), Refusal> {
+        self.state.declined += 1;
+        if self.state.declined >= MAX_DECLINED {
+            let refusal = Refusal::new(Cause::NoEndpoint).with_retry_after(NO_ENDPOINT_RETRY_AFTER);
             return Err(self.refuse(refusal));
         }
         Ok(())
     }
 
-    fn not_run(&mut self, permit: Permit, fault: &Fault) -> Result<(), Refusal> {
-        self.tell(&permit, fault, "attempt: Not run by the endpoint.");
-        self.node.metrics.attempt(&self.request.pool, "not_run");
+    /// Records that an endpoint did not run the request.
+    fn endpoint_declined(&mut self, permit: Permit, fault: &Fault) -> Result<(), Refusal> {
+        self.log_failure(
+            &permit,
+            fault,
+            "attempt: The endpoint did not run the request.",
+        );
+        self.node
+            .metrics
+            .count_attempt(&self.request.pool, "not_run");
         self.state.tried.push(permit.endpoint().clone());
         permit.failed(fault);
-        self.count()
+        self.count_declined()
     }
 
-    /// Whether endpoints may be asked to run the request at all.
-    fn unbarred(&self) -> Result<(), Refusal> {
+    /// Refuses the request if it is blocked because endpoints crashed while they ran it.
+    fn check_not_blocked(&self) -> Result<(), Refusal> {
         let request = self.request;
         let Some(left) = poison::barred(self.node, request.digest) else {
             return Ok(());
@@ -241,61 +253,62 @@
             request = request.info.id.as_str(),
             digest:% = request.digest,
             left_ms = millis(left);
-            "attempt: Not sent, endpoints ended under it."
+            "attempt: Not sent, the request is blocked because endpoints crashed on it."
         );
-        Err(self.refuse(Refusal::new(Cause::Poison).after(left)))
+        Err(self.refuse(Refusal::new(Cause::Poison).with_retry_after(left)))
     }
 
-    /// Whether the request may still be sent.
+    /// Checks that the request may still be sent.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if its key, its route or its service no longer allow it, or endpoints end under it.
-    pub fn allowed(&self) -> Result<(), Refusal> {
-        self.unbarred()?;
+    /// A [`Refusal`] if its key, its route or its service no longer allow it, or if it is blocked because
+    /// endpoints crashed while they ran it.
+    pub fn check_allowed(&self) -> Result<(), Refusal> {
+        self.check_not_blocked()?;
         let request = self.request;
         let grant = admit::recheck(self.node, &request.info, request.path());
         let grant = grant.map_err(|refusal| self.refuse(refusal))?;
-        let same = grant.customer == request.grant.customer;
-        if !same || !grant.route.allows(&request.pool) {
-            let refusal = Refusal::new(Cause::NoEndpoint).after(AGAIN);
+        let same_customer = grant.customer == request.grant.customer;
+        if !same_customer || !grant.route.allows(&request.pool) {
+            let refusal = Refusal::new(Cause::NoEndpoint).with_retry_after(NO_ENDPOINT_RETRY_AFTER);
             return Err(self.refuse(refusal));
         }
         Ok(())
     }
 
-    /// Whether the endpoint may still be sent the request.
+    /// Whether the request may still be sent to the permit's endpoint.
     ///
     /// # Errors
     ///
-    /// As [`allowed`](Self::allowed).
-    fn check(&self, permit: &Permit) -> Result<bool, Refusal> {
-        self.allowed()?;
+    /// As [`check_allowed`](Self::check_allowed).
+    fn may_send_to(&self, permit: &Permit) -> Result<bool, Refusal> {
+        self.check_allowed()?;
         Ok(self.node.usable(permit.endpoint()))
     }
 
-    /// Sends the request; none if the endpoint did not run it and another one is to be asked.
+    /// Sends the request. Returns none if the attempt failed and another one may be made.
     async fn send(
         &mut self,
         permit: Permit,
         connection: Connection,
         overrides: &Overrides,
     ) -> Result<Option<Opened>, Refusal> {
-        let message = self.message(&permit, overrides);
+        let outgoing = self.outgoing_request(&permit, overrides);
         self.state.sent += 1;
         self.state.runs += 1;
-        self.state.began = self.node.now();
-        self.note(&permit);
-        self.sent(&permit, overrides);
+        self.state.last_sent = self.node.now();
+        self.record_session_version(&permit);
+        self.log_sent(&permit, overrides);
         let left = self.request.left(self.node.now());
-        let sent = tokio::time::timeout(left, connection.send(message)).await;
+        let sent = tokio::time::timeout(left, connection.send(outgoing)).await;
         let fault = match sent {
-            Ok(Ok(call)) => match self.read(permit.endpoint(), call) {
-                Ok((call, reply)) => {
+            Ok(Ok(response)) => match self.check_response(permit.endpoint(), response) {
+                Ok((response, info)) => {
                     return Ok(Some(Opened {
                         permit,
-                        call,
-                        reply,
+                        response,
+                        info,
                     }));
                 }
                 Err(fault) => fault,
@@ -304,34 +317,36 @@
             Err(_) => Fault::Timeout,
         };
         if matches!(fault, Fault::Timeout) {
-            self.seen(&permit, self.waited());
+            self.record_evidence(&permit, self.time_to_answer());
         }
         if fault.not_run() {
             self.state.runs -= 1;
-            self.not_run(permit, &fault)?;
+            self.endpoint_declined(permit, &fault)?;
             return Ok(None);
         }
-        self.broken(permit, &fault)?;
+        self.attempt_failed(permit, &fault)?;
         Ok(None)
     }
 
-    /// Another attempt is to be made elsewhere.
-    pub fn leave(&mut self, endpoint: &id::Endpoint) {
+    /// Makes further attempts avoid an endpoint if there is another.
+    pub fn avoid(&mut self, endpoint: &id::Endpoint) {
         self.state.tried.push(endpoint.clone());
     }
 
-    /// An endpoint had the request and gave no answer that can be used. Whether to go on.
+    /// Records that an endpoint received the request and gave no usable response.
     ///
     /// # Errors
     ///
     /// A [`Refusal`] if no further attempt may be made.
-    pub fn broken(&mut self, permit: Permit, fault: &Fault) -> Result<(), Refusal> {
-        self.tell(&permit, fault, "attempt: No answer that can be used.");
-        self.node.metrics.attempt(&self.request.pool, "broken");
+    pub fn attempt_failed(&mut self, permit: Permit, fault: &Fault) -> Result<(), Refusal> {
+        self.log_failure(&permit, fault, "attempt: No usable response.");
+        self.node
+            .metrics
+            .count_attempt(&self.request.pool, "broken");
         self.state.tried.push(permit.endpoint().clone());
         poison::failed(self.node, self.request.digest, permit.endpoint(), fault);
         permit.failed(fault);
-        if self.again() {
+        if self.may_retry() {
             return Ok(());
         }
         let cause = match fault {
@@ -341,61 +356,62 @@
         Err(self.refuse(Refusal::new(cause)))
     }
 
-    /// The answer was whole, whatever it says: its endpoint was still there at its end.
-    pub fn whole(&self) {
+    /// Records that a complete response was received. Whatever its status, the endpoint did not crash on the
+    /// request.
+    pub fn response_complete(&self) {
         poison::answered(self.node, self.request.digest);
     }
 
-    /// Reads the head of an answer, and whether it is one to this request.
-    fn read(
+    /// Parses the head of a response and checks that it is an endpoint's response to this request.
+    fn check_response(
         &self,
         endpoint: &id::Endpoint,
-        call: EndpointResponse,
+        response: EndpointResponse,
     ) -> Result<(EndpointResponse, ResponseInfo), Fault> {
-        let reply = self.node.platform.parse_response(&call.head);
-        let status = call.head.status;
-        if !reply.misdirected {
-            self.named(endpoint, &reply.limit);
+        let info = self.node.platform.parse_response(&response.head);
+        let status = response.head.status;
+        if !info.misdirected {
+            self.apply_limit(endpoint, &info.limit);
         }
-        if reply.refused || reply.misdirected {
+        if info.refused || info.misdirected {
             return Err(Fault::Refused {
                 status: status.as_u16(),
                 after: None,
             });
         }
-        let other = reply
+        let other = info
             .id
             .as_ref()
             .is_some_and(|id| *id != self.request.info.id);
         if other {
-            return Err(nonsense("the answer is to another request"));
+            return Err(nonsense("the response belongs to another request"));
         }
-        if !reply.signed {
-            return Err(nonsense("the answer bears no signature"));
+        if !info.signed {
+            return Err(nonsense("the response carries no signature"));
         }
-        Ok((call, reply))
+        Ok((response, info))
     }
 
-    /// What is sent.
+    /// The request.
     #[must_use]
-    pub const fn work(&self) -> &AdmittedRequest {
+    pub const fn request(&self) -> &AdmittedRequest {
         self.request
     }
 
-    /// The VM.
+    /// The state of this VM.
     #[must_use]
     pub const fn node(&self) -> &Node<P, L> {
         self.node
     }
 
-    /// Whether the budget would pay for one more attempt.
+    /// Whether the retry budget has a retry left.
     #[must_use]
-    pub fn affords(&self) -> bool {
+    pub fn has_retry_budget(&self) -> bool {
         let now = self.node.now();
-        self.node.retry_budgets.affords(&self.request.pool, now)
+        self.node.retry_budgets.has_retry(&self.request.pool, now)
     }
 
-    /// What the attempt would meet at the endpoint that it would get now.
+    /// Estimates the queueing and prefill times at the endpoint that an attempt would get now.
     #[must_use]
     pub fn estimate(&self, overrides: &Overrides) -> Option<Estimate> {
         let pool = self.node.scheduler.pool(&self.request.pool);
@@ -403,8 +419,9 @@
     }
 }
 
-/// When to come back after all endpoints asked refused: their queues move on within this time.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Retry delay for callers whose request no endpoint accepted. Within this time the endpoints' queues have
+/// advanced.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 fn nonsense(reason: &'static str) -> Fault {
     Fault::Nonsense {
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -1,5 +1,4 @@
-//! What one attempt asks for and sends, and what it tells of itself: to the log, to metrics and to
-//! roll-outs.
+//! The scheduler job and the request of one attempt, and its reporting to the log, metrics and roll-outs.
 
 use pimento_endpoint::Fault;
 use pimento_policy::admission;
@@ -23,15 +22,15 @@
 use crate::rollouts::announcement::Outcome;
 use crate::topic::Log;
 
-/// Work of a plain call. Plain services say nothing of the size of a call before it has run.
-const PLAIN: Tokens = Tokens(1);
+/// Work of a call to a plain service. Its size is unknown before it has run.
+const PLAIN_CALL_WORK: Tokens = Tokens(1);
 
-/// Whose requests on public routes are, for fairness among customers.
-const PUBLIC: &str = "public";
+/// The customer to which requests on public routes are attributed for fair scheduling.
+const PUBLIC_CUSTOMER: &str = "public";
 
 impl<P: HeaderCodec + Codec, L: Log> Attempts<'_, P, L> {
-    /// Tells what became of an attempt.
-    pub(super) fn tell(&self, permit: &Permit, fault: &Fault, what: &str) {
+    /// Logs a failed attempt.
+    pub(super) fn log_failure(&self, permit: &Permit, fault: &Fault, message: &str) {
         let now = self.node.now();
         log::info!(
             request = self.request.info.id.as_str(),
@@ -41,36 +40,36 @@
             runs = self.state.runs,
             since_ms = millis(now.since(self.request.began)),
             left_ms = millis(self.request.left(now));
-            "{what}"
+            "{message}"
         );
     }
 
-    /// Takes the limit that an endpoint names.
-    pub(super) fn named(&self, endpoint: &id::Endpoint, limit: &AnnouncedLimit) {
+    /// Applies the rate limit that an endpoint announces in its response.
+    pub(super) fn apply_limit(&self, endpoint: &id::Endpoint, limit: &AnnouncedLimit) {
         let request = self.request.info.id.as_str();
         let limit = match limit {
             AnnouncedLimit::Absent => None,
             AnnouncedLimit::Limit(limit) => Some(*limit),
-            // What was known holds on.
+            // The previous limit stays in force.
             AnnouncedLimit::Invalid(error) => {
                 let endpoint = endpoint.as_str();
-                log::warn!(request, endpoint, error:%; "attempt: The endpoint names what is no limit.");
+                log::warn!(request, endpoint, error:%; "attempt: The endpoint announced an invalid rate limit.");
                 return;
             }
         };
         let pool = self.node.scheduler.pool(&self.request.pool);
-        if pool.named(endpoint, limit, self.state.began) {
+        if pool.named(endpoint, limit, self.state.last_sent) {
             let limit = limit.map(Limit::per_second);
             let endpoint = endpoint.as_str();
-            log::info!(request, endpoint, limit; "attempt: The endpoint names another limit.");
+            log::info!(request, endpoint, limit; "attempt: The endpoint announced a new rate limit.");
             self.node.limit_changed.notify_one();
         }
     }
 
-    /// Tells where the request goes, and by what.
-    pub(super) fn sent(&self, permit: &Permit, overrides: &Overrides) {
+    /// Logs to which endpoint the request is sent, and the data that this is based on.
+    pub(super) fn log_sent(&self, permit: &Permit, overrides: &Overrides) {
         let request = self.request;
-        let belief = self.node.belief();
+        let view = self.node.view_info();
         let now = self.node.now();
         log::info!(
             request = request.info.id.as_str(),
@@ -80,25 +79,25 @@
             zone = permit.zone().as_str(),
             version = permit.version().map(id::Version::as_str),
             model = overrides.model.as_ref().map(id::Version::as_str),
-            resume = overrides.resume,
+            resume = overrides.last_event_id,
             attempt = self.state.sent,
             since_ms = millis(now.since(request.began)),
             left_ms = millis(request.left(now)),
-            configuration = belief.configuration,
-            configuration_age_ms = belief.configuration_age.map(millis),
-            endpoints_age_ms = belief.endpoints_age.map(millis);
+            configuration = view.configuration,
+            configuration_age_ms = view.configuration_age.map(millis),
+            endpoints_age_ms = view.endpoints_age.map(millis);
             "attempt: Sent."
         );
     }
 
-    /// How long the last attempt has taken.
-    pub(super) fn waited(&self) -> Outcome {
-        let took = self.node.now().since(self.state.began);
+    /// The outcome of an answer that begins now.
+    pub(super) fn time_to_answer(&self) -> Outcome {
+        let took = self.node.now().since(self.state.last_sent);
         Outcome::Served(took)
     }
 
-    /// Notes the version of the request's session.
-    pub fn note(&self, permit: &Permit) {
+    /// Records the version that the request's session uses.
+    pub fn record_session_version(&self, permit: &Permit) {
         let session = self.request.info.session;
         if let Some((session, version)) = session.zip(permit.version()) {
             let now = boot::now();
@@ -107,19 +106,21 @@
         }
     }
 
-    /// The answer has begun, or its endpoint failed it: evidence in a roll-out.
-    pub fn judged(&self, permit: &Permit, failed: bool) {
+    /// Records whether the response has begun or the endpoint failed, in metrics and as evidence in a
+    /// roll-out.
+    pub fn record_result(&self, permit: &Permit, failed: bool) {
         let outcome = if failed {
             Outcome::Failed
         } else {
-            self.waited()
+            self.time_to_answer()
         };
         let result = if failed { "failed" } else { "answered" };
-        self.node.metrics.attempt(&self.request.pool, result);
-        self.seen(permit, outcome);
+        self.node.metrics.count_attempt(&self.request.pool, result);
+        self.record_evidence(permit, outcome);
     }
 
-    pub(super) fn seen(&self, permit: &Permit, outcome: Outcome) {
+    /// Records an outcome as evidence in a roll-out.
+    pub(super) fn record_evidence(&self, permit: &Permit, outcome: Outcome) {
         let Some(version) = permit.version() else {
             return;
         };
@@ -133,7 +134,11 @@
         self.node.rollouts(|r| r.record(&seen));
     }
 
-    pub(super) fn message(&self, permit: &Permit, overrides: &Overrides) -> OutgoingRequest {
+    pub(super) fn outgoing_request(
+        &self,
+        permit: &Permit,
+        overrides: &Overrides,
+    ) -> OutgoingRequest {
         let request = self.request;
         let customer = request.grant.customer.as_ref();
         let attempt = AttemptInfo {
@@ -141,7 +146,7 @@
             customer: customer.map(|customer| &customer.name),
             time_left: Some(request.left(self.node.now())),
             model: overrides.model.as_ref(),
-            last_event_id: overrides.resume.or(request.info.last_event_id),
+            last_event_id: overrides.last_event_id.or(request.info.last_event_id),
             urgency: Some(cascade::urgency(request, overrides)),
         };
         OutgoingRequest {
@@ -152,8 +157,8 @@
         }
     }
 
-    /// The version that the request uses now.
-    pub(super) fn version(&self) -> Option<id::Version> {
+    /// The version that the request is to run on now; none if it has no restriction.
+    pub(super) fn choose_version(&self) -> Option<id::Version> {
         let session = self.request.info.session.unwrap_or(self.request.random);
         let now = boot::now();
         let pool = &self.request.pool;
@@ -163,17 +168,20 @@
     pub(super) fn job(&self, overrides: &Overrides) -> Job {
         let request = self.request;
         let customer = request.grant.customer.as_ref();
-        let name = customer.map_or_else(|| PUBLIC.parse(), |customer| Ok(customer.name.clone()));
-        let tokens = request
-            .usage()
-            .map_or(PLAIN, |(input, output)| admission::work(input, output));
+        let name = customer.map_or_else(
+            || PUBLIC_CUSTOMER.parse(),
+            |customer| Ok(customer.name.clone()),
+        );
+        let tokens = request.usage().map_or(PLAIN_CALL_WORK, |(input, output)| {
+            admission::work(input, output)
+        });
         Job {
             customer: name.expect("the name of public requests is valid"),
             weight: 1,
             priority: request.grant.route.priority,
             tokens,
             deadline: request.deadline,
-            version: self.version(),
+            version: self.choose_version(),
             prefix: request.prefix(),
             prompt: overrides.model.as_ref().and_then(|m| request.prompt(m)),
             tried: self.state.tried.clone(),
--- a/crates/relay/src/buffered.rs
+++ b/crates/relay/src/buffered.rs
@@ -1,8 +1,8 @@
-//! Answers that are passed on as a whole, for requests that are no streams.
+//! Forwards responses that are not streams.
 //!
-//! An answer that breaks off half way must not look complete, and a request that may run again is
-//! best answered by another endpoint. So an answer is read to its end before the caller gets its
-//! head, unless it is long.
+//! A response is read to its end before its head is sent to the caller, unless it is long. A response that
+//! breaks off must not look complete, and a request that may run again is better answered by another
+//! endpoint.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -26,18 +26,18 @@
 use crate::refusal::Refusal;
 use crate::topic::Log;
 
-/// Bytes up to which an answer is kept back until it is whole. Answers of plain services are a few
-/// kilobytes; a VM has tens of megabytes for some hundred requests at once.
-const KEPT: u64 = 256 << 10;
+/// Maximum size of a response that is buffered, in bytes. Responses of plain services have a few
+/// kilobytes; a VM has tens of megabytes for some hundred concurrent requests.
+const MAX_BUFFERED_BYTES: u64 = 256 << 10;
 
-/// What was read of a body.
-enum Read {
-    Whole(Bytes),
-    /// Too long to be kept back: its beginning and the rest.
-    Long(Bytes, ResponseBody),
+/// The part of a body that was read.
+enum Buffered {
+    Complete(Bytes),
+    /// The body is too long to be buffered: its beginning and the rest.
+    Partial(Bytes, ResponseBody),
 }
 
-/// Answers a request that is no stream.
+/// Handles a request that is not for a stream.
 ///
 /// # Errors
 ///
@@ -47,52 +47,54 @@
     request: &AdmittedRequest,
 ) -> Result<Response<Reply>, Refusal> {
     let mut attempts = Attempts::new(node, request);
-    // An endpoint's failure is handed on as it is if no other answer comes.
+    // A server error of an endpoint is forwarded unchanged if no other response follows.
     let mut failure: Option<Response<Reply>> = None;
     loop {
         let opened = match attempts.open(&Overrides::default()).await {
             Ok(opened) => opened,
             Err(refusal) => return failure.ok_or(refusal),
         };
-        let Opened { permit, call, .. } = opened;
-        let (mut head, body) = (call.head, call.body);
+        let Opened {
+            permit, response, ..
+        } = opened;
+        let (mut head, body) = (response.head, response.body);
         let left = request.left(node.now());
         let read = tokio::time::timeout(left, read(body)).await;
         let read = read.unwrap_or(Err(Fault::Timeout));
         node.platform.strip_connection_headers(&mut head.headers);
         match read {
-            Ok(Read::Whole(bytes)) => {
+            Ok(Buffered::Complete(bytes)) => {
                 let failed = head.status.is_server_error();
-                attempts.judged(&permit, failed);
-                attempts.whole();
-                attempts.note(&permit);
-                attempts.leave(permit.endpoint());
-                // A failure comes fast: counted as an answer it would make the others look slow.
+                attempts.record_result(&permit, failed);
+                attempts.response_complete();
+                attempts.record_session_version(&permit);
+                attempts.avoid(permit.endpoint());
+                // A server error comes fast. Counted as served, it would make other endpoints look slow.
                 if failed {
                     permit.failed(&Fault::Failed {
                         status: head.status.as_u16(),
                     });
                 } else {
-                    permit.served(WORK);
+                    permit.served(PLAIN_CALL_WORK);
                 }
-                answered(node, request, head.status, bytes.len());
+                record_response(node, request, head.status, bytes.len());
                 let response = Response::from_parts(head, Reply::whole(bytes));
-                if failed && attempts.again() {
+                if failed && attempts.may_retry() {
                     failure = Some(response);
                     continue;
                 }
                 return Ok(response);
             }
-            Ok(Read::Long(begun, rest)) => {
+            Ok(Buffered::Partial(start, rest)) => {
                 let (writer, reply) = Reply::stream();
                 let left = request.left(node.now());
                 let (shared, digest) = (node.clone(), request.digest);
-                node.tasks.spawn(async move {
-                    let passed = tokio::time::timeout(left, pass(&writer, begun, rest)).await;
-                    match passed.unwrap_or(Err(Fault::Timeout)) {
+                node.response_tasks.spawn(async move {
+                    let forwarded = tokio::time::timeout(left, forward(&writer, start, rest)).await;
+                    match forwarded.unwrap_or(Err(Fault::Timeout)) {
                         Ok(()) => {
                             poison::answered(&shared, digest);
-                            permit.served(WORK);
+                            permit.served(PLAIN_CALL_WORK);
                             let _ = writer.end().await;
                         }
                         Err(fault) => {
@@ -104,7 +106,7 @@
                 return Ok(Response::from_parts(head, reply));
             }
             Err(fault) => {
-                if let Err(refusal) = attempts.broken(permit, &fault) {
+                if let Err(refusal) = attempts.attempt_failed(permit, &fault) {
                     return failure.ok_or(refusal);
                 }
             }
@@ -112,8 +114,13 @@
     }
 }
 
-/// Tells of an endpoint's whole answer.
-fn answered<P, L>(node: &Node<P, L>, request: &AdmittedRequest, status: StatusCode, bytes: usize) {
+/// Records a complete response in metrics and the log.
+fn record_response<P, L>(
+    node: &Node<P, L>,
+    request: &AdmittedRequest,
+    status: StatusCode,
+    bytes: usize,
+) {
     let took = node.clock.now().since(request.began);
     let route = &request.grant.route.name;
     let end = if status.is_server_error() {
@@ -121,41 +128,41 @@
     } else {
         "whole"
     };
-    node.metrics.began(route, took);
-    node.metrics.ended(route, end, took);
+    node.metrics.observe_first_byte(route, took);
+    node.metrics.observe_end(route, end, took);
     log::info!(
         request = request.info.id.as_str(),
         status = status.as_u16(),
         bytes,
         took_ms = millis(took);
-        "request: Answered by the endpoint."
+        "request: The endpoint responded."
     );
 }
 
-/// Work of a plain call, as the scheduler counts it.
-const WORK: Tokens = Tokens(1);
+/// The scheduler's measure of work for a call to a plain service.
+const PLAIN_CALL_WORK: Tokens = Tokens(1);
 
-async fn read(mut body: ResponseBody) -> Result<Read, Fault> {
-    if body.min_remaining() > KEPT {
-        return Ok(Read::Long(Bytes::new(), body));
+async fn read(mut body: ResponseBody) -> Result<Buffered, Fault> {
+    if body.min_remaining() > MAX_BUFFERED_BYTES {
+        return Ok(Buffered::Partial(Bytes::new(), body));
     }
-    let mut kept = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(data) = body.next().await? {
-        kept.extend_from_slice(&data);
-        if kept.len() as u64 > KEPT {
-            return Ok(Read::Long(kept.freeze(), body));
+        buffer.extend_from_slice(&data);
+        if buffer.len() as u64 > MAX_BUFFERED_BYTES {
+            return Ok(Buffered::Partial(buffer.freeze(), body));
         }
     }
-    Ok(Read::Whole(kept.freeze()))
+    Ok(Buffered::Complete(buffer.freeze()))
 }
 
-async fn pass(writer: &Writer, begun: Bytes, mut rest: ResponseBody) -> Result<(), Fault> {
-    let gone = |_| Fault::Cancelled;
-    if !begun.is_empty() {
-        writer.send(begun).await.map_err(gone)?;
+async fn forward(writer: &Writer, start: Bytes, mut rest: ResponseBody) -> Result<(), Fault> {
+    let disconnected = |_| Fault::Cancelled;
+    if !start.is_empty() {
+        writer.send(start).await.map_err(disconnected)?;
     }
     while let Some(data) = rest.next().await? {
-        writer.send(data).await.map_err(gone)?;
+        writer.send(data).await.map_err(disconnected)?;
     }
     Ok(())
 }
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -1,4 +1,5 @@
-//! Which model a request runs on, where the route leaves the choice.
+//! Chooses a request's model where the route offers several: a small model answers first, and a larger
+//! one replaces it if its confidence is too low.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -20,28 +21,29 @@
 use crate::node::millis;
 use crate::topic::Log;
 
-/// Urgency of a first answer, which is short work for an engine and which all that follows waits for.
-const FIRST: u8 = 1;
+/// Priority class of a first answer. It takes an engine little time, and any larger model waits for it.
+const FIRST_URGENCY: u8 = 1;
 
-/// Urgency of an answer by a larger model, whatever the length of its prompt: reading the shortest first
-/// is worth nothing to callers on three deployments.
-const LARGER: u8 = 4;
+/// Priority class of a larger model's answer. It does not depend on the prompt's length: running the
+/// shortest prompts first had no benefit for callers.
+const LARGER_URGENCY: u8 = 4;
 
-/// What was seen of the models' confidences here.
+/// Statistics of this VM for choosing models.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Statistics {
     config: confidence::Config,
     seen: Mutex<confidence::Book>,
     usual: Mutex<worth::Usual>,
 }
 
-impl Book {
-    /// What is at stake with a request's answer. It counts as one more request with its first answer.
+impl Statistics {
+    /// Value and cost of a request's answer, relative to a typical request. With `first`, the request is
+    /// added to the statistics, so that it counts once.
     fn stake(&self, request: &AdmittedRequest, full: Duration, first: bool) -> worth::Stake {
-        let (prompt, most) = request.usage().unwrap_or_default();
+        let (prompt, max) = request.usage().unwrap_or_default();
         let asked = worth::Request {
             prompt,
-            answer: request.info.expected_tokens.unwrap_or(most).min(most),
+            answer: request.info.expected_tokens.unwrap_or(max).min(max),
             priority: request.grant.route.priority,
         };
         let mut usual = self.usual.lock().unwrap_or_else(PoisonError::into_inner);
@@ -52,82 +54,85 @@
     }
 }
 
-/// An answer that was dropped: its model and its confidence.
+/// Model and confidence of an answer that was dropped for a larger model.
 #[derive(Debug, Clone)]
 pub struct Dropped {
     model: u64,
     confidence: u8,
 }
 
-/// The model to begin with: the smallest, or the one that the caller named.
-pub fn first(request: &AdmittedRequest) -> Option<id::Version> {
+/// The model of the first attempt: the one that the caller named, otherwise the route's smallest.
+pub fn first_model(request: &AdmittedRequest) -> Option<id::Version> {
     match &request.info.model {
         Some(RequestedModel::Named(model)) => Some(model.clone()),
         _ => request.grant.route.models.first().cloned(),
     }
 }
 
-/// Urgency of an attempt at its engine.
+/// Priority class of an attempt at its engine.
 pub fn urgency(request: &AdmittedRequest, overrides: &Overrides) -> u8 {
     let first = overrides.model.as_ref() == request.grant.route.models.first();
-    if first { FIRST } else { LARGER }
+    if first { FIRST_URGENCY } else { LARGER_URGENCY }
 }
 
-/// What a model's use costs, as a share of what the service's most expensive one costs.
-fn cost(request: &AdmittedRequest, model: &id::Version) -> f64 {
+/// Price of a model relative to the service's most expensive one, from 0 to 1.
+fn relative_cost(request: &AdmittedRequest, model: &id::Version) -> f64 {
     let engine = request.grant.table.service(&request.pool);
     let Some(engine) = engine.and_then(|service| service.engine.as_ref()) else {
         return 1.0;
     };
-    let most = engine.models.iter().map(|m| m.cost).fold(0.0, f64::max);
+    let max = engine.models.iter().map(|m| m.cost).fold(0.0, f64::max);
     let own = engine.models.iter().find(|known| known.name == *model);
-    own.filter(|_| most > 0.0)
-        .map_or(1.0, |own| own.cost / most)
+    own.filter(|_| max > 0.0).map_or(1.0, |own| own.cost / max)
 }
 
 fn key(model: &id::Version) -> u64 {
     choice::key(model.as_str())
 }
 
-fn waits(times: impl Iterator<Item = Duration>) -> Vec<u64> {
+fn all_millis(times: impl Iterator<Item = Duration>) -> Vec<u64> {
     times.map(millis).collect()
 }
 
-/// The larger model to drop an answer for; none if the answer is passed on. `dropped` is the answer
-/// that was dropped before.
-pub fn larger<P: HeaderCodec + Codec, L: Log>(
+/// Decides whether to drop an answer and to run the request on a larger model. Returns that model, or none
+/// if the answer is forwarded to the caller. `dropped` is the answer that was dropped before, if any; its
+/// confidence and that of the larger model's answer are added to the statistics.
+pub fn choose_larger<P: HeaderCodec + Codec, L: Log>(
     attempts: &Attempts<'_, P, L>,
     overrides: &Overrides,
     confidence: Option<u8>,
     dropped: &mut Option<Dropped>,
 ) -> Option<id::Version> {
-    let request = attempts.work();
+    let request = attempts.request();
     let models = &request.grant.route.models;
     let confidence = confidence?;
     let model = overrides.model.as_ref()?;
-    let place = models.iter().position(|known| known == model)?;
-    let book = &attempts.node().models;
-    let mut seen = book.seen.lock().unwrap_or_else(PoisonError::into_inner);
+    let index = models.iter().position(|known| known == model)?;
+    let statistics = &attempts.node().cascade;
+    let mut seen = statistics
+        .seen
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
     if let Some(before) = dropped.take() {
         seen.learn((before.model, before.confidence), (key(model), confidence));
     }
     let asked = matches!(request.info.model, Some(RequestedModel::Named(_)));
-    if asked || !attempts.again() || !attempts.affords() {
+    if asked || !attempts.may_retry() || !attempts.has_retry_budget() {
         return None;
     }
     let mut candidates: Vec<Larger> = Vec::new();
     let (mut full, mut next_wait) = (Duration::ZERO, Duration::ZERO);
-    for (rank, larger) in models.iter().enumerate().skip(place + 1) {
+    for (rank, larger) in models.iter().enumerate().skip(index + 1) {
         let next = Overrides {
             model: Some(larger.clone()),
-            resume: overrides.resume,
+            last_event_id: overrides.last_event_id,
         };
         let estimate = attempts.estimate(&next)?;
         (full, next_wait) = (estimate.full, estimate.next);
         candidates.push(Larger {
             model: key(larger),
             rank: confidence::rank(rank, models.len()),
-            cost: cost(request, larger),
+            cost: relative_cost(request, larger),
             wait: estimate.wait,
             work: estimate.work,
         });
@@ -138,26 +143,29 @@
         began: request.began,
         target: request.grant.route.latency_target,
         next: next_wait,
-        stake: book.stake(request, full, place == 0),
+        stake: statistics.stake(request, full, index == 0),
     };
     let now = attempts.node().now();
-    let chosen = book.config.choose(&answer, &candidates, &seen, now);
-    let named = |place: usize| models.get(place).map(id::Version::as_str);
+    let chosen = statistics.config.choose(&answer, &candidates, &seen, now);
+    let name = |index: usize| models.get(index).map(id::Version::as_str);
     log::info!(
         request = request.info.id.as_str(),
         model = model.as_str(),
         confidence,
         since_ms = millis(now.since(request.began)),
-        waits_ms:? = waits(candidates.iter().map(|larger| larger.wait)),
-        reads_ms:? = waits(candidates.iter().map(|larger| larger.work)),
+        waits_ms:? = all_millis(candidates.iter().map(|larger| larger.wait)),
+        reads_ms:? = all_millis(candidates.iter().map(|larger| larger.work)),
         next_ms = millis(answer.next),
         worth = answer.stake.worth,
         price = answer.stake.price,
-        larger = chosen.and_then(|chosen| named(place + 1 + chosen));
-        "cascade: Weighed larger models."
+        larger = chosen.and_then(|chosen| name(index + 1 + chosen));
+        "cascade: Considered larger models."
     );
-    attempts.node().metrics.step(model, chosen.is_some());
-    let larger = models.get(place + 1 + chosen?)?;
+    attempts
+        .node()
+        .metrics
+        .count_cascade_decision(model, chosen.is_some());
+    let larger = models.get(index + 1 + chosen?)?;
     *dropped = Some(Dropped {
         model: key(model),
         confidence,
--- a/crates/relay/src/connection.rs
+++ b/crates/relay/src/connection.rs
@@ -1,9 +1,10 @@
-//! One attempt at one endpoint, over a connection of its own.
+//! Connections to endpoints. Each carries one request.
 //!
-//! A kept connection may be reset while a request crosses its close, may carry a late second answer
-//! where the next one is due, or bytes that belong to no request. None of these can happen on a
-//! connection that carries one request and is then closed; what that costs is one round trip within
-//! a zone. Dropping a [`EndpointResponse`] closes the connection, which stops the endpoint's work.
+//! A reused connection may be closed by the endpoint while a request is on its way, and may deliver a
+//! late second response in place of the next one or bytes that belong to no request. A connection that
+//! carries a single request and is then closed has none of these problems, at the cost of one round
+//! trip within a zone. Dropping an [`EndpointResponse`] closes the connection, which stops the endpoint's
+//! work.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,23 +29,23 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// The largest head of an answer, in bytes.
-const HEAD: usize = 64 << 10;
+/// Maximum size of a response's head, in bytes.
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// What is sent.
+/// A request to an endpoint.
 #[derive(Debug, Clone)]
 pub struct OutgoingRequest {
-    /// Method, as the caller sent it.
+    /// The caller's method.
     pub method: Method,
-    /// Path and query, as the caller sent them.
+    /// The caller's path and query.
     pub uri: Uri,
     /// Headers of this attempt.
     pub headers: HeaderMap,
-    /// Body, as the caller sent it.
+    /// The caller's body.
     pub body: Bytes,
 }
 
-/// An answer whose head has come.
+/// A response whose head was received.
 #[derive(Debug)]
 pub struct EndpointResponse {
     /// The head.
@@ -53,7 +54,7 @@
     pub body: ResponseBody,
 }
 
-/// The body of an answer, with the connection that it comes on.
+/// The body of a response, with the connection that delivers it.
 #[derive(Debug)]
 pub struct ResponseBody {
     incoming: Incoming,
@@ -62,17 +63,17 @@
 }
 
 impl ResponseBody {
-    /// Bytes that are known to come.
+    /// Lower bound of the bytes that are still to come.
     #[must_use]
     pub fn min_remaining(&self) -> u64 {
         self.incoming.size_hint().lower()
     }
 
-    /// The next bytes; none at a clean end.
+    /// The next chunk; none at the regular end of the body.
     ///
     /// # Errors
     ///
-    /// [`Fault::Cut`] if the body broke off.
+    /// [`Fault::Cut`] if the connection failed before the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Fault> {
         while let Some(frame) = self.incoming.frame().await {
             let frame = frame.map_err(|error| Fault::Cut {
@@ -86,7 +87,7 @@
     }
 }
 
-/// A connection on which nothing was sent yet.
+/// An open connection on which no request was sent yet.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -94,28 +95,28 @@
 }
 
 impl Connection {
-    /// Connects to an endpoint within `bound`.
+    /// Connects to an endpoint, waiting at most for `timeout`.
     ///
     /// # Errors
     ///
     /// [`Fault::Unreachable`]: nothing was sent.
-    pub async fn open(address: SocketAddr, bound: Duration) -> Result<Self, Fault> {
-        let connecting = tokio::time::timeout(bound, TcpStream::connect(address));
+    pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Self, Fault> {
+        let connecting = tokio::time::timeout(timeout, TcpStream::connect(address));
         let stream = match connecting.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(unreachable(&error)),
-            Err(_) => return Err(unreachable(&"no answer in time")),
+            Err(_) => return Err(unreachable(&"connect timed out")),
         };
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("call: {error}.");
+            log::debug!("call: Can't disable Nagle's algorithm: {error}.");
         }
         let handshake = http1::Builder::new()
-            .max_buf_size(HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .handshake(TokioIo::new(stream));
         let (sender, connection) = handshake.await.map_err(|error| unreachable(&error))?;
         let driver = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("call: Connection to {address} ended: {error}.");
+                log::debug!("call: Connection to {address} failed: {error}.");
             }
         });
         Ok(Self {
@@ -124,18 +125,19 @@
         })
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends the request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// [`Fault::Cut`] if the connection ended first; the request may have run.
-    pub async fn send(mut self, message: OutgoingRequest) -> Result<EndpointResponse, Fault> {
+    /// [`Fault::Cut`] if the connection failed first, [`Fault::Nonsense`] if the response is not valid
+    /// HTTP. In both cases the request may have run.
+    pub async fn send(mut self, outgoing: OutgoingRequest) -> Result<EndpointResponse, Fault> {
         let OutgoingRequest {
             method,
             uri,
             headers,
             body,
-        } = message;
+        } = outgoing;
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method;
         *request.uri_mut() = uri;
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -1,55 +1,55 @@
-//! Cuts a stream of server-sent events into whole events, byte for byte.
+//! Splits a stream of server-sent events into complete events without changing their bytes.
 //!
-//! An endpoint may stop in the middle of an event. Only whole events are passed on, so that the
-//! stream can go on after the last of them elsewhere and the caller never sees a torn one.
+//! An endpoint may fail in the middle of an event. Only complete events are forwarded, so that another
+//! endpoint can resume the stream after the last of them and the caller never receives a partial one.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use snafu::Snafu;
 
-/// The longest event that is taken. Events hold a few tokens; without a bound an endpoint that
-/// never ends one would fill the memory.
-const LONGEST: usize = 1 << 20;
+/// Maximum size of an event in bytes. Events hold a few tokens; without a limit, an endpoint that
+/// never ends an event would exhaust the memory.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A whole event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, if it has one.
+    /// Its id, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its bytes, the empty line included.
+    /// Its bytes, including the empty line that ends it.
     pub bytes: Bytes,
 }
 
-/// An event is longer than anything that is taken.
+/// An event exceeds the maximum size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("an event has over {LONGEST} bytes"))]
-pub struct Long;
+#[snafu(display("an event has over {MAX_EVENT_BYTES} bytes"))]
+pub struct EventTooLong;
 
-/// Bytes that are not yet a whole event.
+/// Buffers received bytes until they form complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Bytes that hold no end of an event.
+    /// Leading bytes of the buffer that were searched and contain no end of an event.
     searched: usize,
 }
 
 impl Splitter {
-    /// Takes what came.
+    /// Appends received bytes.
     ///
     /// # Errors
     ///
-    /// [`Long`] if no event ends within the bound.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), Long> {
-        if self.buffer.len() + bytes.len() > LONGEST {
-            return Err(Long);
+    /// [`EventTooLong`] if the buffer would exceed the maximum size of an event.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
+        if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
+            return Err(EventTooLong);
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// The next whole event.
-    pub fn take(&mut self) -> Option<Event> {
-        let length = self.end()?;
+    /// Removes and returns the next complete event.
+    pub fn next_event(&mut self) -> Option<Event> {
+        let length = self.event_length()?;
         let bytes = self.buffer.split_to(length).freeze();
         self.searched = 0;
         Some(Event {
@@ -58,15 +58,15 @@
         })
     }
 
-    /// Whether bytes are left that are no whole event.
+    /// Whether the buffer holds a partial event.
     #[must_use]
-    pub fn torn(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Length of the first event with the empty line that ends it. Lines end with a line feed,
+    /// Length of the first event, including the empty line that ends it. Lines end with a line feed,
     /// with or without a carriage return before it.
-    fn end(&mut self) -> Option<usize> {
+    fn event_length(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
         let from = self.searched.saturating_sub(2);
         let mut feeds = (from..bytes.len()).filter(|at| bytes[*at] == b'\n');
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -1,4 +1,4 @@
-//! The way of a request: its head, its grant, its body, then its answer.
+//! Handles callers' requests: parses the head, admits the request, reads the body and responds.
 
 use std::time::Duration;
 
@@ -32,17 +32,17 @@
 use crate::table::Kind;
 use crate::topic::Log;
 
-/// What callers may send before a configuration says so.
-const FIRST_LIMITS: Limits = Limits {
+/// Limits that apply before a configuration was read.
+const DEFAULT_LIMITS: Limits = Limits {
     head: Duration::from_secs(10),
     head_bytes: 16 << 10,
 };
 
-/// Bytes beyond the largest head that are read from a connection at once, so that a head over the
-/// limit is answered and not cut off.
-const OVER: usize = 8 << 10;
+/// Bytes by which the server's buffer exceeds the maximum size of a head, so that a head over the limit
+/// gets an error response instead of a closed connection.
+const HEAD_OVERRUN_BYTES: usize = 8 << 10;
 
-/// The callers' side.
+/// Serves callers' requests.
 #[derive(Debug)]
 pub struct RequestHandler<P, L>(pub Node<P, L>);
 
@@ -61,48 +61,48 @@
             Ok(info) => info,
             Err(error) => {
                 let refusal = Refusal::new(Cause::BadHead);
-                log::info!(path = head.uri.path(), error:%; "request: Head not read.");
-                node.metrics.refused(&refusal);
+                log::info!(path = head.uri.path(), error:%; "request: Malformed head.");
+                node.metrics.count_refusal(&refusal);
                 return refusal.response();
             }
         };
-        let mut story = Story::new(info.id.clone(), began, node.clock);
+        let mut outcome = OutcomeLog::new(info.id.clone(), began, node.clock);
         let answer = answer(node, (head, body), info, began).await;
-        story.told = true;
+        outcome.known = true;
         answer.unwrap_or_else(|refusal| {
-            story.refused(node, &refusal);
+            outcome.refused(node, &refusal);
             refusal.response()
         })
     }
 
     fn limits(&self) -> Limits {
         let Some(table) = self.0.table() else {
-            return FIRST_LIMITS;
+            return DEFAULT_LIMITS;
         };
         let limits = table.limits();
         Limits {
             head: limits.idle_timeout.max(limits.receive_timeout),
-            head_bytes: limits.head_bytes + OVER,
+            head_bytes: limits.head_bytes + HEAD_OVERRUN_BYTES,
         }
     }
 }
 
-/// Tells of a request that gets no answer: it was refused, or its caller left while it waited, which
-/// drops this without a word.
-struct Story {
+/// Logs a request that gets no response from an endpoint. Dropping the value before the outcome is known
+/// means that the caller disconnected, as that drops the future that handles the request.
+struct OutcomeLog {
     id: CompactString,
     began: Moment,
     clock: Clock,
-    told: bool,
+    known: bool,
 }
 
-impl Story {
+impl OutcomeLog {
     const fn new(id: CompactString, began: Moment, clock: Clock) -> Self {
         Self {
             id,
             began,
             clock,
-            told: false,
+            known: false,
         }
     }
 
@@ -111,28 +111,28 @@
     }
 
     fn refused<P: HeaderCodec + Codec, L: Log>(&self, node: &Node<P, L>, refusal: &Refusal) {
-        node.metrics.refused(refusal);
-        let belief = node.belief();
+        node.metrics.count_refusal(refusal);
+        let view = node.view_info();
         log::info!(
             request = self.id.as_str(),
             cause = refusal.cause.as_str(),
             status = refusal.status().as_u16(),
-            may_have_run = refusal.ran,
-            retry_after_ms = refusal.after.map(millis),
+            may_have_run = refusal.may_have_run,
+            retry_after_ms = refusal.retry_after.map(millis),
             took_ms = self.took(),
-            configuration = belief.configuration,
-            configuration_age_ms = belief.configuration_age.map(millis),
-            endpoints_age_ms = belief.endpoints_age.map(millis);
+            configuration = view.configuration,
+            configuration_age_ms = view.configuration_age.map(millis),
+            endpoints_age_ms = view.endpoints_age.map(millis);
             "request: Refused."
         );
     }
 }
 
-impl Drop for Story {
+impl Drop for OutcomeLog {
     fn drop(&mut self) {
-        if !self.told {
+        if !self.known {
             let (request, took_ms) = (self.id.as_str(), self.took());
-            log::info!(request, took_ms; "request: The caller left before its answer.");
+            log::info!(request, took_ms; "request: Caller disconnected before the response.");
         }
     }
 }
@@ -145,7 +145,7 @@
 ) -> Result<Response<Reply>, Refusal> {
     let grant = admit::admit(node, &info, head.uri.path()).await?;
     let limits = *grant.table.limits();
-    if bytes(&head) > limits.head_bytes {
+    if head_bytes(&head) > limits.head_bytes {
         return Err(Refusal::new(Cause::LargeHead));
     }
     let body = read(body, limits.body_bytes, limits.receive_timeout).await?;
@@ -154,7 +154,7 @@
         .pick_service(random)
         .ok_or_else(|| Refusal::new(Cause::UnknownRoute))?;
     let timeout = grant.route.timeout;
-    let wait = info.timeout.map_or(timeout, |wait| wait.min(timeout));
+    let timeout = info.timeout.map_or(timeout, |caller| caller.min(timeout));
     let kind = grant.route.kind;
     let digest = admitted::digest(&info, &head, &body, &grant);
     let request = AdmittedRequest {
@@ -164,42 +164,42 @@
         grant,
         pool,
         began,
-        deadline: began + wait,
+        deadline: began + timeout,
         random,
         digest,
     };
-    node.retry_budgets.arrived(&request.pool, began);
+    node.retry_budgets.count_request(&request.pool, began);
     match kind {
         Kind::Safe | Kind::Unsafe => buffered::serve(node, &request).await,
         Kind::Stream => stream::serve(node, request).await,
     }
 }
 
-/// Bytes of a head as it came, near enough.
-fn bytes(head: &request::Parts) -> usize {
-    /// Of the colon, the space and the line's end.
-    const LINE: usize = 4;
+/// Approximate size of a head as received, in bytes.
+fn head_bytes(head: &request::Parts) -> usize {
+    /// Bytes of the colon, the space and the line end of a header.
+    const SEPARATORS: usize = 4;
     let headers = head.headers.iter();
     let headers: usize = headers
-        .map(|(name, value)| name.as_str().len() + value.len() + LINE)
+        .map(|(name, value)| name.as_str().len() + value.len() + SEPARATORS)
         .sum();
     headers + head.uri.to_string().len()
 }
 
-/// Reads a body. One that is announced as too large is refused before it comes.
-async fn read(body: Incoming, most: usize, wait: Duration) -> Result<Bytes, Refusal> {
-    let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    if announced > most {
+/// Reads a body. A body whose declared length exceeds the limit is refused without reading it.
+async fn read(body: Incoming, max_bytes: usize, timeout: Duration) -> Result<Bytes, Refusal> {
+    let declared = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
+    if declared > max_bytes {
         return Err(Refusal::new(Cause::LargeBody));
     }
-    let whole = Limited::new(body, most).collect();
-    match tokio::time::timeout(wait, whole).await {
+    let whole = Limited::new(body, max_bytes).collect();
+    match tokio::time::timeout(timeout, whole).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             Err(Refusal::new(Cause::LargeBody))
         }
         Ok(Err(error)) => {
-            log::info!(error:%; "request: Body not read.");
+            log::info!(error:%; "request: Can't read the body.");
             Err(Refusal::new(Cause::BadBody))
         }
         Err(_) => Err(Refusal::new(Cause::SlowBody)),
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an entry VM, with a bounded number of series.
+//! Counters, gauges and histograms of an entry VM, with a bounded number of series.
 
 use std::time::Duration;
 
@@ -31,25 +31,25 @@
 use crate::refusal::Refusal;
 use crate::topic::Log;
 
-/// Bounds of latency histograms in seconds: the targets for a first event and for a whole answer of
-/// a plain service are 0.3 to 3 s, around which the steps are finest; streams last up to half a
-/// minute.
-const LATENCY: [f64; 14] = [
+/// Bucket bounds of the latency histograms, in seconds. Buckets are narrowest around the latency targets
+/// of 0.3 to 3 s for the first event of a stream and for the response of a plain service. Streams last
+/// up to half a minute.
+const LATENCY_BUCKETS: [f64; 14] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1.0, 1.5, 2.0, 4.0, 10.0, 30.0,
 ];
 
-/// Routes with series of their own. A configuration may have hundreds; a scrape of so many would be
-/// half a megabyte.
-const ROUTES: usize = 16;
+/// Maximum number of routes with their own series. A configuration may have hundreds of routes, whose
+/// series would make a scrape half a megabyte.
+const MAX_ROUTES: usize = 16;
 
-/// Where the text is served.
+/// Path at which the metrics are served.
 const PATH: &str = "/metrics";
 
-/// All metrics.
+/// The metrics of an entry VM.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Routes with series of their own.
+    /// Routes that have their own series.
     routes: Names,
     answers: IntCounterVec,
     refusals: IntCounterVec,
@@ -102,21 +102,21 @@
                 r,
                 "pimento_first_byte_seconds",
                 "Time from a request's head to its answer's head",
-                &LATENCY,
+                &LATENCY_BUCKETS,
                 &["route"],
             ),
             last: histogram(
                 r,
                 "pimento_last_byte_seconds",
                 "Time from a request's head to the end of its answer",
-                &LATENCY,
+                &LATENCY_BUCKETS,
                 &["route"],
             ),
             queued: histogram(
                 r,
                 "pimento_queue_wait_seconds",
                 "Time that an attempt waited for a slot",
-                &LATENCY,
+                &LATENCY_BUCKETS,
                 &["route"],
             ),
             pools: gauges(
@@ -163,7 +163,7 @@
                 "Log lines left out since the start, by reason",
                 &["reason"],
             ),
-            routes: Names::new(ROUTES),
+            routes: Names::new(MAX_ROUTES),
             registry,
         }
     }
@@ -175,64 +175,68 @@
 }
 
 impl Metrics {
-    /// Counts the head of an answer on its way to a caller.
-    pub fn began(&self, route: &CompactString, took: Duration) {
+    /// Records the time until a response's head was sent to the caller.
+    pub fn observe_first_byte(&self, route: &CompactString, took: Duration) {
         let label = self.routes.label(route);
         let first = self.first.with_label_values(&[label.as_str()]);
         first.observe(took.as_secs_f64());
     }
 
-    /// Counts the end of an answer.
-    pub fn ended(&self, route: &CompactString, end: &str, took: Duration) {
+    /// Records the time until the end of a response, and how it ended.
+    pub fn observe_end(&self, route: &CompactString, end: &str, took: Duration) {
         let label = self.routes.label(route);
         let last = self.last.with_label_values(&[label.as_str()]);
         last.observe(took.as_secs_f64());
         self.answers.with_label_values(&[label.as_str(), end]).inc();
     }
 
-    /// Counts a request that got no answer of an endpoint.
-    pub fn refused(&self, refusal: &Refusal) {
-        let run = if refusal.ran { "unknown" } else { "not_run" };
+    /// Counts a request that got no response from an endpoint.
+    pub fn count_refusal(&self, refusal: &Refusal) {
+        let run = if refusal.may_have_run {
+            "unknown"
+        } else {
+            "not_run"
+        };
         let labels = [refusal.cause.as_str(), run];
         self.refusals.with_label_values(&labels).inc();
     }
 
-    /// Counts an attempt.
-    pub fn attempt(&self, pool: &id::Pool, result: &str) {
+    /// Counts an attempt by its result.
+    pub fn count_attempt(&self, pool: &id::Pool, result: &str) {
         let labels = [pool.as_str(), result];
         self.attempts.with_label_values(&labels).inc();
     }
 
-    /// Counts a wait for a slot.
-    pub fn queued(&self, route: &CompactString, waited: Duration) {
+    /// Records the time that an attempt waited for a slot.
+    pub fn observe_queue_wait(&self, route: &CompactString, waited: Duration) {
         let label = self.routes.label(route);
         let queued = self.queued.with_label_values(&[label.as_str()]);
         queued.observe(waited.as_secs_f64());
     }
 
-    /// Counts a decision of the cascade.
-    pub fn step(&self, model: &id::Version, dropped: bool) {
+    /// Counts whether the cascade dropped a first answer for a larger model.
+    pub fn count_cascade_decision(&self, model: &id::Version, dropped: bool) {
         let result = if dropped { "dropped" } else { "kept" };
         let labels = [model.as_str(), result];
         self.cascade.with_label_values(&labels).inc();
     }
 
-    fn depths(&self, scheduler: &Scheduler) {
+    fn set_pool_depths(&self, scheduler: &Scheduler) {
         for (name, pool) in scheduler.pools() {
             for (which, count) in pool.depth().figures() {
-                self.pool(&name, which, figure(count));
+                self.set_pool_figure(&name, which, figure(count));
             }
         }
     }
 
-    fn pool(&self, name: &id::Pool, figure: &str, value: f64) {
+    fn set_pool_figure(&self, name: &id::Pool, figure: &str, value: f64) {
         self.pools
             .with_label_values(&[name.as_str(), figure])
             .set(value);
     }
 
-    fn follower<F: Fold, L: Log>(&self, topic: &str, follower: &Follower<F, L>) {
-        self.age(topic, follower.age());
+    fn set_topic_figures<F: Fold, L: Log>(&self, topic: &str, follower: &Follower<F, L>) {
+        self.set_age(topic, follower.age());
         let behind = follower.behind().unwrap_or_default();
         self.behind
             .with_label_values(&[topic])
@@ -251,39 +255,39 @@
         }
     }
 
-    fn age(&self, topic: &str, age: Option<Duration>) {
-        // A view that was never read has no age; an absent series says so.
+    fn set_age(&self, topic: &str, age: Option<Duration>) {
+        // A view that was never read has no age, hence no series.
         if let Some(age) = age {
             self.ages.with_label_values(&[topic]).set(age.as_secs_f64());
         }
     }
 }
 
-/// Serves the metrics.
+/// Serves the metrics over HTTP.
 #[derive(Debug)]
-pub struct Page<P, L>(pub Node<P, L>);
+pub struct MetricsService<P, L>(pub Node<P, L>);
 
-impl<P: Clone, L: Clone> Clone for Page<P, L> {
+impl<P: Clone, L: Clone> Clone for MetricsService<P, L> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
-impl<P: HeaderCodec + Codec, L: Log> Page<P, L> {
-    /// Sets the figures that are read when asked for.
-    fn gauges(&self) {
+impl<P: HeaderCodec + Codec, L: Log> MetricsService<P, L> {
+    /// Updates the gauges, whose values are only read on a scrape.
+    fn update_gauges(&self) {
         let node = &self.0;
         let metrics = &node.metrics;
-        metrics.depths(&node.scheduler);
-        metrics.follower("operators", &node.operators);
-        metrics.follower("endpoints", &node.directory);
+        metrics.set_pool_depths(&node.scheduler);
+        metrics.set_topic_figures("operators", &node.operators);
+        metrics.set_topic_figures("endpoints", &node.directory);
         for count in node.calls.counts() {
             let labels = [count.topic.as_str(), count.reason.as_str()];
             let gauge = metrics.calls.with_label_values(&labels);
             gauge.set(figure(count.calls));
         }
-        for (pool, left) in node.retry_budgets.left(node.now()) {
-            metrics.pool(&pool, "repeats_left", left);
+        for (pool, left) in node.retry_budgets.remaining(node.now()) {
+            metrics.set_pool_figure(&pool, "repeats_left", left);
         }
         for (pool, sum) in node.rollouts(|rollouts| rollouts.sums()) {
             let served = sum.attempts.saturating_sub(sum.failed);
@@ -294,7 +298,7 @@
                 gauge.set(f64::from(count));
             }
         }
-        metrics.follower("poison", &node.blocks);
+        metrics.set_topic_figures("poison", &node.blocks);
         let (suspect, barred) = node.poison.counts();
         for (state, count) in [("suspect", suspect), ("barred", barred)] {
             let count = u64::try_from(count).unwrap_or(u64::MAX);
@@ -310,14 +314,14 @@
     }
 }
 
-impl<P: HeaderCodec + Codec, L: Log> Serve for Page<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Serve for MetricsService<P, L> {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         if request.uri().path() != PATH {
             let mut response = Response::new(Reply::whole("not found\n"));
             *response.status_mut() = StatusCode::NOT_FOUND;
             return response;
         }
-        self.gauges();
+        self.update_gauges();
         let mut response = Response::new(Reply::whole(pimento_metrics::text(
             &self.0.metrics.registry,
         )));
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry VM share.
+//! The state of an entry VM that its requests share.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -39,52 +39,53 @@
 use crate::topic::Topic;
 use crate::zone::Zone;
 
-/// Share of the bound on revoked keys that a configuration may be old and still let keys in, and of the
-/// bound on changes that a known change may be missing from it and it still be acted on. A key
-/// that was revoked since was revoked after the configuration was proven, so that a request which is
-/// sent at any age below the bound came within it; the rest is for clocks of different speed.
-const FRESH: f64 = 0.85;
+/// Maximum age of a configuration that may admit keys, as a share of the bound on revoked keys. Also the
+/// maximum time for which it may lack a known change and still be used, as a share of the bound on
+/// configuration changes. A key that the configuration still lists was revoked, if at all, after the
+/// configuration was confirmed to be current, so any age below the bound would do; the rest allows for
+/// clock drift.
+const FRESH_SHARE: f64 = 0.85;
 
-/// The same share for calling itself ready: a VM that is cut off by itself should lose its callers to
-/// the others of its zone before it has to refuse them.
-const READY: f64 = 0.6;
+/// The same share for reporting readiness. A VM that is cut off alone should lose its callers to the other
+/// VMs of its zone before it has to refuse them.
+const READY_SHARE: f64 = 0.6;
 
-/// What requests share. Clones share it.
+/// The state of an entry VM. Clones share it.
 #[derive(Debug)]
 pub struct Node<P, L> {
-    /// Settings.
+    /// The settings.
     pub config: Arc<Config>,
-    /// Heads and records as the platform writes them.
+    /// Reads and writes HTTP heads and records for the platform.
     pub platform: P,
-    /// The operators' records.
+    /// View of the operators' records.
     pub operators: Follower<Operators<P>, L>,
-    /// The endpoints' records.
+    /// View of the endpoints' records.
     pub directory: Follower<Directory<P>, L>,
-    /// Requests under which endpoints ended, as this VM and others saw it.
+    /// Requests during which endpoints crashed, as observed by this VM and others.
     pub poison: Arc<Poison>,
-    /// The same as it is on the log.
+    /// View of the log's records of blocked requests.
     pub blocks: Follower<Bars, L>,
-    /// Slots at endpoints.
+    /// Schedules requests on endpoints' slots.
     pub scheduler: Scheduler,
-    /// Told when an endpoint names another limit than before.
+    /// Notified when an endpoint announces a different rate limit.
     pub limit_changed: Arc<Notify>,
-    /// The budget of repeats.
+    /// The retry budgets.
     pub retry_budgets: Arc<RetryBudgets>,
-    /// What was seen of models' confidences.
-    pub(crate) models: Arc<cascade::Book>,
-    /// Calls of the log by why they were made.
+    /// Statistics for choosing models.
+    pub(crate) cascade: Arc<cascade::Statistics>,
+    /// Counts calls of the log by reason.
     pub(crate) calls: Calls,
-    /// Counters and histograms.
+    /// The metrics.
     pub(crate) metrics: Arc<Metrics>,
     rollouts: Arc<Mutex<Rollouts>>,
-    /// What connections to endpoints take.
+    /// Statistics of the time that connecting to an endpoint takes.
     connect_times: Arc<Mutex<Reach>>,
     /// The process's clocks.
     pub clock: Clock,
-    /// Set when the VM is to leave.
+    /// Cancelled when the VM starts to shut down.
     pub leaving: CancellationToken,
-    /// Streams that are still passed on.
-    pub tasks: TaskTracker,
+    /// Tasks that forward responses to callers.
+    pub response_tasks: TaskTracker,
 }
 
 impl<P: Clone, L: Clone> Clone for Node<P, L> {
@@ -99,46 +100,46 @@
             scheduler: self.scheduler.clone(),
             limit_changed: Arc::clone(&self.limit_changed),
             retry_budgets: Arc::clone(&self.retry_budgets),
-            models: Arc::clone(&self.models),
+            cascade: Arc::clone(&self.cascade),
             calls: self.calls.clone(),
             metrics: Arc::clone(&self.metrics),
             rollouts: Arc::clone(&self.rollouts),
             connect_times: Arc::clone(&self.connect_times),
             clock: self.clock,
             leaving: self.leaving.clone(),
-            tasks: self.tasks.clone(),
+            response_tasks: self.response_tasks.clone(),
         }
     }
 }
 
-/// What a decision was based on, for log lines.
+/// Version and ages of the data that decisions are based on, for log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Belief {
+pub struct ViewInfo {
     /// Version of the configuration in force.
     pub configuration: Option<u64>,
-    /// Its age.
+    /// Age of the view of the configuration.
     pub configuration_age: Option<Duration>,
-    /// Age of the list of endpoints.
+    /// Age of the view of the endpoints.
     pub endpoints_age: Option<Duration>,
 }
 
-/// A time in whole milliseconds.
+/// A duration in whole milliseconds.
 #[must_use]
 pub fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Whether the configuration may be acted on.
+/// Whether the configuration is recent enough to be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// Young enough.
+    /// Recent enough.
     Fresh,
-    /// Keys may have been revoked, or changes are known that were not read.
+    /// Keys may have been revoked in the meantime, or known changes were not read yet.
     Stale,
 }
 
 impl<P: HeaderCodec + Codec, L: Log> Node<P, L> {
-    /// Starts to follow the log.
+    /// Creates the state and starts the tasks that follow the log and exchange data with other VMs.
     pub fn start(config: Config, platform: P, log: L, token: &CancellationToken) -> Self {
         let zone = Zone::starting(&config);
         let calls = Calls::default();
@@ -183,14 +184,14 @@
             scheduler: Scheduler::new(clock),
             limit_changed: Arc::default(),
             retry_budgets: Arc::new(retry_budgets),
-            models: Arc::default(),
+            cascade: Arc::default(),
             calls,
             metrics: Arc::default(),
             rollouts: Arc::new(Mutex::new(rollouts)),
             connect_times: Arc::default(),
             clock,
             leaving: CancellationToken::new(),
-            tasks: TaskTracker::new(),
+            response_tasks: TaskTracker::new(),
         };
         pools::start(&node, token.clone());
         poison::start(&node, log.clone(), token.clone());
@@ -199,39 +200,40 @@
         node
     }
 
-    /// The configuration in force; none before the first was read.
+    /// The configuration in force; none before the first one was read.
     #[must_use]
     pub fn table(&self) -> Option<Arc<Table>> {
         self.operators.view(Operators::table)
     }
 
-    /// What decisions are based on now.
+    /// Version and ages of the current views.
     #[must_use]
-    pub fn belief(&self) -> Belief {
-        Belief {
+    pub fn view_info(&self) -> ViewInfo {
+        ViewInfo {
             configuration: self.table().map(|table| table.version()),
             configuration_age: self.operators.age(),
             endpoints_age: self.directory.age(),
         }
     }
 
-    /// Whether keys may be let in.
+    /// Whether the configuration is recent enough to admit keys.
     #[must_use]
-    pub fn freshness(&self) -> Freshness {
-        self.within(FRESH)
+    pub fn key_freshness(&self) -> Freshness {
+        self.within_revoke_bound(FRESH_SHARE)
     }
 
-    /// Whether requests may be handled by the configuration at hand, with a key or without.
+    /// Whether the configuration is recent enough to handle requests, with a key or without.
     ///
-    /// A VM that nobody can tell of changes goes on by what it read last. One that was told of a
-    /// change and could not read it knows better: past the bound on changes its callers would be
-    /// answered as the operators no longer want, for as long as its way to the log is broken.
+    /// A VM that does not learn of changes continues with the last configuration that it read. A VM that
+    /// learned of a change but can't read it must stop at the bound on configuration changes. Otherwise
+    /// it would serve callers by an outdated configuration for as long as it can't reach the log.
     #[must_use]
-    pub fn current(&self) -> Freshness {
-        self.caught_up(FRESH)
+    pub fn config_freshness(&self) -> Freshness {
+        self.caught_up(FRESH_SHARE)
     }
 
-    /// Whether no change has been known and not read for longer than a share of the bound on changes.
+    /// Whether no known change has been missing for longer than a share of the bound on configuration
+    /// changes.
     fn caught_up(&self, share: f64) -> Freshness {
         let bound = self.config.bounds.config_apply.mul_f64(share);
         match self.operators.behind() {
@@ -241,7 +243,7 @@
     }
 
     /// Whether the configuration is younger than a share of the bound on revoked keys.
-    fn within(&self, share: f64) -> Freshness {
+    fn within_revoke_bound(&self, share: f64) -> Freshness {
         let Some(revoke) = self.config.bounds.revoke else {
             return Freshness::Fresh;
         };
@@ -251,60 +253,63 @@
         }
     }
 
-    /// Whether new work may be sent to an endpoint now.
+    /// Whether an endpoint may get new requests now.
     #[must_use]
     pub fn usable(&self, endpoint: &id::Endpoint) -> bool {
         let now = boot::now();
         self.directory.view(|view| view.usable(endpoint, now))
     }
 
-    /// Whether the VM takes requests.
+    /// Whether the VM is ready to receive requests.
     #[must_use]
     pub fn ready(&self) -> bool {
-        let read = self.directory.proven().is_some();
+        let endpoints_read = self.directory.proven().is_some();
         let leaving = self.leaving.is_cancelled();
-        let fresh = [self.within(READY), self.caught_up(READY)];
+        let fresh = [
+            self.within_revoke_bound(READY_SHARE),
+            self.caught_up(READY_SHARE),
+        ];
         let fresh = fresh.iter().all(|known| *known == Freshness::Fresh);
-        read && !leaving && self.table().is_some() && fresh
+        endpoints_read && !leaving && self.table().is_some() && fresh
     }
 
-    /// Whether this VM reads the log by itself, for others or because nobody else's reads can be
-    /// trusted.
+    /// Whether this VM reads the log itself, either on behalf of other VMs or because it can't rely on
+    /// another VM's reads.
     #[must_use]
     pub fn reads_log(&self) -> bool {
         self.operators.reads()
     }
 
-    /// What this VM says of itself, without roll-outs.
+    /// This VM's announcement to the other VMs, without roll-outs.
     #[must_use]
     pub fn announcement(&self) -> Word {
         Word {
             zone: self.config.zone.clone(),
             address: self.config.peer_listen,
-            paces: self.paces(),
+            paces: self.prefill_seconds_per_token(),
             rollouts: Vec::new(),
         }
     }
 
-    /// Says a word on the log; whether that is known to have succeeded.
+    /// Appends an announcement to the log. Returns whether the append is known to have succeeded.
     pub async fn publish(&self, word: &Word, log: &impl Log) -> bool {
         self.calls.count(Topic::Fleet, Reason::Word);
         word.say(&self.config.node, log).await
     }
 
-    /// How fast models read.
-    fn paces(&self) -> Vec<(u64, f64)> {
+    /// Prefill time of each model, in seconds per token, by the hash of its name.
+    fn prefill_seconds_per_token(&self) -> Vec<(u64, f64)> {
         let pools = self.scheduler.pools();
         pools.iter().flat_map(|(_, pool)| pool.paces()).collect()
     }
 
-    /// Looks at or changes the roll-outs. `act` runs under a lock and must be short.
+    /// Reads or changes the roll-outs. `act` runs under a lock and must be short.
     pub fn rollouts<T>(&self, act: impl FnOnce(&mut Rollouts) -> T) -> T {
         let mut rollouts = self.rollouts.lock().unwrap_or_else(PoisonError::into_inner);
         act(&mut rollouts)
     }
 
-    /// Looks at or adds to what connections to endpoints take. `act` runs under a lock and must be short.
+    /// Reads or updates the statistics of connect times. `act` runs under a lock and must be short.
     pub fn connect_times<T>(&self, act: impl FnOnce(&mut Reach) -> T) -> T {
         let mut times = self
             .connect_times
@@ -313,7 +318,7 @@
         act(&mut times)
     }
 
-    /// The moment now, on the clock of deadlines.
+    /// The current time by the clock that deadlines use.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.clock.now()
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -1,4 +1,4 @@
-//! What the operators' records say: the configuration in force and the orders to roll out.
+//! View of the operators' records: the configuration in force and the roll-out orders.
 
 use std::sync::Arc;
 
@@ -15,20 +15,20 @@
 use crate::table::Table;
 use crate::topic::Record;
 
-/// An order to roll out, as it was read.
+/// A roll-out order, with where and when it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// What is ordered.
+    /// The roll-out that is ordered.
     pub rollout: Rollout,
-    /// Its place in the topic, which tells it from an earlier order of the same kind.
+    /// Its offset in the topic, which distinguishes it from an earlier identical order.
     pub offset: Offset,
-    /// When it was read here.
+    /// When this VM read it.
     pub read_at: Moment,
-    /// Whether it was there already when this process first read the topic.
+    /// Whether it already existed when this process first read the topic.
     pub initial: bool,
 }
 
-/// The operators' records, folded.
+/// The state that results from the operators' records.
 #[derive(Debug)]
 pub struct Operators<C> {
     codec: C,
@@ -38,7 +38,7 @@
 }
 
 impl<C: Codec> Operators<C> {
-    /// Nothing read yet.
+    /// Creates an empty view.
     #[must_use]
     pub const fn new(codec: C) -> Self {
         Self {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The configuration in force; none before the first was read.
+    /// The configuration in force; none before the first one was read.
     #[must_use]
     pub fn table(&self) -> Option<Arc<Table>> {
         self.table.clone()
@@ -60,11 +60,11 @@
         &self.orders
     }
 
-    fn order(&mut self, order: RolloutOrder) {
+    fn insert_order(&mut self, order: RolloutOrder) {
         let find = |known: &RolloutOrder| known.rollout.pool.cmp(&order.rollout.pool);
         match self.orders.binary_search_by(find) {
-            Ok(place) => self.orders[place] = order,
-            Err(place) => self.orders.insert(place, order),
+            Ok(index) => self.orders[index] = order,
+            Err(index) => self.orders.insert(index, order),
         }
     }
 }
@@ -72,10 +72,13 @@
 impl<C: Codec> Fold for Operators<C> {
     fn apply(&mut self, record: &Record, told: Told) -> bool {
         let Some(value) = &record.value else {
-            log::warn!("operators: {} was dropped, what it said holds.", record.key);
+            log::warn!(
+                "operators: Record {} was deleted, its last value stays in force.",
+                record.key
+            );
             return false;
         };
-        let begun = boot::now();
+        let started = boot::now();
         match self.codec.decode_operator_record(&record.key, value) {
             Ok(OperatorRecord::Table(table)) => {
                 log::info!(
@@ -83,7 +86,7 @@
                     offset = record.offset.0,
                     configuration = table.version(),
                     bytes = value.len(),
-                    decoded_ms = millis(boot::now().since(begun));
+                    decoded_ms = millis(boot::now().since(started));
                     "operators: Configuration in force."
                 );
                 self.table = Some(Arc::from(table));
@@ -97,7 +100,7 @@
                     lasts_ms = millis(rollout.time_limit);
                     "operators: Roll-out ordered."
                 );
-                self.order(RolloutOrder {
+                self.insert_order(RolloutOrder {
                     rollout,
                     offset: record.offset,
                     read_at: told.at,
@@ -106,7 +109,7 @@
             }
             Ok(OperatorRecord::Other) => {}
             Err(error) => log::warn!(
-                "operators: {} at offset {} left out: {error}.",
+                "operators: Ignoring record {} at offset {}: {error}.",
                 record.key,
                 record.offset
             ),
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -1,4 +1,4 @@
-//! Keeps the scheduler's pools as the endpoints registered themselves.
+//! Updates the scheduler's pools from the registered endpoints and the configured services.
 
 use std::time::Duration;
 
@@ -16,49 +16,49 @@
 use crate::node::Node;
 use crate::topic::Log;
 
-/// Delay to another zone beyond that within the own one: links between zones are between three and
-/// six milliseconds one way.
-const FAR: Duration = Duration::from_millis(10);
+/// Additional delay to another zone. Links between zones take three to six milliseconds one
+/// way.
+const REMOTE_ZONE_DELAY: Duration = Duration::from_millis(10);
 
-/// Starts to follow the endpoints and the services.
+/// Starts the task that keeps the pools up to date.
 pub fn start<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>, token: CancellationToken) {
     let node = node.clone();
-    tokio::spawn(async move { token.run_until_cancelled(follow(node)).await });
+    tokio::spawn(async move { token.run_until_cancelled(run(node)).await });
 }
 
-async fn follow<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>) {
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>) {
     let mut endpoints = node.directory.changes();
     let mut operators = node.operators.changes();
     loop {
         refresh(&node);
         let sweep = node.directory.view(directory::Directory::next_sweep);
         let now = boot::now();
-        let pause = sweep.map_or(Duration::from_hours(1), |at| at.since(now));
+        let wait = sweep.map_or(Duration::from_hours(1), |at| at.since(now));
         tokio::select! {
             _ = endpoints.changed() => {}
             _ = operators.changed() => {}
-            () = tokio::time::sleep(pause) => {
+            () = tokio::time::sleep(wait) => {
                 node.directory.amend(|view| view.sweep(boot::now()));
             }
         }
     }
 }
 
-/// Brings the scheduler's pools up to the list of endpoints and to the services.
+/// Updates the scheduler's pools to the current endpoints and services.
 pub(crate) fn refresh<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let zone = &node.config.zone;
     let table = node.table();
-    let memory = |pool: &id::Pool| {
+    let kv_capacity = |pool: &id::Pool| {
         let service = table.as_ref()?.service(pool)?;
         service.engine.as_ref().map(|engine| engine.kv_capacity)
     };
     let mut members: Vec<(id::Pool, Member)> = node.directory.view(|view| {
-        let seats = view.members().iter();
-        seats
+        let members = view.members().iter();
+        members
             .map(|m| {
                 let pool = m.entry.pool.clone();
-                let member = member(m, zone, memory(&pool), now);
+                let member = member(m, zone, kv_capacity(&pool), now);
                 (pool, member)
             })
             .collect()
@@ -77,14 +77,14 @@
     }
 }
 
-/// The versions of the endpoints that may be used, sorted, with how many there are of each.
+/// The versions of the usable endpoints, sorted, with the number of endpoints of each.
 fn versions(members: &[Member]) -> Vec<(id::Version, usize)> {
     let mut versions: Vec<(id::Version, usize)> = Vec::new();
     let usable = members.iter().filter(|member| member.usable);
     for version in usable.filter_map(|member| member.versions.as_ref()?.first()) {
         match versions.binary_search_by(|(known, _)| known.cmp(version)) {
-            Ok(place) => versions[place].1 += 1,
-            Err(place) => versions.insert(place, (version.clone(), 1)),
+            Ok(index) => versions[index].1 += 1,
+            Err(index) => versions.insert(index, (version.clone(), 1)),
         }
     }
     versions
@@ -93,11 +93,11 @@
 fn member(
     member: &directory::Member,
     zone: &id::Zone,
-    memory: Option<Tokens>,
+    kv_capacity: Option<Tokens>,
     now: Moment,
 ) -> Member {
     let entry = &member.entry;
-    let near = entry.zone == *zone;
+    let local = entry.zone == *zone;
     let report = limit::Report {
         running: 0,
         waiting: 0,
@@ -108,10 +108,14 @@
         zone: entry.zone.clone(),
         address: entry.address,
         usable: member.usable(now),
-        distance: if near { Duration::ZERO } else { FAR },
+        distance: if local {
+            Duration::ZERO
+        } else {
+            REMOTE_ZONE_DELAY
+        },
         versions: Some(vec![entry.version.clone()]),
         report: Some((report, Moment::ZERO)),
-        memory,
+        memory: kv_capacity,
         life: entry.started_unix_ms,
     }
 }
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -1,8 +1,9 @@
-//! What callers get in place of an answer.
+//! Error responses to callers.
 //!
-//! Status codes 408, 421, 429 and 503 promise that the request has not run and never will; 502 and
-//! 504 promise nothing. A [`Cause`] therefore fixes the status, and [`Refusal::unsure`] turns every
-//! promise into 502 once a request may have run.
+//! Status codes 408, 421, 429 and 503 promise that the request has not run and never will; 502 and 504
+//! promise nothing. The [`Cause`] determines the status. Once a request may have run,
+//! [`Refusal::with_unknown_outcome`] replaces a status that promises too much by 502, or by 504 if the
+//! deadline has passed.
 
 use std::fmt;
 use std::time::Duration;
@@ -17,43 +18,43 @@
 use pimento_scheduler::Refused;
 use pimento_serve::Reply;
 
-/// Why there is no answer.
+/// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// A header is missing or can't be read.
+    /// A required header is missing or malformed.
     BadHead,
-    /// The head is over the limit.
+    /// The head exceeds the limit.
     LargeHead,
-    /// The body is over the limit.
+    /// The body exceeds the limit.
     LargeBody,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     SlowBody,
-    /// The body broke off or can't be read.
+    /// The body is incomplete or malformed.
     BadBody,
-    /// No key, or one that no customer holds.
+    /// The request has no key, or one that belongs to no customer.
     UnknownKey,
-    /// No route takes the request.
+    /// No route matches the request.
     UnknownRoute,
     /// This VM has no configuration yet.
     NotReady,
-    /// This VM can't know whether the key still holds.
+    /// The configuration is too old to tell whether the key is still valid, or is known to lack changes.
     Stale,
-    /// The work could not start in time.
+    /// The request could not start in time.
     Overloaded,
-    /// No endpoint can take the request.
+    /// No endpoint can accept the request.
     NoEndpoint,
-    /// The time was up before the request was sent.
+    /// The deadline passed before the request was sent.
     Expired,
-    /// The time was up while an endpoint had the request.
+    /// The deadline passed while an endpoint processed the request.
     Timeout,
-    /// The endpoints failed.
+    /// The endpoints that were tried failed.
     Failed,
-    /// Endpoints ended under the request.
+    /// The request is blocked because endpoints crashed while they ran it.
     Poison,
 }
 
 impl Cause {
-    /// The name in logs and metrics.
+    /// The name in logs, metrics and the response's body.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Whether the connection must end, since the rest of the request is not read or other VMs
-    /// would serve the caller better.
+    /// Whether the response closes the connection, because the rest of the request was not read or
+    /// another VM can serve the caller better.
     const fn closes(self) -> bool {
         matches!(
             self,
@@ -116,15 +117,15 @@
     }
 }
 
-/// What a caller gets in place of an answer.
+/// An error response to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub cause: Cause,
-    /// When to come back, if that can help.
-    pub after: Option<Duration>,
+    /// Time after which the caller may retry, if a retry can help.
+    pub retry_after: Option<Duration>,
     /// Whether the request may have run.
-    pub ran: bool,
+    pub may_have_run: bool,
 }
 
 impl Refusal {
@@ -133,32 +134,32 @@
     pub const fn new(cause: Cause) -> Self {
         Self {
             cause,
-            after: None,
-            ran: false,
+            retry_after: None,
+            may_have_run: false,
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
-    pub const fn after(mut self, after: Duration) -> Self {
-        self.after = Some(after);
+    pub const fn with_retry_after(mut self, after: Duration) -> Self {
+        self.retry_after = Some(after);
         self
     }
 
-    /// The same for a request that may have run: nothing is promised.
+    /// The same refusal for a request that may have run. It promises nothing and suggests no retry.
     #[must_use]
-    pub const fn unsure(mut self) -> Self {
-        self.ran = true;
-        self.after = None;
+    pub const fn with_unknown_outcome(mut self) -> Self {
+        self.may_have_run = true;
+        self.retry_after = None;
         self
     }
 
-    /// The status.
+    /// The HTTP status.
     #[must_use]
     pub fn status(&self) -> StatusCode {
         let status = self.cause.status();
         match status {
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::REQUEST_TIMEOUT if self.ran => {
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::REQUEST_TIMEOUT if self.may_have_run => {
                 if self.cause == Cause::Expired {
                     StatusCode::GATEWAY_TIMEOUT
                 } else {
@@ -169,7 +170,7 @@
         }
     }
 
-    /// The whole response.
+    /// The complete response. Its body is the cause's name.
     #[must_use]
     pub fn response(&self) -> Response<Reply> {
         let text = format!("{}\n", self.cause);
@@ -177,7 +178,7 @@
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let Some(after) = self.after {
+        if let Some(after) = self.retry_after {
             let text = format!("{:.3}", after.as_secs_f64());
             if let Ok(value) = HeaderValue::try_from(text) {
                 headers.insert(RETRY_AFTER, value);
@@ -193,9 +194,9 @@
 impl From<Refused> for Refusal {
     fn from(refused: Refused) -> Self {
         match refused {
-            Refused::Nobody { after } => Self::new(Cause::NoEndpoint).after(after),
-            Refused::Overloaded { after } => Self::new(Cause::Overloaded).after(after),
-            Refused::Late { after } => Self::new(Cause::Expired).after(after),
+            Refused::Nobody { after } => Self::new(Cause::NoEndpoint).with_retry_after(after),
+            Refused::Overloaded { after } => Self::new(Cause::Overloaded).with_retry_after(after),
+            Refused::Late { after } => Self::new(Cause::Expired).with_retry_after(after),
             Refused::Gone => Self::new(Cause::Expired),
         }
     }
--- a/crates/relay/src/retry_budget.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats: this VM's part of what all VMs may send beyond one call for each request.
+//! Retry budgets: this VM's share of the calls that all VMs may make beyond one for each request.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -10,16 +10,15 @@
 
 use crate::config::RetryBudget;
 
-/// Part of the share and of the extra that is used. A request counts here when it comes and at its
-/// endpoint when it arrives there, which may be in the next window; a repeat that was sent may arrive
-/// late as well.
-const USED: f64 = 0.85;
+/// Fraction of the budget that is used. The VM counts a request when it receives it, but the endpoint
+/// counts it on arrival there, which may be in the next window. A retry may arrive late as well.
+const USABLE_FRACTION: f64 = 0.85;
 
-/// VMs that the extra repeats are divided among at least. A VM that has met none of the others yet
-/// must not take what is theirs.
-const VMS: usize = 8;
+/// Minimum number of VMs by which the extra retries are divided. A VM that has not discovered the others
+/// yet must not use their shares.
+const MIN_VMS: usize = 8;
 
-/// The budgets of all pools.
+/// The retry budgets of all pools.
 #[derive(Debug)]
 pub struct RetryBudgets {
     config: RetryBudget,
@@ -28,18 +27,18 @@
 
 #[derive(Debug)]
 struct State {
-    /// Repeats beyond the share that are this VM's.
+    /// This VM's share of the extra retries.
     extra: f64,
     /// Sorted by pool.
     windows: Vec<(id::Pool, Window)>,
 }
 
 impl RetryBudgets {
-    /// Budgets by the bounds that all VMs keep together.
+    /// Creates the budgets from the limits that apply to all VMs together.
     #[must_use]
     pub fn new(config: RetryBudget) -> Self {
         let state = State {
-            extra: part(config.extra, 0),
+            extra: own_share(config.extra, 0),
             windows: Vec::new(),
         };
         Self {
@@ -52,42 +51,42 @@
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let extra = state.extra;
         let found = state.windows.binary_search_by(|(known, _)| known.cmp(pool));
-        let place = found.unwrap_or_else(|place| {
+        let index = found.unwrap_or_else(|index| {
             let bound = Bound {
-                share: self.config.ratio * USED,
+                share: self.config.ratio * USABLE_FRACTION,
                 extra,
                 span: self.config.window,
             };
             state
                 .windows
-                .insert(place, (pool.clone(), Window::new(bound)));
-            place
+                .insert(index, (pool.clone(), Window::new(bound)));
+            index
         });
-        let window = &mut state.windows[place].1;
+        let window = &mut state.windows[index].1;
         window.allow(extra);
         act(window)
     }
 
-    /// Takes the number of VMs that are known.
+    /// Sets the number of known VMs, including this one.
     pub fn set_vms(&self, vms: usize) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.extra = part(self.config.extra, vms);
+        state.extra = own_share(self.config.extra, vms);
     }
 
-    /// Counts a request.
-    pub fn arrived(&self, pool: &id::Pool, now: Moment) {
+    /// Counts a request, which raises the budget of its pool.
+    pub fn count_request(&self, pool: &id::Pool, now: Moment) {
         self.with(pool, |window| window.request(now));
     }
 
-    /// Takes a repeat out, if there is one.
+    /// Consumes one retry. Returns false if the budget is exhausted.
     #[must_use]
-    pub fn take(&self, pool: &id::Pool, now: Moment) -> bool {
+    pub fn try_consume(&self, pool: &id::Pool, now: Moment) -> bool {
         self.with(pool, |window| window.take(now))
     }
 
-    /// Repeats that are left, by pool.
+    /// Retries that are left, by pool.
     #[must_use]
-    pub fn left(&self, now: Moment) -> Vec<(id::Pool, f64)> {
+    pub fn remaining(&self, now: Moment) -> Vec<(id::Pool, f64)> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let windows = state.windows.iter_mut();
         windows
@@ -95,15 +94,15 @@
             .collect()
     }
 
-    /// Whether a repeat could be paid for.
+    /// Whether the budget has a retry left.
     #[must_use]
-    pub fn affords(&self, pool: &id::Pool, now: Moment) -> bool {
+    pub fn has_retry(&self, pool: &id::Pool, now: Moment) -> bool {
         self.with(pool, |window| window.affords(now))
     }
 }
 
-/// This VM's part of the extra repeats.
-fn part(extra: u32, vms: usize) -> f64 {
-    let vms = u32::try_from(vms.max(VMS)).unwrap_or(u32::MAX);
-    f64::from(extra) * USED / f64::from(vms)
+/// This VM's usable share of the extra retries.
+fn own_share(extra: u32, vms: usize) -> f64 {
+    let vms = u32::try_from(vms.max(MIN_VMS)).unwrap_or(u32::MAX);
+    f64::from(extra) * USABLE_FRACTION / f64::from(vms)
 }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -1,8 +1,8 @@
-//! The running program: binds its listeners, serves, and ends without cutting a request.
+//! The server's life cycle: binds its listeners, serves, and shuts down gracefully.
 //!
-//! Told to stop, the VM says at once that it is not ready and asks callers to close their
-//! connections, and goes on accepting until its balancer must have noticed. Then it accepts no
-//! connection, closes idle ones, finishes what is in flight and ends.
+//! On shutdown the VM immediately reports that it is not ready and asks callers to close their
+//! connections. It continues to accept connections until the load balancer must have noticed. Then it
+//! accepts no more, closes idle connections, completes the requests in flight and exits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,18 +23,18 @@
 use crate::config::Config;
 use crate::handler::RequestHandler;
 use crate::headers::HeaderCodec;
-use crate::metrics::Page;
+use crate::metrics::MetricsService;
 use crate::node::Node;
 use crate::topic::Log;
 
-/// How long a leaving VM goes on accepting: the balancer asks once a second and takes a VM out
-/// after two answers that it is not ready.
-const ACCEPTING: Duration = Duration::from_millis(2_600);
+/// Time for which a VM that shuts down still accepts connections. The load balancer checks readiness once
+/// a second and removes a VM after two negative responses.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(2_600);
 
-/// Time kept at the end of the grace for closing what is left.
-const LAST: Duration = Duration::from_millis(400);
+/// Time reserved at the end of the grace period for closing the remaining connections.
+const CLOSE_RESERVE: Duration = Duration::from_millis(400);
 
-/// An address can't be listened on.
+/// The server can't listen on an address.
 #[derive(Debug, Snafu)]
 #[snafu(display("can't listen on {address}: {source}"))]
 pub struct Error {
@@ -42,7 +42,7 @@
     source: std::io::Error,
 }
 
-/// An entry VM that serves.
+/// A running entry VM.
 #[derive(Debug)]
 pub struct Running<P, L> {
     node: Node<P, L>,
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] if an address can't be had.
+    /// [`Error`] if an address can't be bound.
     pub async fn start(config: Config, platform: P, log: L) -> Result<Self, Error> {
         let callers = bind(config.listen).await?;
         let ready = bind(config.ready_listen).await?;
@@ -66,7 +66,7 @@
             zone = config.zone.as_str(),
             listen:% = config.listen,
             metrics:% = config.metrics_listen;
-            "server: Starts."
+            "server: Starting."
         );
         let background = CancellationToken::new();
         let node = Node::start(config, platform, log, &background);
@@ -81,7 +81,7 @@
         ));
         tokio::spawn(pimento_serve::run(
             metrics,
-            Page(node.clone()),
+            MetricsService(node.clone()),
             Stop::default(),
         ));
         let service = RequestHandler(node.clone());
@@ -94,31 +94,31 @@
         })
     }
 
-    /// Ends in order; false if requests were cut.
+    /// Shuts down gracefully. Returns false if requests were aborted because the grace period was over.
     pub async fn shut_down(self) -> bool {
         let begun = self.node.now();
         let grace = self.node.config.bounds.grace;
-        log::info!("server: Leaving.");
+        log::info!("server: Shutting down.");
         self.node.leaving.cancel();
-        tokio::time::sleep(ACCEPTING.min(grace / 2)).await;
+        tokio::time::sleep(ACCEPT_PERIOD.min(grace / 2)).await;
         self.stop.closing.cancel();
-        self.node.tasks.close();
-        let tasks = self.node.tasks.clone();
+        self.node.response_tasks.close();
+        let tasks = self.node.response_tasks.clone();
         let serving = self.serving;
         let done = async {
             let _ = serving.await;
             tasks.wait().await;
         };
         let spent = self.node.now().since(begun);
-        let left = grace.saturating_sub(spent + LAST);
-        let whole = tokio::time::timeout(left, done).await.is_ok();
-        if !whole {
-            log::error!("server: The grace is over, requests in flight are cut.");
+        let left = grace.saturating_sub(spent + CLOSE_RESERVE);
+        let complete = tokio::time::timeout(left, done).await.is_ok();
+        if !complete {
+            log::error!("server: Grace period is over, aborting requests in flight.");
             self.stop.cut.cancel();
         }
         self.background.cancel();
-        log::info!("server: Ended.");
-        whole
+        log::info!("server: Stopped.");
+        complete
     }
 }
 
@@ -127,7 +127,7 @@
     listener.context(Snafu { address })
 }
 
-/// Tells the balancer whether the VM takes requests.
+/// Serves the load balancer's readiness check.
 #[derive(Debug)]
 struct Ready<P, L>(Node<P, L>);
 
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,9 +1,10 @@
-//! Streams: events are passed on as they come, each once and in order, and a stream that breaks goes
-//! on at another endpoint within the same answer.
+//! Forwards streams of server-sent events. Each event is forwarded once and in order, and another endpoint
+//! resumes a broken stream within the same response.
 //!
-//! The caller gets its head with the first event. Until then an answer may be dropped and asked for
-//! again; afterwards the head and signature of the first endpoint stay, and a new attempt resumes
-//! after the last event passed on. A stream that can't be finished is broken off, never ended.
+//! The caller gets the response's head with the first event. Until then, a response may be dropped and the
+//! request sent again. Afterwards the head and signature of the first endpoint remain, and a new attempt
+//! resumes after the last forwarded event. A stream that can't be completed is aborted, so that the caller
+//! never takes it for complete.
 
 use std::time::Duration;
 
@@ -36,100 +37,105 @@
 use crate::table::Route;
 use crate::topic::Log;
 
-/// How long a stream may be silent before it is taken up elsewhere, where its route says nothing of
-/// pauses. An engine that reads long prompts between the tokens of others, or preempts, pauses for over
-/// a second; callers leave after eight.
-const SILENCE: Duration = Duration::from_secs(4);
+/// Time without an event after which another endpoint resumes a stream, if the route sets no target for the
+/// time between events. An engine that prefills long prompts between the tokens of other requests, or
+/// preempts requests, may pause for over a second; callers disconnect after eight.
+const DEFAULT_EVENT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Share of the longest pause that a route has for on time, after which a stream is taken up elsewhere.
-/// The rest is for the other engine to read the prompt. Without it, a stream whose endpoint fell silent
-/// came late by seconds. One that would have gone on loses nothing but its place: it is late in any case
-/// a moment later.
-const QUIET: f64 = 0.8;
+/// Share of a route's target for the time between events after which another endpoint resumes a stream. The
+/// rest of the target is for the other engine's prefill. Without this timeout, a stream whose endpoint
+/// stalls would be late by seconds. A stream that would have continued on its own loses little by the move,
+/// since it would have missed the target a moment later anyway.
+const EVENT_TIMEOUT_SHARE: f64 = 0.8;
 
-/// The shortest silence that counts, whatever a route says: some ten steps of an engine that reads a
-/// chunk of a long prompt in each.
-const LEAST: Duration = Duration::from_millis(400);
+/// Minimum event timeout, regardless of the route: some ten steps of an engine that prefills a chunk of a
+/// long prompt in each step.
+const MIN_EVENT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The largest body of a failure that is kept to be handed on.
-const FAILURE: usize = 64 << 10;
+/// Maximum size of an error response's body, in bytes. It is buffered to be forwarded.
+const MAX_ERROR_BODY_BYTES: usize = 64 << 10;
 
-/// A stream at one endpoint.
+/// A stream from one endpoint.
 #[derive(Debug)]
 struct Source {
     permit: Permit,
     body: ResponseBody,
     splitter: Splitter,
-    /// How long it may be silent between events.
-    silence: Duration,
+    /// Timeout for the next event.
+    event_timeout: Duration,
 }
 
-/// What comes next from a source.
-enum Step {
+/// The next item of a source.
+enum Item {
     Event(Event),
     End,
 }
 
 impl Source {
     fn new(permit: Permit, body: ResponseBody, route: &Route) -> Self {
-        let quiet = route.max_event_gap.map(|gap| gap.mul_f64(QUIET));
+        let timeout = route
+            .max_event_gap
+            .map(|gap| gap.mul_f64(EVENT_TIMEOUT_SHARE));
         Self {
             permit,
             body,
             splitter: Splitter::default(),
-            silence: quiet.map_or(SILENCE, |quiet| quiet.clamp(LEAST, SILENCE)),
+            event_timeout: timeout.map_or(DEFAULT_EVENT_TIMEOUT, |timeout| {
+                timeout.clamp(MIN_EVENT_TIMEOUT, DEFAULT_EVENT_TIMEOUT)
+            }),
         }
     }
 
-    /// The next whole event, or the clean end.
-    async fn next(&mut self) -> Result<Step, Fault> {
-        self.within(self.silence).await
+    /// The next complete event, or the regular end.
+    async fn next(&mut self) -> Result<Item, Fault> {
+        self.next_within(self.event_timeout).await
     }
 
-    /// The same for the first event, which waits for the prompt to be read.
-    async fn first(&mut self, left: Duration) -> Result<Step, Fault> {
-        self.within(left.min(SILENCE)).await
+    /// The first complete event, or the regular end. The first event takes longer than later ones, since it
+    /// waits for the prefill.
+    async fn first(&mut self, left: Duration) -> Result<Item, Fault> {
+        self.next_within(left.min(DEFAULT_EVENT_TIMEOUT)).await
     }
 
-    async fn within(&mut self, silence: Duration) -> Result<Step, Fault> {
+    async fn next_within(&mut self, timeout: Duration) -> Result<Item, Fault> {
         loop {
-            if let Some(event) = self.splitter.take() {
-                return Ok(Step::Event(event));
+            if let Some(event) = self.splitter.next_event() {
+                return Ok(Item::Event(event));
             }
-            let data = tokio::time::timeout(silence, self.body.next()).await;
+            let data = tokio::time::timeout(timeout, self.body.next()).await;
             match data.unwrap_or(Err(Fault::Timeout))? {
                 Some(data) => self.splitter.push(&data).map_err(|error| Fault::Nonsense {
                     reason: error.to_string().into(),
                 })?,
-                None if self.splitter.torn() => {
+                None if self.splitter.has_partial_event() => {
                     return Err(Fault::Nonsense {
                         reason: "the stream ended within an event".into(),
                     });
                 }
-                None => return Ok(Step::End),
+                None => return Ok(Item::End),
             }
         }
     }
 }
 
-/// A stream whose first event has come.
-struct First {
+/// A stream whose first event was received.
+struct Started {
     head: response::Parts,
     source: Source,
     event: Event,
-    /// The model's opinion of its answer.
+    /// The model's confidence in its answer, from 0 to 100.
     confidence: Option<u8>,
 }
 
-/// What an endpoint's answer turned out to be.
-enum Begun {
+/// The start of an endpoint's response.
+enum Start {
     /// A stream, with its first event.
-    Stream(Box<First>),
-    /// A failure, to be handed on if nothing better comes.
-    Failure(Response<Reply>),
+    Stream(Box<Started>),
+    /// An error response, to be forwarded if no other response follows.
+    Error(Response<Reply>),
 }
 
-/// Answers a request for a stream.
+/// Handles a request for a stream.
 ///
 /// # Errors
 ///
@@ -139,50 +145,53 @@
     request: AdmittedRequest,
 ) -> Result<Response<Reply>, Refusal> {
     let mut attempts = Attempts::new(node, &request);
-    let mut failure: Option<Response<Reply>> = None;
+    let mut error: Option<Response<Reply>> = None;
     let mut dropped = None;
     let mut overrides = Overrides {
-        model: cascade::first(&request),
-        resume: None,
+        model: cascade::first_model(&request),
+        last_event_id: None,
     };
     let (mut head, source, first) = loop {
         let opened = match attempts.open(&overrides).await {
             Ok(opened) => opened,
-            Err(refusal) => return failure.ok_or(refusal),
+            Err(refusal) => return error.ok_or(refusal),
         };
-        match begin(&mut attempts, node, &request, opened).await {
-            Ok(Some(Begun::Stream(begun))) => {
-                let larger = cascade::larger(&attempts, &overrides, begun.confidence, &mut dropped);
+        match start(&mut attempts, node, &request, opened).await {
+            Ok(Some(Start::Stream(started))) => {
+                let confidence = started.confidence;
+                let larger =
+                    cascade::choose_larger(&attempts, &overrides, confidence, &mut dropped);
                 let Some(model) = larger else {
-                    break (begun.head, begun.source, begun.event);
+                    break (started.head, started.source, started.event);
                 };
                 overrides.model = Some(model);
             }
-            Ok(Some(Begun::Failure(response))) => {
-                if !attempts.again() {
+            Ok(Some(Start::Error(response))) => {
+                if !attempts.may_retry() {
                     return Ok(response);
                 }
-                failure = Some(response);
+                error = Some(response);
             }
             Ok(None) => {}
-            Err(refusal) => return failure.ok_or(refusal),
+            Err(refusal) => return error.ok_or(refusal),
         }
     };
-    let state = attempts.state();
+    let state = attempts.into_state();
     node.platform.strip_connection_headers(&mut head.headers);
     let took = node.now().since(request.began);
-    node.metrics.began(&request.grant.route.name, took);
+    node.metrics
+        .observe_first_byte(&request.grant.route.name, took);
     let (writer, reply) = Reply::stream();
     let node = node.clone();
-    let tasks = node.tasks.clone();
+    let tasks = node.response_tasks.clone();
     tasks.spawn(async move {
-        let attempts = Attempts::resume(&node, &request, state);
+        let attempts = Attempts::with_state(&node, &request, state);
         let mut stream = Stream {
             node: &node,
             request: &request,
             attempts,
             overrides,
-            last: request.info.last_event_id,
+            last_event_id: request.info.last_event_id,
             events: 0,
         };
         stream.run(writer, source, first).await;
@@ -190,66 +199,71 @@
     Ok(Response::from_parts(head, reply))
 }
 
-/// Reads up to the first event; none if the answer broke off and another attempt may be made.
-async fn begin<P: HeaderCodec + Codec, L: Log>(
+/// Reads a response up to its first event. Returns none if the attempt failed and another one may be made.
+async fn start<P: HeaderCodec + Codec, L: Log>(
     attempts: &mut Attempts<'_, P, L>,
     node: &Node<P, L>,
     request: &AdmittedRequest,
     opened: Opened,
-) -> Result<Option<Begun>, Refusal> {
+) -> Result<Option<Start>, Refusal> {
     let Opened {
         permit,
-        call,
-        reply,
+        response,
+        info,
     } = opened;
-    let (mut head, mut body) = (call.head, call.body);
+    let (mut head, mut body) = (response.head, response.body);
     let left = request.left(node.now());
     if head.status != StatusCode::OK {
         let read = tokio::time::timeout(left, collect(&mut body)).await;
         return match read.unwrap_or(Err(Fault::Timeout)) {
             Ok(bytes) => {
-                attempts.judged(&permit, head.status.is_server_error());
-                attempts.whole();
-                // Its prompt is kept there, so that the next attempt would go to it first.
-                attempts.leave(permit.endpoint());
+                attempts.record_result(&permit, head.status.is_server_error());
+                attempts.response_complete();
+                // The endpoint has the prompt in its cache, so the scheduler would prefer it for the next
+                // attempt.
+                attempts.avoid(permit.endpoint());
                 permit.failed(&Fault::Failed {
                     status: head.status.as_u16(),
                 });
                 node.platform.strip_connection_headers(&mut head.headers);
                 let response = Response::from_parts(head, Reply::whole(bytes));
-                Ok(Some(Begun::Failure(response)))
+                Ok(Some(Start::Error(response)))
             }
-            Err(fault) => attempts.broken(permit, &fault).map(|()| None),
+            Err(fault) => attempts.attempt_failed(permit, &fault).map(|()| None),
         };
     }
     let mut source = Source::new(permit, body, &request.grant.route);
     match source.first(left).await {
-        Ok(Step::Event(event)) => {
+        Ok(Item::Event(event)) => {
             source.permit.begun();
-            attempts.judged(&source.permit, false);
-            Ok(Some(Begun::Stream(Box::new(First {
+            attempts.record_result(&source.permit, false);
+            Ok(Some(Start::Stream(Box::new(Started {
                 head,
                 source,
                 event,
-                confidence: reply.confidence,
+                confidence: info.confidence,
             }))))
         }
-        Ok(Step::End) => {
+        Ok(Item::End) => {
             let fault = Fault::Nonsense {
                 reason: "the stream has no event".into(),
             };
-            attempts.broken(source.permit, &fault).map(|()| None)
+            attempts
+                .attempt_failed(source.permit, &fault)
+                .map(|()| None)
         }
-        Err(fault) => attempts.broken(source.permit, &fault).map(|()| None),
+        Err(fault) => attempts
+            .attempt_failed(source.permit, &fault)
+            .map(|()| None),
     }
 }
 
 async fn collect(body: &mut ResponseBody) -> Result<Vec<u8>, Fault> {
     let mut bytes = Vec::new();
     while let Some(data) = body.next().await? {
-        if bytes.len() + data.len() > FAILURE {
+        if bytes.len() + data.len() > MAX_ERROR_BODY_BYTES {
             return Err(Fault::Nonsense {
-                reason: "the body of a failure is too long".into(),
+                reason: "the body of an error response is too long".into(),
             });
         }
         bytes.extend_from_slice(&data);
@@ -257,26 +271,31 @@
     Ok(bytes)
 }
 
-/// How long an event may be held back to go out with those that follow. An engine makes one each
-/// ten to twenty milliseconds; a caller reads three at once as well, and each packet less is one less
-/// that may be lost and keep all after it waiting for a retransmission.
-const HOLD: Duration = Duration::from_millis(40);
+/// Maximum time for which an event is buffered to be sent together with the following ones. An engine
+/// generates one every ten to twenty milliseconds. Callers read three at once just as well, and fewer
+/// packets mean fewer losses, each of which delays all later events until the retransmission.
+const MAX_BATCH_DELAY: Duration = Duration::from_millis(40);
 
-/// Events that go out together.
+/// Buffer of events that are sent together.
 #[derive(Debug, Default)]
-struct Held {
+struct EventBatch {
     bytes: BytesMut,
+    /// When the events must be sent.
     due: Option<Instant>,
-    begun: bool,
+    first_pushed: bool,
 }
 
-impl Held {
+impl EventBatch {
     fn push(&mut self, event: &Event, now: Instant) {
         self.bytes.extend_from_slice(&event.bytes);
-        // The first event of all is what the caller waits for.
-        let hold = if self.begun { HOLD } else { Duration::ZERO };
-        self.begun = true;
-        self.due.get_or_insert(now + hold);
+        // The caller waits for the first event, so it is sent at once.
+        let delay = if self.first_pushed {
+            MAX_BATCH_DELAY
+        } else {
+            Duration::ZERO
+        };
+        self.first_pushed = true;
+        self.due.get_or_insert(now + delay);
     }
 
     async fn flush(&mut self, writer: &Writer) -> Result<(), Gone> {
@@ -288,123 +307,125 @@
     }
 }
 
-/// What comes next; meanwhile events that are due go out.
+/// Waits for the next item of a source and sends buffered events when they are due.
 async fn next(
     source: &mut Source,
     writer: &Writer,
-    held: &mut Held,
-) -> Result<Result<Step, Fault>, Gone> {
-    while let Some(due) = held.due {
+    batch: &mut EventBatch,
+) -> Result<Result<Item, Fault>, Gone> {
+    while let Some(due) = batch.due {
         match tokio::time::timeout_at(due, source.next()).await {
-            Ok(step) => return Ok(step),
-            Err(_) => held.flush(writer).await?,
+            Ok(item) => return Ok(item),
+            Err(_) => batch.flush(writer).await?,
         }
     }
     Ok(source.next().await)
 }
 
-/// A stream on its way to a caller.
+/// A stream that is being forwarded to a caller.
 struct Stream<'a, P, L> {
     node: &'a Node<P, L>,
     request: &'a AdmittedRequest,
     attempts: Attempts<'a, P, L>,
     overrides: Overrides,
-    /// Id of the last event passed on.
-    last: Option<u64>,
-    /// Events passed on.
+    /// Id of the last forwarded event.
+    last_event_id: Option<u64>,
+    /// Number of forwarded events.
     events: u64,
 }
 
-/// Why a stream came to its end.
+/// How a stream ended.
 enum End {
-    /// All events were passed on.
-    Whole,
-    /// The caller left.
-    Gone,
-    /// It can't be finished.
-    Broken(Cause),
+    /// All events were forwarded.
+    Complete,
+    /// The caller disconnected.
+    Disconnected,
+    /// The stream can't be completed.
+    Aborted(Cause),
 }
 
 impl<P: HeaderCodec + Codec, L: Log> Stream<'_, P, L> {
     async fn run(&mut self, writer: Writer, source: Source, first: Event) {
         let left = self.request.left(self.node.now());
-        let passing = self.pass(&writer, source, first);
+        let forwarding = self.forward(&writer, source, first);
         let end = tokio::select! {
-            end = passing => end,
-            () = writer.gone() => End::Gone,
-            () = tokio::time::sleep(left) => End::Broken(Cause::Timeout),
+            end = forwarding => end,
+            () = writer.gone() => End::Disconnected,
+            () = tokio::time::sleep(left) => End::Aborted(Cause::Timeout),
         };
-        self.tell(&end);
-        // Dropped without its end, the writer breaks the connection.
-        if matches!(end, End::Whole) && writer.end().await.is_err() {
-            log::debug!("stream: The caller left at the end.");
+        self.record_end(&end);
+        // Dropping the writer without a call of end() aborts the connection.
+        if matches!(end, End::Complete) && writer.end().await.is_err() {
+            log::debug!("stream: Caller disconnected at the end.");
         }
     }
 
-    /// Tells how the stream ended.
-    fn tell(&self, end: &End) {
+    /// Records how the stream ended, in metrics and the log.
+    fn record_end(&self, end: &End) {
         let took = self.node.now().since(self.request.began);
         let (end, cause) = match end {
-            End::Whole => ("whole", None),
-            End::Gone => ("caller_left", None),
-            End::Broken(cause) => ("broken_off", Some(cause.as_str())),
+            End::Complete => ("whole", None),
+            End::Disconnected => ("caller_left", None),
+            End::Aborted(cause) => ("broken_off", Some(cause.as_str())),
         };
         let route = &self.request.grant.route.name;
-        self.node.metrics.ended(route, end, took);
+        self.node.metrics.observe_end(route, end, took);
         log::info!(
             request = self.request.info.id.as_str(),
             end,
             cause,
             events = self.events,
-            last = self.last,
+            last = self.last_event_id,
             took_ms = millis(took);
             "stream: Ended."
         );
     }
 
-    async fn pass(&mut self, writer: &Writer, source: Source, first: Event) -> End {
+    async fn forward(&mut self, writer: &Writer, source: Source, first: Event) -> End {
         let mut source = source;
-        let mut held = Held::default();
-        let mut step = Ok(Step::Event(first));
+        let mut batch = EventBatch::default();
+        let mut item = Ok(Item::Event(first));
         loop {
-            match step {
-                Ok(Step::Event(event)) => match self.take(&event) {
+            match item {
+                Ok(Item::Event(event)) => match self.accept(&event) {
                     Ok(true) => {
-                        held.push(&event, Instant::now());
-                        step = match next(&mut source, writer, &mut held).await {
-                            Ok(step) => step,
-                            Err(Gone) => return End::Gone,
+                        batch.push(&event, Instant::now());
+                        item = match next(&mut source, writer, &mut batch).await {
+                            Ok(item) => item,
+                            Err(Gone) => return End::Disconnected,
                         };
                     }
-                    Ok(false) => step = source.next().await,
-                    Err(fault) => step = Err(fault),
+                    Ok(false) => item = source.next().await,
+                    Err(fault) => item = Err(fault),
                 },
-                Ok(Step::End) => {
-                    if held.flush(writer).await.is_err() {
-                        return End::Gone;
+                Ok(Item::End) => {
+                    if batch.flush(writer).await.is_err() {
+                        return End::Disconnected;
                     }
-                    self.attempts.whole();
-                    self.attempts.note(&source.permit);
+                    self.attempts.response_complete();
+                    self.attempts.record_session_version(&source.permit);
                     source.permit.served(Tokens(1));
-                    return End::Whole;
+                    return End::Complete;
                 }
-                Err(Fault::Timeout) if source.silence < SILENCE && !self.elsewhere() => {
-                    source.silence = SILENCE;
-                    step = source.next().await;
+                Err(Fault::Timeout)
+                    if source.event_timeout < DEFAULT_EVENT_TIMEOUT && !self.may_resume() =>
+                {
+                    source.event_timeout = DEFAULT_EVENT_TIMEOUT;
+                    item = source.next().await;
                 }
                 Err(fault) => {
-                    if held.flush(writer).await.is_err() {
-                        return End::Gone;
+                    if batch.flush(writer).await.is_err() {
+                        return End::Disconnected;
                     }
-                    if let Err(refusal) = self.attempts.broken(source.permit, &fault) {
-                        return End::Broken(refusal.cause);
+                    if let Err(refusal) = self.attempts.attempt_failed(source.permit, &fault) {
+                        return End::Aborted(refusal.cause);
                     }
                     source = match self.resume().await {
                         Ok(source) => source,
-                        Err(refusal) => return End::Broken(refusal.cause),
+                        Err(refusal) => return End::Aborted(refusal.cause),
                     };
-                    step = source.first(self.request.left(self.node.now())).await;
-                    if matches!(step, Ok(Step::Event(_))) {
+                    item = source.first(self.request.left(self.node.now())).await;
+                    if matches!(item, Ok(Item::Event(_))) {
                         source.permit.begun();
                     }
                 }
@@ -412,18 +433,24 @@
         }
     }
 
-    /// Whether the stream may go on at another endpoint. One that may not is waited for: a pause is late,
-    /// but an answer that is broken off at it is lost.
-    fn elsewhere(&self) -> bool {
-        self.attempts.again() && self.attempts.affords() && self.attempts.allowed().is_ok()
+    /// Whether another endpoint may resume the stream. If not, the stream waits longer for its endpoint,
+    /// since a late event is better than an aborted response.
+    fn may_resume(&self) -> bool {
+        self.attempts.may_retry()
+            && self.attempts.has_retry_budget()
+            && self.attempts.check_allowed().is_ok()
     }
 
-    /// Whether an event is the next one. One that was passed on already is left out.
-    fn take(&mut self, event: &Event) -> Result<bool, Fault> {
+    /// Whether an event is to be forwarded. Returns false for one that was forwarded before.
+    ///
+    /// # Errors
+    ///
+    /// [`Fault::Nonsense`] if an event before it is missing.
+    fn accept(&mut self, event: &Event) -> Result<bool, Fault> {
         let Some(id) = event.id else {
             return Ok(true);
         };
-        if let Some(last) = self.last {
+        if let Some(last) = self.last_event_id {
             if id <= last {
                 return Ok(false);
             }
@@ -433,24 +460,30 @@
                 });
             }
         }
-        self.last = Some(id);
+        self.last_event_id = Some(id);
         self.events += 1;
         Ok(true)
     }
 
-    /// Goes on after the last event at another endpoint.
+    /// Resumes the stream at another endpoint, after the last forwarded event.
     async fn resume(&mut self) -> Result<Source, Refusal> {
-        self.overrides.resume = self.last;
+        self.overrides.last_event_id = self.last_event_id;
         loop {
             let opened = self.attempts.open(&self.overrides).await?;
-            let Opened { permit, call, .. } = opened;
-            if call.head.status == StatusCode::OK {
-                return Ok(Source::new(permit, call.body, &self.request.grant.route));
+            let Opened {
+                permit, response, ..
+            } = opened;
+            if response.head.status == StatusCode::OK {
+                return Ok(Source::new(
+                    permit,
+                    response.body,
+                    &self.request.grant.route,
+                ));
             }
             let fault = Fault::Failed {
-                status: call.head.status.as_u16(),
+                status: response.head.status.as_u16(),
             };
-            self.attempts.broken(permit, &fault)?;
+            self.attempts.attempt_failed(permit, &fault)?;
         }
     }
 }
