--- a/crates/policy/tests/model/world/attempts.rs
+++ b/crates/policy/tests/model/world/attempts.rs
@@ -32,7 +32,7 @@
             return false;
         };
         let name = sender.endpoint(endpoint).clone();
-        sender.health.sent(&name, moment(self.now));
+        sender.health.record_sent(&name, moment(self.now));
         assert!(
             sender.limiters[endpoint].acquire(),
             "a chosen endpoint has room"
@@ -44,11 +44,11 @@
             hedge::Attempt {
                 repeatable: true,
                 long: arrival.class == 2,
-                left: Duration::from_secs_f64(left.max(0.0)),
+                time_left: Duration::from_secs_f64(left.max(0.0)),
             },
         );
         let hedge = hedge.filter(|_| sender.mechanisms.hedge && tried.is_empty());
-        let silence = hedge::silence(&sender.tails[arrival.class]);
+        let silence = hedge::first_token_timeout(&sender.tails[arrival.class]);
         let attempt = self.attempts.len();
         self.attempts.push(Attempt {
             request,
@@ -173,14 +173,18 @@
         let Request { arrival, node, .. } = self.requests[request];
         let tokens = admission::work(Tokens(arrival.input), Tokens(arrival.output));
         let took = Duration::from_secs_f64(self.now - sent);
-        let pace = took.as_secs_f64() / float(tokens.0.max(1));
+        let seconds_per_token = took.as_secs_f64() / float(tokens.0.max(1));
         let served = limit::Outcome::Served { tokens, took };
         let owner = &mut self.nodes[node];
-        owner.gate.served(tokens, took, moment(self.now));
+        owner.gate.record(tokens, took, moment(self.now));
         owner.lengths[arrival.class].record(Tokens(arrival.output));
         owner.customers[arrival.customer].success(moment(self.now));
         owner.pool.success(moment(self.now));
-        self.close(attempt, served, eject::Outcome::Served { pace });
+        self.close(
+            attempt,
+            served,
+            eject::Outcome::Served { seconds_per_token },
+        );
         self.settle(request, Answer::Served);
         self.dispatch(node);
     }
@@ -251,17 +255,17 @@
         let failure = retry::Failure {
             repeatable: true,
             attempts,
-            run: owner.gate.run(owner.estimate(&arrival)),
+            run_time: owner.gate.run_time(owner.estimate(&arrival)),
             deadline: moment(arrival.at + CLASSES[arrival.class].timeout),
         };
         let now = moment(self.now);
         if !owner.mechanisms.budget {
-            return attempts < retry::ATTEMPTS;
+            return attempts < retry::MAX_ATTEMPTS;
         }
         if !reached {
-            return retry::elsewhere(failure, now);
+            return retry::can_retry_unsent(failure, now);
         }
-        retry::again(
+        retry::try_retry(
             failure,
             &mut owner.customers[arrival.customer],
             &mut owner.pool,
@@ -305,7 +309,7 @@
         let Request { arrival, node, .. } = self.requests[request];
         let now = moment(self.now);
         let owner = &mut self.nodes[node];
-        if !owner.customers[arrival.customer].affords(now) || !owner.pool.withdraw(now) {
+        if !owner.customers[arrival.customer].can_withdraw(now) || !owner.pool.withdraw(now) {
             return;
         }
         let paid = owner.customers[arrival.customer].withdraw(now);
--- a/crates/relay/src/admitted.rs
+++ b/crates/relay/src/admitted.rs
@@ -68,7 +68,7 @@
         });
         let parts: Vec<engine::Part> = parts.collect();
         (!parts.is_empty()).then(|| Prompt {
-            model: choice::key(model.as_str()),
+            model: choice::hash(model.as_str()),
             parts,
         })
     }
@@ -83,7 +83,7 @@
 /// Pseudo-random number for a request, derived from its id.
 #[must_use]
 pub fn random(info: &RequestInfo) -> u64 {
-    choice::key(&info.id)
+    choice::hash(&info.id)
 }
 
 /// The digest of a request's customer, host, method, path with query, and body. The customer is
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -140,11 +140,11 @@
             self.check_not_blocked()?;
             let permit = self.acquire_slot(overrides).await?;
             let started = self.node.now();
-            let timeout = self.node.connect_times(|reach| reach.bound());
+            let timeout = self.node.connect_times(|times| times.current());
             let connection = match Connection::open(permit.address(), timeout).await {
                 Ok(connection) => {
                     let took = self.node.now().since(started);
-                    self.node.connect_times(|reach| reach.made(took));
+                    self.node.connect_times(|times| times.record(took));
                     connection
                 }
                 Err(fault) => {
@@ -168,7 +168,7 @@
     /// Consumes a retry from the budget. Returns false if it is exhausted.
     fn consume_retry(&self) -> bool {
         let now = self.node.now();
-        self.node.retry_budgets.try_consume(&self.request.pool, now)
+        self.node.retry_budgets.try_acquire(&self.request.pool, now)
     }
 
     /// Waits for a slot at an endpoint that is still usable.
@@ -187,7 +187,7 @@
                 Ok(permit) => permit,
                 // A suitable endpoint may have registered since the pool was last updated. One refresh is
                 // enough, since no other task runs between the refresh and the next try.
-                Err(Refused::Nobody { .. }) if !refreshed => {
+                Err(Refused::NoEndpoint { .. }) if !refreshed => {
                     refreshed = true;
                     pools::refresh(self.node);
                     continue;
@@ -215,7 +215,8 @@
         let Some(version) = permit.version() else {
             return false;
         };
-        self.node.rollouts(|r| r.bad(&self.request.pool, version))
+        self.node
+            .rollouts(|r| r.is_bad(&self.request.pool, version))
     }
 
     /// Counts an endpoint that did not run the request.
@@ -246,7 +247,7 @@
     /// Refuses the request if it is blocked because endpoints crashed while they ran it.
     fn check_not_blocked(&self) -> Result<(), Refusal> {
         let request = self.request;
-        let Some(left) = poison::barred(self.node, request.digest) else {
+        let Some(left) = poison::block_remaining(self.node, request.digest) else {
             return Ok(());
         };
         log::info!(
@@ -344,7 +345,7 @@
             .metrics
             .count_attempt(&self.request.pool, "broken");
         self.state.tried.push(permit.endpoint().clone());
-        poison::failed(self.node, self.request.digest, permit.endpoint(), fault);
+        poison::record_failure(self.node, self.request.digest, permit.endpoint(), fault);
         permit.failed(fault);
         if self.may_retry() {
             return Ok(());
@@ -359,7 +360,7 @@
     /// Records that a complete response was received. Whatever its status, the endpoint did not crash on the
     /// request.
     pub fn response_complete(&self) {
-        poison::answered(self.node, self.request.digest);
+        poison::record_answer(self.node, self.request.digest);
     }
 
     /// Parses the head of a response and checks that it is an endpoint's response to this request.
@@ -408,7 +409,7 @@
     #[must_use]
     pub fn has_retry_budget(&self) -> bool {
         let now = self.node.now();
-        self.node.retry_budgets.has_retry(&self.request.pool, now)
+        self.node.retry_budgets.can_acquire(&self.request.pool, now)
     }
 
     /// Estimates the queueing and prefill times at the endpoint that an attempt would get now.
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -18,7 +18,7 @@
 use crate::headers::AttemptInfo;
 use crate::headers::HeaderCodec;
 use crate::node::millis;
-use crate::rollouts::Seen;
+use crate::rollouts::FinishedRequest;
 use crate::rollouts::announcement::Outcome;
 use crate::topic::Log;
 
@@ -58,7 +58,7 @@
             }
         };
         let pool = self.node.scheduler.pool(&self.request.pool);
-        if pool.named(endpoint, limit, self.state.last_sent) {
+        if pool.record_limit(endpoint, limit, self.state.last_sent) {
             let limit = limit.map(Limit::per_second);
             let endpoint = endpoint.as_str();
             log::info!(request, endpoint, limit; "attempt: The endpoint announced a new rate limit.");
@@ -102,7 +102,8 @@
         if let Some((session, version)) = session.zip(permit.version()) {
             let now = boot::now();
             let pool = &self.request.pool;
-            self.node.rollouts(|r| r.note(pool, session, version, now));
+            self.node
+                .rollouts(|r| r.record_session(pool, session, version, now));
         }
     }
 
@@ -124,7 +125,7 @@
         let Some(version) = permit.version() else {
             return;
         };
-        let seen = Seen {
+        let seen = FinishedRequest {
             pool: &self.request.pool,
             route: &self.request.grant.route.name,
             version,
@@ -185,7 +186,7 @@
             prefix: request.prefix(),
             prompt: overrides.model.as_ref().and_then(|m| request.prompt(m)),
             tried: self.state.tried.clone(),
-            returning: false,
+            previously_refused: false,
             repeatable: request.grant.route.repeatable(),
         }
     }
--- a/crates/relay/src/buffered.rs
+++ b/crates/relay/src/buffered.rs
@@ -93,12 +93,12 @@
                     let forwarded = tokio::time::timeout(left, forward(&writer, start, rest)).await;
                     match forwarded.unwrap_or(Err(Fault::Timeout)) {
                         Ok(()) => {
-                            poison::answered(&shared, digest);
+                            poison::record_answer(&shared, digest);
                             permit.served(PLAIN_CALL_WORK);
                             let _ = writer.end().await;
                         }
                         Err(fault) => {
-                            poison::failed(&shared, digest, permit.endpoint(), &fault);
+                            poison::record_failure(&shared, digest, permit.endpoint(), &fault);
                             permit.failed(&fault);
                         }
                     }
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -8,8 +8,8 @@
 use pimento_policy::choice;
 use pimento_policy::confidence;
 use pimento_policy::confidence::Answer;
-use pimento_policy::confidence::Larger;
-use pimento_policy::worth;
+use pimento_policy::confidence::LargerModel;
+use pimento_policy::value;
 use pimento_units::id;
 
 use crate::admitted::AdmittedRequest;
@@ -32,25 +32,30 @@
 #[derive(Debug, Default)]
 pub struct Statistics {
     config: confidence::Config,
-    seen: Mutex<confidence::Book>,
-    usual: Mutex<worth::Usual>,
+    pass_rates: Mutex<confidence::PassRates>,
+    baseline: Mutex<value::Baseline>,
 }
 
 impl Statistics {
     /// Value and cost of a request's answer, relative to a typical request. With `first`, the request is
     /// added to the statistics, so that it counts once.
-    fn stake(&self, request: &AdmittedRequest, full: Duration, first: bool) -> worth::Stake {
+    fn relative_value(
+        &self,
+        request: &AdmittedRequest,
+        full_prefill: Duration,
+        first: bool,
+    ) -> value::RelativeValue {
         let (prompt, max) = request.usage().unwrap_or_default();
-        let asked = worth::Request {
+        let asked = value::Request {
             prompt,
             answer: request.info.expected_tokens.unwrap_or(max).min(max),
             priority: request.grant.route.priority,
         };
-        let mut usual = self.usual.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut baseline = self.baseline.lock().unwrap_or_else(PoisonError::into_inner);
         if first {
-            usual.count(&asked, full);
+            baseline.record(&asked, full_prefill);
         }
-        usual.stake(&asked)
+        baseline.compare(&asked)
     }
 }
 
@@ -87,7 +92,7 @@
 }
 
 fn key(model: &id::Version) -> u64 {
-    choice::key(model.as_str())
+    choice::hash(model.as_str())
 }
 
 fn all_millis(times: impl Iterator<Item = Duration>) -> Vec<u64> {
@@ -109,44 +114,46 @@
     let model = overrides.model.as_ref()?;
     let index = models.iter().position(|known| known == model)?;
     let statistics = &attempts.node().cascade;
-    let mut seen = statistics
-        .seen
+    let mut pass_rates = statistics
+        .pass_rates
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
     if let Some(before) = dropped.take() {
-        seen.learn((before.model, before.confidence), (key(model), confidence));
+        pass_rates.record((before.model, before.confidence), (key(model), confidence));
     }
     let asked = matches!(request.info.model, Some(RequestedModel::Named(_)));
     if asked || !attempts.may_retry() || !attempts.has_retry_budget() {
         return None;
     }
-    let mut candidates: Vec<Larger> = Vec::new();
-    let (mut full, mut next_wait) = (Duration::ZERO, Duration::ZERO);
+    let mut candidates: Vec<LargerModel> = Vec::new();
+    let (mut full_prefill, mut next_wait) = (Duration::ZERO, Duration::ZERO);
     for (rank, larger) in models.iter().enumerate().skip(index + 1) {
         let next = Overrides {
             model: Some(larger.clone()),
             last_event_id: overrides.last_event_id,
         };
         let estimate = attempts.estimate(&next)?;
-        (full, next_wait) = (estimate.full, estimate.next);
-        candidates.push(Larger {
+        (full_prefill, next_wait) = (estimate.full_prefill, estimate.next_wait);
+        candidates.push(LargerModel {
             model: key(larger),
             rank: confidence::rank(rank, models.len()),
             cost: relative_cost(request, larger),
             wait: estimate.wait,
-            work: estimate.work,
+            prefill: estimate.prefill,
         });
     }
     let answer = Answer {
         model: key(model),
         confidence,
-        began: request.began,
+        received: request.began,
         target: request.grant.route.latency_target,
-        next: next_wait,
-        stake: statistics.stake(request, full, index == 0),
+        next_wait,
+        relative: statistics.relative_value(request, full_prefill, index == 0),
     };
     let now = attempts.node().now();
-    let chosen = statistics.config.choose(&answer, &candidates, &seen, now);
+    let chosen = statistics
+        .config
+        .choose(&answer, &candidates, &pass_rates, now);
     let name = |index: usize| models.get(index).map(id::Version::as_str);
     log::info!(
         request = request.info.id.as_str(),
@@ -154,10 +161,10 @@
         confidence,
         since_ms = millis(now.since(request.began)),
         waits_ms:? = all_millis(candidates.iter().map(|larger| larger.wait)),
-        reads_ms:? = all_millis(candidates.iter().map(|larger| larger.work)),
-        next_ms = millis(answer.next),
-        worth = answer.stake.worth,
-        price = answer.stake.price,
+        reads_ms:? = all_millis(candidates.iter().map(|larger| larger.prefill)),
+        next_ms = millis(answer.next_wait),
+        worth = answer.relative.value,
+        price = answer.relative.price,
         larger = chosen.and_then(|chosen| name(index + 1 + chosen));
         "cascade: Considered larger models."
     );
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use pimento_units::id;
 
-use crate::paces::Paces;
+use crate::timings::Timings;
 
 /// The settings of one entry VM.
 #[derive(Debug, Clone, PartialEq)]
@@ -33,7 +33,7 @@
     /// Guarantees that this VM must keep.
     pub bounds: Bounds,
     /// Polling intervals of the log's topics, derived from the bounds.
-    pub paces: Paces,
+    pub timings: Timings,
 }
 
 /// Guarantees that an entry VM must keep, with their limits.
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -241,12 +241,12 @@
         self.behind
             .with_label_values(&[topic])
             .set(behind.as_secs_f64());
-        let tally = follower.tally();
+        let reads = follower.read_counts();
         let figures = [
-            ("answered", tally.answered),
-            ("failed", tally.failed),
-            ("given_up", tally.given_up),
-            ("bytes", tally.bytes),
+            ("answered", reads.answered),
+            ("failed", reads.failed),
+            ("given_up", reads.given_up),
+            ("bytes", reads.bytes),
         ];
         for (name, count) in figures {
             self.reads
@@ -289,7 +289,7 @@
         for (pool, left) in node.retry_budgets.remaining(node.now()) {
             metrics.set_pool_figure(&pool, "repeats_left", left);
         }
-        for (pool, sum) in node.rollouts(|rollouts| rollouts.sums()) {
+        for (pool, sum) in node.rollouts(|rollouts| rollouts.target_counts()) {
             let served = sum.attempts.saturating_sub(sum.failed);
             let outcomes = [("served", served), ("failed", sum.failed)];
             for (outcome, count) in outcomes {
@@ -298,7 +298,7 @@
                 gauge.set(f64::from(count));
             }
         }
-        metrics.set_topic_figures("poison", &node.blocks);
+        metrics.set_topic_figures("poison", &node.blocklist);
         let (suspect, barred) = node.poison.counts();
         for (state, count) in [("suspect", suspect), ("barred", barred)] {
             let count = u64::try_from(count).unwrap_or(u64::MAX);
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -5,7 +5,7 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use pimento_policy::reach::Reach;
+use pimento_policy::connect::ConnectTimeout;
 use pimento_scheduler::Clock;
 use pimento_scheduler::Scheduler;
 use pimento_units::Moment;
@@ -15,20 +15,20 @@
 use tokio_util::task::TaskTracker;
 
 use crate::boot;
-use crate::calls::Calls;
+use crate::calls::LogCalls;
 use crate::calls::Reason;
 use crate::cascade;
 use crate::codec::Codec;
 use crate::config::Config;
 use crate::directory::Directory;
-use crate::fleet::Word;
+use crate::fleet::VmRecord;
 use crate::follow::Follower;
 use crate::headers::HeaderCodec;
 use crate::metrics::Metrics;
 use crate::neighbours;
 use crate::operators::Operators;
 use crate::poison;
-use crate::poison::Bars;
+use crate::poison::Blocklist;
 use crate::poison::Poison;
 use crate::pools;
 use crate::retry_budget::RetryBudgets;
@@ -64,7 +64,7 @@
     /// Requests during which endpoints crashed, as observed by this VM and others.
     pub poison: Arc<Poison>,
     /// View of the log's records of blocked requests.
-    pub blocks: Follower<Bars, L>,
+    pub blocklist: Follower<Blocklist, L>,
     /// Schedules requests on endpoints' slots.
     pub scheduler: Scheduler,
     /// Notified when an endpoint announces a different rate limit.
@@ -74,12 +74,12 @@
     /// Statistics for choosing models.
     pub(crate) cascade: Arc<cascade::Statistics>,
     /// Counts calls of the log by reason.
-    pub(crate) calls: Calls,
+    pub(crate) calls: LogCalls,
     /// The metrics.
     pub(crate) metrics: Arc<Metrics>,
     rollouts: Arc<Mutex<Rollouts>>,
     /// Statistics of the time that connecting to an endpoint takes.
-    connect_times: Arc<Mutex<Reach>>,
+    connect_times: Arc<Mutex<ConnectTimeout>>,
     /// The process's clocks.
     pub clock: Clock,
     /// Cancelled when the VM starts to shut down.
@@ -96,7 +96,7 @@
             operators: self.operators.clone(),
             directory: self.directory.clone(),
             poison: Arc::clone(&self.poison),
-            blocks: self.blocks.clone(),
+            blocklist: self.blocklist.clone(),
             scheduler: self.scheduler.clone(),
             limit_changed: Arc::clone(&self.limit_changed),
             retry_budgets: Arc::clone(&self.retry_budgets),
@@ -142,12 +142,12 @@
     /// Creates the state and starts the tasks that follow the log and exchange data with other VMs.
     pub fn start(config: Config, platform: P, log: L, token: &CancellationToken) -> Self {
         let zone = Zone::starting(&config);
-        let calls = Calls::default();
-        let paces = config.paces;
+        let calls = LogCalls::default();
+        let timings = config.timings;
         let operators = Follower::start(
             log.clone(),
             Topic::Operators,
-            paces.operators,
+            timings.operators,
             zone.clone(),
             calls.clone(),
             Operators::new(platform.clone()),
@@ -156,19 +156,19 @@
         let directory = Follower::start(
             log.clone(),
             Topic::Endpoints,
-            paces.endpoints,
+            timings.endpoints,
             zone.clone(),
             calls.clone(),
             Directory::new(platform.clone()),
             token.clone(),
         );
-        let blocks = Follower::start(
+        let blocklist = Follower::start(
             log.clone(),
             Topic::Poison,
-            paces.poison,
+            timings.poison,
             zone.clone(),
             calls.clone(),
-            Bars::default(),
+            Blocklist::default(),
             token.clone(),
         );
         let clock = Clock::default();
@@ -180,7 +180,7 @@
             operators,
             directory,
             poison: Arc::default(),
-            blocks,
+            blocklist,
             scheduler: Scheduler::new(clock),
             limit_changed: Arc::default(),
             retry_budgets: Arc::new(retry_budgets),
@@ -257,13 +257,13 @@
     #[must_use]
     pub fn usable(&self, endpoint: &id::Endpoint) -> bool {
         let now = boot::now();
-        self.directory.view(|view| view.usable(endpoint, now))
+        self.directory.view(|view| view.is_usable(endpoint, now))
     }
 
     /// Whether the VM is ready to receive requests.
     #[must_use]
     pub fn ready(&self) -> bool {
-        let endpoints_read = self.directory.proven().is_some();
+        let endpoints_read = self.directory.proven_at().is_some();
         let leaving = self.leaving.is_cancelled();
         let fresh = [
             self.within_revoke_bound(READY_SHARE),
@@ -277,30 +277,33 @@
     /// another VM's reads.
     #[must_use]
     pub fn reads_log(&self) -> bool {
-        self.operators.reads()
+        self.operators.is_reading()
     }
 
     /// This VM's announcement to the other VMs, without roll-outs.
     #[must_use]
-    pub fn announcement(&self) -> Word {
-        Word {
+    pub fn announcement(&self) -> VmRecord {
+        VmRecord {
             zone: self.config.zone.clone(),
             address: self.config.peer_listen,
-            paces: self.prefill_seconds_per_token(),
+            seconds_per_token: self.prefill_seconds_per_token(),
             rollouts: Vec::new(),
         }
     }
 
     /// Appends an announcement to the log. Returns whether the append is known to have succeeded.
-    pub async fn publish(&self, word: &Word, log: &impl Log) -> bool {
-        self.calls.count(Topic::Fleet, Reason::Word);
-        word.say(&self.config.node, log).await
+    pub async fn publish(&self, record: &VmRecord, log: &impl Log) -> bool {
+        self.calls.count(Topic::Fleet, Reason::Announcement);
+        record.publish(&self.config.node, log).await
     }
 
     /// Prefill time of each model, in seconds per token, by the hash of its name.
     fn prefill_seconds_per_token(&self) -> Vec<(u64, f64)> {
         let pools = self.scheduler.pools();
-        pools.iter().flat_map(|(_, pool)| pool.paces()).collect()
+        pools
+            .iter()
+            .flat_map(|(_, pool)| pool.seconds_per_token())
+            .collect()
     }
 
     /// Reads or changes the roll-outs. `act` runs under a lock and must be short.
@@ -310,7 +313,7 @@
     }
 
     /// Reads or updates the statistics of connect times. `act` runs under a lock and must be short.
-    pub fn connect_times<T>(&self, act: impl FnOnce(&mut Reach) -> T) -> T {
+    pub fn connect_times<T>(&self, act: impl FnOnce(&mut ConnectTimeout) -> T) -> T {
         let mut times = self
             .connect_times
             .lock()
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -10,7 +10,7 @@
 use crate::codec::OperatorRecord;
 use crate::codec::Rollout;
 use crate::follow::Fold;
-use crate::follow::Told;
+use crate::follow::RecordContext;
 use crate::node::millis;
 use crate::table::Table;
 use crate::topic::Record;
@@ -70,7 +70,7 @@
 }
 
 impl<C: Codec> Fold for Operators<C> {
-    fn apply(&mut self, record: &Record, told: Told) -> bool {
+    fn apply(&mut self, record: &Record, context: RecordContext) -> bool {
         let Some(value) = &record.value else {
             log::warn!(
                 "operators: Record {} was deleted, its last value stays in force.",
@@ -103,8 +103,8 @@
                 self.insert_order(RolloutOrder {
                     rollout,
                     offset: record.offset,
-                    read_at: told.at,
-                    initial: told.first,
+                    read_at: context.received,
+                    initial: context.initial,
                 });
             }
             Ok(OperatorRecord::Other) => {}
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -31,14 +31,14 @@
     let mut operators = node.operators.changes();
     loop {
         refresh(&node);
-        let sweep = node.directory.view(directory::Directory::next_sweep);
+        let expiry = node.directory.view(directory::Directory::next_expiry);
         let now = boot::now();
-        let wait = sweep.map_or(Duration::from_hours(1), |at| at.since(now));
+        let wait = expiry.map_or(Duration::from_hours(1), |at| at.since(now));
         tokio::select! {
             _ = endpoints.changed() => {}
             _ = operators.changed() => {}
             () = tokio::time::sleep(wait) => {
-                node.directory.amend(|view| view.sweep(boot::now()));
+                node.directory.modify(|view| view.remove_expired(boot::now()));
             }
         }
     }
@@ -72,7 +72,7 @@
         let of_pool = members.iter().filter(|(name, _)| *name == pool);
         let list: Vec<Member> = of_pool.map(|(_, member)| member.clone()).collect();
         let versions = versions(&list);
-        node.rollouts(|rollouts| rollouts.see(&pool, versions));
+        node.rollouts(|rollouts| rollouts.update_versions(&pool, versions));
         node.scheduler.pool(&pool).update(list);
     }
 }
@@ -107,7 +107,7 @@
         endpoint: entry.id.clone(),
         zone: entry.zone.clone(),
         address: entry.address,
-        usable: member.usable(now),
+        usable: member.is_usable(now),
         distance: if local {
             Duration::ZERO
         } else {
@@ -116,6 +116,6 @@
         versions: Some(vec![entry.version.clone()]),
         report: Some((report, Moment::ZERO)),
         memory: kv_capacity,
-        life: entry.started_unix_ms,
+        incarnation: entry.started_unix_ms,
     }
 }
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -194,10 +194,10 @@
 impl From<Refused> for Refusal {
     fn from(refused: Refused) -> Self {
         match refused {
-            Refused::Nobody { after } => Self::new(Cause::NoEndpoint).with_retry_after(after),
+            Refused::NoEndpoint { after } => Self::new(Cause::NoEndpoint).with_retry_after(after),
             Refused::Overloaded { after } => Self::new(Cause::Overloaded).with_retry_after(after),
-            Refused::Late { after } => Self::new(Cause::Expired).with_retry_after(after),
-            Refused::Gone => Self::new(Cause::Expired),
+            Refused::Expired { after } => Self::new(Cause::Expired).with_retry_after(after),
+            Refused::CallerGone => Self::new(Cause::Expired),
         }
     }
 }
--- a/crates/relay/src/retry_budget.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -3,8 +3,8 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-use pimento_policy::retry::Bound;
 use pimento_policy::retry::Window;
+use pimento_policy::retry::WindowConfig;
 use pimento_units::Moment;
 use pimento_units::id;
 
@@ -52,18 +52,18 @@
         let extra = state.extra;
         let found = state.windows.binary_search_by(|(known, _)| known.cmp(pool));
         let index = found.unwrap_or_else(|index| {
-            let bound = Bound {
+            let config = WindowConfig {
                 share: self.config.ratio * USABLE_FRACTION,
                 extra,
                 span: self.config.window,
             };
             state
                 .windows
-                .insert(index, (pool.clone(), Window::new(bound)));
+                .insert(index, (pool.clone(), Window::new(config)));
             index
         });
         let window = &mut state.windows[index].1;
-        window.allow(extra);
+        window.set_extra(extra);
         act(window)
     }
 
@@ -75,13 +75,13 @@
 
     /// Counts a request, which raises the budget of its pool.
     pub fn count_request(&self, pool: &id::Pool, now: Moment) {
-        self.with(pool, |window| window.request(now));
+        self.with(pool, |window| window.record_request(now));
     }
 
     /// Consumes one retry. Returns false if the budget is exhausted.
     #[must_use]
-    pub fn try_consume(&self, pool: &id::Pool, now: Moment) -> bool {
-        self.with(pool, |window| window.take(now))
+    pub fn try_acquire(&self, pool: &id::Pool, now: Moment) -> bool {
+        self.with(pool, |window| window.try_acquire(now))
     }
 
     /// Retries that are left, by pool.
@@ -90,14 +90,14 @@
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let windows = state.windows.iter_mut();
         windows
-            .map(|(pool, window)| (pool.clone(), window.left(now)))
+            .map(|(pool, window)| (pool.clone(), window.remaining(now)))
             .collect()
     }
 
     /// Whether the budget has a retry left.
     #[must_use]
-    pub fn has_retry(&self, pool: &id::Pool, now: Moment) -> bool {
-        self.with(pool, |window| window.affords(now))
+    pub fn can_acquire(&self, pool: &id::Pool, now: Moment) -> bool {
+        self.with(pool, |window| window.can_acquire(now))
     }
 }
 
