--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -125,14 +125,14 @@
         let Some(version) = permit.version() else {
             return;
         };
-        let seen = FinishedRequest {
+        let finished = FinishedRequest {
             pool: &self.request.pool,
             route: &self.request.grant.route.name,
             version,
             endpoint: permit.endpoint(),
             outcome,
         };
-        self.node.rollouts(|r| r.record(&seen));
+        self.node.rollouts(|r| r.record(&finished));
     }
 
     pub(super) fn outgoing_request(
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -46,16 +46,16 @@
         first: bool,
     ) -> value::RelativeValue {
         let (prompt, max) = request.usage().unwrap_or_default();
-        let asked = value::Request {
+        let valued = value::Request {
             prompt,
             answer: request.info.expected_tokens.unwrap_or(max).min(max),
             priority: request.grant.route.priority,
         };
         let mut baseline = self.baseline.lock().unwrap_or_else(PoisonError::into_inner);
         if first {
-            baseline.record(&asked, full_prefill);
+            baseline.record(&valued, full_prefill);
         }
-        baseline.compare(&asked)
+        baseline.compare(&valued)
     }
 }
 
@@ -91,7 +91,7 @@
     own.filter(|_| max > 0.0).map_or(1.0, |own| own.cost / max)
 }
 
-fn key(model: &id::Version) -> u64 {
+fn model_hash(model: &id::Version) -> u64 {
     choice::hash(model.as_str())
 }
 
@@ -119,10 +119,13 @@
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
     if let Some(before) = dropped.take() {
-        pass_rates.record((before.model, before.confidence), (key(model), confidence));
+        pass_rates.record(
+            (before.model, before.confidence),
+            (model_hash(model), confidence),
+        );
     }
-    let asked = matches!(request.info.model, Some(RequestedModel::Named(_)));
-    if asked || !attempts.may_retry() || !attempts.has_retry_budget() {
+    let named = matches!(request.info.model, Some(RequestedModel::Named(_)));
+    if named || !attempts.may_retry() || !attempts.has_retry_budget() {
         return None;
     }
     let mut candidates: Vec<LargerModel> = Vec::new();
@@ -135,7 +138,7 @@
         let estimate = attempts.estimate(&next)?;
         (full_prefill, next_wait) = (estimate.full_prefill, estimate.next_wait);
         candidates.push(LargerModel {
-            model: key(larger),
+            model: model_hash(larger),
             rank: confidence::rank(rank, models.len()),
             cost: relative_cost(request, larger),
             wait: estimate.wait,
@@ -143,7 +146,7 @@
         });
     }
     let answer = Answer {
-        model: key(model),
+        model: model_hash(model),
         confidence,
         received: request.began,
         target: request.grant.route.latency_target,
@@ -174,7 +177,7 @@
         .count_cascade_decision(model, chosen.is_some());
     let larger = models.get(index + 1 + chosen?)?;
     *dropped = Some(Dropped {
-        model: key(model),
+        model: model_hash(model),
         confidence,
     });
     Some(larger.clone())
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -67,9 +67,9 @@
             }
         };
         let mut outcome = OutcomeLog::new(info.id.clone(), began, node.clock);
-        let answer = answer(node, (head, body), info, began).await;
+        let response = respond(node, (head, body), info, began).await;
         outcome.known = true;
-        answer.unwrap_or_else(|refusal| {
+        response.unwrap_or_else(|refusal| {
             outcome.refused(node, &refusal);
             refusal.response()
         })
@@ -137,7 +137,7 @@
     }
 }
 
-async fn answer<P: HeaderCodec + Codec, L: Log>(
+async fn respond<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     (head, body): (request::Parts, Incoming),
     info: RequestInfo,
@@ -153,8 +153,8 @@
     let pool = grant
         .pick_service(random)
         .ok_or_else(|| Refusal::new(Cause::UnknownRoute))?;
-    let timeout = grant.route.timeout;
-    let timeout = info.timeout.map_or(timeout, |caller| caller.min(timeout));
+    let limit = grant.route.timeout;
+    let timeout = info.timeout.map_or(limit, |caller| caller.min(limit));
     let kind = grant.route.kind;
     let digest = admitted::digest(&info, &head, &body, &grant);
     let request = AdmittedRequest {
@@ -192,8 +192,8 @@
     if declared > max_bytes {
         return Err(Refusal::new(Cause::LargeBody));
     }
-    let whole = Limited::new(body, max_bytes).collect();
-    match tokio::time::timeout(timeout, whole).await {
+    let collect = Limited::new(body, max_bytes).collect();
+    match tokio::time::timeout(timeout, collect).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             Err(Refusal::new(Cause::LargeBody))
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -16,8 +16,7 @@
 use crate::node::Node;
 use crate::topic::Log;
 
-/// Additional delay to another zone. Links between zones take three to six milliseconds one
-/// way.
+/// Additional delay to another zone. Links between zones take three to six milliseconds one way.
 const REMOTE_ZONE_DELAY: Duration = Duration::from_millis(10);
 
 /// Starts the task that keeps the pools up to date.
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -49,7 +49,7 @@
     pub resumable: bool,
     /// Services with their weights; never empty.
     pub targets: Vec<Target>,
-    /// Models to choose from, smallest first; empty if the route leaves the choice to the caller.
+    /// Models to choose from, smallest first; empty if requests run on the model that the caller names, if any.
     pub models: Vec<id::Version>,
 }
 
