--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -254,7 +254,7 @@
     }
 
     fn add_jitter(&self, wait: Duration, random: u64) -> Duration {
-        let factor = 1.0 + self.config.jitter * number::unit(random);
+        let factor = 1.0 + self.config.jitter * number::unit_interval(random);
         number::seconds(wait.as_secs_f64() * factor).max(self.config.min_retry_after)
     }
 }
--- a/crates/policy/src/cascade.rs
+++ b/crates/policy/src/cascade.rs
@@ -174,7 +174,7 @@
 /// Whether an answer that was released unrated is rated afterwards.
 #[must_use]
 pub fn should_sample(random: u64) -> bool {
-    number::unit(random) < SAMPLED_SHARE
+    number::unit_interval(random) < SAMPLED_SHARE
 }
 
 /// The next step; none if no candidate fits the budget. After a failed rating it is called again with
--- a/crates/policy/src/connect.rs
+++ b/crates/policy/src/connect.rs
@@ -1,63 +1,62 @@
-//! How long to wait for a connection before another endpoint is asked.
+//! Timeout for making a connection, after which another endpoint is tried.
 //!
-//! **Load:** endpoints behind a cut, without power, or whose queue of new connections is full. **Without
-//! it:** a fixed bound has to allow for the farthest zone, and the first tries after a cut take longer
-//! than the callers of short calls wait for an answer. **How:** connections that were made tell what is
-//! usual; one that takes far longer is not being made. Nothing was sent, so that another endpoint may be
-//! asked.
+//! Endpoints may be cut off or without power, or their accept queue may be full. A fixed timeout has to
+//! allow for the farthest zone, so that after a cut the first attempts take longer than callers of short
+//! calls wait for an answer. Here the timeout follows the time that earlier connections took. Nothing
+//! was sent when it expires, so that another endpoint may be tried.
 //!
-//! **Grounds:** the estimator is that of the retransmission time-out of TCP (RFC 6298), a mean and four
-//! times the mean deviation, as its clock runs in milliseconds.
+//! The estimator is that of TCP's retransmission timeout (RFC 6298) with a clock in milliseconds: the
+//! mean plus four times the mean deviation.
 
 use std::time::Duration;
 
 use crate::number;
 
-/// Weight of a new connection in the mean, and in the deviation (RFC 6298).
-const MEAN: f64 = 0.125;
-const DEVIATION: f64 = 0.25;
+/// Weights of a new connection in the mean and in the deviation (RFC 6298).
+const MEAN_WEIGHT: f64 = 0.125;
+const DEVIATION_WEIGHT: f64 = 0.25;
 
-/// Deviations beyond the mean (RFC 6298).
+/// Deviations added to the mean (RFC 6298).
 const DEVIATIONS: f64 = 4.0;
 
-/// Times the estimate that is waited. Connections go to near and far zones in turn, and the estimate
-/// may rest on near ones when the first far one is made: ten round trips within a zone are one between
-/// zones of a region.
+/// Factor from the estimate to the timeout. Connections go to the local and to remote zones in turn, and
+/// the estimate may rest on local ones when the first remote one is made: a round trip between the zones
+/// of a region takes as long as ten within a zone.
 const MARGIN: f64 = 10.0;
 
-/// The shortest bound. A VM with a part of a core may be at other work for tens of milliseconds when the
-/// answer comes.
+/// The shortest timeout. A VM with a fraction of a core may be busy for tens of milliseconds before it
+/// handles the endpoint's reply.
 pub const MIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The longest bound, and the one before any connection was made. A lost packet is sent again after a
-/// second; another endpoint is asked before.
+/// The longest timeout, which also applies before the first connection. It is shorter than the second
+/// after which a lost packet is sent again, so that another endpoint is tried before.
 pub const MAX_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// What connections usually take.
+/// Timeout derived from the time that connections took.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConnectTimeout {
     /// Mean and mean deviation, in seconds; none before the first connection.
-    usual: Option<(f64, f64)>,
+    estimate: Option<(f64, f64)>,
 }
 
 impl ConnectTimeout {
-    /// A connection was made in `took`.
+    /// Records a connection that was made in `took`.
     pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
-        self.usual = Some(match self.usual {
+        self.estimate = Some(match self.estimate {
             None => (took, took / 2.0),
             Some((mean, deviation)) => {
                 let off = (took - mean).abs();
-                let deviation = deviation + DEVIATION * (off - deviation);
-                (mean + MEAN * (took - mean), deviation)
+                let deviation = deviation + DEVIATION_WEIGHT * (off - deviation);
+                (mean + MEAN_WEIGHT * (took - mean), deviation)
             }
         });
     }
 
-    /// How long to wait for the next one.
+    /// The timeout for the next connection.
     #[must_use]
     pub fn current(&self) -> Duration {
-        let Some((mean, deviation)) = self.usual else {
+        let Some((mean, deviation)) = self.estimate else {
             return MAX_TIMEOUT;
         };
         let estimate = mean + DEVIATIONS * deviation;
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -1,43 +1,42 @@
 //! Ejection of endpoints that fail or are far slower than their pool.
 //!
-//! **Load:** an endpoint that fails fast, hangs or is slow. **Without it:** the one that fails
-//! fast has the fewest calls in flight, so that least-loaded choice sends it most requests; the
-//! slow one sets the pool's 95th percentile. **How:** an endpoint goes out after consecutive
-//! errors, or when its time for a token stays over a multiple of the pool's median. At most a
-//! share of the pool is out, since a pool that fails as a whole is not helped by shrinking it; one that
-//! fails when that many are out takes the place of the one that has been out for longest. It
-//! comes back by single probes: first one call, then an ordinary share; each further ejection
-//! lasts longer.
+//! An endpoint that fails fast has the fewest calls in flight, so that a least-loaded choice sends it
+//! most of the requests; a slow one determines the pool's 95th percentile. An endpoint is ejected after
+//! consecutive errors, or when its time per token stays above a multiple of the pool's median. Only a
+//! share of the pool may be ejected at once, because shrinking a pool that fails as a whole does not
+//! help. If that many are ejected already, an endpoint that fails takes the place of the one whose
+//! ejection ends first. An endpoint returns after single probes have succeeded, and each further
+//! ejection lasts longer.
 //!
-//! **Grounds:** outlier detection as known from Envoy (consecutive errors, bounded share, growing
-//! ejection time) and Finagle's failure accrual with probes.
+//! This is outlier detection as in Envoy (consecutive errors, bounded share, growing ejection time)
+//! and failure accrual with probes as in Finagle.
 
 use std::time::Duration;
 
 use pimento_units::Moment;
 use pimento_units::id;
 
-/// Figures of a [`Pool`].
+/// Settings of a [`Pool`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Errors in a row that eject. Two come by chance in a full pool, where a call that was hedged
-    /// and lost counts as one; more would leave a hanging endpoint in use for longer, since each of
-    /// many nodes learns alone and sends it a call only every few seconds.
+    /// Consecutive errors that eject an endpoint. In a full pool two occur by chance, since a hedged
+    /// call that lost counts as an error. More would leave a hanging endpoint in use for longer,
+    /// because each of many nodes sends it a call only every few seconds and learns for itself.
     pub consecutive_errors: u32,
-    /// Times the pool's median time for a token that ejects. Above the two to one between a full
-    /// batch and a middling one.
+    /// Multiple of the pool's median time per token above which an endpoint is ejected. A full batch is
+    /// about twice as slow as a moderately filled one, which must not eject.
     pub slow_factor: f64,
-    /// Answers that an endpoint must have given before it can be called slow.
+    /// Timed answers that an endpoint must have given before it can count as slow.
     pub min_samples: u32,
-    /// Weight of an answer in an endpoint's average.
+    /// Weight of a new answer in an endpoint's average.
     pub sample_weight: f64,
-    /// The largest share of the pool that is out at once.
+    /// The largest share of the pool that may be ejected at once.
     pub max_ejected_share: f64,
     /// How long the first ejection lasts.
     pub first_ejection: Duration,
-    /// How long any ejection lasts at most.
+    /// The longest duration of an ejection.
     pub longest_ejection: Duration,
-    /// Probes in a row that must succeed before an endpoint is back.
+    /// Consecutive probes that must succeed before an endpoint returns.
     pub probes_to_return: u32,
 }
 
@@ -56,29 +55,29 @@
     }
 }
 
-/// How long a median holds. It moves with the load of the whole pool, over seconds; to sort
-/// hundreds of endpoints at each answer would cost more than all else.
+/// How often the pool's median is updated. It moves with the load of the whole pool, over seconds.
+/// Sorting hundreds of endpoints at each answer would cost more than all other decisions.
 pub const MEDIAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Endpoints up to which the others' median is taken for each answer. In a pool of two or three an
-/// endpoint's own times, a moment old, would be half of what it is held against, or all if the other
-/// one fails: a single hiccup ejected the only endpoint that answered.
-const FEW: usize = 8;
+/// Largest pool in which an endpoint is compared with the median of the others, taken at each answer. In
+/// a pool of two or three, the endpoint's own earlier times would be half of that median, or all of it
+/// if the other endpoint fails, and a single slow moment would eject the only endpoint that answers.
+const SMALL_POOL: usize = 8;
 
-/// How a call ended, as far as the endpoint's health goes.
+/// How a call ended, with regard to the endpoint's health.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
-    /// Answered, with the seconds for a token that it took.
+    /// Answered; the time counts towards the endpoint's speed.
     Served {
-        /// Seconds for a token.
+        /// Seconds per token.
         seconds_per_token: f64,
     },
-    /// Answered, in a time that says nothing of the endpoint's speed, as that of an answer by
-    /// whichever model and of whichever length.
+    /// Answered, in a time that does not show the endpoint's speed, because answers differ in model and
+    /// length.
     AnsweredUntimed,
-    /// Failed, cut off, or silent for too long.
+    /// Failed, broke off, or gave no answer for too long.
     Failed,
-    /// It says nothing about health, such as a refusal for overload or a caller that went away.
+    /// Unrelated to health, such as a refusal for overload or a caller that disconnected.
     Unknown,
 }
 
@@ -87,56 +86,64 @@
 pub enum State {
     /// In use.
     Active,
-    /// Out, but one call may try it now.
+    /// Ejected, but one call may probe it now.
     Probe,
-    /// Out.
+    /// Ejected.
     Ejected,
 }
 
 #[derive(Debug, Clone)]
 struct Member {
     endpoint: id::Endpoint,
-    pace: f64,
+    /// Average seconds per token.
+    seconds_per_token: f64,
     samples: u32,
     errors: u32,
+    /// Ejections so far, less one for each return after successful probes. It determines how long the
+    /// next ejection lasts.
     ejections: u32,
-    until: Option<Moment>,
-    probing: Option<Moment>,
+    /// When the ejection ends; none while in use.
+    ejected_until: Option<Moment>,
+    /// When a probe was sent that has not ended.
+    probe_sent: Option<Moment>,
+    /// Consecutive probes that succeeded.
     probes: u32,
 }
 
-/// The health of a pool's endpoints as one node sees it. Sorted by endpoint.
+/// The health of a pool's endpoints as one node sees it.
 #[derive(Debug, Clone)]
 pub struct Pool {
     config: Config,
+    /// Sorted by endpoint.
     members: Vec<Member>,
     ejected: usize,
     median: Option<f64>,
-    measured: Moment,
+    /// When the median was updated.
+    median_at: Moment,
 }
 
 impl Member {
     fn new(endpoint: id::Endpoint) -> Self {
         Self {
             endpoint,
-            pace: 0.0,
+            seconds_per_token: 0.0,
             samples: 0,
             errors: 0,
             ejections: 0,
-            until: None,
-            probing: None,
+            ejected_until: None,
+            probe_sent: None,
             probes: 0,
         }
     }
 
-    fn out(&self) -> bool {
-        self.until.is_some()
+    fn is_ejected(&self) -> bool {
+        self.ejected_until.is_some()
     }
 
-    /// A probe whose answer never comes must not keep the endpoint out for ever: after the longest
-    /// ejection the next one may go.
+    /// A probe that is never answered must not keep the endpoint ejected for ever: after the longest
+    /// ejection the next probe may be sent.
     fn state(&self, now: Moment, longest: Duration) -> State {
-        match (self.until, self.probing) {
+        match (self.ejected_until, self.probe_sent) {
             (None, _) => State::Active,
             (Some(until), _) if now < until => State::Ejected,
             (Some(_), Some(since)) if now < since + longest => State::Ejected,
@@ -144,27 +151,27 @@
         }
     }
 
-    /// In use again, with nothing held against it.
-    fn back(&mut self) {
-        self.until = None;
-        self.probing = None;
+    /// Returns the endpoint to use and discards its earlier results.
+    fn readmit(&mut self) {
+        self.ejected_until = None;
+        self.probe_sent = None;
         self.samples = 0;
         self.errors = 0;
     }
 
-    fn learn(&mut self, pace: f64, weight: f64) {
+    fn record_time(&mut self, seconds_per_token: f64, weight: f64) {
         self.errors = 0;
         self.samples = self.samples.saturating_add(1);
         if self.samples == 1 {
-            self.pace = pace;
+            self.seconds_per_token = seconds_per_token;
         } else {
-            self.pace += weight * (pace - self.pace);
+            self.seconds_per_token += weight * (seconds_per_token - self.seconds_per_token);
         }
     }
 }
 
 impl Pool {
-    /// A pool without endpoints.
+    /// Creates a pool without endpoints.
     #[must_use]
     pub const fn new(config: Config) -> Self {
         Self {
@@ -172,11 +179,11 @@
             members: Vec::new(),
             ejected: 0,
             median: None,
-            measured: Moment::ZERO,
+            median_at: Moment::ZERO,
         }
     }
 
-    /// Keeps exactly these endpoints, with what is known of those that stay.
+    /// Sets the endpoints of the pool. Those that stay keep their state.
     pub fn retain(&mut self, endpoints: impl IntoIterator<Item = id::Endpoint>) {
         let mut members: Vec<Member> = endpoints.into_iter().map(Member::new).collect();
         members.sort_by(|one, other| one.endpoint.cmp(&other.endpoint));
@@ -186,35 +193,35 @@
                 *member = self.members[place].clone();
             }
         }
-        self.ejected = members.iter().filter(|member| member.out()).count();
+        self.ejected = members.iter().filter(|member| member.is_ejected()).count();
         self.members = members;
-        self.readmit();
+        self.readmit_excess();
     }
 
-    /// An endpoint has started again: what its former life did says nothing of it.
+    /// Discards an endpoint's state after it restarted, since its former incarnation does not describe it.
     pub fn reset(&mut self, endpoint: &id::Endpoint) {
         if let Some(place) = self.find(endpoint) {
             let member = &mut self.members[place];
-            self.ejected -= usize::from(member.out());
+            self.ejected -= usize::from(member.is_ejected());
             *member = Member::new(endpoint.clone());
         }
     }
 
-    /// Takes endpoints back in use while more are out than may be, since others left: the one whose
-    /// time ends first goes first. Held to its time, the last endpoint of a pool left all calls
-    /// waiting for seconds though it was well.
-    fn readmit(&mut self) {
-        while self.ejected > self.most() {
-            let out = self.members.iter_mut().filter(|member| member.out());
-            let Some(member) = out.min_by_key(|member| member.until) else {
+    /// Readmits endpoints while more are ejected than the bound allows because others left, the one
+    /// whose ejection ends first before the others. Otherwise the last endpoint of a pool, though
+    /// healthy, would leave all calls waiting for seconds.
+    fn readmit_excess(&mut self) {
+        while self.ejected > self.max_ejected() {
+            let ejected = self.members.iter_mut().filter(|member| member.is_ejected());
+            let Some(member) = ejected.min_by_key(|member| member.ejected_until) else {
                 return;
             };
-            member.back();
+            member.readmit();
             self.ejected -= 1;
         }
     }
 
-    /// Whether an endpoint may get a call. An unknown one may.
+    /// Whether an endpoint may get a call. An unknown endpoint may.
     #[must_use]
     pub fn state(&self, endpoint: &id::Endpoint, now: Moment) -> State {
         let place = self.find(endpoint);
@@ -227,20 +234,21 @@
     #[must_use]
     pub fn ejected_until(&self, endpoint: &id::Endpoint) -> Moment {
         let place = self.find(endpoint);
-        let until = place.and_then(|place| self.members[place].until);
+        let until = place.and_then(|place| self.members[place].ejected_until);
         until.unwrap_or(Moment::ZERO)
     }
 
-    /// The states of all endpoints, sorted by endpoint: for a choice among many, where a search for
-    /// each would cost more than the choice itself. While [`ejected`](Self::ejected) is zero all are in, and
-    /// it need not be asked.
+    /// The states of all endpoints, sorted by endpoint, for a choice among many, where looking up each
+    /// one would cost more than the choice itself. While [`ejected`](Self::ejected) is zero, all are
+    /// active and this need not be called.
     pub fn states(&self, now: Moment) -> impl Iterator<Item = State> {
         let longest = self.config.longest_ejection;
         self.members.iter().map(move |m| m.state(now, longest))
     }
 
-    /// An endpoint that is due for a probe. To be sent a short, repeatable call before any other
-    /// choice is made: by choice alone it would be tried late, or by many calls at once.
+    /// An endpoint that is due for a probe. The caller sends it a short, repeatable call before it makes
+    /// any other choice. Left to the ordinary choice, the endpoint would be probed late, or by many
+    /// calls at once.
     #[must_use]
     pub fn probe_due(&self, now: Moment) -> Option<&id::Endpoint> {
         let longest = self.config.longest_ejection;
@@ -248,86 +256,87 @@
         self.members.iter().find(due).map(|member| &member.endpoint)
     }
 
-    /// Says that a call is being sent, so that no second probe goes along.
+    /// Records that a call is being sent, so that no second probe is sent meanwhile.
     pub fn record_sent(&mut self, endpoint: &id::Endpoint, now: Moment) {
         let Some(place) = self.find(endpoint) else {
             return;
         };
         let member = &mut self.members[place];
-        if member.out() {
-            member.probing = Some(now);
+        if member.is_ejected() {
+            member.probe_sent = Some(now);
         }
     }
 
-    /// Learns how a call ended.
+    /// Records how a call ended.
     pub fn record(&mut self, endpoint: &id::Endpoint, outcome: Outcome, now: Moment) {
         let Some(place) = self.find(endpoint) else {
             return;
         };
-        self.measure(now);
+        self.update_median(now);
         let weight = self.config.sample_weight;
         let member = &mut self.members[place];
-        let probing = member.probing.take().is_some();
+        let was_probe = member.probe_sent.take().is_some();
         match outcome {
-            Outcome::Served { seconds_per_token } => member.learn(seconds_per_token, weight),
+            Outcome::Served { seconds_per_token } => member.record_time(seconds_per_token, weight),
             Outcome::AnsweredUntimed => member.errors = 0,
             Outcome::Failed => member.errors = member.errors.saturating_add(1),
             Outcome::Unknown => return,
         }
-        if member.out() {
-            if probing {
-                self.probed(place, outcome, now);
+        if member.is_ejected() {
+            if was_probe {
+                self.record_probe(place, outcome, now);
             }
-        } else if self.bad(place) && self.spare() {
+        } else if self.is_bad(place) && self.can_eject() {
             self.eject(place, now);
-        } else if self.failing(place) {
-            self.swap(place, now);
+        } else if self.is_failing(place) {
+            self.eject_instead(place, now);
         }
     }
 
-    /// Puts an endpoint that fails out in place of one that is out already and may be well by now. With
-    /// the bound alone, the last one in use kept its place when it was cut off, and all calls went to it
-    /// beside an endpoint that had recovered.
-    fn swap(&mut self, place: usize, now: Moment) {
-        let out = self.members.iter_mut().filter(|member| member.out());
-        if let Some(member) = out.min_by_key(|member| member.until) {
-            member.back();
+    /// Ejects a failing endpoint in place of one that is already ejected and may be healthy by now. With
+    /// the bound alone, the last endpoint in use would stay so after it was cut off, and all calls would
+    /// go to it beside an endpoint that has recovered.
+    fn eject_instead(&mut self, place: usize, now: Moment) {
+        let ejected = self.members.iter_mut().filter(|member| member.is_ejected());
+        if let Some(member) = ejected.min_by_key(|member| member.ejected_until) {
+            member.readmit();
             self.ejected -= 1;
             self.eject(place, now);
         }
     }
 
-    /// Endpoints that are out.
+    /// Number of ejected endpoints.
     #[must_use]
     pub const fn ejected(&self) -> usize {
         self.ejected
     }
 
-    /// The pool's median of seconds for a token, over the endpoints that answered, as of the last
-    /// [`MEDIAN_INTERVAL`].
+    /// The pool's median of seconds per token over the endpoints that answered, at most
+    /// [`MEDIAN_INTERVAL`] old when an outcome is recorded.
     #[must_use]
     pub const fn median(&self) -> Option<f64> {
         self.median
     }
 
-    fn measure(&mut self, now: Moment) {
-        if self.median.is_none() || now.since(self.measured) >= MEDIAN_INTERVAL {
-            self.median = self.middle();
-            self.measured = now;
+    fn update_median(&mut self, now: Moment) {
+        if self.median.is_none() || now.since(self.median_at) >= MEDIAN_INTERVAL {
+            self.median = self.pool_median();
+            self.median_at = now;
         }
     }
 
-    fn middle(&self) -> Option<f64> {
-        middle(self.members.iter())
+    fn pool_median(&self) -> Option<f64> {
+        median(self.members.iter())
     }
 
-    /// What an endpoint's pace is held against; none if no other endpoint has answered.
-    fn usual(&self, place: usize) -> Option<f64> {
-        if self.members.len() > FEW {
+    /// The seconds per token that an endpoint is compared with; none if there is nothing to compare
+    /// with, such as when no other endpoint of a small pool has answered.
+    fn baseline(&self, place: usize) -> Option<f64> {
+        if self.members.len() > SMALL_POOL {
             return self.median();
         }
         let others = self.members.iter().enumerate();
-        middle(others.filter(|(other, _)| *other != place).map(|(_, m)| m))
+        median(others.filter(|(other, _)| *other != place).map(|(_, m)| m))
     }
 
     fn find(&self, endpoint: &id::Endpoint) -> Option<usize> {
@@ -337,29 +346,30 @@
         place.ok()
     }
 
-    fn bad(&self, place: usize) -> bool {
+    fn is_bad(&self, place: usize) -> bool {
         let member = &self.members[place];
-        self.failing(place)
-            || (member.samples >= self.config.min_samples && self.slow(place, member.pace))
+        self.is_failing(place)
+            || (member.samples >= self.config.min_samples
+                && self.is_slow(place, member.seconds_per_token))
     }
 
-    fn failing(&self, place: usize) -> bool {
+    fn is_failing(&self, place: usize) -> bool {
         self.members[place].errors >= self.config.consecutive_errors
     }
 
-    fn slow(&self, place: usize, own: f64) -> bool {
-        self.usual(place)
-            .is_some_and(|usual| own > usual * self.config.slow_factor)
+    fn is_slow(&self, place: usize, own: f64) -> bool {
+        self.baseline(place)
+            .is_some_and(|baseline| own > baseline * self.config.slow_factor)
     }
 
-    /// Whether one more may go out.
-    fn spare(&self) -> bool {
-        self.ejected < self.most()
+    /// Whether one more endpoint may be ejected.
+    fn can_eject(&self) -> bool {
+        self.ejected < self.max_ejected()
     }
 
-    /// Endpoints that may be out. At least one always may, so that pools of two or three are
-    /// protected too, but never the last one.
-    fn most(&self) -> usize {
+    /// Number of endpoints that may be ejected: at least one, so that pools of two or three are
+    /// protected too, but never all.
+    fn max_ejected(&self) -> usize {
         let total = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         let most =
             crate::number::floor_u32(f64::from(total) * self.config.max_ejected_share).max(1);
@@ -373,40 +383,40 @@
             ..
         } = self.config;
         let member = &mut self.members[place];
-        self.ejected += usize::from(!member.out());
-        let lasts = first_ejection.saturating_mul(1 << member.ejections.min(16));
+        self.ejected += usize::from(!member.is_ejected());
+        let duration = first_ejection.saturating_mul(1 << member.ejections.min(16));
         member.ejections = member.ejections.saturating_add(1);
-        member.until = Some(now + lasts.min(longest_ejection));
-        member.probing = None;
+        member.ejected_until = Some(now + duration.min(longest_ejection));
+        member.probe_sent = None;
         member.probes = 0;
     }
 
-    /// A good probe counts towards coming back; a bad one begins a longer ejection.
-    fn probed(&mut self, place: usize, outcome: Outcome, now: Moment) {
-        let well = match outcome {
-            Outcome::Served { seconds_per_token } => !self.slow(place, seconds_per_token),
+    /// Counts a successful probe towards the return; a failed one starts a longer ejection.
+    fn record_probe(&mut self, place: usize, outcome: Outcome, now: Moment) {
+        let healthy = match outcome {
+            Outcome::Served { seconds_per_token } => !self.is_slow(place, seconds_per_token),
             Outcome::AnsweredUntimed => true,
             Outcome::Failed | Outcome::Unknown => false,
         };
-        if !well {
+        if !healthy {
             self.eject(place, now);
             return;
         }
-        let probes = self.config.probes_to_return;
+        let probes_to_return = self.config.probes_to_return;
         let member = &mut self.members[place];
         member.probes += 1;
-        if member.probes >= probes {
-            member.back();
+        if member.probes >= probes_to_return {
+            member.readmit();
             self.ejected -= 1;
             member.ejections = member.ejections.saturating_sub(1);
         }
     }
 }
 
-/// The median of the paces of those that answered.
-fn middle<'a>(members: impl Iterator<Item = &'a Member>) -> Option<f64> {
+/// The median of seconds per token over the members that have timed answers.
+fn median<'a>(members: impl Iterator<Item = &'a Member>) -> Option<f64> {
     let known = members.filter(|member| member.samples > 0);
-    let mut paces: Vec<f64> = known.map(|member| member.pace).collect();
-    paces.sort_by(f64::total_cmp);
-    paces.get(paces.len() / 2).copied()
+    let mut times: Vec<f64> = known.map(|member| member.seconds_per_token).collect();
+    times.sort_by(f64::total_cmp);
+    times.get(times.len() / 2).copied()
 }
--- a/crates/policy/src/number.rs
+++ b/crates/policy/src/number.rs
@@ -1,4 +1,4 @@
-//! Conversions between counts and floating-point numbers, decay, and the mixing of hashes.
+//! Conversions between counts and floating-point numbers, exponential decay, and mixing of hashes.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     count as f64
 }
 
-/// A number rounded down to a count; negative numbers and NaN become zero.
+/// Rounds a number down to a count; negative numbers and NaN become zero.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -21,12 +21,13 @@
     value as u64
 }
 
-/// A number rounded down to a small count.
+/// Rounds a number down to a 32-bit count, at most [`u32::MAX`].
 pub(crate) fn floor_u32(value: f64) -> u32 {
     u32::try_from(floor(value)).unwrap_or(u32::MAX)
 }
 
-/// A length of time in seconds; negative, endless and NaN lengths are cut to a representable one.
+/// A duration of `value` seconds. Negative values and NaN become zero, values that are too large the
+/// longest duration.
 pub(crate) fn seconds(value: f64) -> Duration {
     if value.is_nan() || value <= 0.0 {
         return Duration::ZERO;
@@ -34,20 +35,21 @@
     Duration::try_from_secs_f64(value).unwrap_or(Duration::MAX)
 }
 
-/// What is left of a weight of one after `age`, halving each `half`.
-pub(crate) fn decay(age: Duration, half: Duration) -> f64 {
+/// What is left of a weight of one after `age`, with the half-life `half_life`.
+pub(crate) fn decay(age: Duration, half_life: Duration) -> f64 {
     if age.is_zero() {
         return 1.0;
     }
-    (-age.as_secs_f64() / half.as_secs_f64().max(f64::MIN_POSITIVE)).exp2()
+    (-age.as_secs_f64() / half_life.as_secs_f64().max(f64::MIN_POSITIVE)).exp2()
 }
 
-/// Random bits as a number in `[0, 1)`: the upper 53 bits, which a float holds exactly.
-pub(crate) const fn unit(random: u64) -> f64 {
+/// Converts random bits to a number in `[0, 1)`, by the upper 53 bits, which a float holds exactly.
+pub(crate) const fn unit_interval(random: u64) -> f64 {
     float(random >> 11) / float(1 << 53)
 }
 
-/// Mixes two words into one whose bits all depend on both (the finalizer of `SplitMix64`).
+/// Mixes two words into one, each bit of which depends on all bits of both (the finalizer of
+/// `SplitMix64`).
 pub(crate) const fn mix(left: u64, right: u64) -> u64 {
     let mut word = left ^ right.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/policy/src/session.rs
+++ b/crates/policy/src/session.rs
@@ -1,13 +1,13 @@
-//! Which versions a session uses: what it was pinned to, as long as that holds.
+//! Which versions a session uses: its pinned versions, as long as they are usable.
 //!
-//! **Load:** many entry VMs and zones without shared memory, versions that come and go. **Without
-//! it:** a session changes its version whenever the balancer picks another VM, and one pinned to a
-//! withdrawn version goes on with it. **How:** the caller carries its pins in the session token.
-//! For each model that the class allows the pinned version is kept while it serves, is allowed and
-//! is not quarantined here; otherwise the roll-outs decide and the pin moves.
+//! Entry VMs and zones share no memory, and versions come and go. Without pins, a session would change its
+//! version whenever the balancer picks another VM, and a session pinned for ever would go on with a
+//! withdrawn version. The caller carries its pins in the session token. For each model that the class
+//! allows, the pinned version is used while it serves, is allowed and is not quarantined here; otherwise
+//! the roll-outs decide, and the pin changes.
 //!
 //! A node whose configuration is older than a bound can't know whether a version that was still in
-//! roll-out has been withdrawn meanwhile. It goes on with settled versions only, pins included.
+//! roll-out has been withdrawn meanwhile. It uses settled versions only, for pins too.
 
 use std::time::Duration;
 
@@ -20,16 +20,16 @@
 
 use crate::rollout;
 
-/// What a node knows when it decides.
+/// What a node knows at the time of a decision.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// The configuration in force here.
     pub state: &'a State,
-    /// How long ago it was last known to be current.
+    /// How long ago the configuration was last known to be current.
     pub age: Duration,
-    /// Up to what age versions in roll-out are used.
+    /// The largest age at which versions in roll-out are used.
     pub max_age: Duration,
-    /// Versions that this node does not use on its own evidence, sorted.
+    /// Versions that this node does not use because of its own evidence, sorted.
     pub quarantined: &'a [id::Version],
 }
 
@@ -38,12 +38,12 @@
 pub struct Pin {
     /// The version.
     pub version: id::Version,
-    /// Whether the session had it before. If not, the caller gets a new token.
+    /// Whether the session was pinned to it before. If not, the caller gets a new token.
     pub was_pinned: bool,
 }
 
 impl View<'_> {
-    fn stale(&self) -> bool {
+    fn is_stale(&self) -> bool {
         self.age > self.max_age
     }
 
@@ -52,23 +52,23 @@
     pub fn usable(&self, class: &Class, version: &id::Version) -> bool {
         let known = self.state.version(version);
         let serves = known.is_some_and(|known| known.status == version::Status::Serving);
-        let unsettled = self.stale() && self.incoming(version);
+        let unsettled = self.is_stale() && self.in_rollout(version);
         class.allows(version)
             && serves
             && !unsettled
             && self.quarantined.binary_search(version).is_err()
     }
 
-    /// Whether `version` is still being brought in.
-    fn incoming(&self, version: &id::Version) -> bool {
+    /// Whether `version` is still being rolled out.
+    fn in_rollout(&self, version: &id::Version) -> bool {
         self.state
             .rollouts()
             .any(|rollout| rollout.to == *version && rollout.status != Status::Done)
     }
 }
 
-/// The versions that a session uses in a class, one for each model, sorted. A model is a line of
-/// versions joined by roll-outs. Empty if none may be used.
+/// The versions that a session uses in a class, one for each model, sorted. A model is a lineage of
+/// versions connected by roll-outs. Empty if no version may be used.
 #[must_use]
 pub fn versions(
     session: id::Session,
@@ -86,17 +86,17 @@
     roots.sort();
     roots.dedup();
     for root in roots {
-        let line = line(root, &rollouts);
+        let lineage = lineage(root, &rollouts);
         let pinned = pins
             .iter()
-            .find(|pin| line.contains(pin) && view.usable(class, pin));
-        let version = pinned.or_else(|| assigned(session, root, &line, &rollouts, class, view));
+            .find(|pin| lineage.contains(pin) && view.usable(class, pin));
+        let version = pinned.or_else(|| assigned(session, root, &lineage, &rollouts, class, view));
         let Some(version) = version else { continue };
         let was_pinned = pinned.is_some();
         match chosen.binary_search_by(|pin| pin.version.cmp(version)) {
             Ok(_) => {}
-            Err(place) => chosen.insert(
-                place,
+            Err(index) => chosen.insert(
+                index,
                 Pin {
                     version: version.clone(),
                     was_pinned,
@@ -107,29 +107,29 @@
     chosen
 }
 
-/// The version that the roll-outs give a session; if it may not be used, the newest of the line
-/// that may, settled ones first.
+/// The version that the roll-outs assign to a session. If it may not be used, the newest usable version
+/// of the lineage, settled ones first.
 fn assigned<'a>(
     session: id::Session,
     root: &'a id::Version,
-    line: &[&'a id::Version],
+    lineage: &[&'a id::Version],
     rollouts: &[&'a Rollout],
     class: &Class,
     view: &View<'_>,
 ) -> Option<&'a id::Version> {
     let usable = |version: &id::Version| view.usable(class, version);
-    let version = rollout::version_for(session, root, rollouts, view.stale(), usable);
+    let version = rollout::version_for(session, root, rollouts, view.is_stale(), usable);
     if usable(version) {
         return Some(version);
     }
-    let settled = |version: &&&id::Version| !view.incoming(version);
-    let mut fallback = line.iter().rev().filter(|version| usable(version));
+    let settled = |version: &&&id::Version| !view.in_rollout(version);
+    let mut fallback = lineage.iter().rev().filter(|version| usable(version));
     let mut all = fallback.clone();
     let found = fallback.find(settled).or_else(|| all.next_back());
     found.copied()
 }
 
-/// The first version of the line that `version` belongs to.
+/// The first version of the lineage that `version` belongs to.
 fn root<'a>(version: &'a id::Version, rollouts: &[&'a Rollout]) -> &'a id::Version {
     let mut current = version;
     for _ in 0..rollouts.len() {
@@ -142,16 +142,16 @@
 }
 
 /// All versions that follow from `root` by roll-outs, oldest first.
-fn line<'a>(root: &'a id::Version, rollouts: &[&'a Rollout]) -> Vec<&'a id::Version> {
-    let mut line = vec![root];
-    let mut place = 0;
-    while let Some(current) = line.get(place).copied() {
+fn lineage<'a>(root: &'a id::Version, rollouts: &[&'a Rollout]) -> Vec<&'a id::Version> {
+    let mut lineage = vec![root];
+    let mut next = 0;
+    while let Some(current) = lineage.get(next).copied() {
         for rollout in rollouts.iter().filter(|rollout| rollout.from == *current) {
-            if !line.contains(&&rollout.to) {
-                line.push(&rollout.to);
+            if !lineage.contains(&&rollout.to) {
+                lineage.push(&rollout.to);
             }
         }
-        place += 1;
+        next += 1;
     }
-    line
+    lineage
 }
--- a/crates/policy/src/shift.rs
+++ b/crates/policy/src/shift.rs
@@ -1,16 +1,16 @@
 //! Moving a service to another version of its software by a deadline, without stages of its own.
 //!
-//! **Load:** operators order a version in and say by when it must be done or undone; it may fail, be
-//! slow, fail on one route only, late, or only under load. **Without it:** all requests meet a bad
-//! version at once, or a good one is not done in time. **How:** three phases by the order's age. In
-//! the trial a small fixed share of the sessions uses the new version, well below what a bad one may
-//! get, and no session that is known changes. After it the share rises to the whole within seconds.
-//! Evidence of all nodes is summed for each route: a version that fails or is slow on one of them,
-//! at more than one endpoint, is bad, and its share is nothing from then on.
+//! Operators order a version and tell by when the move must be done or undone. The version may fail or be
+//! slow, on one route only, late, or only under load. Without care, either all requests meet a bad version
+//! at once, or a good one is not in place in time. The move has three phases by the age of the order. In
+//! the trial, a small fixed share of the sessions uses the new version, well below what a bad version may
+//! get, and no known session changes its version. Then the share rises to all sessions within seconds.
+//! The evidence of all nodes is summed for each route. A version that is slow on one of them, or fails
+//! there at more than one endpoint, is bad, and its share is zero from then on.
 //!
-//! **Grounds:** the fixed place of a session and the bounds on evidence are those of
-//! [`crate::rollout`]. A route of its own each, since a fault of one class of requests drowns in the
-//! sum; more than one endpoint, since a single sick endpoint is [`crate::eject`]'s matter.
+//! The fixed position of a session and the bounds on evidence are those of [`crate::rollout`]. Routes are
+//! evaluated separately because a fault in one class of requests is lost in the sum. Failures must affect
+//! more than one endpoint because a single failing endpoint is handled by [`crate::eject`].
 
 use std::time::Duration;
 
@@ -22,24 +22,24 @@
 use crate::rollout::Cause;
 use crate::rollout::Evidence;
 
-/// Figures of a shift.
+/// Settings of a shift.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Part of the exposure allowed that the trial uses. The rest is for repeats of what failed
-    /// there and for the seconds of the ramp until a fault is seen that shows only under load.
+    /// Part of the allowed exposure that the trial uses. The rest is for repeats of requests that failed
+    /// in the trial, and for the seconds of the ramp until a fault that shows only under load is seen.
     pub trial_exposure: f64,
-    /// Part of the time until the deadline that the trial lasts. Sessions may change their version
-    /// in the second half only.
+    /// Part of the time until the deadline that the trial lasts. Sessions may only change their version
+    /// after it.
     pub trial_time: f64,
-    /// Time from the order until the trial begins. Sessions go from node to node, so that each must
-    /// know which of them used the old version before; that takes word between zones and within one,
-    /// a second at most.
+    /// Time from the order until the trial begins. Sessions go from node to node, so that each node must
+    /// learn which of them used the old version before. Messages within and between zones take a second
+    /// at most.
     pub observation: Duration,
-    /// How much longer the trial lasts, as nodes read an order at slightly different times.
+    /// Extension of the trial, because nodes read an order at slightly different times.
     pub clock_margin: Duration,
-    /// How long the share takes to rise to the whole. Much shorter, and a fault under load is met
-    /// by everybody before the first evidence of it is shared; much longer, and calls to the old
-    /// version have no time to end.
+    /// How long the share takes to rise to all sessions. With a much shorter ramp, all sessions meet a
+    /// fault under load before the first evidence of it is shared; with a much longer one, calls to the
+    /// old version have no time to end.
     pub ramp: Duration,
 }
 
@@ -55,47 +55,47 @@
     }
 }
 
-/// Where a shift is.
+/// Phase of a shift.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Phase {
-    /// None but those who used the new version already; nodes learn who is known.
+    /// Only sessions that used the new version before use it; nodes learn which sessions are known.
     Observation,
-    /// A small share uses the new version; nobody who is known changes.
+    /// A small share of sessions uses the new version; no known session changes its version.
     Trial(Share),
-    /// The share rises; sessions change to the new version, not back.
+    /// The share rises; sessions change to the new version and not back.
     Ramp(Share),
-    /// All use the new version.
+    /// All sessions use the new version.
     Moved,
 }
 
 impl Config {
-    /// The share of sessions that the trial uses.
+    /// The share of sessions that use the new version in the trial.
     #[must_use]
     pub fn trial_share(&self, exposure: f64) -> Share {
-        part((exposure * self.trial_exposure).clamp(0.0, 1.0))
+        to_share((exposure * self.trial_exposure).clamp(0.0, 1.0))
     }
 
-    /// Where a shift is whose order is `age` old and must be done after `lasts`.
+    /// The phase of a shift whose order is `age` old and must be done `lasts` after it was given.
     #[must_use]
     pub fn phase(&self, age: Duration, lasts: Duration, exposure: f64) -> Phase {
-        let trial = lasts.mul_f64(self.trial_time) + self.clock_margin;
+        let trial_end = lasts.mul_f64(self.trial_time) + self.clock_margin;
         let share = (exposure * self.trial_exposure).clamp(0.0, 1.0);
         if age < self.observation {
             return Phase::Observation;
         }
-        if age < trial {
-            return Phase::Trial(part(share));
+        if age < trial_end {
+            return Phase::Trial(to_share(share));
         }
-        let risen = age.saturating_sub(trial).as_secs_f64() / self.ramp.as_secs_f64();
-        if risen >= 1.0 {
+        let progress = age.saturating_sub(trial_end).as_secs_f64() / self.ramp.as_secs_f64();
+        if progress >= 1.0 {
             return Phase::Moved;
         }
-        Phase::Ramp(part(share + (1.0 - share) * risen))
+        Phase::Ramp(to_share(share + (1.0 - share) * progress))
     }
 }
 
 impl Phase {
-    /// Whether a session that is known keeps its version.
+    /// Whether known sessions keep their version.
     #[must_use]
     pub const fn pins_known_sessions(self) -> bool {
         matches!(self, Self::Observation | Self::Trial(_))
@@ -112,61 +112,64 @@
     }
 }
 
-fn part(share: f64) -> Share {
+fn to_share(share: f64) -> Share {
     Share::try_from(share).unwrap_or(Share::ONE)
 }
 
-/// Evidence of one route on both versions.
+/// Evidence on both versions for one route.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RouteEvidence {
-    /// On the new version.
+    /// Evidence on the new version.
     pub new: Evidence,
-    /// On the old one.
+    /// Evidence on the old version.
     pub old: Evidence,
 }
 
-/// The largest share of failed attempts beyond that of the old version. Versions that are bad fail
-/// a third of their requests and more; an endpoint that is sick by itself and fails half of its
-/// own adds a twelfth of that.
-const ERRORS: f64 = 0.1;
+/// The largest share of failed attempts beyond that of the old version. Bad versions fail a third of their
+/// requests or more. A single failing endpoint that fails half of its own requests adds a twelfth of that.
+const MAX_ERROR_INCREASE: f64 = 0.1;
 
-/// The largest ratio of times, in hundredths. Bad versions are several times slower; a new version's
-/// endpoints begin without caches, which makes them up to twice as slow.
-const LATENCY: u32 = 350;
+/// The largest ratio of the new version's mean time to the old one's, in percent. Bad versions are several
+/// times slower. The endpoints of a new version start with empty caches, which makes them up to twice as
+/// slow.
+const MAX_LATENCY_PERCENT: u32 = 350;
 
-/// Answers needed before a version is called slow; times are far more spread than failures are.
-const SAMPLES: u32 = 8;
+/// Timed answers needed before a version counts as slow, because times vary far more than failures.
+const MIN_TIMED_ANSWERS: u32 = 8;
 
-/// Endpoints of the new version that must have failed a request, unless it has only one.
-const ENDPOINTS: usize = 2;
+/// Endpoints of the new version that must have failed a request, unless it has only one endpoint.
+const MIN_FAILING_ENDPOINTS: usize = 2;
 
-/// Whether the new version is bad: on one of the routes, or on all together. `failing` is the number
-/// of its endpoints that failed a request, `endpoints` how many it has.
+/// Why the new version is bad, on one of the routes or on all together; none if it is not. `failing` is the
+/// number of its endpoints that failed a request, `endpoints` the number of all its endpoints.
 #[must_use]
-pub fn regression(tallies: &[RouteEvidence], failing: usize, endpoints: usize) -> Option<Cause> {
+pub fn regression(routes: &[RouteEvidence], failing: usize, endpoints: usize) -> Option<Cause> {
     let mut all = RouteEvidence {
         new: Evidence::default(),
         old: Evidence::default(),
     };
-    for tally in tallies {
-        all.new.merge(&tally.new);
-        all.old.merge(&tally.old);
+    for route in routes {
+        all.new.merge(&route.new);
+        all.old.merge(&route.old);
     }
-    let spread = failing >= ENDPOINTS.min(endpoints.max(1));
-    let causes = tallies.iter().filter_map(|tally| fault(tally, true));
-    let cause = causes.chain(fault(&all, false)).next()?;
-    (spread || cause == Cause::Latency).then_some(cause)
+    let several = failing >= MIN_FAILING_ENDPOINTS.min(endpoints.max(1));
+    let causes = routes
+        .iter()
+        .filter_map(|route| route_regression(route, true));
+    let cause = causes.chain(route_regression(&all, false)).next()?;
+    (several || cause == Cause::Latency).then_some(cause)
 }
 
-/// Times are compared within a route only: routes differ in them.
-fn fault(tally: &RouteEvidence, timed: bool) -> Option<Cause> {
-    let errors = part((ERRORS + tally.old.error_rate()).min(1.0));
+/// `timed` tells whether times are compared, which is done within a route only, because routes differ in
+/// them.
+fn route_regression(route: &RouteEvidence, timed: bool) -> Option<Cause> {
+    let errors = to_share((MAX_ERROR_INCREASE + route.old.error_rate()).min(1.0));
     let gate = Gate {
-        samples: SAMPLES,
+        samples: MIN_TIMED_ANSWERS,
         quality: Share::ZERO,
         errors,
-        latency: if timed { LATENCY } else { u32::MAX },
+        latency: if timed { MAX_LATENCY_PERCENT } else { u32::MAX },
         dwell: Span::ZERO,
     };
-    rollout::regression(&tally.new, &tally.old, &gate)
+    rollout::regression(&route.new, &route.old, &gate)
 }
