--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,5 +1,5 @@
-//! What a decision costs, in time by `criterion` and in bytes by a counting allocator, at 12 and
-//! 600 endpoints and at 10 and 1,000 customers that wait.
+//! Cost of a decision, in time by `criterion` and in bytes by a counting allocator, for 12 and 600 endpoints
+//! and for 10 and 1,000 waiting customers.
 
 use std::alloc::System;
 use std::hint::black_box;
@@ -28,8 +28,8 @@
 const ENDPOINTS: [usize; 2] = [12, 600];
 const CUSTOMERS: [usize; 2] = [10, 1_000];
 
-/// Decisions that the allocations are counted over.
-const COUNTED: u64 = 10_000;
+/// Number of decisions over which allocations are counted.
+const COUNTED_DECISIONS: u64 = 10_000;
 
 struct Node {
     gate: admission::Gate,
@@ -39,7 +39,7 @@
     endpoints: Vec<id::Endpoint>,
     customers: Vec<id::Customer>,
     candidates: Vec<Candidate>,
-    turn: u64,
+    step: u64,
 }
 
 fn name<T: std::str::FromStr>(prefix: &str, number: usize) -> T
@@ -50,7 +50,7 @@
 }
 
 impl Node {
-    /// A node in whose queue each customer has one waiting job.
+    /// Creates a node in whose queue each customer has one waiting job.
     fn new(endpoints: usize, customers: usize) -> Self {
         let endpoints: Vec<id::Endpoint> = (0..endpoints).map(|e| name("engine", e)).collect();
         let customers: Vec<id::Customer> = (0..customers).map(|c| name("workspace", c)).collect();
@@ -75,7 +75,7 @@
             candidates: endpoints.iter().enumerate().map(candidate).collect(),
             endpoints,
             customers,
-            turn: 0,
+            step: 0,
         };
         for place in 0..node.customers.len() {
             node.enqueue(place);
@@ -84,7 +84,7 @@
     }
 
     fn now(&self) -> Moment {
-        Moment::from_millis(self.turn)
+        Moment::from_millis(self.step)
     }
 
     fn enqueue(&mut self, place: usize) {
@@ -97,8 +97,8 @@
         });
     }
 
-    /// The door: what goes first, and whether it may wait.
-    fn door(&mut self, place: usize) -> admission::Verdict {
+    /// Admission of a request, including the work ahead of it.
+    fn admit(&mut self, place: usize) -> admission::Verdict {
         let customer = &self.customers[place];
         let priority = u8::try_from(place % 3).expect("a small number");
         let demand = admission::Demand {
@@ -108,16 +108,16 @@
             run_time: self.gate.run_time(Tokens(100)),
             deadline: self.now() + Duration::from_secs(10),
         };
-        self.gate.decide(demand, self.now(), self.turn)
+        self.gate.decide(demand, self.now(), self.step)
     }
 
-    /// One candidate as it stands now: all that changes with a call is at its own endpoint.
+    /// Updates one candidate; a call only changes the candidate of its own endpoint.
     fn update(&mut self, place: usize) {
         self.candidates[place].own = self.limiters[place].flying();
         self.candidates[place].limit = self.limiters[place].limit();
     }
 
-    /// All candidates as they stand now, in the place of the former ones.
+    /// Updates all candidates.
     fn refresh(&mut self) {
         for (candidate, limiter) in self.candidates.iter_mut().zip(&self.limiters) {
             candidate.own = limiter.flying();
@@ -133,24 +133,24 @@
     }
 
     fn choose(&self, prefix: Option<u64>) -> Option<usize> {
-        let random = self.turn.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let random = self.step.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         choice::choose(&self.candidates, prefix, random, &choice::Config::default())
     }
 
-    /// All that one request takes: the door, the queue in and out, the choice, the slot, and what is
-    /// learnt from the answer. Candidates are kept up to date call by call and refreshed each tenth
-    /// of a second (a hundred calls here), or all of them for each request if `anew`.
-    fn whole(&mut self, anew: bool) {
-        self.turn += 1;
-        let place = usize::try_from(self.turn).expect("small") % self.customers.len();
-        black_box(self.door(place));
+    /// All decisions for one request: admission, enqueueing and dequeueing, the choice, the slot, and recording
+    /// the answer. Candidates are updated call by call and all of them each tenth of a second (a hundred
+    /// calls here), or for each request if `refresh`.
+    fn whole(&mut self, refresh: bool) {
+        self.step += 1;
+        let place = usize::try_from(self.step).expect("small") % self.customers.len();
+        black_box(self.admit(place));
         self.enqueue(place);
         let now = self.now();
         let dispatch = self.queue.next(now, 4_800).expect("jobs wait");
-        if anew || self.turn.is_multiple_of(100) {
+        if refresh || self.step.is_multiple_of(100) {
             self.refresh();
         }
-        let chosen = self.choose(Some(self.turn % 64)).expect("slots are free");
+        let chosen = self.choose(Some(self.step % 64)).expect("slots are free");
         assert!(self.limiters[chosen].acquire());
         self.update(chosen);
         self.health.record_sent(&self.endpoints[chosen], now);
@@ -167,18 +167,18 @@
     }
 }
 
-/// Allocations and bytes of one run of `decide`, as a mean over many.
+/// Prints the allocations and bytes of many runs of `decide`.
 fn count(what: &str, mut decide: impl FnMut()) {
-    for _ in 0..COUNTED {
+    for _ in 0..COUNTED_DECISIONS {
         decide();
     }
     let region = Region::new(ALLOCATOR);
-    for _ in 0..COUNTED {
+    for _ in 0..COUNTED_DECISIONS {
         decide();
     }
     let change = region.change();
     println!(
-        "bytes: {what}: {} allocations, {} bytes in {COUNTED} decisions",
+        "bytes: {what}: {} allocations, {} bytes in {COUNTED_DECISIONS} decisions",
         change.allocations + change.reallocations,
         change.bytes_allocated
     );
@@ -203,28 +203,28 @@
         );
         group.bench_function(BenchmarkId::new("choice of two", endpoints), |bencher| {
             bencher.iter(|| {
-                node.turn += 1;
+                node.step += 1;
                 black_box(node.choose(None))
             });
         });
         count(&format!("choice, {endpoints} endpoints"), || {
-            node.turn += 1;
-            black_box(node.choose(Some(node.turn)));
+            node.step += 1;
+            black_box(node.choose(Some(node.step)));
             black_box(node.choose(None));
         });
         for customers in CUSTOMERS {
             let region = Region::new(ALLOCATOR);
             let mut node = Node::new(endpoints, customers);
-            let held = region.change();
-            let held = held.bytes_allocated - held.bytes_deallocated;
+            let change = region.change();
+            let held = change.bytes_allocated - change.bytes_deallocated;
             let sizes = format!("{endpoints} endpoints, {customers} customers");
             println!("bytes: state of {sizes}: {held} bytes");
             group.bench_function(BenchmarkId::new("door", &sizes), |bencher| {
-                bencher.iter(|| black_box(node.door(1)));
+                bencher.iter(|| black_box(node.admit(1)));
             });
-            for (what, anew) in [("whole", false), ("whole, candidates anew", true)] {
+            for (what, refresh) in [("whole", false), ("whole, candidates anew", true)] {
                 group.bench_function(BenchmarkId::new(what, &sizes), |bencher| {
-                    bencher.iter(|| node.whole(anew));
+                    bencher.iter(|| node.whole(refresh));
                 });
             }
             count(&format!("whole, {sizes}"), || node.whole(false));
--- a/crates/policy/benches/load.rs
+++ b/crates/policy/benches/load.rs
@@ -1,5 +1,5 @@
-//! Prints the table of what callers receive, with and without each mechanism and beside the
-//! baselines, on the same recorded arrivals. `-- --write-traces` makes the arrivals anew.
+//! Prints a table of what callers receive with and without each mechanism and with baselines, on the same
+//! recorded arrivals. `-- --write-traces` generates the arrivals again.
 
 #[path = "../tests/model/mod.rs"]
 mod model;
@@ -12,9 +12,9 @@
 use model::node::Choice;
 use model::node::Mechanisms;
 use model::quality;
+use model::quality::Fault;
 use model::quality::Picking;
 use model::quality::TARGET;
-use model::quality::Trouble;
 use model::scenario::CLASSES;
 use model::scenario::NAMES;
 use model::scenario::Scenario;
@@ -146,8 +146,8 @@
         }
     }
     if matches.get_flag("quality") {
-        qualities();
-        spends();
+        print_quality();
+        print_spend();
         return;
     }
     let rows = if matches.get_flag("brief") {
@@ -161,19 +161,19 @@
         .iter()
         .filter(|name| only.is_none_or(|only| only == *name))
     {
-        table(name, &ROWS[..rows], seeds);
+        print_table(name, &ROWS[..rows], seeds);
         if matches.get_flag("classes") {
-            classes(name);
+            print_classes(name);
         }
     }
     if only.is_none() && rows > 1 {
-        qualities();
-        spends();
+        print_quality();
+        print_spend();
     }
 }
 
-/// Prints what six nodes spend of a limit, one cut off and one dead from some second on.
-fn spends() {
+/// Prints what six nodes spend of a limit when one is cut off and one crashes at a given second.
+fn print_spend() {
     println!(
         "\nspend: six nodes, one customer; node 0 is cut off and node 1 dies at the second given"
     );
@@ -198,27 +198,36 @@
     println!("{table}");
 }
 
-/// Ways of picking a version.
+/// Ways of picking a version, with their labels.
 const PICKINGS: [(&str, Picking); 5] = [
     ("cascade (nyabarongo: cost)", Picking::Cascade),
-    ("cascade (rybnikar: latency)", Picking::Hurried),
+    ("cascade (rybnikar: latency)", Picking::LatencyCascade),
     ("always cheapest", Picking::Cheapest),
     ("always best", Picking::Best),
     ("fixed: cheapest, best", Picking::Fixed),
 ];
 
-/// What goes wrong half way.
-const TROUBLES: [(&str, Trouble); 5] = [
-    ("nothing goes wrong", Trouble::None),
-    ("the cheapest version turns bad half way", Trouble::Bad(0)),
-    ("the middle version turns bad half way", Trouble::Bad(1)),
-    ("ratings take five seconds from half way", Trouble::Slow),
-    ("no ratings from half way", Trouble::Out),
+/// Faults at half of the run, with their labels.
+const FAULTS: [(&str, Fault); 5] = [
+    ("nothing goes wrong", Fault::None),
+    (
+        "the cheapest version turns bad half way",
+        Fault::BadVersion(0),
+    ),
+    (
+        "the middle version turns bad half way",
+        Fault::BadVersion(1),
+    ),
+    (
+        "ratings take five seconds from half way",
+        Fault::SlowRatings,
+    ),
+    ("no ratings from half way", Fault::NoRatings),
 ];
 
 /// Prints the cascade's tables.
-fn qualities() {
-    for (about, trouble) in TROUBLES {
+fn print_quality() {
+    for (about, fault) in FAULTS {
         println!("\nquality: {about} (6000 requests, target {TARGET})");
         let mut table = Table::new();
         table.load_preset(comfy_table::presets::ASCII_MARKDOWN);
@@ -226,14 +235,14 @@
             "picking", "quality", "after", "cost", "p95", "exposed", "rated",
         ]);
         for (label, picking) in PICKINGS {
-            let result = quality::run(picking, trouble, 7);
+            let result = quality::run(picking, fault, 7);
             table.add_row([
                 label.into(),
                 format!("{:.1}%", result.quality * 100.0),
-                format!("{:.1}%", result.after * 100.0),
+                format!("{:.1}%", result.quality_after * 100.0),
                 format!("{:.2}", result.cost),
                 format!("{:.2}", result.p95),
-                result.exposed.to_string(),
+                result.bad_answers.to_string(),
                 format!("{:.1}%", result.rated * 100.0),
             ]);
         }
@@ -241,7 +250,7 @@
     }
 }
 
-fn table(name: &str, rows: &[(&str, Mechanisms)], seeds: u64) {
+fn print_table(name: &str, rows: &[(&str, Mechanisms)], seeds: u64) {
     let scenario = Scenario::load(name);
     let weighs = if scenario.deployment == "nyabarongo" {
         "cost"
@@ -258,15 +267,16 @@
     table.set_header(HEAD);
     for (label, mechanisms) in rows {
         let runs: Vec<Summary> = (0..seeds)
-            .map(|seed| once(&scenario, *mechanisms, seed))
+            .map(|seed| run_once(&scenario, *mechanisms, seed))
             .collect();
         table.add_row(row(label, &scenario, &Summary::mean(&runs)));
     }
     println!("{table}");
 }
 
-/// A run on the recorded arrivals, or for each further seed on others by the same recipe.
-fn once(scenario: &Scenario, mechanisms: Mechanisms, seed: u64) -> Summary {
+/// Runs a scenario on the recorded arrivals for seed 0, and on arrivals generated by the same recipe for other
+/// seeds.
+fn run_once(scenario: &Scenario, mechanisms: Mechanisms, seed: u64) -> Summary {
     let mut scenario = scenario.clone();
     if seed > 0 {
         scenario.recipe.seed += seed * 1_000;
@@ -288,21 +298,23 @@
         time(summary.short[2]),
         time(summary.all[1]),
         share(summary.goodput),
-        share(summary.busy),
+        share(summary.utilization),
         share(summary.refused),
         share(summary.lost),
         time(summary.refusal_p99),
-        summary.truth.map_or_else(|| "-".into(), share),
-        summary.pressed.map_or_else(|| "-".into(), share),
+        summary.returning_served.map_or_else(|| "-".into(), share),
+        summary
+            .returning_served_under_load
+            .map_or_else(|| "-".into(), share),
         time(summary.attempts),
         time(summary.cost),
         share(summary.wasted),
-        share(summary.missed),
+        share(summary.cache_misses),
     ]
 }
 
-/// Prints what became of each class with all mechanisms at work.
-fn classes(name: &str) {
+/// Prints the outcomes of each class with all mechanisms switched on.
+fn print_classes(name: &str) {
     let scenario = Scenario::load(name);
     let world = world::run(&scenario, ALL);
     for (number, class) in CLASSES.iter().enumerate() {
--- a/crates/policy/tests/connect.rs
+++ b/crates/policy/tests/connect.rs
@@ -1,4 +1,4 @@
-//! How long connections are waited for, as zones are near and far and links slow down.
+//! Connect timeouts for local and remote zones and distant regions.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     Duration::from_millis(millis)
 }
 
-// A zone is cut off. A call whose caller has 200 ms must be able to give up on an endpoint there and to
-// be answered in 30 ms by another one.
+// A zone is cut off. A call with a target of 200 ms must be able to time out at an endpoint there and to be
+// answered in 30 ms by another one.
 #[test]
 fn a_call_with_a_short_target_has_time_for_a_second_endpoint() {
     let mut timeout = ConnectTimeout::default();
@@ -25,10 +25,10 @@
     );
 }
 
-// Endpoints of the own zone answered in a millisecond all day; then the first connection goes to another
-// zone, ten milliseconds away, or to a VM that takes fifty.
+// Endpoints of the local zone connect in a millisecond for a long time. Then the first connection goes to
+// another zone, ten milliseconds away, or to a VM that takes fifty.
 #[test]
-fn a_first_connection_to_a_farther_zone_is_waited_for() {
+fn the_timeout_allows_a_first_connection_to_a_farther_zone() {
     let mut timeout = ConnectTimeout::default();
     for _ in 0..200 {
         timeout.record(ms(1));
@@ -36,9 +36,9 @@
     assert!(timeout.current() > ms(60));
 }
 
-// All endpoints are in another region. The bound follows, and nothing is given up on that would come.
+// All endpoints are in another region. The timeout follows, and no connection that would be made times out.
 #[test]
-fn the_bound_grows_with_the_distance() {
+fn the_timeout_grows_with_the_distance() {
     let mut timeout = ConnectTimeout::default();
     assert_eq!(timeout.current(), MAX_TIMEOUT);
     for round in 0..100 {
--- a/crates/policy/tests/eject.rs
+++ b/crates/policy/tests/eject.rs
@@ -1,4 +1,4 @@
-//! Ejection in pools of two or three, where chance and an endpoint's own past weigh most.
+//! Ejection in pools of two or three endpoints, where chance and an endpoint's own earlier times matter most.
 
 use std::time::Duration;
 
@@ -30,11 +30,11 @@
     }
 }
 
-// One of two endpoints refuses every call; the other one answers, for a moment more slowly than
-// before. Held against its own past it went out, and callers were refused for six seconds while it
-// was well.
+// One of two endpoints refuses every call; the other answers, for a moment more slowly than before. If it is
+// compared with its own earlier times, it is ejected, and callers are refused for six seconds although it
+// is healthy.
 #[test]
-fn the_only_endpoint_that_answers_is_not_held_against_itself() {
+fn the_only_endpoint_that_answers_is_not_compared_with_itself() {
     let mut pool = pool(2);
     let begin = Moment::ZERO;
     pool.record(&endpoint(0), Outcome::Unknown, begin);
@@ -44,9 +44,9 @@
     assert_eq!(pool.state(&endpoint(1), later), State::Active);
 }
 
-// One of three endpoints turns slow and stays so: it goes out, and the others stay.
+// One of three endpoints becomes slow and stays so. It is ejected, and the others stay in use.
 #[test]
-fn the_slow_one_of_three_goes_out() {
+fn a_slow_endpoint_of_three_is_ejected() {
     let mut pool = pool(3);
     let begin = Moment::ZERO;
     for number in 0..3 {
@@ -62,10 +62,10 @@
     assert_eq!(states, [State::Ejected, State::Active, State::Active]);
 }
 
-// Answers by models of unlike speed take one second or twenty. They end a row of errors and never
-// make an endpoint look slow.
+// Answers of models that differ in speed take one second or twenty. They end a sequence of errors and never
+// make an endpoint count as slow.
 #[test]
-fn answers_whose_time_says_nothing_eject_nobody() {
+fn untimed_answers_eject_no_endpoint() {
     let mut pool = pool(3);
     let now = Moment::ZERO;
     served(&mut pool, 1, 1.0, 5, now);
@@ -84,11 +84,10 @@
     }
 }
 
-// One of three endpoints goes out, then the two others leave. The pool is the one that is out: held
-// out to the end of its time, it left every call waiting for what could not come, while other nodes
-// went on with it.
+// One of three endpoints is ejected, then the two others leave, so that the pool consists of the ejected
+// endpoint. If its ejection lasts to the end, every call waits in vain, while other nodes use the endpoint.
 #[test]
-fn the_last_one_that_stays_is_back_in_use() {
+fn the_last_remaining_endpoint_is_readmitted() {
     let mut pool = pool(3);
     let now = Moment::ZERO;
     failed(&mut pool, 0, now);
@@ -98,8 +97,8 @@
     assert_eq!(pool.ejected(), 0);
 }
 
-// Two of six are out, three of the well ones leave: of the three that stay one may be out, and the
-// one whose time ends first is back.
+// Two of six endpoints are ejected, and three healthy ones leave. Of the three that stay, one may be ejected,
+// so the one whose ejection ends first is readmitted.
 #[test]
 fn a_pool_that_shrinks_keeps_its_bound() {
     let mut pool = pool(6);
@@ -113,9 +112,9 @@
     assert_eq!(states, [State::Active, State::Active, State::Ejected]);
 }
 
-// An endpoint that is out comes back at a known time; one in use is there.
+// An ejected endpoint may be used again at a known time, an active one at once.
 #[test]
-fn an_endpoint_that_is_out_says_when_it_is_back() {
+fn an_ejected_endpoint_reports_when_its_ejection_ends() {
     let mut pool = pool(3);
     let now = Moment::ZERO + Duration::from_secs(1);
     failed(&mut pool, 0, now);
@@ -124,11 +123,11 @@
     assert_eq!(pool.ejected_until(&endpoint(1)), Moment::ZERO);
 }
 
-// One of two endpoints is out; then the other one is cut off. The pool kept to the one that no call
-// reached any more, since the last one never goes out, and callers were refused for seconds beside an
-// endpoint that had come back. They change places.
+// One of two endpoints is ejected, then the other is cut off. As the last endpoint is never ejected, the pool
+// would keep the one that no call reaches, and callers would be refused for seconds beside an endpoint
+// that has recovered. The two are swapped.
 #[test]
-fn the_last_one_in_use_changes_places_once_it_fails() {
+fn the_last_active_endpoint_is_swapped_once_it_fails() {
     let mut pool = pool(2);
     let now = Moment::ZERO;
     failed(&mut pool, 0, now);
@@ -139,9 +138,9 @@
     assert_eq!(pool.ejected(), 1);
 }
 
-// A slow one goes out only where the bound has room: what is out may be worse.
+// A slow endpoint is ejected only within the bound, because an ejected one may be worse.
 #[test]
-fn a_slow_one_does_not_take_the_place_of_one_that_fails() {
+fn a_slow_endpoint_is_not_swapped_with_a_failing_one() {
     let mut pool = pool(3);
     let now = Moment::ZERO;
     failed(&mut pool, 0, now);
--- a/crates/policy/tests/model/mod.rs
+++ b/crates/policy/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A queue model in virtual time: recorded arrivals, fake endpoints, and entry nodes that decide by
-//! the crate's modules. Shared by the tests and the measuring code.
+//! A queue model in virtual time with recorded arrivals, fake endpoints, and entry nodes that decide with
+//! this crate's modules. Shared by the tests and the benchmark.
 #![allow(dead_code, reason = "each test file uses a part of the model")]
 
 pub mod engine;
@@ -33,7 +33,7 @@
         whole(self.unit() * float(count as u64))
     }
 
-    /// The next gap of a Poisson process.
+    /// A gap between two events of a Poisson process with `rate` events per second.
     pub fn gap(&mut self, rate: f64) -> f64 {
         -(1.0 - self.unit()).ln() / rate
     }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -1,4 +1,4 @@
-//! An entry node of the model: the crate's modules put together, each with an off switch.
+//! An entry node of the model: this crate's modules combined, each of which can be switched off.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     LeastInFlight,
 }
 
-/// Which mechanisms are at work.
+/// Which mechanisms are switched on.
 #[derive(Debug, Clone, Copy)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -58,7 +58,7 @@
         choice: Choice::Policy,
     };
 
-    /// First in, first out, without admission, with a fixed limit of one batch an endpoint.
+    /// First in, first out, without admission control, with a fixed limit of one batch per endpoint.
     pub const fn naive(choice: Choice) -> Self {
         Self {
             admission: false,
@@ -73,12 +73,13 @@
 }
 
 /// Round-trip time between zones.
-const ACROSS: Duration = Duration::from_millis(10);
+const ZONE_RTT: Duration = Duration::from_millis(10);
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct LoadReport {
+    /// Calls of other nodes.
     others: u32,
-    at: f64,
+    measured: f64,
 }
 
 #[derive(Debug)]
@@ -94,11 +95,11 @@
     pub customers: Vec<retry::Budget>,
     pub pool: retry::Budget,
     pub tickets: Vec<(queue::Ticket, usize)>,
-    pub redo: VecDeque<usize>,
+    pub retries: VecDeque<usize>,
     pub random: Random,
     endpoints: Vec<id::Endpoint>,
     workspaces: Vec<id::Customer>,
-    seen: Vec<Seen>,
+    reports: Vec<LoadReport>,
     turn: usize,
 }
 
@@ -152,11 +153,11 @@
             customers: vec![retry::Budget::new(retry::Config::default()); CUSTOMERS],
             pool: retry::Budget::new(retry::Config::default()),
             tickets: Vec::new(),
-            redo: VecDeque::new(),
+            retries: VecDeque::new(),
             random,
             endpoints,
             workspaces: (0..CUSTOMERS).map(|c| name("workspace", c)).collect(),
-            seen: vec![Seen::default(); ENDPOINTS],
+            reports: vec![LoadReport::default(); ENDPOINTS],
             turn: number,
         }
     }
@@ -205,11 +206,11 @@
         }
     }
 
-    /// The door: puts the request into the queue, or says when to come back.
-    pub fn enter(
+    /// Admission control: puts the request into the queue, or returns when it may come back.
+    pub fn admit(
         &mut self,
         request: usize,
-        back: bool,
+        returning: bool,
         arrival: &Arrival,
         deadline: f64,
         now: f64,
@@ -218,7 +219,7 @@
         if self.mechanisms.admission {
             let demand = self.demand(arrival, deadline, now);
             let random = self.random.bits();
-            let verdict = if back {
+            let verdict = if returning {
                 self.gate.decide_returning(demand, moment(now), random)
             } else {
                 self.gate.decide(demand, moment(now), random)
@@ -235,15 +236,15 @@
         None
     }
 
-    /// The request that a ticket stands for, which leaves the queue.
-    pub fn take(&mut self, ticket: queue::Ticket) -> usize {
+    /// Removes a ticket that left the queue and returns its request.
+    pub fn remove_ticket(&mut self, ticket: queue::Ticket) -> usize {
         let place = self.tickets.iter().position(|(known, _)| *known == ticket);
         let (_, request) = self.tickets.swap_remove(place.expect("a known ticket"));
         request
     }
 
-    /// When a request that is given up on in the queue may come back.
-    pub fn again(&mut self, arrival: &Arrival, now: f64) -> f64 {
+    /// When a request that expired in the queue may come back.
+    pub fn retry_after(&mut self, arrival: &Arrival, now: f64) -> f64 {
         let demand = self.demand(arrival, now, now);
         let random = self.random.bits();
         self.gate
@@ -269,13 +270,11 @@
         (0..ENDPOINTS).any(|e| self.open(e, now) && self.limiters[e].room() > 0)
     }
 
-    pub fn reported(&mut self, place: usize, load: (u32, u32), measured: f64) {
+    /// Receives the load, running and waiting, that an endpoint measured.
+    pub fn receive_report(&mut self, place: usize, load: (u32, u32), measured: f64) {
         let own = self.limiters[place].flying();
         let others = (load.0 + load.1).saturating_sub(own);
-        self.seen[place] = Seen {
-            others,
-            at: measured,
-        };
+        self.reports[place] = LoadReport { others, measured };
         self.limiters[place].report(limit::Report {
             running: load.0,
             waiting: load.1,
@@ -299,7 +298,7 @@
             return None;
         }
         match self.mechanisms.choice {
-            Choice::Policy => self.policy(arrival, &open, now),
+            Choice::Policy => self.choose_by_policy(arrival, &open, now),
             Choice::RoundRobin => {
                 self.turn += 1;
                 Some(open[self.turn % open.len()])
@@ -315,7 +314,7 @@
         }
     }
 
-    fn policy(&mut self, arrival: &Arrival, open: &[usize], now: f64) -> Option<usize> {
+    fn choose_by_policy(&mut self, arrival: &Arrival, open: &[usize], now: f64) -> Option<usize> {
         let random = self.random.bits();
         let candidate = |e: usize| choice::Candidate {
             key: choice::hash(self.endpoints[e].as_str()),
@@ -323,12 +322,12 @@
             distance: if e % 3 == self.zone {
                 Duration::ZERO
             } else {
-                ACROSS
+                ZONE_RTT
             },
             own: self.limiters[e].flying(),
             limit: self.limiters[e].limit(),
-            others: self.seen[e].others,
-            report_age: Duration::from_secs_f64((now - self.seen[e].at).max(0.0)),
+            others: self.reports[e].others,
+            report_age: Duration::from_secs_f64((now - self.reports[e].measured).max(0.0)),
             run_time: Duration::from_secs_f64(self.limiters[e].pace() * 100.0),
         };
         let candidates: Vec<choice::Candidate> = (0..ENDPOINTS).map(candidate).collect();
--- a/crates/policy/tests/model/quality.rs
+++ b/crates/policy/tests/model/quality.rs
@@ -1,5 +1,5 @@
-//! Requests of unlike difficulty before versions of unlike cost and quality, one of which may turn
-//! bad, and a rating service that may be slow or out.
+//! Simulates requests that differ in difficulty, versions that differ in cost and quality, one of which may
+//! turn bad, and a rating service that may be slow or unavailable.
 
 use std::time::Duration;
 
@@ -16,16 +16,16 @@
 use super::node::moment;
 use super::summary::quantile;
 
-/// Requests a second.
+/// Requests per second.
 const RATE: f64 = 10.0;
-/// Seconds of a run.
+/// Length of a run in seconds.
 const SECONDS: f64 = 600.0;
-/// When a version turns bad, or the rating service goes out or slow.
-pub const TURN: f64 = 300.0;
-/// Customer and class together.
+/// Second at which a version turns bad, or the rating service becomes slow or unavailable.
+pub const FAULT_AT: f64 = 300.0;
+/// Combinations of customer and class.
 const KINDS: usize = 12;
 
-/// A version: what an answer costs, how long it takes, and the share of each class that passes.
+/// A version: the cost of an answer, the seconds it takes, and the share of each class that passes.
 #[derive(Debug, Clone, Copy)]
 pub struct Version {
     pub cost: u64,
@@ -33,7 +33,7 @@
     pub passes: [f64; 3],
 }
 
-/// Cheapest first.
+/// The versions, cheapest first.
 pub const VERSIONS: [Version; 3] = [
     Version {
         cost: 1_000,
@@ -52,43 +52,43 @@
     },
 ];
 
-/// How versions are picked.
+/// How a version is picked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Picking {
     Cascade,
-    /// The same, with a second of waiting worth as much as a call to the middle version.
-    Hurried,
+    /// The cascade with a second of waiting valued like a call to the middle version.
+    LatencyCascade,
     Cheapest,
     Best,
-    /// Cheapest, rated, then best.
+    /// The cheapest, rated, then the best.
     Fixed,
 }
 
-/// What goes wrong at [`TURN`].
+/// A fault at [`FAULT_AT`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     None,
-    /// The version passes a fifth of what it passed.
-    Bad(usize),
+    /// The version passes a fifth of its former share.
+    BadVersion(usize),
     /// Ratings take five seconds.
-    Slow,
-    /// No ratings.
-    Out,
+    SlowRatings,
+    /// There are no ratings.
+    NoRatings,
 }
 
 /// What callers received.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Result {
-    /// Share of answers that were good enough, whether rated or not.
+    /// Share of answers that were good enough, rated or not.
     pub quality: f64,
-    /// The same after the turn.
-    pub after: f64,
+    /// The same after [`FAULT_AT`].
+    pub quality_after: f64,
     /// Mean cost in thousandths of the currency unit.
     pub cost: f64,
-    /// Seconds for the whole answer, 95 in 100.
+    /// 95th percentile of the seconds until the whole answer.
     pub p95: f64,
-    /// Bad answers of the bad version that callers got.
-    pub exposed: u64,
+    /// Number of bad answers from the bad version that callers received.
+    pub bad_answers: u64,
     /// Share of answers rated before release.
     pub rated: f64,
 }
@@ -98,7 +98,7 @@
 
 struct Run {
     random: Random,
-    trouble: Trouble,
+    fault: Fault,
     estimates: Vec<Estimate>,
 }
 
@@ -111,7 +111,7 @@
 }
 
 /// Runs 6,000 requests.
-pub fn run(picking: Picking, trouble: Trouble, seed: u64) -> Result {
+pub fn run(picking: Picking, fault: Fault, seed: u64) -> Result {
     let prior = VERSIONS.map(|v| v.passes.iter().sum::<f64>() / 3.0);
     let estimate = |kind: usize| {
         let quality = Share::try_from(prior[kind % VERSIONS.len()]).expect("a share");
@@ -119,22 +119,22 @@
     };
     let mut run = Run {
         random: Random(seed),
-        trouble,
+        fault,
         estimates: (0..KINDS * VERSIONS.len()).map(estimate).collect(),
     };
     let mut at = 0.0;
-    let (mut all, mut late) = (Vec::new(), Vec::new());
+    let (mut all, mut after) = (Vec::new(), Vec::new());
     let mut result = Result::default();
     let mut times = Vec::new();
     while at < SECONDS {
         at += run.random.gap(RATE);
         let answered = run.serve(picking, at);
         all.push(answered.good);
-        if at > TURN {
-            late.push(answered.good);
+        if at > FAULT_AT {
+            after.push(answered.good);
         }
-        let bad = run.trouble == Trouble::Bad(answered.version) && at > TURN;
-        result.exposed += u64::from(bad && !answered.good);
+        let bad = run.fault == Fault::BadVersion(answered.version) && at > FAULT_AT;
+        result.bad_answers += u64::from(bad && !answered.good);
         result.cost += float(answered.cost) / 1_000.0;
         result.rated += f64::from(u8::from(answered.rated));
         times.push(answered.time);
@@ -144,7 +144,7 @@
         float(good as u64) / float(answers.len() as u64)
     };
     result.quality = share(&all);
-    result.after = share(&late);
+    result.quality_after = share(&after);
     result.cost /= float(all.len() as u64);
     result.rated /= float(all.len() as u64);
     result.p95 = quantile(&mut times, 0.95);
@@ -152,40 +152,42 @@
 }
 
 impl Run {
-    /// How long a rating takes now; none if the service is out.
+    /// How long a rating takes now; none if the service is unavailable.
     fn rating(&self, at: f64) -> Option<Duration> {
-        match self.trouble {
-            Trouble::Out if at > TURN => None,
-            Trouble::Slow if at > TURN => Some(Duration::from_secs(5)),
+        match self.fault {
+            Fault::NoRatings if at > FAULT_AT => None,
+            Fault::SlowRatings if at > FAULT_AT => Some(Duration::from_secs(5)),
             _ => Some(Duration::from_millis(200)),
         }
     }
 
-    /// Half of a request's difficulty is its own and half is luck, so that one that failed at a
-    /// version is likelier to fail at the next.
-    fn passes(&mut self, version: usize, class: usize, hard: f64, at: f64) -> bool {
-        let bad = self.trouble == Trouble::Bad(version) && at > TURN;
+    /// Whether an answer passes. In half of the cases the request's own difficulty decides and in the
+    /// other half chance, so that a request that failed at one version is likelier to fail at the next.
+    fn passes(&mut self, version: usize, class: usize, difficulty: f64, at: f64) -> bool {
+        let bad = self.fault == Fault::BadVersion(version) && at > FAULT_AT;
         let share = VERSIONS[version].passes[class] * if bad { 0.2 } else { 1.0 };
-        let place = if self.random.unit() < 0.5 {
-            hard
+        let draw = if self.random.unit() < 0.5 {
+            difficulty
         } else {
             self.random.unit()
         };
-        place < share
+        draw < share
     }
 
     fn serve(&mut self, picking: Picking, at: f64) -> Answered {
         let kind = self.random.below(KINDS);
         let class = kind % 3;
-        let hard = self.random.unit();
+        let difficulty = self.random.unit();
         let last = VERSIONS.len() - 1;
         match picking {
-            Picking::Cascade => self.cascade(kind, hard, at, Money::ZERO),
-            Picking::Hurried => self.cascade(kind, hard, at, Money::from_micros(4_000)),
-            Picking::Cheapest => self.once(0, class, hard, at),
-            Picking::Best => self.once(last, class, hard, at),
+            Picking::Cascade => self.cascade(kind, difficulty, at, Money::ZERO),
+            Picking::LatencyCascade => {
+                self.cascade(kind, difficulty, at, Money::from_micros(4_000))
+            }
+            Picking::Cheapest => self.call(0, class, difficulty, at),
+            Picking::Best => self.call(last, class, difficulty, at),
             Picking::Fixed => {
-                let first = self.once(0, class, hard, at);
+                let first = self.call(0, class, difficulty, at);
                 let Some(rating) = self.rating(at) else {
                     return first;
                 };
@@ -196,7 +198,7 @@
                         ..first
                     };
                 }
-                let second = self.once(last, class, hard, at);
+                let second = self.call(last, class, difficulty, at);
                 Answered {
                     cost: first.cost + second.cost,
                     time: first.time + second.time + 2.0 * rating.as_secs_f64(),
@@ -207,8 +209,8 @@
         }
     }
 
-    fn once(&mut self, version: usize, class: usize, hard: f64, at: f64) -> Answered {
-        let good = self.passes(version, class, hard, at);
+    fn call(&mut self, version: usize, class: usize, difficulty: f64, at: f64) -> Answered {
+        let good = self.passes(version, class, difficulty, at);
         let Version { cost, run, .. } = VERSIONS[version];
         Answered {
             good,
@@ -219,11 +221,11 @@
         }
     }
 
-    fn cascade(&mut self, kind: usize, hard: f64, at: f64, second: Money) -> Answered {
+    fn cascade(&mut self, kind: usize, difficulty: f64, at: f64, second: Money) -> Answered {
         let mut usable = [true; VERSIONS.len()];
-        let mut got: Option<Answered> = None;
+        let mut last_answer: Option<Answered> = None;
         loop {
-            let (cost, time) = got.as_ref().map_or((0, 0.0), |g| (g.cost, g.time));
+            let (cost, time) = last_answer.as_ref().map_or((0, 0.0), |g| (g.cost, g.time));
             let terms = Terms {
                 target: Share::try_from(TARGET).expect("a share"),
                 budget: Money::from_micros(40_000),
@@ -233,9 +235,9 @@
             };
             let candidates = self.candidates(kind, usable, at);
             let Some(plan) = cascade::plan(&candidates, &terms) else {
-                return got.expect("a first answer");
+                return last_answer.expect("a first answer");
             };
-            let mut step = self.once(plan.step, kind % 3, hard, at);
+            let mut step = self.call(plan.step, kind % 3, difficulty, at);
             step.cost += cost;
             step.time += time;
             usable[plan.step] = false;
@@ -253,7 +255,7 @@
             if step.good || usable == [false; VERSIONS.len()] {
                 return step;
             }
-            got = Some(step);
+            last_answer = Some(step);
         }
     }
 
--- a/crates/policy/tests/model/scenario.rs
+++ b/crates/policy/tests/model/scenario.rs
@@ -1,4 +1,5 @@
-//! Scenarios: a TOML file with the recipe, faults and stated outcome, and recorded arrivals beside.
+//! Scenarios: each has a TOML file with the recipe, the faults and the expected outcome, and a CSV file with
+//! the recorded arrivals.
 
 use std::fmt::Write;
 use std::fs;
@@ -7,8 +8,8 @@
 use serde::Deserialize;
 
 use super::Random;
-use super::engine::FULL;
-use super::engine::PREFILL;
+use super::engine::BATCH_RATE;
+use super::engine::PREFILL_RATIO;
 use super::float;
 use super::whole;
 
@@ -16,15 +17,15 @@
 pub const ENDPOINTS: usize = 12;
 /// Customers of a deployment.
 pub const CUSTOMERS: usize = 10;
-/// Their shares of the load: a few are large.
+/// Shares of the load by customer; a few are large.
 pub const SHARES: [f64; CUSTOMERS] = [0.22, 0.18, 0.14, 0.1, 0.08, 0.08, 0.06, 0.06, 0.04, 0.04];
 
-/// Share of a prompt's work that is left when four of five prompts find their prefix in a cache.
-pub const FRESH: f64 = 0.36;
+/// Share of prefill work that remains when four of five prompts find their prefix in a cache.
+pub const UNCACHED: f64 = 0.36;
 
-/// The work by which load and capacity are compared.
+/// Work of a request in generated tokens, by which load and capacity are compared.
 pub fn work(input: f64, output: f64) -> f64 {
-    output + input * FRESH / PREFILL
+    output + input * UNCACHED / PREFILL_RATIO
 }
 
 /// A class of requests.
@@ -37,8 +38,8 @@
     pub output: f64,
 }
 
-/// Stock answers, summaries and reviews at Nyabarongo; briefings, inspections and plans at
-/// Rybníkář, alike in size.
+/// Stock answers, summaries and reviews at Nyabarongo; briefings, inspections and plans at Rybníkář, of
+/// about the same sizes.
 pub const CLASSES: [Class; 3] = [
     Class {
         name: "short",
@@ -66,13 +67,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// So many times slower.
+    /// Slower by this factor.
     Slow(f64),
-    /// Takes calls and never answers.
+    /// Accepts calls and never answers.
     Hang,
     /// Fails this share of calls at once.
     Fail(f64),
-    /// Can't be reached.
+    /// Unreachable.
     Gone,
 }
 
@@ -91,41 +92,42 @@
     pub times: f64,
 }
 
-/// How the arrivals were made.
+/// How the arrivals are generated.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Recipe {
     pub seed: u64,
     pub seconds: f64,
-    /// Load over capacity.
+    /// Load as a multiple of capacity.
     pub load: f64,
     pub mix: [f64; 3],
     pub burst: Option<Burst>,
-    /// A customer at a multiple of its share.
+    /// Multiple of its share at which one customer sends.
     pub hot_customer: Option<f64>,
-    /// Share of all requests that carry one prefix.
+    /// Share of all requests that carry the same prefix.
     #[serde(default)]
     pub hot_prefix: f64,
 }
 
-/// What callers must receive.
+/// Expected outcome: bounds on what callers receive.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Outcome {
-    /// Least share of all requests served in time.
+    /// Minimum share of all requests served in time.
     pub served: Option<f64>,
-    /// Least share served in time of the customer that fares worst, the hot one left out.
+    /// Minimum share served in time for the customer that fares worst, except for the hot one.
     pub worst: Option<f64>,
-    /// Most seconds to the first token for 95 in 100 short requests.
+    /// Maximum of the 95th percentile of seconds to the first token, for short requests.
     pub short_p95: Option<f64>,
-    /// Least goodput in shares of capacity.
+    /// Minimum goodput as a share of capacity.
     pub goodput: Option<f64>,
-    /// Most seconds until 99 in 100 of the refused hear of it.
+    /// Maximum of the 99th percentile of seconds until a refused request is answered.
     pub refusal_p99: Option<f64>,
-    /// Least share served of those who come back when told.
-    pub truth: Option<f64>,
-    /// Most attempts for each request that got any.
+    /// Minimum share served of the requests that come back after their `Retry-After`.
+    #[serde(rename = "truth")]
+    pub returning_served: Option<f64>,
+    /// Maximum mean number of attempts of the requests that were sent.
     pub attempts: Option<f64>,
-    /// Most work for each token of work served.
+    /// Maximum work of the engines per token of work served.
     pub cost: Option<f64>,
 }
 
@@ -136,7 +138,7 @@
     pub deployment: String,
     pub about: String,
     pub nodes: usize,
-    /// Seconds until a load report arrives.
+    /// Delay of load reports in seconds.
     pub lag: f64,
     pub recipe: Recipe,
     #[serde(default)]
@@ -158,7 +160,7 @@
     pub prefix: u64,
 }
 
-/// All scenarios, in the order of the table.
+/// All scenarios, in the order of the benchmark's output.
 pub const NAMES: [&str; 11] = [
     "nyabarongo-burst",
     "rybnikar-overload",
@@ -182,7 +184,7 @@
 }
 
 impl Scenario {
-    /// The scenario without its arrivals.
+    /// Loads the scenario without its arrivals.
     pub fn recipe(name: &str) -> Self {
         let file = folder().join(format!("{name}.toml"));
         let text = fs::read_to_string(&file).unwrap_or_else(|e| panic!("{}: {e}", file.display()));
@@ -191,10 +193,10 @@
         scenario
     }
 
-    /// The scenario with its recorded arrivals.
+    /// Loads the scenario with its recorded arrivals.
     pub fn load(name: &str) -> Self {
         let mut scenario = Self::recipe(name);
-        scenario.arrivals = scenario.recorded().lines().skip(1).map(read).collect();
+        scenario.arrivals = scenario.recorded().lines().skip(1).map(parse).collect();
         scenario
     }
 
@@ -203,13 +205,13 @@
         fs::read_to_string(trace(&self.name)).unwrap_or_else(|e| panic!("{}: {e}", self.name))
     }
 
-    /// Makes the arrivals by the recipe.
+    /// Generates the arrivals by the recipe.
     pub fn generate(&self) -> Vec<Arrival> {
         let recipe = &self.recipe;
         let mut random = Random(recipe.seed);
         let parts = CLASSES.iter().zip(recipe.mix);
         let mean: f64 = parts.map(|(c, part)| part * work(c.input, c.output)).sum();
-        let rate = recipe.load * FULL * float(ENDPOINTS as u64) / mean;
+        let rate = recipe.load * BATCH_RATE * float(ENDPOINTS as u64) / mean;
         let mut arrivals = Vec::new();
         for (customer, share) in SHARES.iter().enumerate() {
             let hot = recipe.hot_customer.filter(|_| customer == 3).unwrap_or(1.0);
@@ -249,7 +251,7 @@
         text
     }
 
-    /// Writes the trace file anew.
+    /// Generates and writes the trace file.
     pub fn write(&self) {
         let text = Self::text(&self.generate());
         fs::write(trace(&self.name), text).unwrap_or_else(|e| panic!("{}: {e}", self.name));
@@ -257,11 +259,11 @@
 }
 
 fn draw(random: &mut Random, at: f64, customer: usize, recipe: &Recipe) -> Arrival {
-    let place = random.unit();
-    let class = if place < recipe.mix[0] {
+    let position = random.unit();
+    let class = if position < recipe.mix[0] {
         0
     } else {
-        1 + usize::from(place >= recipe.mix[0] + recipe.mix[1])
+        1 + usize::from(position >= recipe.mix[0] + recipe.mix[1])
     };
     let Class { input, output, .. } = CLASSES[class];
     let mut size = |mean: f64| (mean * (0.4 + 1.2 * random.unit())).round();
@@ -284,7 +286,7 @@
     }
 }
 
-fn read(line: &str) -> Arrival {
+fn parse(line: &str) -> Arrival {
     let fields: Vec<u64> = line
         .split(',')
         .map(|f| f.parse().expect("a number"))
--- a/crates/policy/tests/model/spend.rs
+++ b/crates/policy/tests/model/spend.rs
@@ -1,12 +1,12 @@
-//! Six nodes spend one customer's money out of grants; at a second one is cut off from the log and
-//! one dies.
+//! Simulates six nodes that spend one customer's money out of grants. At a given second, one is cut off from
+//! the log and another crashes.
 
 use pimento_policy::budget::Config;
 use pimento_policy::budget::Grants;
 use pimento_units::Moment;
 use pimento_units::Money;
 
-/// The fold of the grants stream, cut down to its rule.
+/// The fold of the grants stream, reduced to its rule.
 struct Fold {
     limit: Money,
     granted: Money,
@@ -28,15 +28,15 @@
 
 pub const NODES: u32 = 6;
 
-/// What one call can cost at most, and what it does cost.
-const MOST: u64 = 900;
+/// Maximum and actual cost of one call.
+const MAX_COST: u64 = 900;
 const COST: u64 = 500;
 
 pub fn money(micros: u64) -> Money {
     Money::from_micros(micros)
 }
 
-/// Nodes 0 and 1 may stop reaching the log at a second; node 1 dies then.
+/// Result of a run in which node 0 is cut off from the log and node 1 crashes at a given second.
 pub struct Run {
     pub spent: Money,
     pub stranded: Money,
@@ -58,14 +58,14 @@
             if cut && number == 1 {
                 continue;
             }
-            if let Some(reservation) = node.reserve(money(MOST)) {
+            if let Some(reservation) = node.reserve(money(MAX_COST)) {
                 node.settle(reservation, money(COST), now);
                 served += 1;
             } else {
                 refused += 1;
             }
-            let reaches = !(cut && number == 0);
-            if let Some(amount) = node.request(fold.left(), NODES, now).filter(|_| reaches) {
+            let connected = !(cut && number == 0);
+            if let Some(amount) = node.request(fold.left(), NODES, now).filter(|_| connected) {
                 if fold.grant(amount) {
                     node.add(amount);
                 } else {
@@ -77,10 +77,10 @@
         }
     }
     let spent: Money = nodes.iter().map(Grants::spent).sum();
-    let unspent: Money = nodes.iter().map(Grants::available).sum();
+    let stranded: Money = nodes.iter().map(Grants::available).sum();
     Run {
         spent,
-        stranded: unspent,
+        stranded,
         served,
         refused,
     }
--- a/crates/policy/tests/model/summary.rs
+++ b/crates/policy/tests/model/summary.rs
@@ -1,6 +1,6 @@
-//! What callers received, in figures.
+//! Figures on what callers received.
 
-use super::engine::FULL;
+use super::engine::BATCH_RATE;
 use super::float;
 use super::scenario;
 use super::scenario::CUSTOMERS;
@@ -17,34 +17,36 @@
     pub served: f64,
     /// The same for each customer.
     pub customers: Vec<f64>,
-    /// Seconds to the first token of served short requests: 50, 95 and 99 in 100.
+    /// 50th, 95th and 99th percentiles of the seconds to the first token, for served short requests.
     pub short: [f64; 3],
-    /// The same of all served requests.
+    /// The same for all served requests.
     pub all: [f64; 3],
-    /// Work of the served, in shares of the capacity while requests came in.
+    /// Work of the served requests, as a share of the capacity while requests arrived.
     pub goodput: f64,
-    /// Work that the engines did, in shares of what they could while requests came in.
-    pub busy: f64,
-    /// Share refused, share late or failed.
+    /// Work that the engines did, as a share of what they could do while requests arrived.
+    pub utilization: f64,
+    /// Share of all requests refused.
     pub refused: f64,
+    /// Share of all requests that were late or failed.
     pub lost: f64,
-    /// Seconds until 99 in 100 of the refused heard of it.
+    /// 99th percentile of the seconds until a refused request was answered.
     pub refusal_p99: f64,
-    /// Share served of those who came back when told.
-    pub truth: Option<f64>,
-    /// The same of those who came back while new requests still came in.
-    pub pressed: Option<f64>,
-    /// Attempts for each request that got any.
+    /// Share served of the requests that came back after their `Retry-After`.
+    pub returning_served: Option<f64>,
+    /// The same for those that came back while new requests still arrived.
+    pub returning_served_under_load: Option<f64>,
+    /// Mean number of attempts of the requests that were sent.
     pub attempts: f64,
-    /// Work that the engines did for each token of work served in time: losing attempts, late
-    /// answers and prompts read without a cached prefix raise it.
+    /// Work of the engines per token of work served in time. Hedges that lost, late answers and uncached
+    /// prefixes raise it.
     pub cost: f64,
-    /// Parts of all work: on calls that were cancelled, on prompts read without a cached prefix.
+    /// Share of all work that was done for calls that were cancelled.
     pub wasted: f64,
-    pub missed: f64,
+    /// Share of all work that was done for uncached prefixes.
+    pub cache_misses: f64,
 }
 
-/// The value that `share` of the sorted values don't exceed; zero if there are none.
+/// The value that `share` of the values don't exceed; zero if there are none. Sorts the values.
 pub fn quantile(values: &mut [f64], share: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let last = values.len().saturating_sub(1);
@@ -77,7 +79,7 @@
     scenario::work(float(request.arrival.input), float(request.arrival.output))
 }
 
-/// The part of a request's work that fell between `from` and `to`, taken as even from the first
+/// The part of a request's work that was done between `from` and `to`, assuming an even rate from the first
 /// token to the last.
 fn within(request: &Request, from: f64, to: f64) -> f64 {
     let began = request.first.unwrap_or(request.ended);
@@ -86,18 +88,18 @@
     work(request) * (overlap / run).clamp(0.0, 1.0)
 }
 
-/// Seconds at the start that goodput leaves out, while the pool fills.
-const START: f64 = 10.0;
+/// Seconds at the start that goodput excludes, while the pool fills.
+const WARM_UP: f64 = 10.0;
 
-/// Seconds to the first token of the served that `fits` lets through.
-pub fn waits(world: &World, fits: impl Fn(&Request) -> bool) -> Vec<f64> {
-    let served = world.requests.iter().filter(|r| served(r) && fits(r));
+/// Seconds to the first token for the served requests that match `filter`.
+pub fn waits(world: &World, filter: impl Fn(&Request) -> bool) -> Vec<f64> {
+    let served = world.requests.iter().filter(|r| served(r) && filter(r));
     served
         .filter_map(|r| Some(r.first? - r.arrival.at))
         .collect()
 }
 
-fn three(mut waits: Vec<f64>) -> [f64; 3] {
+fn percentiles(mut waits: Vec<f64>) -> [f64; 3] {
     [0.5, 0.95, 0.99].map(|share| quantile(&mut waits, share))
 }
 
@@ -108,7 +110,7 @@
             .iter()
             .filter(|r| r.origin.is_none())
             .collect();
-        let back = world.requests.iter().filter(|r| r.origin.is_some());
+        let returning = world.requests.iter().filter(|r| r.origin.is_some());
         let of = |customer| {
             first
                 .iter()
@@ -118,31 +120,35 @@
         let done: f64 = world.requests.iter().filter(|r| served(r)).map(work).sum();
         let end = scenario.recipe.seconds;
         let served_all = world.requests.iter().filter(|r| served(r));
-        let steady: f64 = served_all.map(|r| within(r, START, end)).sum();
-        let capacity = FULL * float(ENDPOINTS as u64) * (end - START);
+        let steady: f64 = served_all.map(|r| within(r, WARM_UP, end)).sum();
+        let capacity = BATCH_RATE * float(ENDPOINTS as u64) * (end - WARM_UP);
         let refusals = world.requests.iter().filter(|r| refused(r));
-        let mut heard: Vec<f64> = refusals.map(|r| r.ended - r.arrival.at).collect();
-        let tried: Vec<&Request> = world.requests.iter().filter(|r| r.attempts > 0).collect();
-        let attempts: u64 = tried.iter().map(|r| u64::from(r.attempts)).sum();
+        let mut refusal_times: Vec<f64> = refusals.map(|r| r.ended - r.arrival.at).collect();
+        let attempted: Vec<&Request> = world.requests.iter().filter(|r| r.attempts > 0).collect();
+        let attempts: u64 = attempted.iter().map(|r| u64::from(r.attempts)).sum();
         let spent: f64 = world.engines.iter().map(|e| e.served).sum();
-        let pressed = back.clone().filter(|r| r.arrival.at < end);
+        let under_load = returning.clone().filter(|r| r.arrival.at < end);
         let returned = world.requests.iter().any(|r| r.origin.is_some());
         Self {
             served: share(first.iter().copied(), served),
             customers: (0..CUSTOMERS).map(|c| share(of(c), served)).collect(),
-            short: three(waits(world, |r| r.arrival.class == 0)),
-            all: three(waits(world, |_| true)),
+            short: percentiles(waits(world, |r| r.arrival.class == 0)),
+            all: percentiles(waits(world, |_| true)),
             goodput: steady / capacity,
-            busy: world.busy / (FULL * float(ENDPOINTS as u64) * end),
+            utilization: world.work_done / (BATCH_RATE * float(ENDPOINTS as u64) * end),
             refused: share(first.iter().copied(), refused),
             lost: share(first.iter().copied(), |r| !served(r) && !refused(r)),
-            refusal_p99: quantile(&mut heard, 0.99),
-            pressed: pressed.clone().next().map(|_| share(pressed, served)),
-            truth: returned.then(|| share(back, served)),
-            attempts: float(attempts) / float(tried.len().max(1) as u64),
+            refusal_p99: quantile(&mut refusal_times, 0.99),
+            returning_served_under_load: under_load
+                .clone()
+                .next()
+                .map(|_| share(under_load, served)),
+            returning_served: returned.then(|| share(returning, served)),
+            attempts: float(attempts) / float(attempted.len().max(1) as u64),
             cost: spent / done.max(1.0),
             wasted: world.engines.iter().map(|e| e.wasted).sum::<f64>() / spent.max(1.0),
-            missed: world.engines.iter().map(|e| e.missed).sum::<f64>() / spent.max(1.0),
+            cache_misses: world.engines.iter().map(|e| e.cache_misses).sum::<f64>()
+                / spent.max(1.0),
         }
     }
 
@@ -170,20 +176,20 @@
                 of(|run| run.all[2]),
             ],
             goodput: of(|run| run.goodput),
-            busy: of(|run| run.busy),
+            utilization: of(|run| run.utilization),
             refused: of(|run| run.refused),
             lost: of(|run| run.lost),
             refusal_p99: of(|run| run.refusal_p99),
-            truth: known(|run| run.truth),
-            pressed: known(|run| run.pressed),
+            returning_served: known(|run| run.returning_served),
+            returning_served_under_load: known(|run| run.returning_served_under_load),
             attempts: of(|run| run.attempts),
             cost: of(|run| run.cost),
             wasted: of(|run| run.wasted),
-            missed: of(|run| run.missed),
+            cache_misses: of(|run| run.cache_misses),
         }
     }
 
-    /// The customer that fares worst, the hot one left out if there is one.
+    /// Share served of the customer that fares worst, except for the hot one if there is one.
     pub fn worst(&self, scenario: &Scenario) -> f64 {
         let hot = scenario.recipe.hot_customer.map(|_| 3);
         let others = self
@@ -195,16 +201,17 @@
     }
 }
 
-/// What became of the requests of one class.
+/// Outcomes of the requests of one class.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counts {
     pub served: usize,
-    /// Refused at the door, within a tenth of a second.
+    /// Refused on arrival, within a tenth of a second.
     pub refused: usize,
     /// Refused after waiting.
     pub expired: usize,
-    /// Given up on by the caller before or after it was sent.
+    /// Timed out before it was sent.
     pub late: usize,
+    /// Timed out after it was sent.
     pub cut: usize,
     pub failed: usize,
 }
@@ -214,7 +221,7 @@
         let mut counts = Self::default();
         let first = world.requests.iter().filter(|r| r.origin.is_none());
         for request in first.filter(|r| r.arrival.class == class) {
-            let place = match request.answer {
+            let count = match request.answer {
                 Answer::Served => &mut counts.served,
                 Answer::Refused { .. } if request.ended - request.arrival.at < 0.1 => {
                     &mut counts.refused
@@ -224,7 +231,7 @@
                 Answer::Late | Answer::Pending => &mut counts.late,
                 Answer::Failed => &mut counts.failed,
             };
-            *place += 1;
+            *count += 1;
         }
         counts
     }
--- a/crates/policy/tests/model/world.rs
+++ b/crates/policy/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The event loop: arrivals meet nodes, attempts meet engines, and callers get answers.
+//! The event loop: arrivals reach nodes, attempts reach engines, and callers get answers.
 
 mod attempts;
 
@@ -23,27 +23,27 @@
 use super::whole;
 
 /// Seconds between measurements of an engine's load.
-const MEASURE: f64 = 0.5;
-/// Seconds between a node's looks at its queue.
-const TICK: f64 = 0.05;
-/// One-way delay within a zone and between zones.
+const MEASURE_INTERVAL: f64 = 0.5;
+/// Seconds between a node's checks of its queue.
+const TICK_INTERVAL: f64 = 0.05;
+/// One-way delays in seconds within a zone and between zones.
 const DELAYS: [f64; 2] = [0.0005, 0.005];
-/// Seconds that the world goes on after the last recorded arrival.
-const AFTER: f64 = 300.0;
-/// How long an attempt that can't succeed takes to fail.
-const FAILING: f64 = 0.005;
+/// Seconds that the run continues after the last recorded arrival.
+const DRAIN_TIME: f64 = 300.0;
+/// Seconds until an attempt that can't succeed fails.
+const FAILURE_DELAY: f64 = 0.005;
 
 /// What a caller received.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Answer {
     Pending,
     Served,
-    /// The caller's timeout ran out.
+    /// The caller's timeout expired.
     Late,
     Refused {
         after: f64,
     },
-    /// An error, with no way to try again.
+    /// An error that is not retried.
     Failed,
 }
 
@@ -56,11 +56,11 @@
     pub first: Option<f64>,
     pub ended: f64,
     pub attempts: u32,
-    /// The request that this one is a repetition of, after `Retry-After`.
+    /// The refused request that this one repeats after `Retry-After`.
     pub origin: Option<usize>,
     node: usize,
     tried: Vec<usize>,
-    live: Vec<usize>,
+    open_attempts: Vec<usize>,
     dispatch: Option<queue::Dispatch>,
 }
 
@@ -85,7 +85,7 @@
     Report(usize, (u32, u32), u64),
     Tick,
     Hedge(usize),
-    Silence(usize),
+    FirstTokenTimeout(usize),
     Deadline(usize),
 }
 
@@ -93,12 +93,12 @@
     pub requests: Vec<Request>,
     pub engines: Vec<Engine>,
     pub nodes: Vec<Node>,
-    /// Work that all engines did while requests came in.
-    pub busy: f64,
-    /// The most calls that one engine held, running and waiting.
-    pub peak: u32,
+    /// Work that all engines did while requests arrived.
+    pub work_done: f64,
+    /// The most calls that one engine held at once, running and waiting.
+    pub peak_calls: u32,
     /// The most endpoints that one node had ejected at once.
-    pub out: usize,
+    pub peak_ejected: usize,
     attempts: Vec<Attempt>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
@@ -130,19 +130,19 @@
             requests: Vec::new(),
             engines,
             nodes: (0..scenario.nodes).map(node).collect(),
-            busy: 0.0,
-            peak: 0,
-            out: 0,
+            work_done: 0.0,
+            peak_calls: 0,
+            peak_ejected: 0,
             attempts: Vec::new(),
             events: BinaryHeap::new(),
             sequence: 0,
             now: 0.0,
             lag: scenario.lag,
-            end: scenario.arrivals.last().map_or(0.0, |a| a.at) + AFTER,
+            end: scenario.arrivals.last().map_or(0.0, |a| a.at) + DRAIN_TIME,
             random: Random(seed),
         };
         for arrival in &scenario.arrivals {
-            world.expect(*arrival, None);
+            world.add_request(*arrival, None);
         }
         for fault in scenario.faults.iter().filter(|f| f.kind == Kind::Gone) {
             world.at(fault.from, Event::Lose(fault.endpoint));
@@ -158,7 +158,7 @@
         self.events.push(Reverse((nanos, self.sequence, event)));
     }
 
-    fn expect(&mut self, arrival: Arrival, origin: Option<usize>) {
+    fn add_request(&mut self, arrival: Arrival, origin: Option<usize>) {
         let node = self.random.below(self.nodes.len());
         self.requests.push(Request {
             arrival,
@@ -169,7 +169,7 @@
             origin,
             node,
             tried: Vec::new(),
-            live: Vec::new(),
+            open_attempts: Vec::new(),
             dispatch: None,
         });
         let request = self.requests.len() - 1;
@@ -196,14 +196,14 @@
                 let measured = float(measured) / 1e9;
                 self.nodes
                     .iter_mut()
-                    .for_each(|n| n.reported(engine, load, measured));
+                    .for_each(|n| n.receive_report(engine, load, measured));
             }
             Event::Tick => self.tick(),
             Event::Hedge(attempt) => self.hedge(attempt),
-            Event::Silence(attempt) => self.silent(attempt),
+            Event::FirstTokenTimeout(attempt) => self.first_token_timeout(attempt),
             Event::Deadline(request) => {
                 if self.requests[request].answer == Answer::Pending {
-                    self.give_up(request, Answer::Late);
+                    self.abandon(request, Answer::Late);
                 }
             }
         }
@@ -212,8 +212,8 @@
     fn arrive(&mut self, request: usize) {
         let Request { arrival, node, .. } = self.requests[request];
         let deadline = arrival.at + CLASSES[arrival.class].timeout;
-        let back = self.requests[request].origin.is_some();
-        let refused = self.nodes[node].enter(request, back, &arrival, deadline, self.now);
+        let returning = self.requests[request].origin.is_some();
+        let refused = self.nodes[node].admit(request, returning, &arrival, deadline, self.now);
         match refused {
             Some(after) => self.refuse(request, after),
             None => self.dispatch(node),
@@ -225,7 +225,7 @@
         self.requests[request].ended = self.now;
         if self.requests[request].origin.is_none() {
             let at = self.now + after;
-            self.expect(
+            self.add_request(
                 Arrival {
                     at,
                     ..self.requests[request].arrival
@@ -239,50 +239,50 @@
         let now = moment(self.now);
         for number in 0..self.nodes.len() {
             for ticket in self.nodes[number].queue.expire(now) {
-                let request = self.nodes[number].take(ticket);
+                let request = self.nodes[number].remove_ticket(ticket);
                 if self.nodes[number].mechanisms.admission {
                     let arrival = self.requests[request].arrival;
-                    let after = self.nodes[number].again(&arrival, self.now);
+                    let after = self.nodes[number].retry_after(&arrival, self.now);
                     self.refuse(request, after);
                 }
             }
             self.dispatch(number);
         }
         if self.now < self.end {
-            self.at(self.now + TICK, Event::Tick);
+            self.at(self.now + TICK_INTERVAL, Event::Tick);
         }
     }
 
-    /// Calls sent to an endpoint between two times.
+    /// Number of calls sent to an endpoint between two times.
     pub fn sent(&self, endpoint: usize, from: f64, to: f64) -> usize {
         let sent = |a: &&Attempt| a.endpoint == endpoint && from <= a.sent && a.sent < to;
         self.attempts.iter().filter(sent).count()
     }
 
     fn measure(&mut self) {
-        let out = self.nodes.iter().map(|node| node.health.ejected()).max();
-        self.out = self.out.max(out.unwrap_or(0));
-        if self.now <= self.end - AFTER {
-            self.busy = self.engines.iter().map(|engine| engine.served).sum();
+        let ejected = self.nodes.iter().map(|node| node.health.ejected()).max();
+        self.peak_ejected = self.peak_ejected.max(ejected.unwrap_or(0));
+        if self.now <= self.end - DRAIN_TIME {
+            self.work_done = self.engines.iter().map(|engine| engine.served).sum();
         }
         for engine in 0..ENDPOINTS {
             if self.engines[engine].fault(self.now) == Some(Kind::Gone) {
                 continue;
             }
             let load = self.engines[engine].load();
-            self.peak = self.peak.max(load.0 + load.1);
+            self.peak_calls = self.peak_calls.max(load.0 + load.1);
             let measured = whole(self.now * 1e9) as u64;
             self.at(self.now + self.lag, Event::Report(engine, load, measured));
         }
         if self.now < self.end {
-            self.at(self.now + MEASURE, Event::Measure);
+            self.at(self.now + MEASURE_INTERVAL, Event::Measure);
         }
     }
 
-    /// Sends as long as there is work and a free slot; requests to be tried again go first.
+    /// Sends requests while there is work and a free slot; retries go first.
     fn dispatch(&mut self, number: usize) {
         while self.nodes[number].free(self.now) {
-            let request = if let Some(request) = self.nodes[number].redo.pop_front() {
+            let request = if let Some(request) = self.nodes[number].retries.pop_front() {
                 request
             } else {
                 let node = &mut self.nodes[number];
@@ -290,7 +290,7 @@
                 let Some(dispatch) = node.queue.next(moment(self.now), slots) else {
                     return;
                 };
-                let request = node.take(dispatch.ticket);
+                let request = node.remove_ticket(dispatch.ticket);
                 self.requests[request].dispatch = Some(dispatch);
                 request
             };
@@ -298,13 +298,13 @@
                 continue;
             }
             if !self.send(request) {
-                self.nodes[number].redo.push_front(request);
+                self.nodes[number].retries.push_front(request);
                 return;
             }
         }
     }
 
-    fn give_up(&mut self, request: usize, answer: Answer) {
+    fn abandon(&mut self, request: usize, answer: Answer) {
         let node = self.requests[request].node;
         let place = self.nodes[node]
             .tickets
@@ -314,16 +314,16 @@
             let (ticket, _) = self.nodes[node].tickets.swap_remove(place);
             self.nodes[node].queue.cancel(ticket);
         }
-        self.nodes[node].redo.retain(|known| *known != request);
-        for attempt in self.requests[request].live.clone() {
+        self.nodes[node].retries.retain(|known| *known != request);
+        for attempt in self.requests[request].open_attempts.clone() {
             self.drop_call(attempt);
             self.close(attempt, limit::Outcome::Overload, eject::Outcome::Unknown);
         }
-        self.settle(request, answer);
+        self.finish_request(request, answer);
         self.dispatch(node);
     }
 
-    fn settle(&mut self, request: usize, answer: Answer) {
+    fn finish_request(&mut self, request: usize, answer: Answer) {
         let state = &mut self.requests[request];
         state.answer = answer;
         state.ended = self.now;
--- a/crates/policy/tests/model/world/attempts.rs
+++ b/crates/policy/tests/model/world/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how a request is sent, hedged, repeated and ended.
+//! Attempts: how a request is sent, hedged, retried and finished.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use super::Attempt;
 use super::DELAYS;
 use super::Event;
-use super::FAILING;
+use super::FAILURE_DELAY;
 use super::Request;
 use super::World;
 
@@ -48,7 +48,7 @@
             },
         );
         let hedge = hedge.filter(|_| sender.mechanisms.hedge && tried.is_empty());
-        let silence = hedge::first_token_timeout(&sender.tails[arrival.class]);
+        let timeout = hedge::first_token_timeout(&sender.tails[arrival.class]);
         let attempt = self.attempts.len();
         self.attempts.push(Attempt {
             request,
@@ -61,13 +61,16 @@
         let state = &mut self.requests[request];
         state.attempts += 1;
         state.tried.push(endpoint);
-        state.live.push(attempt);
+        state.open_attempts.push(attempt);
         self.at(self.now + DELAYS[across], Event::Reach(attempt));
         if let Some(delay) = hedge {
             self.at(self.now + delay.as_secs_f64(), Event::Hedge(attempt));
         }
-        if let Some(silence) = silence {
-            self.at(self.now + silence.as_secs_f64(), Event::Silence(attempt));
+        if let Some(timeout) = timeout {
+            self.at(
+                self.now + timeout.as_secs_f64(),
+                Event::FirstTokenTimeout(attempt),
+            );
         }
         true
     }
@@ -90,7 +93,7 @@
             _ => false,
         };
         if fails {
-            self.at(self.now + FAILING, Event::Fail(attempt));
+            self.at(self.now + FAILURE_DELAY, Event::Fail(attempt));
             return;
         }
         let Request { arrival, node, .. } = self.requests[request];
@@ -120,17 +123,17 @@
         if self.engines[engine].generation != generation {
             return;
         }
-        for made in self.engines[engine].step(self.now) {
-            match made {
-                Progress::First(attempt) => self.first(attempt),
+        for progress in self.engines[engine].step(self.now) {
+            match progress {
+                Progress::First(attempt) => self.first_token(attempt),
                 Progress::End(attempt) => self.finish(attempt),
             }
         }
         self.wake(engine);
     }
 
-    /// The first token: the other attempts at this request are cancelled.
-    pub(super) fn first(&mut self, attempt: usize) {
+    /// Handles the first token, on which the other attempts at the request are cancelled.
+    pub(super) fn first_token(&mut self, attempt: usize) {
         let Attempt {
             request,
             sent,
@@ -152,7 +155,7 @@
         }
         let took = Duration::from_secs_f64(self.now - sent);
         self.nodes[node].tails[arrival.class].record(took, moment(self.now));
-        for other in self.requests[request].live.clone() {
+        for other in self.requests[request].open_attempts.clone() {
             if other != attempt {
                 self.drop_call(other);
                 self.close(other, limit::Outcome::Unknown, eject::Outcome::Failed);
@@ -185,11 +188,11 @@
             served,
             eject::Outcome::Served { seconds_per_token },
         );
-        self.settle(request, Answer::Served);
+        self.finish_request(request, Answer::Served);
         self.dispatch(node);
     }
 
-    /// Gives the slot back and tells the endpoint's health.
+    /// Releases the slot and records the outcome for the endpoint's health.
     pub(super) fn close(&mut self, attempt: usize, load: limit::Outcome, health: eject::Outcome) {
         let Attempt {
             request,
@@ -203,7 +206,7 @@
         self.attempts[attempt].open = false;
         let now = self.now;
         let state = &mut self.requests[request];
-        state.live.retain(|other| *other != attempt);
+        state.open_attempts.retain(|other| *other != attempt);
         let node = &mut self.nodes[state.node];
         node.limiters[endpoint].release(load);
         let name = node.endpoint(endpoint).clone();
@@ -218,9 +221,9 @@
         }
     }
 
-    /// An attempt without a first token for too long is given up for another one, if one is paid
-    /// for; otherwise it is all that the caller has.
-    pub(super) fn silent(&mut self, attempt: usize) {
+    /// Abandons an attempt that had no first token for too long if another attempt is open or the retry
+    /// budget allows one. Otherwise the attempt continues, since the caller has no other.
+    pub(super) fn first_token_timeout(&mut self, attempt: usize) {
         let Attempt {
             request,
             open,
@@ -230,21 +233,21 @@
         if !open || first {
             return;
         }
-        let alone = self.requests[request].live.len() == 1;
-        if alone && !self.again(request, true) {
+        let only_attempt = self.requests[request].open_attempts.len() == 1;
+        if only_attempt && !self.try_retry(request, true) {
             return;
         }
         self.drop_call(attempt);
         self.close(attempt, limit::Outcome::Unknown, eject::Outcome::Failed);
-        if alone {
+        if only_attempt {
             let node = self.requests[request].node;
-            self.nodes[node].redo.push_back(request);
+            self.nodes[node].retries.push_back(request);
             self.dispatch(node);
         }
     }
 
-    /// Whether a request is tried again; draws on the budgets if so.
-    pub(super) fn again(&mut self, request: usize, reached: bool) -> bool {
+    /// Decides whether a request is retried, and withdraws the retry from the budgets if so.
+    pub(super) fn try_retry(&mut self, request: usize, reached: bool) -> bool {
         let Request {
             arrival,
             node,
@@ -284,14 +287,14 @@
             return;
         }
         self.close(attempt, limit::Outcome::Unknown, health);
-        if !self.requests[request].live.is_empty() {
+        if !self.requests[request].open_attempts.is_empty() {
             return;
         }
         let node = self.requests[request].node;
-        if self.again(request, reached) {
-            self.nodes[node].redo.push_back(request);
+        if self.try_retry(request, reached) {
+            self.nodes[node].retries.push_back(request);
         } else {
-            self.settle(request, Answer::Failed);
+            self.finish_request(request, Answer::Failed);
         }
         self.dispatch(node);
     }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Invariants of the smaller decisions.
+//! Invariants of the choice, limit, ejection, retry and hedge decisions.
 
 use std::time::Duration;
 
@@ -52,18 +52,18 @@
 proptest! {
     #![proptest_config(Runner { cases: 256, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Runner::default() })]
 
-    /// The chosen endpoint may be used and has a free slot, and if there is such a one, one is
-    /// chosen: neither a withdrawn or leaving endpoint nor a refusal with slots free.
+    /// A chosen endpoint is usable and has a free slot, and one is chosen whenever there is such an endpoint. So
+    /// no withdrawn or leaving endpoint is used, and no request is refused while slots are free.
     #[test]
-    fn choice_stays_among_the_open(all in candidates(), prefix in any::<Option<u64>>(), random in any::<u64>()) {
+    fn choice_is_an_open_endpoint_if_there_is_one(all in candidates(), prefix in any::<Option<u64>>(), random in any::<u64>()) {
         let open = |c: &Candidate| c.usable && c.own < c.limit;
         let chosen = choice::choose(&all, prefix, random, &choice::Config::default());
         assert_eq!(chosen.is_some(), all.iter().any(open));
         assert!(chosen.is_none_or(|place| open(&all[place])));
     }
 
-    /// Calls in flight stay within the limit when they are sent, and the limit within its bounds,
-    /// whatever the endpoint reports and however calls end.
+    /// Whatever the endpoint reports and however calls end, calls in flight are within the limit when they are
+    /// sent, and the limit is within its bounds.
     #[test]
     fn limit_is_kept(steps in vec((0_u8..5, 0_u32..200, 0_u32..200), 1..300)) {
         let config = limit::Config::default();
@@ -84,8 +84,8 @@
         }
     }
 
-    /// At most a share of the pool is out and never all of it, and an endpoint that is out gets one
-    /// probe at a time.
+    /// At most a share of the pool is ejected and never all of it, and an ejected endpoint gets one probe at a
+    /// time.
     #[test]
     fn ejection_is_bounded(size in 1_usize..20, events in vec((0_usize..20, any::<bool>(), 0_u64..3_000), 1..300)) {
         let config = eject::Config::default();
@@ -107,12 +107,12 @@
             pool.record(&endpoint, outcome, now);
             assert!(pool.ejected() * 3 <= size.max(3) + 1, "{} of {size}", pool.ejected());
             assert!(pool.ejected() < size);
-            let out = pool.states(now).filter(|state| *state != eject::State::Active).count();
-            assert_eq!(pool.ejected(), out);
+            let ejected = pool.states(now).filter(|state| *state != eject::State::Active).count();
+            assert_eq!(pool.ejected(), ejected);
         }
     }
 
-    /// Retries stay under a share of the successes, what was saved up, and the reserve.
+    /// Retries stay within the initial balance, a share of the successes, and the reserve.
     #[test]
     fn retries_stay_under_the_budget(events in vec((any::<bool>(), 0_u64..1_000), 1..500)) {
         let config = retry::Config::default();
@@ -135,22 +135,22 @@
 
     /// A quantile errs by at most one bucket.
     #[test]
-    fn tail_is_within_a_bucket(mut millis in vec(1_u64..100_000, 20..200)) {
-        let mut tail = hedge::LatencyHistogram::default();
+    fn quantile_is_within_a_bucket(mut millis in vec(1_u64..100_000, 20..200)) {
+        let mut latencies = hedge::LatencyHistogram::default();
         for one in &millis {
-            tail.record(Duration::from_millis(*one), Moment::ZERO);
+            latencies.record(Duration::from_millis(*one), Moment::ZERO);
         }
         millis.sort_unstable();
         let place = (millis.len() * 95).div_ceil(100) - 1;
-        let found = tail.quantile(0.95).expect("enough").as_secs_f64() * 1_000.0;
+        let found = latencies.quantile(0.95).expect("enough").as_secs_f64() * 1_000.0;
         let low = Duration::from_millis(millis[place.saturating_sub(1)]).as_secs_f64() * 1_000.0;
         let high = Duration::from_millis(millis[(place + 1).min(millis.len() - 1)]).as_secs_f64() * 1_000.0;
         assert!(found >= low / 1.26 && found <= high * 1.26, "{found} outside {low}..{high}");
     }
 }
 
-// A call that may not run twice is neither retried nor hedged, whatever the budget holds: the second
-// drum order would be a doubled one.
+// A call that may not run twice is neither retried nor hedged, whatever the budget holds. A second drum order
+// would be a duplicate.
 #[test]
 fn calls_that_may_not_repeat_are_made_once() {
     let now = Moment::ZERO;
@@ -165,27 +165,27 @@
     assert!(!retry::try_retry(failure, &mut customer, &mut pool, now));
     assert!(
         customer.can_withdraw(now) && pool.can_withdraw(now),
-        "nothing was drawn"
+        "nothing was withdrawn"
     );
-    let mut tail = hedge::LatencyHistogram::default();
+    let mut latencies = hedge::LatencyHistogram::default();
     for _ in 0..100 {
-        tail.record(Duration::from_millis(100), now);
+        latencies.record(Duration::from_millis(100), now);
     }
     let attempt = |repeatable, long| hedge::Attempt {
         repeatable,
         long,
         time_left: Duration::from_secs(9),
     };
-    assert_eq!(hedge::delay(&tail, attempt(false, false)), None);
+    assert_eq!(hedge::delay(&latencies, attempt(false, false)), None);
     assert_eq!(
-        hedge::delay(&tail, attempt(true, true)),
+        hedge::delay(&latencies, attempt(true, true)),
         None,
-        "long ones cost too much"
+        "a second attempt at a long job costs too much"
     );
-    assert!(hedge::delay(&tail, attempt(true, false)).is_some());
+    assert!(hedge::delay(&latencies, attempt(true, false)).is_some());
 }
 
-// Both budgets must pay, and one that can't must not empty the other.
+// Both budgets must cover a retry. One that can't must not reduce the other.
 #[test]
 fn retry_needs_both_budgets() {
     let now = Moment::ZERO;
@@ -199,19 +199,22 @@
         deadline: Moment::from_millis(60_000),
     };
     assert!(!retry::try_retry(failure, &mut customer, &mut pool, now));
-    assert!(customer.can_withdraw(now), "the customer's retry is kept");
+    assert!(
+        customer.can_withdraw(now),
+        "the customer's budget is unchanged"
+    );
     let late = retry::Failure {
         deadline: Moment::from_millis(500),
         ..failure
     };
     assert!(
         !retry::can_retry_unsent(late, now),
-        "no attempt that can't end in time"
+        "no attempt is made that can't end in time"
     );
 }
 
-// A prefix stays with its endpoint when others come and go, or each restart of a VM would empty the
-// caches of all.
+// A prefix stays with its endpoint when others join and leave. Otherwise each restart of a VM would make the
+// caches of all endpoints useless.
 #[test]
 fn prefix_stays_with_its_endpoint() {
     let make = |names: &[usize]| -> Vec<Candidate> {
@@ -242,11 +245,11 @@
     );
 }
 
-// Without a prefix a call stays in its own zone while that has room and is about as quick; it goes
-// to another zone when the wait there is shorter by more than the link's delay and price, and when
-// the own zone has no free slot.
+// Without a prefix, a call stays in the local zone while that has free slots and is about as fast. It goes to
+// another zone if the wait there is shorter by more than the delay and cost of the link, or if the local
+// zone has no free slot.
 #[test]
-fn own_zone_first_until_the_wait_is_worth_the_link() {
+fn local_zone_first_until_the_wait_outweighs_the_link() {
     let candidate = |zone: u64, own: u32, run: u64| Candidate {
         key: 0,
         usable: true,
@@ -258,8 +261,8 @@
         run_time: Duration::from_millis(run),
     };
     let config = choice::Config::default();
-    let chosen = |near: Candidate, far: Candidate| {
-        let all = [near, near, far, far];
+    let chosen = |local: Candidate, remote: Candidate| {
+        let all = [local, local, remote, remote];
         let places = (0..50).map(|random: u64| {
             choice::choose(
                 &all,
@@ -268,15 +271,15 @@
                 &config,
             )
         });
-        let far = places.flatten().filter(|place| *place >= 2).count();
-        (far > 0, far == 50)
+        let remote = places.flatten().filter(|place| *place >= 2).count();
+        (remote > 0, remote == 50)
     };
     let (any, _) = chosen(candidate(0, 2, 500), candidate(1, 1, 500));
-    assert!(!any, "a little less load is not worth the link");
+    assert!(!any, "a little less load does not outweigh the link");
     let (_, all) = chosen(candidate(0, 7, 500), candidate(1, 0, 500));
-    assert!(all, "a full zone is left for an idle one");
+    assert!(all, "an idle zone is preferred to a full one");
     let (_, all) = chosen(candidate(0, 8, 500), candidate(1, 7, 500));
-    assert!(all, "no free slot in the own zone");
+    assert!(all, "the local zone has no free slot");
     let (any, _) = chosen(candidate(0, 7, 5), candidate(1, 0, 5));
-    assert!(!any, "short calls save less than the link takes");
+    assert!(!any, "short calls save less than the delay of the link");
 }
--- a/crates/policy/tests/quality.rs
+++ b/crates/policy/tests/quality.rs
@@ -1,13 +1,13 @@
-//! The cascade: cost at the quality target, and who meets a version that turns bad.
+//! The cascade: its cost at the target quality, and how many callers a version that turns bad affects.
 
 mod model;
 
 use std::time::Duration;
 
 use model::quality;
+use model::quality::Fault;
 use model::quality::Picking;
 use model::quality::TARGET;
-use model::quality::Trouble;
 use pimento_policy::cascade;
 use pimento_policy::cascade::Candidate;
 use pimento_policy::cascade::Config;
@@ -20,52 +20,54 @@
 
 const SEED: u64 = 7;
 
-// Versions of unlike cost and quality, requests of unlike difficulty. Always the cheapest misses
-// the target, always the best and a fixed cascade cost more than need be.
+// Versions differ in cost and quality, requests in difficulty. Always using the cheapest version misses the
+// target; always using the best and a fixed cascade cost more than needed.
 #[test]
-fn target_is_met_at_less_than_any_baseline() {
-    let ours = quality::run(Picking::Cascade, Trouble::None, SEED);
-    let cheapest = quality::run(Picking::Cheapest, Trouble::None, SEED);
-    let best = quality::run(Picking::Best, Trouble::None, SEED);
-    let fixed = quality::run(Picking::Fixed, Trouble::None, SEED);
+fn target_is_met_at_less_cost_than_any_baseline() {
+    let ours = quality::run(Picking::Cascade, Fault::None, SEED);
+    let cheapest = quality::run(Picking::Cheapest, Fault::None, SEED);
+    let best = quality::run(Picking::Best, Fault::None, SEED);
+    let fixed = quality::run(Picking::Fixed, Fault::None, SEED);
     assert!(ours.quality >= TARGET, "{ours:?}");
     assert!(cheapest.quality < TARGET, "{cheapest:?}");
     assert!(ours.cost < best.cost * 0.4, "{ours:?} against {best:?}");
     assert!(ours.cost < fixed.cost * 0.8, "{ours:?} against {fixed:?}");
 }
 
-// A version passes a fifth of what it passed from half way on. Each bad answer that is rated before
-// release is replaced; of those released unrated one in five is rated after, and the first failures
-// end it. Without the cascade every caller of that version gets them.
+// From half of the run on, a version passes a fifth of its former share. Bad answers that are rated before
+// their release are replaced. Of those released unrated, one in five is rated afterwards, and the first
+// failures end the use of the version. Without the cascade, every caller of the version gets bad answers.
 #[test]
-fn version_that_turns_bad_is_left() {
+fn version_that_turns_bad_is_abandoned() {
     for version in [0, 1] {
-        let ours = quality::run(Picking::Cascade, Trouble::Bad(version), SEED);
-        assert!(ours.after >= TARGET, "{ours:?}");
-        assert!(ours.exposed < 60, "of 3,000 requests: {ours:?}");
+        let ours = quality::run(Picking::Cascade, Fault::BadVersion(version), SEED);
+        assert!(ours.quality_after >= TARGET, "{ours:?}");
+        assert!(ours.bad_answers < 60, "of 3,000 requests: {ours:?}");
     }
-    let cheapest = quality::run(Picking::Cheapest, Trouble::Bad(0), SEED);
-    assert!(cheapest.exposed > 1_000, "{cheapest:?}");
+    let cheapest = quality::run(Picking::Cheapest, Fault::BadVersion(0), SEED);
+    assert!(cheapest.bad_answers > 1_000, "{cheapest:?}");
 }
 
-// The rating service takes five seconds, or is out. Slow, it costs time but no quality; out, an
-// answer goes out unrated only from a version whose estimate meets the target by itself, or else
-// from the best.
+// The rating service takes five seconds, or is unavailable. A slow service costs time but no quality. Without
+// ratings, an answer comes from a version whose lower bound meets the target, or else from the best.
 #[test]
 fn quality_holds_without_ratings() {
-    for trouble in [Trouble::Slow, Trouble::Out] {
-        for picking in [Picking::Cascade, Picking::Hurried] {
-            let ours = quality::run(picking, trouble, SEED);
-            assert!(ours.after >= TARGET, "{trouble:?}, {picking:?}: {ours:?}");
+    for fault in [Fault::SlowRatings, Fault::NoRatings] {
+        for picking in [Picking::Cascade, Picking::LatencyCascade] {
+            let ours = quality::run(picking, fault, SEED);
+            assert!(
+                ours.quality_after >= TARGET,
+                "{fault:?}, {picking:?}: {ours:?}"
+            );
         }
     }
-    let fixed = quality::run(Picking::Fixed, Trouble::Out, SEED);
-    assert!(fixed.after < TARGET, "{fixed:?}");
-    let cost = quality::run(Picking::Cascade, Trouble::Slow, SEED);
-    let time = quality::run(Picking::Hurried, Trouble::Slow, SEED);
+    let fixed = quality::run(Picking::Fixed, Fault::NoRatings, SEED);
+    assert!(fixed.quality_after < TARGET, "{fixed:?}");
+    let cost = quality::run(Picking::Cascade, Fault::SlowRatings, SEED);
+    let time = quality::run(Picking::LatencyCascade, Fault::SlowRatings, SEED);
     assert!(
         time.p95 < cost.p95,
-        "who weighs time waits less: {time:?} against {cost:?}"
+        "weighing time reduces latency: {time:?} against {cost:?}"
     );
 }
 
@@ -106,14 +108,14 @@
     assert_eq!(
         step(out),
         Some((1, Release::Unrated)),
-        "without ratings the one that is sure"
+        "without ratings, the one whose lower bound meets the target"
     );
-    let hurry = Terms {
+    let short = Terms {
         time_left: Duration::from_secs(6),
         ..terms()
     };
     assert_eq!(
-        step(hurry),
+        step(short),
         Some((1, Release::Unrated)),
         "no time for a second step"
     );
@@ -124,26 +126,26 @@
     assert_eq!(
         step(late).map(|(step, _)| step),
         Some(0),
-        "only the quick one is in time"
+        "only the fast one is in time"
     );
-    let poor = Terms {
+    let small_budget = Terms {
         budget: Money::from_micros(50),
         ..terms()
     };
     assert_eq!(
-        step(poor).map(|(step, _)| step),
+        step(small_budget).map(|(step, _)| step),
         Some(0),
-        "only the cheap one can be paid"
+        "the budget covers only the cheap one"
     );
-    let broke = Terms {
+    let no_budget = Terms {
         budget: Money::from_micros(5),
         ..terms()
     };
-    assert_eq!(step(broke), None, "nothing can be paid");
+    assert_eq!(step(no_budget), None, "the budget covers neither");
 }
 
-// A version that was good for a thousand ratings turns bad: the memory is bounded, so that its good
-// past does not outweigh its present.
+// A version that was good for a thousand ratings turns bad. The number of remembered ratings is bounded, so
+// that old good ratings do not outweigh recent bad ones.
 #[test]
 fn estimate_forgets_within_its_window() {
     let mut estimate = Estimate::new(Share::try_from(0.9).expect("a share"), Config::default());
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Replays each recorded trace and holds what callers received against the outcome stated beside it.
+//! Replays each recorded trace and compares what callers received with the expected outcome of its scenario.
 
 mod model;
 
@@ -8,55 +8,59 @@
 use model::summary::Summary;
 use model::world;
 
-// A stated outcome that no run is held against, or a trace that no longer is what its recipe says,
-// would let a change of behaviour pass unseen.
+// A trace that differs from its recipe would let a change of behaviour go unnoticed.
 #[test]
-fn traces_are_what_their_recipes_make() {
+fn traces_match_their_recipes() {
     for name in NAMES {
         let recorded = Scenario::load(name);
-        let made = Scenario::text(&recorded.generate());
+        let generated = Scenario::text(&recorded.generate());
         assert!(
-            recorded.recorded() == made,
-            "{name} is not what its recipe makes"
+            recorded.recorded() == generated,
+            "{name} differs from its recipe"
         );
         assert!(recorded.arrivals.len() > 1_000, "{name}");
     }
 }
 
+// An expected outcome that no run is compared with would let a change of behaviour go unnoticed.
 #[test]
-fn stated_outcomes_hold() {
+fn expected_outcomes_hold() {
     let mut findings = Vec::new();
     for name in NAMES {
         let scenario = Scenario::load(name);
         let world = world::run(&scenario, Mechanisms::ALL);
         let summary = Summary::of(&scenario, &world);
-        let stated = &scenario.outcome;
+        let expected = &scenario.outcome;
         let least = [
-            ("served", Some(summary.served), stated.served),
-            ("worst", Some(summary.worst(&scenario)), stated.worst),
-            ("goodput", Some(summary.goodput), stated.goodput),
-            ("truth", summary.truth, stated.truth),
+            ("served", Some(summary.served), expected.served),
+            ("worst", Some(summary.worst(&scenario)), expected.worst),
+            ("goodput", Some(summary.goodput), expected.goodput),
+            ("truth", summary.returning_served, expected.returning_served),
         ];
         let most = [
-            ("short_p95", Some(summary.short[1]), stated.short_p95),
-            ("refusal_p99", Some(summary.refusal_p99), stated.refusal_p99),
-            ("attempts", Some(summary.attempts), stated.attempts),
-            ("cost", Some(summary.cost), stated.cost),
+            ("short_p95", Some(summary.short[1]), expected.short_p95),
+            (
+                "refusal_p99",
+                Some(summary.refusal_p99),
+                expected.refusal_p99,
+            ),
+            ("attempts", Some(summary.attempts), expected.attempts),
+            ("cost", Some(summary.cost), expected.cost),
         ];
-        assert!(stated.served.is_some(), "{name} states no outcome");
-        for (what, found, stated) in least {
-            let Some(stated) = stated else { continue };
-            if found.is_none_or(|found| found < stated) {
+        assert!(expected.served.is_some(), "{name} has no expected outcome");
+        for (what, found, bound) in least {
+            let Some(bound) = bound else { continue };
+            if found.is_none_or(|found| found < bound) {
                 findings.push(format!(
-                    "{name}: {what} is {found:?}, at least {stated} is stated"
+                    "{name}: {what} is {found:?}, expected at least {bound}"
                 ));
             }
         }
-        for (what, found, stated) in most {
-            let Some(stated) = stated else { continue };
-            if found.is_none_or(|found| found > stated) {
+        for (what, found, bound) in most {
+            let Some(bound) = bound else { continue };
+            if found.is_none_or(|found| found > bound) {
                 findings.push(format!(
-                    "{name}: {what} is {found:?}, at most {stated} is stated"
+                    "{name}: {what} is {found:?}, expected at most {bound}"
                 ));
             }
         }
@@ -64,7 +68,7 @@
     assert!(findings.is_empty(), "{findings:#?}");
 }
 
-// The table compares mechanisms on the same arrivals, which means nothing if two runs differ.
+// The benchmark compares mechanisms on the same arrivals, which is meaningless if two equal runs differ.
 #[test]
 fn replay_is_deterministic() {
     let scenario = Scenario::load("rybnikar-slow-endpoint");
--- a/crates/policy/tests/versions.rs
+++ b/crates/policy/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Roll-outs and sessions: who uses which version, and when the gate withdraws one.
+//! Roll-outs and sessions: which session uses which version, and when the gate withdraws a version.
 
 use std::time::Duration;
 
@@ -136,7 +136,7 @@
 proptest! {
     #![proptest_config(Runner { cases: 256, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Runner::default() })]
 
-    /// A rising weight moves sessions into the new version and none out.
+    /// A rising weight moves sessions to the new version and none back.
     #[test]
     fn weights_are_monotone(number in any::<u128>(), low in 0_u32..=1_000_000, more in 0_u32..=1_000_000) {
         let high = low.saturating_add(more).min(1_000_000);
@@ -145,8 +145,8 @@
         assert!(moves(1_000_000) && !moves(0));
     }
 
-    /// Whatever is pinned, withdrawn, quarantined, stale or rolled out: the class's versions are
-    /// not left, and nothing withdrawn or quarantined gets new work.
+    /// Whatever is pinned, withdrawn, quarantined, stale or in roll-out, only versions that the class allows are
+    /// used, and no withdrawn or quarantined version gets new work.
     #[test]
     fn allowed_versions_are_not_left(
         number in any::<u128>(),
@@ -179,13 +179,13 @@
             assert!(class.allows(&pin.version));
             assert!(state.version(&pin.version).is_some_and(|v| v.status == version::Status::Serving));
             assert!(!quarantined.contains(&pin.version));
-            let incoming = rollouts.iter().any(|r| r.to == pin.version && r.status != Status::Done);
-            assert!(!(stale && incoming), "cut off, only settled versions are used");
+            let in_rollout = rollouts.iter().any(|r| r.to == pin.version && r.status != Status::Done);
+            assert!(!(stale && in_rollout), "only settled versions are used on an old configuration");
         }
     }
 }
 
-// At a tenth of the weight a tenth of the sessions use the new version; the others stay.
+// At a weight of a tenth, a tenth of the sessions use the new version.
 #[test]
 fn weight_is_the_share_of_sessions() {
     let moved = (0..10_000_u128)
@@ -200,8 +200,8 @@
     assert!((900..1_100).contains(&moved), "{moved} of 10,000");
 }
 
-// A session pinned to the old version stays there while the roll-out runs on, at any node. Once the
-// version is withdrawn the pin ends, and the caller gets another allowed one and a new token.
+// A session pinned to the old version keeps it while the roll-out proceeds, at any node. Once the version is
+// withdrawn, the session gets another allowed version, and the caller a new token.
 #[test]
 fn session_keeps_its_version_until_it_is_withdrawn() {
     let rollouts = [rollout("small@1", "small@2", 1_000_000, Status::Running)];
@@ -217,7 +217,7 @@
     assert!(!moved[0].was_pinned && moved[0].version == name("small@2"));
 }
 
-// A node that this version fails at leaves it at once on its own evidence, before the log says so.
+// A node at which a version fails stops using it at once by its own evidence, before the log withdraws it.
 #[test]
 fn quarantine_holds_at_once() {
     let rollouts = [rollout("small@1", "small@2", 1_000_000, Status::Running)];
@@ -234,12 +234,12 @@
     );
 }
 
-fn evidence(passed: u32, failed: u32, errors: u32, pace: f64) -> Evidence {
+fn evidence(passed: u32, failed: u32, errors: u32, seconds_per_token: f64) -> Evidence {
     let mut evidence = Evidence::default();
     let now = Moment::ZERO;
     for number in 0..passed + failed {
         evidence.record_rating(number < passed, now);
-        evidence.record_answer(pace, now);
+        evidence.record_answer(seconds_per_token, now);
     }
     for _ in 0..errors {
         evidence.record_failure(now);
@@ -247,37 +247,37 @@
     evidence
 }
 
-// The gate waits for enough samples and time, goes on when the new version is as good, and
-// withdraws it as soon as chance hardly explains what was seen.
+// The gate waits for enough samples and time, advances if the new version is as good, and withdraws it as
+// soon as chance hardly explains the evidence.
 #[test]
 fn gate_waits_advances_and_withdraws() {
     let old = evidence(190, 10, 0, 0.05);
     let long = Duration::from_mins(2);
-    let judge = |new: &Evidence, time| rollout::evaluate(new, &old, &gate(), time);
+    let evaluate = |new: &Evidence, time| rollout::evaluate(new, &old, &gate(), time);
     assert_eq!(
-        judge(&evidence(10, 0, 0, 0.05), long),
+        evaluate(&evidence(10, 0, 0, 0.05), long),
         Verdict::Wait,
         "too few samples"
     );
     assert_eq!(
-        judge(&evidence(57, 3, 0, 0.05), Duration::ZERO),
+        evaluate(&evidence(57, 3, 0, 0.05), Duration::ZERO),
         Verdict::Wait,
         "too soon"
     );
-    assert_eq!(judge(&evidence(57, 3, 0, 0.05), long), Verdict::Advance);
-    let bad = judge(&evidence(2, 8, 0, 0.05), Duration::ZERO);
+    assert_eq!(evaluate(&evidence(57, 3, 0, 0.05), long), Verdict::Advance);
+    let bad = evaluate(&evidence(2, 8, 0, 0.05), Duration::ZERO);
     assert_eq!(
         bad,
         Verdict::Withdraw(Cause::Quality),
-        "ten ratings are enough for that"
+        "ten ratings are enough to withdraw"
     );
-    let broken = judge(&evidence(0, 0, 12, 0.05), Duration::ZERO);
+    let broken = evaluate(&evidence(0, 0, 12, 0.05), Duration::ZERO);
     assert_eq!(broken, Verdict::Withdraw(Cause::Errors));
-    let slow = judge(&evidence(57, 3, 0, 0.1), long);
+    let slow = evaluate(&evidence(57, 3, 0, 0.1), long);
     assert_eq!(slow, Verdict::Withdraw(Cause::Latency));
     assert_eq!(
-        judge(&evidence(9, 1, 0, 0.05), long),
+        evaluate(&evidence(9, 1, 0, 0.05), long),
         Verdict::Wait,
-        "one failure is no news"
+        "one failure may be chance"
     );
 }
