--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -102,7 +102,7 @@
         let customer = &self.customers[place];
         let priority = u8::try_from(place % 3).expect("a small number");
         let demand = admission::Demand {
-            ahead: self.queue.ahead(customer, 1, priority, Tokens(100)),
+            ahead: self.queue.work_ahead(customer, 1, priority, Tokens(100)),
             slots: u32::try_from(self.limiters.len() * 8).expect("a small number"),
             free: 0,
             run_time: self.gate.run_time(Tokens(100)),
@@ -113,14 +113,14 @@
 
     /// Updates one candidate; a call only changes the candidate of its own endpoint.
     fn update(&mut self, place: usize) {
-        self.candidates[place].own = self.limiters[place].flying();
+        self.candidates[place].own = self.limiters[place].in_flight();
         self.candidates[place].limit = self.limiters[place].limit();
     }
 
     /// Updates all candidates.
     fn refresh(&mut self) {
         for (candidate, limiter) in self.candidates.iter_mut().zip(&self.limiters) {
-            candidate.own = limiter.flying();
+            candidate.own = limiter.in_flight();
             candidate.limit = limiter.limit();
         }
         if self.health.ejected() == 0 {
@@ -163,7 +163,7 @@
         };
         self.health.record(&self.endpoints[chosen], served, now);
         self.gate.record(tokens, took, now);
-        self.queue.done(&dispatch);
+        self.queue.release(&dispatch);
     }
 }
 
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -101,7 +101,7 @@
 /// A request's needs and the work that is served before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
-    /// Work that goes first, from [`crate::queue::Queue::ahead`].
+    /// Work that goes first, from [`crate::queue::Queue::work_ahead`].
     pub ahead: Tokens,
     /// Slots of the pool: the sum of the endpoints' limits.
     pub slots: u32,
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -121,15 +121,15 @@
         health.retain(endpoints.iter().cloned());
         let limits = limit::Config::default();
         let fixed = limit::Config {
-            start: 16.0,
-            least: 16.0,
-            most: 16.0,
+            initial: 16.0,
+            min: 16.0,
+            max: 16.0,
             ..limits
         };
         let limits = if mechanisms.limit { limits } else { fixed };
         let fair = queue::Config::default();
         let plain = queue::Config {
-            long: Tokens(u64::MAX),
+            long_threshold: Tokens(u64::MAX),
             ..fair
         };
         let mut random = Random(seed ^ (number as u64) << 32);
@@ -141,7 +141,7 @@
             limiters: (0..ENDPOINTS)
                 .map(|_| {
                     limit::Limiter::new(limit::Config {
-                        round: random.unit(),
+                        rounding_offset: random.unit(),
                         ..limits
                     })
                 })
@@ -192,14 +192,16 @@
         let job = self.job(arrival, Moment::ZERO);
         let open = |e: &usize| self.open(*e, now);
         admission::Demand {
-            ahead: self.queue.ahead(&job.customer, 1, job.priority, job.tokens),
+            ahead: self
+                .queue
+                .work_ahead(&job.customer, 1, job.priority, job.tokens),
             slots: (0..ENDPOINTS)
                 .filter(open)
                 .map(|e| self.limiters[e].limit())
                 .sum(),
             free: (0..ENDPOINTS)
                 .filter(open)
-                .map(|e| self.limiters[e].room())
+                .map(|e| self.limiters[e].free())
                 .sum(),
             run_time: self.gate.run_time(job.tokens),
             deadline: moment(deadline),
@@ -267,12 +269,12 @@
 
     /// Whether any endpoint has a free slot.
     pub fn free(&self, now: f64) -> bool {
-        (0..ENDPOINTS).any(|e| self.open(e, now) && self.limiters[e].room() > 0)
+        (0..ENDPOINTS).any(|e| self.open(e, now) && self.limiters[e].free() > 0)
     }
 
     /// Receives the load, running and waiting, that an endpoint measured.
     pub fn receive_report(&mut self, place: usize, load: (u32, u32), measured: f64) {
-        let own = self.limiters[place].flying();
+        let own = self.limiters[place].in_flight();
         let others = (load.0 + load.1).saturating_sub(own);
         self.reports[place] = LoadReport { others, measured };
         self.limiters[place].report(limit::Report {
@@ -284,7 +286,7 @@
 
     /// The endpoint for an attempt.
     pub fn choose(&mut self, arrival: &Arrival, tried: &[usize], now: f64) -> Option<usize> {
-        let fits = |e: usize| !tried.contains(&e) && self.limiters[e].room() > 0;
+        let fits = |e: usize| !tried.contains(&e) && self.limiters[e].free() > 0;
         let due = self.health.probe_due(moment(now));
         let probe = due.and_then(|name| self.endpoints.iter().position(|e| e == name));
         if let Some(probe) =
@@ -308,9 +310,11 @@
                 let other = open[self.random.below(open.len())];
                 [one, other]
                     .into_iter()
-                    .min_by_key(|e| self.limiters[*e].flying())
+                    .min_by_key(|e| self.limiters[*e].in_flight())
             }
-            Choice::LeastInFlight => open.into_iter().min_by_key(|e| self.limiters[*e].flying()),
+            Choice::LeastInFlight => open
+                .into_iter()
+                .min_by_key(|e| self.limiters[*e].in_flight()),
         }
     }
 
@@ -324,11 +328,11 @@
             } else {
                 ZONE_RTT
             },
-            own: self.limiters[e].flying(),
+            own: self.limiters[e].in_flight(),
             limit: self.limiters[e].limit(),
             others: self.reports[e].others,
             report_age: Duration::from_secs_f64((now - self.reports[e].measured).max(0.0)),
-            run_time: Duration::from_secs_f64(self.limiters[e].pace() * 100.0),
+            run_time: Duration::from_secs_f64(self.limiters[e].seconds_per_token() * 100.0),
         };
         let candidates: Vec<choice::Candidate> = (0..ENDPOINTS).map(candidate).collect();
         choice::choose(
--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -9,9 +9,9 @@
 use pimento_units::id;
 
 use crate::boot;
-use crate::border::Ask;
-use crate::border::Border;
 use crate::codec::Codec;
+use crate::headers::HeaderCodec;
+use crate::headers::RequestInfo;
 use crate::node::Freshness;
 use crate::node::Node;
 use crate::refusal::Cause;
@@ -52,18 +52,18 @@
 }
 
 /// What a request may do by the configuration at hand, without asking anybody.
-fn look<P: Border + Codec, L: Log>(
+fn look<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    ask: &Ask,
+    info: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Denial> {
     let table = node.table().ok_or(Denial::NoTable)?;
     if node.current() == Freshness::Stale {
         return Err(Denial::Stale);
     }
-    let route = table.route(&ask.host, path).ok_or(Denial::Route)?;
+    let route = table.route(&info.host, path).ok_or(Denial::Route)?;
     let route = Arc::clone(route);
-    if route.public || !table.keyed() {
+    if route.public || !table.requires_key() {
         return Ok(Grant {
             table,
             route,
@@ -73,7 +73,7 @@
     if node.freshness() == Freshness::Stale {
         return Err(Denial::Stale);
     }
-    let customer = ask.key.as_deref().and_then(|key| table.customer(key));
+    let customer = info.key.as_deref().and_then(|key| table.customer(key));
     let customer = customer.cloned().ok_or(Denial::Key)?;
     Ok(Grant {
         table,
@@ -88,24 +88,24 @@
 /// # Errors
 ///
 /// A [`Refusal`].
-pub async fn admit<P: Border + Codec, L: Log>(
+pub async fn admit<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    ask: &Ask,
+    info: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Refusal> {
-    let denial = match look(node, ask, path) {
+    let denial = match look(node, info, path) {
         Ok(grant) => return Ok(grant),
         Err(denial) => denial,
     };
     if matches!(denial, Denial::Route | Denial::Key) {
         let now = boot::now();
-        let bound = node.config.bounds.apply.mul_f64(CERTAIN);
+        let bound = node.config.bounds.config_apply.mul_f64(CERTAIN);
         let certain = node.operators.age().is_some_and(|age| age <= bound);
         if !certain && !node.operators.confirm(now).await {
             return Err(Refusal::new(Cause::Stale).after(ELSEWHERE));
         }
     }
-    look(node, ask, path).map_err(refusal)
+    look(node, info, path).map_err(refusal)
 }
 
 /// Whether a request that was let in may still be sent to `pool`.
@@ -113,12 +113,12 @@
 /// # Errors
 ///
 /// A [`Refusal`] of the request as not run.
-pub fn still<P: Border + Codec, L: Log>(
+pub fn recheck<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
-    ask: &Ask,
+    info: &RequestInfo,
     path: &str,
 ) -> Result<Grant, Refusal> {
-    look(node, ask, path).map_err(refusal)
+    look(node, info, path).map_err(refusal)
 }
 
 fn refusal(denial: Denial) -> Refusal {
@@ -133,7 +133,7 @@
 impl Grant {
     /// The service for a request.
     #[must_use]
-    pub fn pool(&self, random: u64) -> Option<id::Pool> {
-        self.route.target(random).cloned()
+    pub fn pick_service(&self, random: u64) -> Option<id::Pool> {
+        self.route.pick_service(random).cloned()
     }
 }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -15,23 +15,23 @@
 use tokio_util::task::TaskTracker;
 
 use crate::boot;
-use crate::border::Border;
-use crate::calls::Calls;
+use crate::calls::LogCalls;
 use crate::calls::Reason;
 use crate::cascade;
 use crate::codec::Codec;
 use crate::config::Config;
 use crate::directory::Directory;
-use crate::fleet::Word;
+use crate::fleet::VmRecord;
 use crate::follow::Follower;
+use crate::headers::HeaderCodec;
 use crate::metrics::Metrics;
 use crate::neighbours;
 use crate::operators::Operators;
 use crate::poison;
-use crate::poison::Bars;
+use crate::poison::Blocklist;
 use crate::poison::Poison;
 use crate::pools;
-use crate::repeats::Repeats;
+use crate::retry_budget::RetryBudgets;
 use crate::rollouts::Rollouts;
 use crate::rollouts::controller;
 use crate::table::Table;
@@ -63,22 +63,22 @@
     /// Requests under which endpoints ended, as this VM and others saw it.
     pub poison: Arc<Poison>,
     /// The same as it is on the log.
-    pub bars: Follower<Bars, L>,
+    pub blocklist: Follower<Blocklist, L>,
     /// Slots at endpoints.
     pub scheduler: Scheduler,
     /// Told when an endpoint names another limit than before.
-    pub limited: Arc<Notify>,
+    pub limit_changed: Arc<Notify>,
     /// The budget of repeats.
-    pub repeats: Arc<Repeats>,
+    pub retry_budgets: Arc<RetryBudgets>,
     /// What was seen of models' confidences.
     pub(crate) models: Arc<cascade::Book>,
     /// Calls of the log by why they were made.
-    pub(crate) calls: Calls,
+    pub(crate) calls: LogCalls,
     /// Counters and histograms.
     pub(crate) metrics: Arc<Metrics>,
     rollouts: Arc<Mutex<Rollouts>>,
     /// What connections to endpoints take.
-    reach: Arc<Mutex<ConnectTimeout>>,
+    connect_times: Arc<Mutex<ConnectTimeout>>,
     /// The process's clocks.
     pub clock: Clock,
     /// Set when the VM is to leave.
@@ -95,15 +95,15 @@
             operators: self.operators.clone(),
             directory: self.directory.clone(),
             poison: Arc::clone(&self.poison),
-            bars: self.bars.clone(),
+            blocklist: self.blocklist.clone(),
             scheduler: self.scheduler.clone(),
-            limited: Arc::clone(&self.limited),
-            repeats: Arc::clone(&self.repeats),
+            limit_changed: Arc::clone(&self.limit_changed),
+            retry_budgets: Arc::clone(&self.retry_budgets),
             models: Arc::clone(&self.models),
             calls: self.calls.clone(),
             metrics: Arc::clone(&self.metrics),
             rollouts: Arc::clone(&self.rollouts),
-            reach: Arc::clone(&self.reach),
+            connect_times: Arc::clone(&self.connect_times),
             clock: self.clock,
             leaving: self.leaving.clone(),
             tasks: self.tasks.clone(),
@@ -137,16 +137,16 @@
     Stale,
 }
 
-impl<P: Border + Codec, L: Log> Node<P, L> {
+impl<P: HeaderCodec + Codec, L: Log> Node<P, L> {
     /// Starts to follow the log.
     pub fn start(config: Config, platform: P, log: L, token: &CancellationToken) -> Self {
         let zone = Zone::starting(&config);
-        let calls = Calls::default();
-        let paces = config.paces;
+        let calls = LogCalls::default();
+        let timings = config.timings;
         let operators = Follower::start(
             log.clone(),
             Topic::Operators,
-            paces.operators,
+            timings.operators,
             zone.clone(),
             calls.clone(),
             Operators::new(platform.clone()),
@@ -155,39 +155,39 @@
         let directory = Follower::start(
             log.clone(),
             Topic::Endpoints,
-            paces.endpoints,
+            timings.endpoints,
             zone.clone(),
             calls.clone(),
             Directory::new(platform.clone()),
             token.clone(),
         );
-        let bars = Follower::start(
+        let blocklist = Follower::start(
             log.clone(),
             Topic::Poison,
-            paces.poison,
+            timings.poison,
             zone.clone(),
             calls.clone(),
-            Bars::default(),
+            Blocklist::default(),
             token.clone(),
         );
         let clock = Clock::default();
-        let repeats = Repeats::new(config.bounds.retry);
-        let rollouts = Rollouts::new(config.bounds.exposure, config.bounds.session);
+        let retry_budgets = RetryBudgets::new(config.bounds.retry_budget);
+        let rollouts = Rollouts::new(config.bounds.exposure, config.bounds.session_timeout);
         let node = Self {
             config: Arc::new(config),
             platform,
             operators,
             directory,
             poison: Arc::default(),
-            bars,
+            blocklist,
             scheduler: Scheduler::new(clock),
-            limited: Arc::default(),
-            repeats: Arc::new(repeats),
+            limit_changed: Arc::default(),
+            retry_budgets: Arc::new(retry_budgets),
             models: Arc::default(),
             calls,
             metrics: Arc::default(),
             rollouts: Arc::new(Mutex::new(rollouts)),
-            reach: Arc::default(),
+            connect_times: Arc::default(),
             clock,
             leaving: CancellationToken::new(),
             tasks: TaskTracker::new(),
@@ -233,7 +233,7 @@
 
     /// Whether no change has been known and not read for longer than a share of the bound on changes.
     fn caught_up(&self, share: f64) -> Freshness {
-        let bound = self.config.bounds.apply.mul_f64(share);
+        let bound = self.config.bounds.config_apply.mul_f64(share);
         match self.operators.behind() {
             Some(behind) if behind > bound => Freshness::Stale,
             _ => Freshness::Fresh,
@@ -255,13 +255,13 @@
     #[must_use]
     pub fn usable(&self, endpoint: &id::Endpoint) -> bool {
         let now = boot::now();
-        self.directory.view(|view| view.usable(endpoint, now))
+        self.directory.view(|view| view.is_usable(endpoint, now))
     }
 
     /// Whether the VM takes requests.
     #[must_use]
     pub fn ready(&self) -> bool {
-        let read = self.directory.proven().is_some();
+        let read = self.directory.proven_at().is_some();
         let leaving = self.leaving.is_cancelled();
         let fresh = [self.within(READY), self.caught_up(READY)];
         let fresh = fresh.iter().all(|known| *known == Freshness::Fresh);
@@ -271,31 +271,34 @@
     /// Whether this VM reads the log by itself, for others or because nobody else's reads can be
     /// trusted.
     #[must_use]
-    pub fn reads(&self) -> bool {
-        self.operators.reads()
+    pub fn reads_log(&self) -> bool {
+        self.operators.is_reading()
     }
 
     /// What this VM says of itself, without roll-outs.
     #[must_use]
-    pub fn word(&self) -> Word {
-        Word {
+    pub fn announcement(&self) -> VmRecord {
+        VmRecord {
             zone: self.config.zone.clone(),
             address: self.config.peer_listen,
-            paces: self.paces(),
+            seconds_per_token: self.paces(),
             rollouts: Vec::new(),
         }
     }
 
     /// Says a word on the log; whether that is known to have succeeded.
-    pub async fn say(&self, word: &Word, log: &impl Log) -> bool {
-        self.calls.count(Topic::Fleet, Reason::Word);
-        word.say(&self.config.node, log).await
+    pub async fn publish(&self, word: &VmRecord, log: &impl Log) -> bool {
+        self.calls.count(Topic::Fleet, Reason::Announcement);
+        word.publish(&self.config.node, log).await
     }
 
     /// How fast models read.
     fn paces(&self) -> Vec<(u64, f64)> {
         let pools = self.scheduler.pools();
-        pools.iter().flat_map(|(_, pool)| pool.paces()).collect()
+        pools
+            .iter()
+            .flat_map(|(_, pool)| pool.seconds_per_token())
+            .collect()
     }
 
     /// Looks at or changes the roll-outs. `act` runs under a lock and must be short.
@@ -305,9 +308,12 @@
     }
 
     /// Looks at or adds to what connections to endpoints take. `act` runs under a lock and must be short.
-    pub fn reach<T>(&self, act: impl FnOnce(&mut ConnectTimeout) -> T) -> T {
-        let mut reach = self.reach.lock().unwrap_or_else(PoisonError::into_inner);
-        act(&mut reach)
+    pub fn connect_times<T>(&self, act: impl FnOnce(&mut ConnectTimeout) -> T) -> T {
+        let mut times = self
+            .connect_times
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        act(&mut times)
     }
 
     /// The moment now, on the clock of deadlines.
--- /dev/null
+++ b/crates/relay/src/rollouts/state.rs
@@ -0,0 +1,355 @@
+//! One roll-out: its order, the evidence of this and the other VMs, and how it ended.
+
+use std::time::Duration;
+
+use compact_str::CompactString;
+use pimento_policy::choice;
+use pimento_policy::shift;
+use pimento_policy::shift::Phase;
+use pimento_units::Moment;
+use pimento_units::Offset;
+use pimento_units::id;
+
+use super::announcement::Announcement;
+use super::announcement::End;
+use super::announcement::NodeAnnouncement;
+use super::announcement::Outcome;
+use super::announcement::RequestCounts;
+use super::announcement::Route;
+use crate::operators::RolloutOrder;
+
+/// After this long without an announcement from a VM the roll-out no longer waits for it: the VM is
+/// down, or cut off from the log, in which case it admits no keys and sends no requests. It is a little
+/// more than the time between two further announcements.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(4_500);
+
+/// An ended roll-out is announced for this long, for VMs that don't know of the end yet.
+const END_ANNOUNCED: Duration = Duration::from_secs(10);
+
+/// Failing endpoints that an announcement lists. Two from different VMs are enough to tell a bad
+/// version from a single faulty endpoint.
+const MAX_FAILING: usize = 8;
+
+/// Another VM's last announcement.
+#[derive(Debug, Clone)]
+struct PeerAnnouncement {
+    node: id::Node,
+    announcement: Announcement,
+    received: Moment,
+}
+
+/// A roll-out that was ordered.
+#[derive(Debug)]
+pub struct RolloutState {
+    /// The order.
+    pub order: RolloutOrder,
+    /// How old the order was when this VM read it, by the announcements of other VMs.
+    read_delay: Duration,
+    /// How the roll-out ended, and when this VM knew of it.
+    ended: Option<(End, Moment)>,
+    /// Why the new version counts as bad; none if it doesn't.
+    bad: Option<CompactString>,
+    /// This VM's evidence, sorted by name.
+    routes: Vec<Route>,
+    /// Hashes of endpoints of the new version that failed a request of this VM, sorted.
+    failing: Vec<u64>,
+    /// Sorted by node.
+    peers: Vec<PeerAnnouncement>,
+    /// Sessions that used the old version before the trial, at any VM, and that the trial's share
+    /// would move; sorted.
+    pinned: Vec<u64>,
+    /// Those of them that were not announced to other VMs yet.
+    pending_sessions: Vec<u64>,
+}
+
+/// Which VMs' announcements a VM receives.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Visibility {
+    /// Those of its zone, by datagrams.
+    Zone,
+    /// Those of all zones, as it reads the VMs' topic.
+    AllZones,
+}
+
+/// What is to be done about a roll-out.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Step {
+    /// Nothing yet.
+    Wait,
+    /// Report its end to the operators.
+    Report(End),
+}
+
+impl RolloutState {
+    /// A roll-out that begins, or that ended before this process started.
+    #[must_use]
+    pub const fn new(order: RolloutOrder, ended: Option<(End, Moment)>) -> Self {
+        Self {
+            order,
+            read_delay: Duration::ZERO,
+            ended,
+            bad: None,
+            routes: Vec::new(),
+            failing: Vec::new(),
+            peers: Vec::new(),
+            pinned: Vec::new(),
+            pending_sessions: Vec::new(),
+        }
+    }
+
+    /// Whether a session used the old version before the trial.
+    #[must_use]
+    pub fn is_pinned(&self, session: u64) -> bool {
+        self.pinned.binary_search(&session).is_ok()
+    }
+
+    /// Pins a session to the old version. `own` is set if this VM saw it use that version, and will
+    /// announce it.
+    pub fn pin_session(&mut self, session: u64, own: bool) {
+        let Err(place) = self.pinned.binary_search(&session) else {
+            return;
+        };
+        self.pinned.insert(place, session);
+        if own {
+            self.pending_sessions.push(session);
+        }
+    }
+
+    /// The sessions to announce to other VMs.
+    pub fn take_pending_sessions(&mut self) -> Vec<u64> {
+        std::mem::take(&mut self.pending_sessions)
+    }
+
+    /// The age of the order.
+    #[must_use]
+    pub fn age(&self, now: Moment) -> Duration {
+        now.since(self.order.read_at) + self.read_delay
+    }
+
+    /// The new version.
+    #[must_use]
+    pub const fn target(&self) -> &id::Version {
+        &self.order.rollout.target
+    }
+
+    /// The offset of the order in its topic.
+    #[must_use]
+    pub const fn offset(&self) -> Offset {
+        self.order.offset
+    }
+
+    /// How it ended; none while it is under way.
+    #[must_use]
+    pub fn ended(&self) -> Option<End> {
+        self.ended.map(|(end, _)| end)
+    }
+
+    /// Whether the new version is known to be bad.
+    #[must_use]
+    pub fn is_bad(&self) -> bool {
+        self.bad.is_some() || self.ended() == Some(End::Undone)
+    }
+
+    /// Whether it is announced to other VMs: while it is under way, and for some time after its end.
+    #[must_use]
+    pub fn is_announced(&self, now: Moment) -> bool {
+        self.ended
+            .is_none_or(|(_, at)| now.since(at) < END_ANNOUNCED)
+    }
+
+    /// Ends it, unless it has ended.
+    pub fn end(&mut self, end: End, now: Moment) {
+        if self.ended.is_none() {
+            log::info!(
+                "rollout: {} to {} ended: {end:?}.",
+                self.order.rollout.pool,
+                self.order.rollout.target
+            );
+            self.ended = Some((end, now));
+        }
+    }
+
+    /// Counts a request of a route. `new` is set if it used the new version.
+    pub fn count(&mut self, route: &str, new: bool, endpoint: &id::Endpoint, outcome: Outcome) {
+        if new && outcome == Outcome::Failed {
+            let hash = choice::hash(endpoint.as_str());
+            if let Err(place) = self.failing.binary_search(&hash) {
+                self.failing.insert(place, hash);
+            }
+        }
+        let route = route_mut(&mut self.routes, route);
+        let counts = if new { &mut route.new } else { &mut route.old };
+        counts.count(outcome);
+    }
+
+    /// The evidence of all VMs, for each route.
+    fn tallies(&self) -> Vec<shift::RouteEvidence> {
+        let mut routes = self.routes.clone();
+        let peers = self.peers.iter();
+        for other in peers.flat_map(|peer| &peer.announcement.routes) {
+            let route = route_mut(&mut routes, &other.name);
+            route.new.add(&other.new);
+            route.old.add(&other.old);
+        }
+        let tally = |route: &Route| shift::RouteEvidence {
+            new: route.new.evidence(),
+            old: route.old.evidence(),
+        };
+        routes.iter().map(tally).collect()
+    }
+
+    /// Requests of all routes on the new version, at any VM.
+    #[must_use]
+    pub fn target_counts(&self) -> RequestCounts {
+        let peers = self.peers.iter();
+        let peer_routes = peers.flat_map(|peer| &peer.announcement.routes);
+        let mut counts = RequestCounts::default();
+        for route in self.routes.iter().chain(peer_routes) {
+            counts.add(&route.new);
+        }
+        counts
+    }
+
+    /// The number of endpoints of the new version that failed a request, at any VM.
+    fn failing(&self) -> usize {
+        let peers = self.peers.iter();
+        let peer_failing = peers.flat_map(|peer| &peer.announcement.failing);
+        let mut all: Vec<u64> = self.failing.iter().chain(peer_failing).copied().collect();
+        all.sort_unstable();
+        all.dedup();
+        all.len()
+    }
+
+    /// Decides whether the new version is bad by the evidence of all VMs. `endpoints` is the number of
+    /// its endpoints.
+    pub fn judge(&mut self, endpoints: usize) {
+        if self.bad.is_some() {
+            return;
+        }
+        let reported = self.peers.iter().any(|peer| peer.announcement.bad);
+        let cause = if reported {
+            Some(CompactString::const_new("reported by another VM"))
+        } else {
+            let cause = shift::regression(&self.tallies(), self.failing(), endpoints);
+            cause.map(|cause| CompactString::from(format!("{cause:?}")))
+        };
+        if let Some(cause) = cause {
+            log::warn!(
+                "rollout: {} of {} is bad: {cause}; {:?}.",
+                self.order.rollout.target,
+                self.order.rollout.pool,
+                self.routes
+            );
+            self.bad = Some(cause);
+        }
+    }
+
+    /// Takes in another VM's announcement.
+    pub fn receive(&mut self, node: &id::Node, announcement: &Announcement, now: Moment) {
+        if announcement.order != self.order.offset {
+            return;
+        }
+        let age = Duration::from_millis(u64::from(announcement.age_ms));
+        self.read_delay += age.saturating_sub(self.age(now));
+        if let Some(end) = announcement.ended {
+            self.end(end, now);
+        }
+        match self.peers.binary_search_by(|p| p.node.cmp(node)) {
+            // An announcement may come directly and be forwarded as well. A later one gives the order
+            // a greater age, and an earlier one does not replace it.
+            Ok(place) if self.peers[place].announcement.age_ms > announcement.age_ms => {}
+            Ok(place) => {
+                self.peers[place].announcement = announcement.clone();
+                self.peers[place].received = now;
+            }
+            Err(place) => {
+                let peer = PeerAnnouncement {
+                    node: node.clone(),
+                    announcement: announcement.clone(),
+                    received: now,
+                };
+                self.peers.insert(place, peer);
+            }
+        }
+    }
+
+    /// This VM's announcement. `drained` is set if none of its requests is at the old version.
+    #[must_use]
+    pub fn announcement(&self, phase: Phase, drained: bool, now: Moment) -> Announcement {
+        let age = self.age(now).as_millis();
+        Announcement {
+            pool: self.order.rollout.pool.clone(),
+            order: self.offset(),
+            age_ms: u32::try_from(age).unwrap_or(u32::MAX),
+            routes: self.routes.clone(),
+            failing: self.failing.iter().take(MAX_FAILING).copied().collect(),
+            bad: self.bad.is_some(),
+            drained: phase == Phase::Moved && drained,
+            ended: self.ended(),
+        }
+    }
+
+    /// The last announcements of the other VMs that are alive, to be forwarded.
+    pub fn received_announcements(&self, now: Moment) -> impl Iterator<Item = NodeAnnouncement> {
+        self.live_peers(now).map(|peer| NodeAnnouncement {
+            node: peer.node.clone(),
+            announcement: peer.announcement.clone(),
+        })
+    }
+
+    fn live_peers(&self, now: Moment) -> impl Iterator<Item = &PeerAnnouncement> {
+        let live = move |peer: &&PeerAnnouncement| now.since(peer.received) < ANNOUNCEMENT_TIMEOUT;
+        self.peers.iter().filter(live)
+    }
+
+    /// What is to be done about the roll-out now. `drained` is set if none of this VM's requests is at
+    /// the old version. `margin` is the time before the deadline from which the end is reported even if
+    /// not all VMs are known to have drained the old version.
+    ///
+    /// The old endpoints stop as soon as the operators read that a roll-out is done. A VM that receives
+    /// announcements of its own zone only can't know whether the VMs of other zones have drained them;
+    /// if it reported the end early, it would cut streams of their callers.
+    #[must_use]
+    pub fn next_step(
+        &self,
+        phase: Phase,
+        drained: bool,
+        visibility: Visibility,
+        margin: Duration,
+        now: Moment,
+    ) -> Step {
+        if self.bad.is_some() {
+            return Step::Report(End::Undone);
+        }
+        let all = drained
+            && visibility == Visibility::AllZones
+            && self.live_peers(now).all(|peer| peer.announcement.drained);
+        let late = self.age(now) + margin >= self.order.rollout.time_limit;
+        if phase == Phase::Moved && (all || late) {
+            return Step::Report(End::Done);
+        }
+        Step::Wait
+    }
+
+    /// How many of the other VMs that are alive come before `own` by name.
+    #[must_use]
+    pub fn rank(&self, own: &id::Node, now: Moment) -> u32 {
+        let before = self.live_peers(now).filter(|peer| peer.node < *own).count();
+        u32::try_from(before).unwrap_or(u32::MAX)
+    }
+}
+
+/// The entry of a route, added if it is missing. `routes` is sorted by name.
+fn route_mut<'a>(routes: &'a mut Vec<Route>, name: &str) -> &'a mut Route {
+    let found = routes.binary_search_by(|route| route.name.as_str().cmp(name));
+    let place = found.unwrap_or_else(|place| {
+        let route = Route {
+            name: name.into(),
+            new: RequestCounts::default(),
+            old: RequestCounts::default(),
+        };
+        routes.insert(place, route);
+        place
+    });
+    &mut routes[place]
+}
--- a/crates/relay/tests/all/large.rs
+++ b/crates/relay/tests/all/large.rs
@@ -6,12 +6,12 @@
 use pimento_relay::boot;
 use pimento_relay::follow::Lead;
 use pimento_relay::follow::Proof;
-use pimento_relay::follow::longest_pause;
-use pimento_relay::follow::patience;
+use pimento_relay::follow::answer_timeout;
+use pimento_relay::follow::max_backoff;
 use pimento_units::Offset;
 
 use crate::fixture::Fixture;
-use crate::fixture::PACE;
+use crate::fixture::TIMING;
 use crate::log::Memory;
 use crate::log::Mood;
 
@@ -22,13 +22,13 @@
 async fn an_answer_that_keeps_coming_is_waited_for() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
-    fixture.log.set(Mood::Long(PACE.patience / 4));
+    fixture.log.set(Mood::Long(TIMING.timeout / 4));
     fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
     assert!(fixture.follower.confirm(boot::now()).await);
-    assert_eq!(fixture.follower.tally().given_up, 0);
+    assert_eq!(fixture.follower.read_counts().given_up, 0);
 }
 
 // An answer begins and then nothing more of it comes: its connection fell silent. The read is given up
@@ -37,11 +37,11 @@
 async fn an_answer_that_stops_coming_is_given_up() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
     fixture.log.set(Mood::Broken);
     fixture
-        .until("reads given up", |f| f.follower.tally().given_up > 1)
+        .until("reads given up", |f| f.follower.read_counts().given_up > 1)
         .await;
     assert!(!fixture.follower.confirm(boot::now()).await);
     fixture.log.set(Mood::Well);
@@ -56,7 +56,7 @@
 async fn word_of_records_that_do_not_exist_is_dropped() {
     let fixture = Fixture::new();
     fixture.led().await;
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: Offset(1_000),
         stamp: boot::now(),
     });
@@ -80,7 +80,7 @@
     let next = fixture.log.put("a", Some("1"));
     let told = boot::now();
     for _ in 0..3 {
-        fixture.follower.vouch(Proof {
+        fixture.follower.receive_proof(Proof {
             changed: next,
             stamp: boot::now(),
         });
@@ -100,9 +100,9 @@
 async fn a_confirmation_does_not_fetch_what_is_coming() {
     let fixture = Fixture::new();
     fixture
-        .until("a proof", |f| f.follower.proven().is_some())
+        .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
-    let pause = PACE.patience / 4;
+    let pause = TIMING.timeout / 4;
     fixture.log.set(Mood::Long(pause));
     tokio::time::sleep(pause * 2).await;
     fixture.log.put("a", Some("1"));
@@ -119,19 +119,19 @@
 #[test]
 fn a_vm_that_lacks_a_change_rests_less() {
     for others in [0, 5, 16, 400] {
-        let rests = longest_pause(Lead::Led, others, false);
-        let lacks = longest_pause(Lead::Led, others, true);
+        let rests = max_backoff(Lead::Led, others, false);
+        let lacks = max_backoff(Lead::Led, others, true);
         assert!(lacks <= rests, "{others}: {lacks:?}, {rests:?}");
         assert!(lacks <= Duration::from_millis(1_200), "{lacks:?}");
     }
-    let large = longest_pause(Lead::Led, 16, false);
-    let small = longest_pause(Lead::Led, 2, false);
+    let large = max_backoff(Lead::Led, 16, false);
+    let small = max_backoff(Lead::Led, 2, false);
     assert!(
         large > small,
         "a large zone asks a log that is out less often"
     );
     for role in [Lead::Alone, Lead::Leading] {
-        assert!(longest_pause(role, 16, false) < small);
+        assert!(max_backoff(role, 16, false) < small);
     }
 }
 
@@ -143,9 +143,9 @@
 async fn a_log_that_is_busy_with_a_change_is_waited_for_longer() {
     let fixture = Fixture::new();
     fixture.led().await;
-    fixture.log.set(Mood::Busy(PACE.patience * 3));
+    fixture.log.set(Mood::Busy(TIMING.timeout * 3));
     let next = fixture.log.put("a", Some("1"));
-    fixture.follower.vouch(Proof {
+    fixture.follower.receive_proof(Proof {
         changed: next,
         stamp: boot::now(),
     });
@@ -157,8 +157,8 @@
 async fn a_log_that_is_busy_with_starts_is_waited_for_longer() {
     let log = Memory::new();
     log.put("a", Some("1"));
-    log.set(Mood::Busy(PACE.patience * 3));
-    let fixture = Fixture::over(log, PACE);
+    log.set(Mood::Busy(TIMING.timeout * 3));
+    let fixture = Fixture::over(log, TIMING);
     fixture.until("a", |f| f.keys() == ["a"]).await;
 }
 
@@ -166,17 +166,17 @@
 #[test]
 fn only_a_view_that_lacks_something_waits_longer() {
     for silent in 0..10 {
-        assert_eq!(patience(&PACE, false, silent), PACE.patience);
-        assert!(patience(&PACE, true, silent) <= patience(&PACE, true, silent + 1));
-        assert!(patience(&PACE, true, silent) <= PACE.patience * 4);
+        assert_eq!(answer_timeout(&TIMING, false, silent), TIMING.timeout);
+        assert!(answer_timeout(&TIMING, true, silent) <= answer_timeout(&TIMING, true, silent + 1));
+        assert!(answer_timeout(&TIMING, true, silent) <= TIMING.timeout * 4);
     }
-    assert_eq!(patience(&PACE, true, 0), PACE.patience);
-    assert_eq!(patience(&PACE, true, 1), PACE.patience * 2);
+    assert_eq!(answer_timeout(&TIMING, true, 0), TIMING.timeout);
+    assert_eq!(answer_timeout(&TIMING, true, 1), TIMING.timeout * 2);
 }
 
 /// Keys of the records that another VM can have from an offset on.
 fn kept(fixture: &Fixture, from: u64) -> Option<Vec<CompactString>> {
-    let (records, _) = fixture.follower.all(Offset(from));
+    let (records, _) = fixture.follower.records_from(Offset(from));
     Some(records?.into_iter().map(|record| record.key).collect())
 }
 
@@ -185,7 +185,9 @@
 #[tokio::test]
 async fn one_large_record_is_kept_for_those_that_lack_it() {
     let fixture = Fixture::new();
-    fixture.until("read", |f| f.follower.next().is_some()).await;
+    fixture
+        .until("read", |f| f.follower.next_offset().is_some())
+        .await;
     let large: &'static str = Box::leak("x".repeat(9_000).into_boxed_str());
     for (key, value) in [("a", "1"), ("config", large), ("b", "1"), ("config", large)] {
         fixture.log.put(key, Some(value));
@@ -193,7 +195,7 @@
     fixture.until("four", |f| f.keys().len() == 4).await;
     let all = ["a", "b", "config"].map(CompactString::from);
     assert_eq!(kept(&fixture, 0).unwrap(), all);
-    assert_eq!(fixture.follower.since(Offset(0)).0, None);
+    assert_eq!(fixture.follower.chunks_from(Offset(0)).0, None);
     fixture.log.put("other", Some(large));
     fixture.until("five", |f| f.keys().len() == 5).await;
     assert_eq!(kept(&fixture, 3), None);
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -1,4 +1,4 @@
-//! A small model of the reading of the log in one zone: the real choice of who reads, the real paces and
+//! A small model of the reading of the log in one zone: the real choice of who reads, the real timings and
 //! the real knowledge of refused reads, over a network and a log that are steps of a loop.
 //!
 //! It is walked exhaustively over the moment at which something goes wrong, and checks that whoever can
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 use pimento_relay::follow::Lead;
-use pimento_relay::follow::Pace;
+use pimento_relay::follow::Timing;
+use pimento_relay::neighbours::broadcast::zone_interval;
 use pimento_relay::neighbours::peers::Peer;
 use pimento_relay::neighbours::peers::Peers;
-use pimento_relay::neighbours::peers::Standing;
-use pimento_relay::neighbours::tell::period;
-use pimento_relay::paces::Paces;
+use pimento_relay::neighbours::peers::ReaderStatus;
+use pimento_relay::timings::Timings;
 use pimento_relay::zone::Failure;
-use pimento_relay::zone::Reach;
+use pimento_relay::zone::Reachability;
 use pimento_relay::zone::Zone;
 use pimento_units::Moment;
 use pimento_units::id;
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Word {
     from: usize,
-    standing: Standing,
+    standing: ReaderStatus,
     stamp: Moment,
     proof: Option<Moment>,
 }
@@ -82,13 +82,13 @@
     due: Moment,
     said: Moment,
     lead: Lead,
-    standing: Standing,
+    standing: ReaderStatus,
     failures: u32,
 }
 
 struct Model {
     now: Moment,
-    pace: Pace,
+    timing: Timing,
     bound: Duration,
     vms: Vec<Vm>,
     words: Vec<(usize, Word)>,
@@ -105,7 +105,7 @@
 
 fn peer(place: usize, now: Moment) -> Peer {
     let address = SocketAddr::from(([127, 0, 0, 1], u16::try_from(place + 1).unwrap()));
-    Peer::told_of(name(place), zone(), address, now)
+    Peer::discovered(name(place), zone(), address, now)
 }
 
 fn name(place: usize) -> id::Node {
@@ -130,12 +130,12 @@
             due: start,
             said: start,
             lead: Lead::Alone,
-            standing: Standing::Able,
+            standing: ReaderStatus::Eligible,
             failures: 0,
         };
         Self {
             now: start,
-            pace: Paces::try_from(&bounds(millis, millis, Some(5_000)))
+            timing: Timings::try_from(&bounds(millis, millis, Some(5_000)))
                 .unwrap()
                 .endpoints,
             bound,
@@ -150,8 +150,8 @@
 
     fn trust(&self) -> Duration {
         match self.mutant {
-            Mutant::Trusting => self.pace.trust * 2,
-            _ => self.pace.trust,
+            Mutant::Trusting => self.timing.max_proof_age * 2,
+            _ => self.timing.max_proof_age,
         }
     }
 
@@ -184,15 +184,15 @@
         if !vm.up {
             return;
         }
-        let spoken = peer(word.from, now).speaks(word.standing, now);
-        vm.peers.met(spoken, now);
+        let spoken = peer(word.from, now).with_datagram(word.standing, now);
+        vm.peers.update(spoken, now);
         vm.stamps[word.from] = word.stamp;
         vm.proven = vm.proven.max(word.proof.unwrap_or_default());
     }
 
     /// A read ends.
     fn finish(&mut self, place: usize) {
-        let (now, gaits) = (self.now, self.pace);
+        let (now, polling) = (self.now, self.timing);
         let vm = &mut self.vms[place];
         let Some((sent, ends, stamps)) = vm.read.take_if(|(_, ends, _)| *ends <= now) else {
             return;
@@ -203,13 +203,13 @@
                 vm.proven = sent;
                 vm.proofs = stamps;
                 vm.failures = 0;
-                vm.zone.answered();
-                let gait = if vm.lead == Lead::Alone {
-                    gaits.alone
+                vm.zone.read_answered();
+                let polling = if vm.lead == Lead::Alone {
+                    polling.alone
                 } else {
-                    gaits.leading
+                    polling.leading
                 };
-                vm.due = now + gait.pause;
+                vm.due = now + polling.pause;
                 if vm.lead == Lead::Leading {
                     vm.said = Moment::ZERO;
                 }
@@ -221,7 +221,7 @@
                     Failure::Unanswered
                 };
                 vm.failures += 1;
-                vm.zone.failed(failure, now);
+                vm.zone.read_failed(failure, now);
                 let pause = Duration::from_millis(50) * (1 << vm.failures.min(4)) / 2;
                 vm.due = now + pause.min(SUCCESSION);
             }
@@ -233,11 +233,11 @@
         let (now, late) = (self.now, self.mutant == Mutant::Late);
         let vm = &mut self.vms[place];
         let young = now.since(vm.proven) < BLIND;
-        let standing = match vm.zone.reach(now) {
-            Reach::Out if !late => Standing::Unable,
-            Reach::Untested if !late => Standing::Untested,
-            _ if young => Standing::Able,
-            _ => Standing::Untested,
+        let standing = match vm.zone.reachability(now) {
+            Reachability::Unreachable if !late => ReaderStatus::Unanswered,
+            Reachability::Untested if !late => ReaderStatus::Untested,
+            _ if young => ReaderStatus::Eligible,
+            _ => ReaderStatus::Untested,
         };
         if standing != vm.standing {
             vm.said = Moment::ZERO;
@@ -245,7 +245,7 @@
         vm.standing = standing;
         let role = vm.peers.role(&vm.name, &zone(), standing, now);
         if role.lead == Lead::Leading && vm.lead != Lead::Leading {
-            let doubt = if role.state.doubtful {
+            let doubt = if role.state.outage_suspected {
                 SUCCESSION
             } else {
                 Duration::ZERO
@@ -253,7 +253,7 @@
             vm.due = now + doubt;
         }
         vm.lead = role.lead;
-        vm.zone.set_state(role.state);
+        vm.zone.set_log_state(role.state);
     }
 
     /// A read begins.
@@ -266,12 +266,13 @@
         let trusts = now.since(vm.proven) < trust;
         // Turns by chance are played as turns by name.
         let turn = now.since(Moment::ZERO).as_millis() / SUCCESSION.as_millis();
-        let waits = vm.zone.state().blind && usize::try_from(turn).unwrap() % count != place;
+        let waits =
+            vm.zone.log_state().no_able_reader && usize::try_from(turn).unwrap() % count != place;
         if vm.read.is_some() || vm.due > now || led && (trusts || waits) {
             return;
         }
         let takes = if vm.way == Way::Silent {
-            self.pace.patience
+            self.timing.timeout
         } else {
             ANSWER
         };
@@ -282,7 +283,9 @@
     fn tell(&mut self, place: usize) {
         let now = self.now;
         let count = self.vms.len();
-        if now.since(self.vms[place].said) < period(count - 1).max(Duration::from_millis(400)) {
+        if now.since(self.vms[place].said)
+            < zone_interval(count - 1).max(Duration::from_millis(400))
+        {
             return;
         }
         self.vms[place].said = now;
