--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of a decision, in time by `criterion` and in bytes by a counting allocator, for 12 and 600 endpoints
-//! and for 10 and 1,000 waiting customers.
+//! Cost of a decision, in time by `criterion` and in bytes by a counting allocator, for 12 and 600
+//! endpoints and for 10 and 1,000 waiting customers.
 
 use std::alloc::System;
 use std::hint::black_box;
@@ -137,10 +137,10 @@
         choice::choose(&self.candidates, prefix, random, &choice::Config::default())
     }
 
-    /// All decisions for one request: admission, enqueueing and dequeueing, the choice, the slot, and recording
-    /// the answer. Candidates are updated call by call and all of them each tenth of a second (a hundred
-    /// calls here), or for each request if `refresh`.
-    fn whole(&mut self, refresh: bool) {
+    /// All decisions for one request: admission, enqueueing and dequeueing, the choice, the slot,
+    /// and recording the answer. Candidates are updated call by call and all of them each tenth of
+    /// a second (a hundred calls here), or for each request if `refresh`.
+    fn handle_request(&mut self, refresh: bool) {
         self.step += 1;
         let place = usize::try_from(self.step).expect("small") % self.customers.len();
         black_box(self.admit(place));
@@ -224,10 +224,10 @@
             });
             for (what, refresh) in [("whole", false), ("whole, candidates anew", true)] {
                 group.bench_function(BenchmarkId::new(what, &sizes), |bencher| {
-                    bencher.iter(|| node.whole(refresh));
+                    bencher.iter(|| node.handle_request(refresh));
                 });
             }
-            count(&format!("whole, {sizes}"), || node.whole(false));
+            count(&format!("whole, {sizes}"), || node.handle_request(false));
         }
     }
     group.finish();
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -31,11 +31,11 @@
 /// Running mean of the answer length of one class. The length of an answer is not known before it
 /// ends.
 #[derive(Debug, Clone, Copy)]
-pub struct Length {
+pub struct AnswerLength {
     mean: f64,
 }
 
-impl Length {
+impl AnswerLength {
     /// Weight of a new answer in the mean.
     const WEIGHT: f64 = 0.05;
 
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -3,13 +3,14 @@
 //! Several nodes spend the same customer's money, and some of them may be cut off or crash. If each
 //! checked against a sum that it read a moment ago, they would together overrun the limit by
 //! whatever is in flight everywhere; a single shared counter would stop all spending while it can't
-//! be reached. So a node spends only out of grants that the fold of the log accepted, which together
-//! never exceed the limit. It reserves the maximum cost of a call before sending it and settles the
-//! actual cost afterwards. It requests grants ahead of need, as a share of what is left, so that they
-//! shrink near the limit, and may release what it does not need.
+//! be reached. So a node spends only out of grants that the fold of the log accepted, which
+//! together never exceed the limit. It reserves the maximum cost of a call before sending it and
+//! settles the actual cost afterwards. It requests grants ahead of need, as a share of what is
+//! left, so that they shrink near the limit, and may release what it does not need.
 //!
 //! The scheme is escrow transactions (O'Neil, 1986) and demarcation (Barbará and Garcia-Molina,
-//! 1992): a bound on a sum holds without coordination at each update if each site keeps to its part.
+//! 1992): a bound on a sum holds without coordination at each update if each site stays within its
+//! part.
 
 use std::time::Duration;
 
@@ -35,7 +36,7 @@
     pub min_grant: Money,
     /// Half-life of the measured spend rate.
     pub half_life: Duration,
-    /// Multiple of the needed amount that a node keeps; only what exceeds it is surplus.
+    /// Multiple of the needed amount that a node retains; what exceeds it is surplus.
     pub surplus_factor: u32,
 }
 
--- a/crates/policy/src/cascade.rs
+++ b/crates/policy/src/cascade.rs
@@ -4,13 +4,14 @@
 //! rating service may be slow or unavailable. Always using the cheapest version misses the quality,
 //! always using the best costs several times too much, and a fixed cascade pays for a first step
 //! even where it is known to fail. This module estimates the share of each version's answers that
-//! pass the rating, for each customer and class. It starts at the version that minimises the expected
-//! cost of the whole chain of steps, has each answer rated, and steps up if one falls short. An
-//! answer is released unrated only if the lower bound of its version's estimate meets the target.
+//! pass the rating, for each customer and class. It starts at the version that minimises the
+//! expected cost of the whole chain of steps, has each answer rated, and steps up if one falls
+//! short. An answer is released unrated only if the lower bound of its version's estimate meets the
+//! target.
 //!
 //! Cascades behind a scorer are those of `FrugalGPT` (Chen, Zaharia and Zou, 2023). A Beta estimate
-//! with forgetting is the textbook one for a share that drifts. The expected cost of a chain is that
-//! of sequential search (Weitzman, 1979) with known costs.
+//! with forgetting is the textbook one for a share that drifts. The expected cost of a chain is
+//! that of sequential search (Weitzman, 1979) with known costs.
 
 use std::time::Duration;
 
@@ -25,8 +26,8 @@
 pub struct Config {
     /// Number of ratings that the configured quality counts as.
     pub prior_weight: f64,
-    /// Maximum number of ratings remembered; new ratings displace old ones. A version that turns bad
-    /// is noticed within about this many ratings, however long it was good.
+    /// Maximum number of ratings remembered; new ratings displace old ones. A version that turns
+    /// bad is noticed within about this many ratings, however long it was good.
     pub window: f64,
     /// Half-life of the recorded ratings.
     pub half_life: Duration,
@@ -177,9 +178,9 @@
     number::unit_interval(random) < SAMPLED_SHARE
 }
 
-/// The next step; none if no candidate fits the budget. After a failed rating it is called again with
-/// that candidate marked unusable. If it returns none then, the caller is left with the best answer
-/// so far.
+/// The next step; none if no candidate fits the budget. After a failed rating it is called again
+/// with that candidate marked unusable. If it returns none then, the caller is left with the best
+/// answer so far.
 #[must_use]
 pub fn plan(candidates: &[Candidate], terms: &Terms) -> Option<Plan> {
     let unrated = cheapest_unrated(candidates, terms);
@@ -231,8 +232,8 @@
         .min_by(|one, other| one.0.total_cmp(&other.0))
 }
 
-/// The candidate most likely to pass among those that fit. If none is in time, it is chosen among all
-/// that fit the budget, because the caller decides what a late answer is worth.
+/// The candidate most likely to pass among those that fit. If none is in time, it is chosen among
+/// all that fit the budget, because the caller decides what a late answer is worth.
 fn best(candidates: &[Candidate], terms: &Terms) -> Option<usize> {
     let by_mean = |one: &(usize, Candidate), other: &(usize, Candidate)| {
         one.1
@@ -275,8 +276,8 @@
     Some(cheapest)
 }
 
-/// The expected price after `first` failed: that of one intermediate step before the best candidate, or
-/// of the best at once. Longer chains gain little and take the caller's time.
+/// The expected price after `first` failed: that of one intermediate step before the best
+/// candidate, or of the best at once. Longer chains gain little and take the caller's time.
 fn price_after(
     candidates: &[Candidate],
     terms: &Terms,
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -1,21 +1,22 @@
 //! Choice of an endpoint for one attempt.
 //!
-//! Load reports are seconds old, many nodes choose at once, prefixes may be hot, and zones are apart.
-//! With reports alone, all nodes send to the endpoint that was idle when it last reported and fill it
-//! before the next report (herding). With strict affinity, one hot prefix drives its endpoint over
-//! its limit; without affinity, every engine computes every prefix anew. The choice is made in this
-//! order:
-//! - A prefix goes to the endpoint that is first in its rendezvous order among those whose load is at
-//!   most a multiple of the mean. A hot prefix spreads to the next endpoints and returns later.
-//! - Otherwise two endpoints are drawn, and the one with less expected work gets the attempt. Its work
-//!   is this node's own calls in flight, which are known exactly, and those of other nodes, discounted
-//!   by the age of the report.
+//! Load reports are seconds old, many nodes choose at once, prefixes may be hot, and zones are
+//! apart. With reports alone, all nodes send to the endpoint that was idle when it last reported
+//! and fill it before the next report (herding). With strict affinity, one hot prefix drives its
+//! endpoint over its limit; without affinity, every engine computes every prefix anew. The choice
+//! is made in this order:
+//! - A prefix goes to the endpoint that is first in its rendezvous order among those whose load is
+//!   at most a multiple of the mean. A hot prefix spreads to the next endpoints and returns later.
+//! - Otherwise two endpoints are drawn, and the one with less expected work gets the attempt. Its
+//!   work is this node's own calls in flight, which are known exactly, and those of other nodes,
+//!   discounted by the age of the report.
 //! - Endpoints are drawn from the local zone first. Another zone is used if the wait saved outweighs
 //!   the delay and cost of the link.
 //!
-//! The methods are two random choices (Mitzenmacher, 2001; with stale information, 2000), rendezvous
-//! hashing (Thaler and Ravishankar, 1998), consistent hashing with bounded loads (Mirrokni, Thorup and
-//! Zadimoghaddam, 2018), and requests in flight as the load signal (Prequal, Google, NSDI 2024).
+//! The methods are two random choices (Mitzenmacher, 2001; with stale information, 2000),
+//! rendezvous hashing (Thaler and Ravishankar, 1998), consistent hashing with bounded loads
+//! (Mirrokni, Thorup and Zadimoghaddam, 2018), and requests in flight as the load signal (Prequal,
+//! Google, NSDI 2024).
 
 use std::time::Duration;
 
@@ -29,8 +30,8 @@
     pub load_factor: f64,
     /// Age at which a load report has half its weight.
     pub half_weight_age: Duration,
-    /// Share of a local call's run time that another zone must save beyond the link's delay, because
-    /// a link between zones costs more than its delay.
+    /// Share of a local call's run time that another zone must save beyond the link's delay,
+    /// because a link between zones costs more than its delay.
     pub spill_margin: f64,
 }
 
@@ -96,8 +97,8 @@
     }
 }
 
-/// The index of the endpoint for an attempt; none if no usable endpoint has a free slot. It makes a few
-/// passes over the candidates and does not allocate.
+/// The index of the endpoint for an attempt; none if no usable endpoint has a free slot. It makes a
+/// few passes over the candidates and does not allocate.
 #[must_use]
 pub fn choose(
     candidates: &[Candidate],
@@ -140,8 +141,8 @@
     (number::float(millis) / 1_000.0).max(f64::MIN_POSITIVE)
 }
 
-/// The first endpoint in rendezvous order whose load is within the bound, in any zone. Separate orders
-/// for the zones would cache each prefix in each zone, and caches are small.
+/// The first endpoint in rendezvous order whose load is within the bound, in any zone. Separate
+/// orders for the zones would cache each prefix in each zone, and caches are small.
 fn by_affinity(candidates: &[Candidate], prefix: u64, config: &Config) -> Option<usize> {
     let max_load = (config.load_factor * mean(candidates, config.half_weight_age)).ceil();
     let mut best = None;
@@ -190,8 +191,8 @@
     Some(if better { other } else { one })
 }
 
-/// Two different open indices by repeated draws, which takes a few draws if most candidates are open.
-/// None if [`MAX_DRAWS`] did not find two.
+/// Two different open indices by repeated draws, which takes a few draws if most candidates are
+/// open. None if [`MAX_DRAWS`] did not find two.
 fn draw_pair(count: usize, random: u64, open: &impl Fn(usize) -> bool) -> Option<(usize, usize)> {
     let draws = (0..MAX_DRAWS).map(|turn| below(number::mix(random, turn), count));
     let mut found = draws.filter(|index| *index < count && open(*index));
--- a/crates/policy/src/confidence.rs
+++ b/crates/policy/src/confidence.rs
@@ -1,19 +1,21 @@
 //! Cascade by a model's own confidence: whether an answer is dropped in favour of a larger model's.
 //!
-//! Requests differ in difficulty, and models differ tenfold in cost and prefill speed. The small model
-//! alone answers half of the requests too poorly to be of use. The large one alone takes seven times
-//! the engines' time, and under load a third of the callers get no answer. So the smallest model
-//! answers first, and the head of its answer carries its confidence before the caller has received
-//! anything. The expected gain of each larger model, scaled by the value of the answer, is set against
-//! its price and against the engine time it takes from other requests; the fuller the engines, the
-//! larger the gain must be. An answer after the caller's target counts for little, so that a prompt
-//! which the largest model prefills too slowly goes to a middle one. The confidences of larger models
-//! for requests that a smaller one was unsure of are recorded and replace the initial estimate.
+//! Requests differ in difficulty, and models differ tenfold in cost and prefill speed. The small
+//! model alone answers half of the requests too poorly to be of use. The large one alone takes
+//! seven times the engines' time, and under load a third of the callers get no answer. So the
+//! smallest model answers first, and the head of its answer carries its confidence before the
+//! caller has received anything. The expected gain of each larger model, scaled by the value of the
+//! answer, is set against its price and against the engine time it takes from other requests; the
+//! fuller the engines, the larger the gain must be. An answer after the caller's target counts for
+//! little, so that a prompt which the largest model prefills too slowly goes to a middle one. The
+//! confidences of larger models for requests that a smaller one was unsure of are recorded and
+//! replace the initial estimate.
 //!
 //! Cascades by a score are those of `FrugalGPT` (Chen, Zaharia and Zou, 2023). A price on a shared
-//! resource that rises with its queue is the textbook one (Kelly, 1997). The pass rates below come from
-//! answers of one day that were requested again at the middle and at the largest model, below rising
-//! confidences: the gain divided by the number of repeated requests (`docs/MEASUREMENTS.md`).
+//! resource that rises with its queue is the textbook one (Kelly, 1997). The pass rates below come
+//! from answers of one day that were requested again at the middle and at the largest model, below
+//! rising confidences: the gain divided by the number of repeated requests
+//! (`docs/MEASUREMENTS.md`).
 
 use std::time::Duration;
 
@@ -27,18 +29,18 @@
 pub struct Config {
     /// Value of an answer after the target, as a share of that of an answer in time.
     pub late_value: f64,
-    /// Weight of a model's price: the increase in the pass rate that the most expensive model must bring
-    /// to an answer with the baseline price per value. At 0.35, one useful answer in a hundred is lost
-    /// over whole days; at 0.17, some answers don't earn their price.
+    /// Weight of a model's price: the increase in the pass rate that the most expensive model must
+    /// bring to an answer with the baseline price per value. At 0.35, one useful answer in a
+    /// hundred is lost over whole days; at 0.17, some answers don't earn their price.
     pub price_weight: f64,
-    /// Weight of the engines' load: the increase in the pass rate that must be gained by prefilling a
-    /// baseline prompt at the largest model for an answer of baseline value, for each target duration
-    /// that the next prompt would wait at the engines. At 3.5, one useful answer in a hundred is lost,
-    /// at 5 four; at 1.8, other requests wait for what is gained.
+    /// Weight of the engines' load: the increase in the pass rate that must be gained by prefilling
+    /// a baseline prompt at the largest model for an answer of baseline value, for each target
+    /// duration that the next prompt would wait at the engines. At 3.5, one useful answer in a
+    /// hundred is lost, at 5 four; at 1.8, other requests wait for what is gained.
     pub load_weight: f64,
-    /// Share of the target that an estimated time may take. For prompts with more than half a second of
-    /// prefill, the estimate errs by 2% of the target at the median. A greater margin keeps long
-    /// prompts from a model that would be in time.
+    /// Share of the target that an estimated time may take. For prompts with more than half a
+    /// second of prefill, the estimate errs by 2% of the target at the median. A greater margin
+    /// keeps long prompts from a model that would be in time.
     pub target_share: f64,
 }
 
@@ -106,8 +108,8 @@
 /// Number of answers that the initial estimate counts as.
 const PRIOR_ANSWERS: f64 = 12.0;
 
-/// Maximum number of answers remembered for each band. After a model was replaced by another version,
-/// the estimate follows within about this many answers.
+/// Maximum number of answers remembered for each band. After a model was replaced by another
+/// version, the estimate follows within about this many answers.
 const MAX_ANSWERS: f64 = 120.0;
 
 /// Number of confidence bands, which is also the width of each: ten bands of ten points.
@@ -118,7 +120,8 @@
 struct Row {
     smaller: u64,
     larger: u64,
-    /// For each band, the sum of the pass rates at the larger model's confidences, and their number.
+    /// For each band, the sum of the pass rates at the larger model's confidences, and their
+    /// number.
     bands: [(f64, f64); BANDS],
 }
 
@@ -140,8 +143,8 @@
             .binary_search_by_key(&(smaller, larger), |row| (row.smaller, row.larger))
     }
 
-    /// Records the confidences of a smaller and a larger model for the same request, each with the hash
-    /// of its model.
+    /// Records the confidences of a smaller and a larger model for the same request, each with the
+    /// hash of its model.
     pub fn record(&mut self, smaller: (u64, u8), larger: (u64, u8)) {
         let index = self.find(smaller.0, larger.0).unwrap_or_else(|index| {
             let row = Row {
@@ -235,7 +238,8 @@
     }
 }
 
-/// The rank of the model at `place` among `count` models by size: 0 for the smallest, 1 for the largest.
+/// The rank of the model at `place` among `count` models by size: 0 for the smallest, 1 for the
+/// largest.
 #[must_use]
 pub fn rank(place: usize, count: usize) -> f64 {
     let last = count.saturating_sub(1).max(1);
--- a/crates/policy/src/connect.rs
+++ b/crates/policy/src/connect.rs
@@ -1,12 +1,12 @@
 //! Timeout for making a connection, after which another endpoint is tried.
 //!
-//! Endpoints may be cut off or without power, or their accept queue may be full. A fixed timeout has to
-//! allow for the farthest zone, so that after a cut the first attempts take longer than callers of short
-//! calls wait for an answer. Here the timeout follows the time that earlier connections took. Nothing
-//! was sent when it expires, so that another endpoint may be tried.
+//! Endpoints may be cut off or without power, or their accept queue may be full. A fixed timeout
+//! has to allow for the farthest zone, so that after a cut the first attempts take longer than
+//! callers of short calls wait for an answer. Here the timeout follows the time that earlier
+//! connections took. Nothing was sent when it expires, so that another endpoint may be tried.
 //!
-//! The estimator is that of TCP's retransmission timeout (RFC 6298) with a clock in milliseconds: the
-//! mean plus four times the mean deviation.
+//! The estimator is that of TCP's retransmission timeout (RFC 6298) with a clock in milliseconds:
+//! the mean plus four times the mean deviation.
 
 use std::time::Duration;
 
@@ -19,17 +19,17 @@
 /// Deviations added to the mean (RFC 6298).
 const DEVIATIONS: f64 = 4.0;
 
-/// Factor from the estimate to the timeout. Connections go to the local and to remote zones in turn, and
-/// the estimate may rest on local ones when the first remote one is made: a round trip between the zones
-/// of a region takes as long as ten within a zone.
+/// Factor from the estimate to the timeout. Connections go to the local and to remote zones in
+/// turn, and the estimate may rest on local ones when the first remote one is made: a round trip
+/// between the zones of a region takes as long as ten within a zone.
 const MARGIN: f64 = 10.0;
 
-/// The shortest timeout. A VM with a fraction of a core may be busy for tens of milliseconds before it
-/// handles the endpoint's reply.
+/// The shortest timeout. A VM with a fraction of a core may be busy for tens of milliseconds before
+/// it handles the endpoint's reply.
 pub const MIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The longest timeout, which also applies before the first connection. It is shorter than the second
-/// after which a lost packet is sent again, so that another endpoint is tried before.
+/// The longest timeout, which also applies before the first connection. It is shorter than the
+/// second after which a lost packet is sent again, so that another endpoint is tried before.
 pub const MAX_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Timeout derived from the time that connections took.
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -1,12 +1,12 @@
 //! Ejection of endpoints that fail or are far slower than their pool.
 //!
-//! An endpoint that fails fast has the fewest calls in flight, so that a least-loaded choice sends it
-//! most of the requests; a slow one determines the pool's 95th percentile. An endpoint is ejected after
-//! consecutive errors, or when its time per token stays above a multiple of the pool's median. Only a
-//! share of the pool may be ejected at once, because shrinking a pool that fails as a whole does not
-//! help. If that many are ejected already, an endpoint that fails takes the place of the one whose
-//! ejection ends first. An endpoint returns after single probes have succeeded, and each further
-//! ejection lasts longer.
+//! An endpoint that fails fast has the fewest calls in flight, so that a least-loaded choice sends
+//! it most of the requests; a slow one determines the pool's 95th percentile. An endpoint is
+//! ejected after consecutive errors, or when its time per token stays above a multiple of the
+//! pool's median. Only a share of the pool may be ejected at once, because shrinking a pool that
+//! fails as a whole does not help. If that many are ejected already, an endpoint that fails takes
+//! the place of the one whose ejection ends first. An endpoint returns after single probes have
+//! succeeded, and each further ejection lasts longer.
 //!
 //! This is outlier detection as in Envoy (consecutive errors, bounded share, growing ejection time)
 //! and failure accrual with probes as in Finagle.
@@ -19,12 +19,13 @@
 /// Settings of a [`Pool`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Consecutive errors that eject an endpoint. In a full pool two occur by chance, since a hedged
-    /// call that lost counts as an error. More would leave a hanging endpoint in use for longer,
-    /// because each of many nodes sends it a call only every few seconds and learns for itself.
+    /// Consecutive errors that eject an endpoint. In a full pool two occur by chance, since a
+    /// hedged call that lost counts as an error. More would leave a hanging endpoint in use for
+    /// longer, because each of many nodes sends it a call only every few seconds and learns for
+    /// itself.
     pub consecutive_errors: u32,
-    /// Multiple of the pool's median time per token above which an endpoint is ejected. A full batch is
-    /// about twice as slow as a moderately filled one, which must not eject.
+    /// Multiple of the pool's median time per token above which an endpoint is ejected. A full
+    /// batch is about twice as slow as a moderately filled one, which must not eject.
     pub slow_factor: f64,
     /// Timed answers that an endpoint must have given before it can count as slow.
     pub min_samples: u32,
@@ -59,9 +60,10 @@
 /// Sorting hundreds of endpoints at each answer would cost more than all other decisions.
 pub const MEDIAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Largest pool in which an endpoint is compared with the median of the others, taken at each answer. In
-/// a pool of two or three, the endpoint's own earlier times would be half of that median, or all of it
-/// if the other endpoint fails, and a single slow moment would eject the only endpoint that answers.
+/// Largest pool in which an endpoint is compared with the median of the others, taken at each
+/// answer. In a pool of two or three, the endpoint's own earlier times would be half of that
+/// median, or all of it if the other endpoint fails, and a single slow moment would eject the only
+/// endpoint that answers.
 const SMALL_POOL: usize = 8;
 
 /// How a call ended, with regard to the endpoint's health.
@@ -72,8 +74,8 @@
         /// Seconds per token.
         seconds_per_token: f64,
     },
-    /// Answered, in a time that does not show the endpoint's speed, because answers differ in model and
-    /// length.
+    /// Answered, in a time that does not show the endpoint's speed, because answers differ in model
+    /// and length.
     AnsweredUntimed,
     /// Failed, broke off, or gave no answer for too long.
     Failed,
@@ -99,8 +101,8 @@
     seconds_per_token: f64,
     samples: u32,
     errors: u32,
-    /// Ejections so far, less one for each return after successful probes. It determines how long the
-    /// next ejection lasts.
+    /// Ejections so far, less one for each return after successful probes. It determines how long
+    /// the next ejection lasts.
     ejections: u32,
     /// When the ejection ends; none while in use.
     ejected_until: Option<Moment>,
@@ -140,8 +142,8 @@
         self.ejected_until.is_some()
     }
 
-    /// A probe that is never answered must not keep the endpoint ejected for ever: after the longest
-    /// ejection the next probe may be sent.
+    /// A probe that is never answered must not keep the endpoint ejected for ever: after the
+    /// longest ejection the next probe may be sent.
     fn state(&self, now: Moment, longest: Duration) -> State {
         match (self.ejected_until, self.probe_sent) {
             (None, _) => State::Active,
@@ -198,7 +200,8 @@
         self.readmit_excess();
     }
 
-    /// Discards an endpoint's state after it restarted, since its former incarnation does not describe it.
+    /// Discards an endpoint's state after it restarted, since its former incarnation does not
+    /// describe it.
     pub fn reset(&mut self, endpoint: &id::Endpoint) {
         if let Some(place) = self.find(endpoint) {
             let member = &mut self.members[place];
@@ -238,17 +241,17 @@
         until.unwrap_or(Moment::ZERO)
     }
 
-    /// The states of all endpoints, sorted by endpoint, for a choice among many, where looking up each
-    /// one would cost more than the choice itself. While [`ejected`](Self::ejected) is zero, all are
-    /// active and this need not be called.
+    /// The states of all endpoints, sorted by endpoint, for a choice among many, where looking up
+    /// each one would cost more than the choice itself. While [`ejected`](Self::ejected) is zero,
+    /// all are active and this need not be called.
     pub fn states(&self, now: Moment) -> impl Iterator<Item = State> {
         let longest = self.config.longest_ejection;
         self.members.iter().map(move |m| m.state(now, longest))
     }
 
-    /// An endpoint that is due for a probe. The caller sends it a short, repeatable call before it makes
-    /// any other choice. Left to the ordinary choice, the endpoint would be probed late, or by many
-    /// calls at once.
+    /// An endpoint that is due for a probe. The caller sends it a short, repeatable call before it
+    /// makes any other choice. Left to the ordinary choice, the endpoint would be probed late, or
+    /// by many calls at once.
     #[must_use]
     pub fn probe_due(&self, now: Moment) -> Option<&id::Endpoint> {
         let longest = self.config.longest_ejection;
@@ -293,9 +296,9 @@
         }
     }
 
-    /// Ejects a failing endpoint in place of one that is already ejected and may be healthy by now. With
-    /// the bound alone, the last endpoint in use would stay so after it was cut off, and all calls would
-    /// go to it beside an endpoint that has recovered.
+    /// Ejects a failing endpoint in place of one that is already ejected and may be healthy by now.
+    /// With the bound alone, the last endpoint in use would stay so after it was cut off, and all
+    /// calls would go to it beside an endpoint that has recovered.
     fn eject_instead(&mut self, place: usize, now: Moment) {
         let ejected = self.members.iter_mut().filter(|member| member.is_ejected());
         if let Some(member) = ejected.min_by_key(|member| member.ejected_until) {
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -1,12 +1,12 @@
 //! Hedging: a second attempt at a short request that takes longer than is usual for its class.
 //!
 //! Latency has a slow tail, such as from an endpoint that hangs. Without hedging, the callers' 95th
-//! percentile is that of the slowest endpoint. A repeatable, short request that has no first token after
-//! its class's 95th percentile is sent to a second endpoint if the retry budget allows it. The first
-//! answer wins, and the other attempt is cancelled.
+//! percentile is that of the slowest endpoint. A repeatable, short request that has no first token
+//! after its class's 95th percentile is sent to a second endpoint if the retry budget allows it.
+//! The first answer wins, and the other attempt is cancelled.
 //!
-//! By "The Tail at Scale" (Dean and Barroso, 2013), hedging past the 95th percentile adds about 5% of
-//! load. The retry budget bounds it when the whole pool is slow.
+//! By "The Tail at Scale" (Dean and Barroso, 2013), hedging past the 95th percentile adds about 5%
+//! of load. The retry budget bounds it when the whole pool is slow.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 
 use crate::number;
 
-/// Buckets of a [`LatencyHistogram`]. Their bounds start at a millisecond and grow by a quarter each; the
-/// last bucket holds all latencies above about 20 minutes.
+/// Buckets of a [`LatencyHistogram`]. Their bounds start at a millisecond and grow by a quarter
+/// each; the last bucket holds all latencies above about 20 minutes.
 const BUCKETS: usize = 64;
 
-/// Ratio of the bounds of neighbouring buckets. A quantile errs by at most this factor, which moves a
-/// hedge little.
+/// Ratio of the bounds of neighbouring buckets. A quantile errs by at most this factor, which moves
+/// a hedge little.
 const BUCKET_RATIO: f64 = 1.25;
 
 /// Upper bound of the first bucket, in seconds.
@@ -31,12 +31,12 @@
 /// Answers needed for a quantile: of twenty answers, one is beyond the 95th percentile.
 const MIN_ANSWERS: f64 = 20.0;
 
-/// Multiple of the 95th percentile after which a hedge is sent. At the percentile itself, every second
-/// in which the pool is slower than before would cause hedges.
+/// Multiple of the 95th percentile after which a hedge is sent. At the percentile itself, every
+/// second in which the pool is slower than before would cause hedges.
 const HEDGE_FACTOR: f64 = 1.25;
 
-/// Multiple of the 95th percentile after which an attempt without a first token counts as failed. It is
-/// high enough that a full pool is not taken for a dead one.
+/// Multiple of the 95th percentile after which an attempt without a first token counts as failed.
+/// It is high enough that a full pool is not taken for a dead one.
 const TIMEOUT_FACTOR: f64 = 6.0;
 
 /// The shortest time without a first token that counts as a failure.
@@ -122,11 +122,11 @@
     (delay < attempt.time_left).then_some(delay)
 }
 
-/// How long an attempt may go without a first token before it is abandoned for another one, so that a
-/// call at an endpoint that hangs does not wait for the caller's whole timeout. To be applied only if the
-/// retry budget allows a retry: in a burst a full pool gives no first tokens for long, too, and an
-/// attempt abandoned without a retry fails a caller who would have been served. None while too few
-/// latencies are recorded; then the deadline bounds the attempt.
+/// How long an attempt may go without a first token before it is abandoned for another one, so that
+/// a call at an endpoint that hangs does not wait for the caller's whole timeout. To be applied
+/// only if the retry budget allows a retry: in a burst a full pool gives no first tokens for long,
+/// too, and an attempt abandoned without a retry fails a caller who would have been served. None
+/// while too few latencies are recorded; then the deadline bounds the attempt.
 #[must_use]
 pub fn first_token_timeout(latencies: &LatencyHistogram) -> Option<Duration> {
     let percentile = latencies.quantile(0.95)?;
--- a/crates/policy/src/number.rs
+++ b/crates/policy/src/number.rs
@@ -26,8 +26,8 @@
     u32::try_from(floor(value)).unwrap_or(u32::MAX)
 }
 
-/// A duration of `value` seconds. Negative values and NaN become zero, values that are too large the
-/// longest duration.
+/// A duration of `value` seconds. Negative values and NaN become zero, values that are too large
+/// the longest duration.
 pub(crate) fn seconds(value: f64) -> Duration {
     if value.is_nan() || value <= 0.0 {
         return Duration::ZERO;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,13 +1,13 @@
 //! Retry budgets: successes pay for retries.
 //!
-//! When endpoints fail and each failed attempt becomes two or three, a pool that lost half its capacity
-//! gets twice its load and does not recover. Here each success adds a fraction of a retry to a budget, and
-//! each retry withdraws one. There is one budget for each customer and one for each pool, and both must
-//! cover the retry. Only repeatable requests are retried, at another endpoint, within the deadline of the
-//! first attempt.
+//! When endpoints fail and each failed attempt becomes two or three, a pool that lost half its
+//! capacity gets twice its load and does not recover. Here each success adds a fraction of a retry
+//! to a budget, and each retry withdraws one. There is one budget for each customer and one for
+//! each pool, and both must cover the retry. Only repeatable requests are retried, at another
+//! endpoint, within the deadline of the first attempt.
 //!
-//! Retry budgets are those of Finagle's `RetryBudget` and of the SRE book's chapter on overload (10 to
-//! 20% of requests). The reserve lets customers with little traffic retry at all.
+//! Retry budgets are those of Finagle's `RetryBudget` and of the SRE book's chapter on overload (10
+//! to 20% of requests). The reserve lets customers with little traffic retry at all.
 
 use std::time::Duration;
 
@@ -94,8 +94,9 @@
         self.updated = self.updated.max(now);
     }
 
-    /// The part of the balance above one decays. The reserve fills the balance up to one. So idleness
-    /// neither accumulates many retries nor leaves a customer with little traffic without its one retry.
+    /// The part of the balance above one decays. The reserve fills the balance up to one. So
+    /// idleness neither accumulates many retries nor leaves a customer with little traffic without
+    /// its one retry.
     fn balance_at(&self, now: Moment) -> f64 {
         let age = now.since(self.updated);
         let above = (self.balance - 1.0).max(0.0) * number::decay(age, self.config.half_life);
@@ -104,8 +105,8 @@
     }
 }
 
-/// Slices that a window is counted in. Requests and repeats leave the window a slice at a time, which errs
-/// by a twentieth of the window at most.
+/// Slices that a window is counted in. Requests and repeats leave the window a slice at a time,
+/// which errs by a twentieth of the window at most.
 const SLICES: usize = 20;
 
 /// Settings of a [`Window`].
@@ -119,7 +120,8 @@
     pub span: Duration,
 }
 
-/// Limits repeats, the calls beyond one for each request, by the number of requests in a sliding window.
+/// Limits repeats, the calls beyond one for each request, by the number of requests in a sliding
+/// window.
 #[derive(Debug, Clone)]
 pub struct Window {
     config: WindowConfig,
@@ -179,7 +181,8 @@
         true
     }
 
-    /// Advances to the current slice, clears the slices that left the window, and returns its index.
+    /// Advances to the current slice, clears the slices that left the window, and returns its
+    /// index.
     fn advance(&mut self, now: Moment) -> usize {
         let length = self.config.span.as_nanos() / SLICES as u128;
         let length = u64::try_from(length).unwrap_or(u64::MAX).max(1);
@@ -207,8 +210,8 @@
     pub deadline: Moment,
 }
 
-/// Maximum number of attempts of one request. A third attempt gains little already: if two endpoints fail
-/// a request, the third mostly fails for the same cause.
+/// Maximum number of attempts of one request. A third attempt gains little already: if two
+/// endpoints fail a request, the third mostly fails for the same cause.
 pub const MAX_ATTEMPTS: u32 = 3;
 
 /// Decides whether a failed request is retried, and withdraws the retry from both budgets if so.
@@ -223,10 +226,10 @@
     pool.withdraw(now) && customer.withdraw(now)
 }
 
-/// Whether an attempt that reached no endpoint, such as after a refused connection, may be repeated at
-/// another one. It caused no work, so that repeating it can't multiply an overload and needs no budget.
-/// When a zone is lost, the budgets would be empty after the first calls to each of its endpoints, and
-/// callers would get errors although the other zones are healthy.
+/// Whether an attempt that reached no endpoint, such as after a refused connection, may be repeated
+/// at another one. It caused no work, so that repeating it can't multiply an overload and needs no
+/// budget. When a zone is lost, the budgets would be empty after the first calls to each of its
+/// endpoints, and callers would get errors although the other zones are healthy.
 #[must_use]
 pub fn can_retry_unsent(failure: Failure, now: Moment) -> bool {
     failure.attempts < MAX_ATTEMPTS && now + failure.run_time <= failure.deadline
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,16 +1,16 @@
 //! Roll-outs: which sessions use the new version, and when the next stage or a withdrawal is due.
 //!
-//! A version may turn bad while it is rolled out. A weight drawn for each request would move sessions back
-//! and forth, a split by `hash mod n` would move most sessions at each change of weight, and a bad version
-//! would be found by callers. Here each session has one fixed position between 0 and 1 for each new
-//! version and uses that version if the position is below the weight, so that a rising weight only moves
-//! sessions to the new version. A gate compares the evidence on the new version with that on the old one.
-//! Enough good evidence allows the next stage. Evidence that chance hardly explains withdraws the version
-//! at once, long before the samples are complete.
+//! A version may turn bad while it is rolled out. A weight drawn for each request would move
+//! sessions back and forth, a split by `hash mod n` would move most sessions at each change of
+//! weight, and a bad version would be found by callers. Here each session has one fixed position
+//! between 0 and 1 for each new version and uses that version if the position is below the weight,
+//! so that a rising weight only moves sessions to the new version. A gate compares the evidence on
+//! the new version with that on the old one. Enough good evidence allows the next stage. Evidence
+//! that chance hardly explains withdraws the version at once, long before the samples are complete.
 //!
-//! The fixed position is weighted rendezvous hashing. The bounds are Wilson's (1927), which hold for few
-//! samples and for shares near 0 and 1. Because the evidence is evaluated repeatedly, the bound is 99%
-//! rather than the usual 95%.
+//! The fixed position is weighted rendezvous hashing. The bounds are Wilson's (1927), which hold
+//! for few samples and for shares near 0 and 1. Because the evidence is evaluated repeatedly, the
+//! bound is 99% rather than the usual 95%.
 
 use std::time::Duration;
 
@@ -24,14 +24,15 @@
 
 use crate::number;
 
-/// Half-life of evidence. The stages of a roll-out last minutes to hours; a longer memory would hide a
-/// version that turned bad after a good start.
+/// Half-life of evidence. The stages of a roll-out last minutes to hours; a longer memory would
+/// hide a version that turned bad after a good start.
 const HALF_LIFE: Duration = Duration::from_mins(10);
 
 /// Standard deviations of a one-sided 99% bound.
 const DEVIATIONS: f64 = 2.33;
 
-/// Minimum number of samples that can withdraw a version, because three failures in a row may be chance.
+/// Minimum number of samples that can withdraw a version, because three failures in a row may be
+/// chance.
 const MIN_SAMPLES: f64 = 5.0;
 
 /// Evidence on one version in one stage.
@@ -60,16 +61,16 @@
     pub attempts: u32,
     /// Attempts that failed.
     pub failed: u32,
-    /// Mean time of an answered attempt, in any unit that is the same for all versions; none if it is
-    /// unknown.
+    /// Mean time of an answered attempt, in any unit that is the same for all versions; none if it
+    /// is unknown.
     pub mean_time: Option<f64>,
 }
 
 impl From<Counts> for Evidence {
     fn from(counts: Counts) -> Self {
         let answered = f64::from(counts.attempts.saturating_sub(counts.failed));
-        // Attempts of unknown time must not count as instant, or any version compared with them would
-        // seem slow.
+        // Attempts of unknown time must not count as instant, or any version compared with them
+        // would seem slow.
         let timed = counts.mean_time.map_or(0.0, |_| answered);
         Self {
             rated: f64::from(counts.rated),
@@ -232,8 +233,8 @@
     ((middle - spread) / scale, (middle + spread) / scale)
 }
 
-/// Whether `session` uses the new version `to` at this weight. If it does so at one weight, it does at
-/// every higher one.
+/// Whether `session` uses the new version `to` at this weight. If it does so at one weight, it does
+/// at every higher one.
 #[must_use]
 pub fn uses_new_version(session: id::Session, to: &id::Version, weight: Share) -> bool {
     let (high, low) = session.0.as_u64_pair();
@@ -255,7 +256,8 @@
     allowed: impl Fn(&id::Version) -> bool,
 ) -> &'a id::Version {
     let mut current = version;
-    // Each step follows one roll-out. The number of steps is bounded, in case roll-outs form a cycle.
+    // Each step follows one roll-out. The number of steps is bounded, in case roll-outs form a
+    // cycle.
     for _ in 0..rollouts.len() {
         let next = rollouts.iter().find(|rollout| {
             let counts = !settled || rollout.status == Status::Done;
--- a/crates/policy/src/session.rs
+++ b/crates/policy/src/session.rs
@@ -1,10 +1,10 @@
 //! Which versions a session uses: its pinned versions, as long as they are usable.
 //!
-//! Entry VMs and zones share no memory, and versions come and go. Without pins, a session would change its
-//! version whenever the balancer picks another VM, and a session pinned for ever would go on with a
-//! withdrawn version. The caller carries its pins in the session token. For each model that the class
-//! allows, the pinned version is used while it serves, is allowed and is not quarantined here; otherwise
-//! the roll-outs decide, and the pin changes.
+//! Entry VMs and zones share no memory, and versions come and go. Without pins, a session would
+//! change its version whenever the balancer picks another VM, and a session pinned for ever would
+//! go on with a withdrawn version. The caller carries its pins in the session token. For each model
+//! that the class allows, the pinned version is used while it serves, is allowed and is not
+//! quarantined here; otherwise the roll-outs decide, and the pin changes.
 //!
 //! A node whose configuration is older than a bound can't know whether a version that was still in
 //! roll-out has been withdrawn meanwhile. It uses settled versions only, for pins too.
@@ -107,8 +107,8 @@
     chosen
 }
 
-/// The version that the roll-outs assign to a session. If it may not be used, the newest usable version
-/// of the lineage, settled ones first.
+/// The version that the roll-outs assign to a session. If it may not be used, the newest usable
+/// version of the lineage, settled ones first.
 fn assigned<'a>(
     session: id::Session,
     root: &'a id::Version,
--- a/crates/policy/src/shift.rs
+++ b/crates/policy/src/shift.rs
@@ -1,16 +1,18 @@
 //! Moving a service to another version of its software by a deadline, without stages of its own.
 //!
-//! Operators order a version and tell by when the move must be done or undone. The version may fail or be
-//! slow, on one route only, late, or only under load. Without care, either all requests meet a bad version
-//! at once, or a good one is not in place in time. The move has three phases by the age of the order. In
-//! the trial, a small fixed share of the sessions uses the new version, well below what a bad version may
-//! get, and no known session changes its version. Then the share rises to all sessions within seconds.
-//! The evidence of all nodes is summed for each route. A version that is slow on one of them, or fails
-//! there at more than one endpoint, is bad, and its share is zero from then on.
+//! Operators order a version and set the deadline by which the move must be done or undone. The
+//! version may fail or be slow, on one route only, late, or only under load. Without care, either
+//! all requests meet a bad version at once, or a good one is not in place in time. The move has
+//! three phases by the age of the order. In the trial, a small fixed share of the sessions uses the
+//! new version, well below what a bad version may get, and no known session changes its version.
+//! Then the share rises to all sessions within seconds. The evidence of all nodes is summed for
+//! each route. A version that is slow on one of them, or fails there at more than one endpoint, is
+//! bad, and its share is zero from then on.
 //!
-//! The fixed position of a session and the bounds on evidence are those of [`crate::rollout`]. Routes are
-//! evaluated separately because a fault in one class of requests is lost in the sum. Failures must affect
-//! more than one endpoint because a single failing endpoint is handled by [`crate::eject`].
+//! The fixed position of a session and the bounds on evidence are those of [`crate::rollout`].
+//! Routes are evaluated separately because a fault in one class of requests is lost in the sum.
+//! Failures must affect more than one endpoint because a single failing endpoint is handled by
+//! [`crate::eject`].
 
 use std::time::Duration;
 
@@ -25,21 +27,22 @@
 /// Settings of a shift.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Part of the allowed exposure that the trial uses. The rest is for repeats of requests that failed
-    /// in the trial, and for the seconds of the ramp until a fault that shows only under load is seen.
+    /// Part of the allowed exposure that the trial uses. The rest is for repeats of requests that
+    /// failed in the trial, and for the seconds of the ramp until a fault that shows only under
+    /// load is seen.
     pub trial_exposure: f64,
-    /// Part of the time until the deadline that the trial lasts. Sessions may only change their version
-    /// after it.
+    /// Part of the time until the deadline that the trial lasts. Sessions may only change their
+    /// version after it.
     pub trial_time: f64,
-    /// Time from the order until the trial begins. Sessions go from node to node, so that each node must
-    /// learn which of them used the old version before. Messages within and between zones take a second
-    /// at most.
+    /// Time from the order until the trial begins. Sessions go from node to node, so that each node
+    /// must learn which of them used the old version before. Messages within and between zones take
+    /// a second at most.
     pub observation: Duration,
     /// Extension of the trial, because nodes read an order at slightly different times.
     pub clock_margin: Duration,
-    /// How long the share takes to rise to all sessions. With a much shorter ramp, all sessions meet a
-    /// fault under load before the first evidence of it is shared; with a much longer one, calls to the
-    /// old version have no time to end.
+    /// How long the share takes to rise to all sessions. With a much shorter ramp, all sessions
+    /// meet a fault under load before the first evidence of it is shared; with a much longer one,
+    /// calls to the old version have no time to end.
     pub ramp: Duration,
 }
 
@@ -125,13 +128,14 @@
     pub old: Evidence,
 }
 
-/// The largest share of failed attempts beyond that of the old version. Bad versions fail a third of their
-/// requests or more. A single failing endpoint that fails half of its own requests adds a twelfth of that.
+/// The largest share of failed attempts beyond that of the old version. Bad versions fail a third
+/// of their requests or more. A single failing endpoint that fails half of its own requests adds a
+/// twelfth of that.
 const MAX_ERROR_INCREASE: f64 = 0.1;
 
-/// The largest ratio of the new version's mean time to the old one's, in percent. Bad versions are several
-/// times slower. The endpoints of a new version start with empty caches, which makes them up to twice as
-/// slow.
+/// The largest ratio of the new version's mean time to the old one's, in percent. Bad versions are
+/// several times slower. The endpoints of a new version start with empty caches, which makes them
+/// up to twice as slow.
 const MAX_LATENCY_PERCENT: u32 = 350;
 
 /// Timed answers needed before a version counts as slow, because times vary far more than failures.
@@ -140,8 +144,9 @@
 /// Endpoints of the new version that must have failed a request, unless it has only one endpoint.
 const MIN_FAILING_ENDPOINTS: usize = 2;
 
-/// Why the new version is bad, on one of the routes or on all together; none if it is not. `failing` is the
-/// number of its endpoints that failed a request, `endpoints` the number of all its endpoints.
+/// Why the new version is bad, on one of the routes or on all together; none if it is not.
+/// `failing` is the number of its endpoints that failed a request, `endpoints` the number of all
+/// its endpoints.
 #[must_use]
 pub fn regression(routes: &[RouteEvidence], failing: usize, endpoints: usize) -> Option<Cause> {
     let mut all = RouteEvidence {
@@ -160,8 +165,8 @@
     (several || cause == Cause::Latency).then_some(cause)
 }
 
-/// `timed` tells whether times are compared, which is done within a route only, because routes differ in
-/// them.
+/// `timed` tells whether times are compared, which is done within a route only, because routes
+/// differ in them.
 fn route_regression(route: &RouteEvidence, timed: bool) -> Option<Cause> {
     let errors = to_share((MAX_ERROR_INCREASE + route.old.error_rate()).min(1.0));
     let gate = Gate {
--- a/crates/policy/src/value.rs
+++ b/crates/policy/src/value.rs
@@ -3,9 +3,9 @@
 //! Requests differ a hundredfold in size, in priority and in what a larger model costs them. If all
 //! answers had the same value, a short note of the lowest priority would take as much of the large
 //! model as a long report, and a summary that the large model prefills in 30 ms would wait behind
-//! notes that take 90 ms. Here the value of an answer is its work in generated tokens, reduced by the
-//! priority of its route. Price and prefill time are set against that value and compared with the
-//! baseline of the service's latest requests, so that no currency and no speed is built in.
+//! notes that take 90 ms. Here the value of an answer is its work in generated tokens, reduced by
+//! the priority of its route. Price and prefill time are set against that value and compared with
+//! the baseline of the service's latest requests, so that no currency and no speed is built in.
 //!
 //! Serving by value per unit of the scarce resource is the greedy rule for the fractional knapsack
 //! (Dantzig, 1957). The unit of generated tokens is that of [`crate::admission`].
@@ -17,15 +17,15 @@
 use crate::admission;
 use crate::number;
 
-/// Value at one priority relative to the next higher one. Operators only order routes by priority, and
-/// the exact figure matters little: at 0.45, callers get one useful answer in a hundred less.
+/// Value at one priority relative to the next higher one. Operators only order routes by priority,
+/// and the exact figure matters little: at 0.45, callers get one useful answer in a hundred less.
 const PRIORITY_FACTOR: f64 = 0.6;
 
 /// Price of a prompt token relative to a generated one, as in common price lists of models.
 const PROMPT_PRICE: f64 = 0.25;
 
-/// Factor by which each further request reduces the sums. About two hundred requests are remembered,
-/// or twenty seconds at ten requests a second; the mix of routes changes over minutes.
+/// Factor by which each further request reduces the sums. About two hundred requests are
+/// remembered, or twenty seconds at ten requests a second; the mix of routes changes over minutes.
 const DECAY: f64 = 0.995;
 
 /// Lower bound of divisors, for sums to which nothing was added.
@@ -77,7 +77,8 @@
 }
 
 impl Baseline {
-    /// Records a request. `prefill` is the time in which the largest model prefills its whole prompt.
+    /// Records a request. `prefill` is the time in which the largest model prefills its whole
+    /// prompt.
     pub fn record(&mut self, request: &Request, prefill: Duration) {
         let value = request.value();
         self.value = self.value * DECAY + value;
--- a/crates/policy/tests/connect.rs
+++ b/crates/policy/tests/connect.rs
@@ -10,8 +10,8 @@
     Duration::from_millis(millis)
 }
 
-// A zone is cut off. A call with a target of 200 ms must be able to time out at an endpoint there and to be
-// answered in 30 ms by another one.
+// A zone is cut off. A call with a target of 200 ms must be able to time out at an endpoint there
+// and to be answered in 30 ms by another one.
 #[test]
 fn a_call_with_a_short_target_has_time_for_a_second_endpoint() {
     let mut timeout = ConnectTimeout::default();
@@ -25,8 +25,8 @@
     );
 }
 
-// Endpoints of the local zone connect in a millisecond for a long time. Then the first connection goes to
-// another zone, ten milliseconds away, or to a VM that takes fifty.
+// Endpoints of the local zone connect in a millisecond for a long time. Then the first connection
+// goes to another zone, ten milliseconds away, or to a VM that takes fifty.
 #[test]
 fn the_timeout_allows_a_first_connection_to_a_farther_zone() {
     let mut timeout = ConnectTimeout::default();
@@ -36,7 +36,8 @@
     assert!(timeout.current() > ms(60));
 }
 
-// All endpoints are in another region. The timeout follows, and no connection that would be made times out.
+// All endpoints are in another region. The timeout follows, and no connection that would be made
+// times out.
 #[test]
 fn the_timeout_grows_with_the_distance() {
     let mut timeout = ConnectTimeout::default();
--- a/crates/policy/tests/eject.rs
+++ b/crates/policy/tests/eject.rs
@@ -1,4 +1,5 @@
-//! Ejection in pools of two or three endpoints, where chance and an endpoint's own earlier times matter most.
+//! Ejection in pools of two or three endpoints, where chance and an endpoint's own earlier times
+//! matter most.
 
 use std::time::Duration;
 
@@ -30,9 +31,9 @@
     }
 }
 
-// One of two endpoints refuses every call; the other answers, for a moment more slowly than before. If it is
-// compared with its own earlier times, it is ejected, and callers are refused for six seconds although it
-// is healthy.
+// One of two endpoints refuses every call; the other answers, for a moment more slowly than before.
+// If it is compared with its own earlier times, it is ejected, and callers are refused for six
+// seconds although it is healthy.
 #[test]
 fn the_only_endpoint_that_answers_is_not_compared_with_itself() {
     let mut pool = pool(2);
@@ -62,8 +63,8 @@
     assert_eq!(states, [State::Ejected, State::Active, State::Active]);
 }
 
-// Answers of models that differ in speed take one second or twenty. They end a sequence of errors and never
-// make an endpoint count as slow.
+// Answers of models that differ in speed take one second or twenty. They end a sequence of errors
+// and never make an endpoint count as slow.
 #[test]
 fn untimed_answers_eject_no_endpoint() {
     let mut pool = pool(3);
@@ -84,8 +85,9 @@
     }
 }
 
-// One of three endpoints is ejected, then the two others leave, so that the pool consists of the ejected
-// endpoint. If its ejection lasts to the end, every call waits in vain, while other nodes use the endpoint.
+// One of three endpoints is ejected, then the two others leave, so that the pool consists of the
+// ejected endpoint. If its ejection lasts to the end, every call waits in vain, while other nodes
+// use the endpoint.
 #[test]
 fn the_last_remaining_endpoint_is_readmitted() {
     let mut pool = pool(3);
@@ -97,8 +99,8 @@
     assert_eq!(pool.ejected(), 0);
 }
 
-// Two of six endpoints are ejected, and three healthy ones leave. Of the three that stay, one may be ejected,
-// so the one whose ejection ends first is readmitted.
+// Two of six endpoints are ejected, and three healthy ones leave. Of the three that stay, one may
+// be ejected, so the one whose ejection ends first is readmitted.
 #[test]
 fn a_pool_that_shrinks_keeps_its_bound() {
     let mut pool = pool(6);
@@ -123,9 +125,9 @@
     assert_eq!(pool.ejected_until(&endpoint(1)), Moment::ZERO);
 }
 
-// One of two endpoints is ejected, then the other is cut off. As the last endpoint is never ejected, the pool
-// would keep the one that no call reaches, and callers would be refused for seconds beside an endpoint
-// that has recovered. The two are swapped.
+// One of two endpoints is ejected, then the other is cut off. As the last endpoint is never
+// ejected, the pool would keep the one that no call reaches, and callers would be refused for
+// seconds beside an endpoint that has recovered. The two are swapped.
 #[test]
 fn the_last_active_endpoint_is_swapped_once_it_fails() {
     let mut pool = pool(2);
--- a/crates/policy/tests/load.rs
+++ b/crates/policy/tests/load.rs
@@ -1,5 +1,5 @@
-//! What callers receive under each load pattern, by the queue model and the recorded arrivals, with and
-//! without the mechanisms that handle the pattern.
+//! What callers receive under each load pattern, by the queue model and the recorded arrivals, with
+//! and without the mechanisms that handle the pattern.
 
 mod model;
 
@@ -23,7 +23,8 @@
     (scenario, world, summary)
 }
 
-/// 95th percentile of the seconds to the first token, for short requests that arrived between two times.
+/// 95th percentile of the seconds to the first token, for short requests that arrived between two
+/// times.
 fn short_p95(world: &World, from: f64, to: f64) -> f64 {
     let mut waits = waits(world, |request| {
         let at = request.arrival.at;
@@ -33,9 +34,9 @@
     quantile(&mut waits, 0.95)
 }
 
-// Ten times the load arrives for two seconds. All slots fill, and the queue, fair by customer, holds the rest;
-// each request still starts before its deadline, because the burst is shorter. Ten seconds later latency
-// must be as before, or the burst would have left a standing queue.
+// Ten times the load arrives for two seconds. All slots fill, and the queue, fair by customer,
+// holds the rest; each request still starts before its deadline, because the burst is shorter. Ten
+// seconds later latency must be as before, or the burst would have left a standing queue.
 #[test]
 fn burst_is_served_and_drains() {
     let (scenario, world, summary) = replay("nyabarongo-burst", ALL);
@@ -46,10 +47,10 @@
     assert!(after < before * 2.0 + 0.2, "before {before}, after {after}");
 }
 
-// Load is 1.5 and 3 times the pool's capacity for a minute. Requests that can't start in time are refused on
-// arrival, so that engines work on answers that are still wanted: the useful work stays within a tenth of
-// their capacity and does not fall as the load doubles. FIFO without admission control serves callers that
-// have already left.
+// Load is 1.5 and 3 times the pool's capacity for a minute. Requests that can't start in time are
+// refused on arrival, so that engines work on answers that are still wanted: the useful work stays
+// within a tenth of their capacity and does not fall as the load doubles. FIFO without admission
+// control serves callers that have already left.
 #[test]
 fn overload_keeps_goodput() {
     let mut useful = Vec::new();
@@ -71,9 +72,9 @@
     );
 }
 
-// A caller is refused at once rather than when its timeout expires, and it is served when it comes back after
-// its `Retry-After`. With the same time for all, callers would come back together; with one that is too
-// early, they would be refused again.
+// A caller is refused at once rather than when its timeout expires, and it is served when it comes
+// back after its `Retry-After`. With the same time for all, callers would come back together; with
+// one that is too early, they would be refused again.
 #[test]
 fn refusals_are_immediate_and_returning_callers_are_served() {
     for name in ["rybnikar-overload", "nyabarongo-overload"] {
@@ -97,8 +98,8 @@
     }
 }
 
-// One workspace sends ten times its share, the other nine as usual. In a common queue they would all wait
-// behind it; with a queue for each customer, its surplus waits only in its own.
+// One workspace sends ten times its share, the other nine as usual. In a common queue they would
+// all wait behind it; with a queue for each customer, its surplus waits only in its own.
 #[test]
 fn hot_customer_leaves_the_others_their_latency() {
     let (scenario, hot, summary) = replay("nyabarongo-hot-customer", ALL);
@@ -123,9 +124,9 @@
     );
 }
 
-// Two fifths of all requests carry one prefix, which belongs to one endpoint. That endpoint takes them up to a
-// multiple of the mean load, and the next ones in rendezvous order take the rest. No engine may hold more
-// than its running batch and one waiting batch.
+// Two fifths of all requests carry one prefix, which belongs to one endpoint. That endpoint takes
+// them up to a multiple of the mean load, and the next ones in rendezvous order take the rest. No
+// engine may hold more than its running batch and one waiting batch.
 #[test]
 fn hot_prefix_drives_no_endpoint_over_its_limit() {
     let (_, world, summary) = replay("rybnikar-hot-prefix", ALL);
@@ -145,10 +146,10 @@
     );
 }
 
-// From second 15 to 45, one endpoint is five times slower and one accepts calls and never answers. Calls
-// without a first token are hedged or counted as failed, both endpoints are ejected, and callers are
-// affected for a few seconds only. At most a third of the pool is ejected, and both endpoints return once
-// healthy.
+// From second 15 to 45, one endpoint is five times slower and one accepts calls and never answers.
+// Calls without a first token are hedged or counted as failed, both endpoints are ejected, and
+// callers are affected for a few seconds only. At most a third of the pool is ejected, and both
+// endpoints return once healthy.
 #[test]
 fn slow_and_hanging_endpoints_are_ejected_and_readmitted() {
     let (_, world, summary) = replay("rybnikar-slow-endpoint", ALL);
@@ -179,8 +180,8 @@
     }
 }
 
-// One endpoint fails each call within milliseconds and so has the fewest in flight. Without ejection it would
-// be chosen more and more often; with ejection it gets only a probe now and then.
+// One endpoint fails each call within milliseconds and so has the fewest in flight. Without
+// ejection it would be chosen more and more often; with ejection it gets only a probe now and then.
 #[test]
 fn failing_endpoint_draws_no_load() {
     let (_, world, summary) = replay("nyabarongo-failing-fast", ALL);
@@ -201,9 +202,9 @@
     assert!(world.sent(5, 80.0, 90.0) > 0, "it returns once healthy");
 }
 
-// Four times the usual number of reviews of 2,000 tokens arrive among stock questions of 60. If they held all
-// slots, a stock answer would wait most of a minute for one to end. Limited to a share of the slots and of
-// lower priority, they delay stock answers by seconds only.
+// Four times the usual number of reviews of 2,000 tokens arrive among stock questions of 60. If
+// they held all slots, a stock answer would wait most of a minute for one to end. Limited to a
+// share of the slots and of lower priority, they delay stock answers by seconds only.
 #[test]
 fn long_jobs_leave_short_ones_their_time() {
     let (mut scenario, with, summary) = replay("nyabarongo-long-jobs", ALL);
@@ -219,8 +220,9 @@
     assert!(plain.served < 0.8, "FIFO loses a fifth: {plain:?}");
 }
 
-// A zone's four endpoints are lost with the calls that they run. Refused connections are repeated at other
-// endpoints without withdrawing from the retry budget, and the endpoints of other zones take the load.
+// A zone's four endpoints are lost with the calls that they run. Refused connections are repeated
+// at other endpoints without withdrawing from the retry budget, and the endpoints of other zones
+// take the load.
 #[test]
 fn other_zones_take_the_load_of_a_lost_zone() {
     let (scenario, world, summary) = replay("rybnikar-zone-lost", ALL);
@@ -229,9 +231,9 @@
     assert!(short_p95(&world, 30.0, 90.0) < 4.0);
 }
 
-// Twelve nodes choose at once by reports that are two seconds old. By reports alone, all would send to the
-// endpoint that was idle then. Their own calls in flight, discounted reports and an order for each prefix
-// spread the load.
+// Twelve nodes choose at once by reports that are two seconds old. By reports alone, all would send
+// to the endpoint that was idle then. Their own calls in flight, discounted reports and an order
+// for each prefix spread the load.
 #[test]
 fn stale_reports_cause_no_herding() {
     let (_, world, summary) = replay("nyabarongo-stale-reports", ALL);
@@ -251,9 +253,9 @@
     );
 }
 
-// Every endpoint fails half of its calls for twenty seconds. Retries fail as often, so that unbounded retries
-// would nearly double the load on a failing pool. The budget bounds them by a share of the successes and
-// the balance before.
+// Every endpoint fails half of its calls for twenty seconds. Retries fail as often, so that
+// unbounded retries would nearly double the load on a failing pool. The budget bounds them by a
+// share of the successes and the balance before.
 #[test]
 fn half_failing_stays_under_the_retry_budget() {
     let (scenario, world, _) = replay("rybnikar-half-failing", ALL);
@@ -267,7 +269,8 @@
         ..ALL
     };
     let (_, calm, _) = replay("rybnikar-half-failing", calm);
-    // A fifth of the successes, and for each node the balance that a customer and the pool had before.
+    // A fifth of the successes, and for each node the balance that a customer and the pool had
+    // before.
     let balance = 20 * u32::try_from(scenario.nodes).expect("few nodes");
     for world in [&world, &calm] {
         let (count, attempts) = count_attempts(world);
--- a/crates/policy/tests/model/engine.rs
+++ b/crates/policy/tests/model/engine.rs
@@ -1,5 +1,5 @@
-//! A fake engine with continuous batching. All calls of the batch advance at the same speed, which falls
-//! as the batch fills; other calls wait by priority. A cached prefix needs no prefill.
+//! A fake engine with continuous batching. All calls of the batch advance at the same speed, which
+//! falls as the batch fills; other calls wait by priority. A cached prefix needs no prefill.
 
 use std::collections::VecDeque;
 
@@ -11,8 +11,8 @@
 pub const BATCH: usize = 16;
 /// Tokens per second of a call that runs alone.
 pub const SINGLE_RATE: f64 = 60.0;
-/// Slowdown by each further call. In a full batch each call runs at a third of its speed, with 50 ms
-/// between tokens.
+/// Slowdown by each further call. In a full batch each call runs at a third of its speed, with 50
+/// ms between tokens.
 pub const SLOWDOWN: f64 = 2.0 / 15.0;
 /// Tokens per second of a full batch.
 pub const BATCH_RATE: f64 = 16.0 * SINGLE_RATE / (1.0 + SLOWDOWN * 15.0);
--- a/crates/policy/tests/model/mod.rs
+++ b/crates/policy/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A queue model in virtual time with recorded arrivals, fake endpoints, and entry nodes that decide with
-//! this crate's modules. Shared by the tests and the benchmark.
+//! A queue model in virtual time with recorded arrivals, fake endpoints, and entry nodes that
+//! decide with this crate's modules. Shared by the tests and the benchmark.
 #![allow(dead_code, reason = "each test file uses a part of the model")]
 
 pub mod engine;
@@ -30,7 +30,7 @@
 
     /// An index below `count`.
     pub fn below(&mut self, count: usize) -> usize {
-        whole(self.unit() * float(count as u64))
+        floor(self.unit() * float(count as u64))
     }
 
     /// A gap between two events of a Poisson process with `rate` events per second.
@@ -49,6 +49,6 @@
     clippy::cast_sign_loss,
     reason = "numbers in tests are small and not negative"
 )]
-pub fn whole(value: f64) -> usize {
+pub fn floor(value: f64) -> usize {
     value as usize
 }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -16,11 +16,11 @@
 
 use super::Random;
 use super::engine::BATCH;
+use super::floor;
 use super::scenario::Arrival;
 use super::scenario::CLASSES;
 use super::scenario::CUSTOMERS;
 use super::scenario::ENDPOINTS;
-use super::whole;
 
 /// How an endpoint is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -58,7 +58,8 @@
         choice: Choice::Policy,
     };
 
-    /// First in, first out, without admission control, with a fixed limit of one batch per endpoint.
+    /// First in, first out, without admission control, with a fixed limit of one batch per
+    /// endpoint.
     pub const fn naive(choice: Choice) -> Self {
         Self {
             admission: false,
@@ -91,7 +92,7 @@
     pub limiters: Vec<limit::Limiter>,
     pub health: eject::Pool,
     pub tails: [hedge::LatencyHistogram; CLASSES.len()],
-    pub lengths: [admission::Length; CLASSES.len()],
+    pub lengths: [admission::AnswerLength; CLASSES.len()],
     pub customers: Vec<retry::Budget>,
     pub pool: retry::Budget,
     pub tickets: Vec<(queue::Ticket, usize)>,
@@ -149,7 +150,7 @@
             health,
             tails: std::array::from_fn(|_| hedge::LatencyHistogram::default()),
             lengths: CLASSES
-                .map(|class| admission::Length::new(Tokens(whole(class.output) as u64))),
+                .map(|class| admission::AnswerLength::new(Tokens(floor(class.output) as u64))),
             customers: vec![retry::Budget::new(retry::Config::default()); CUSTOMERS],
             pool: retry::Budget::new(retry::Config::default()),
             tickets: Vec::new(),
--- a/crates/policy/tests/model/quality.rs
+++ b/crates/policy/tests/model/quality.rs
@@ -1,5 +1,5 @@
-//! Simulates requests that differ in difficulty, versions that differ in cost and quality, one of which may
-//! turn bad, and a rating service that may be slow or unavailable.
+//! Simulates requests that differ in difficulty, versions that differ in cost and quality, one of
+//! which may turn bad, and a rating service that may be slow or unavailable.
 
 use std::time::Duration;
 
@@ -161,8 +161,9 @@
         }
     }
 
-    /// Whether an answer passes. In half of the cases the request's own difficulty decides and in the
-    /// other half chance, so that a request that failed at one version is likelier to fail at the next.
+    /// Whether an answer passes. In half of the cases the request's own difficulty decides and in
+    /// the other half chance, so that a request that failed at one version is likelier to fail at
+    /// the next.
     fn passes(&mut self, version: usize, class: usize, difficulty: f64, at: f64) -> bool {
         let bad = self.fault == Fault::BadVersion(version) && at > FAULT_AT;
         let share = VERSIONS[version].passes[class] * if bad { 0.2 } else { 1.0 };
--- a/crates/policy/tests/model/scenario.rs
+++ b/crates/policy/tests/model/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios: each has a TOML file with the recipe, the faults and the expected outcome, and a CSV file with
-//! the recorded arrivals.
+//! Scenarios: each has a TOML file with the recipe, the faults and the expected outcome, and a CSV
+//! file with the recorded arrivals.
 
 use std::fmt::Write;
 use std::fs;
@@ -11,7 +11,7 @@
 use super::engine::BATCH_RATE;
 use super::engine::PREFILL_RATIO;
 use super::float;
-use super::whole;
+use super::floor;
 
 /// Endpoints of the pool.
 pub const ENDPOINTS: usize = 12;
@@ -38,8 +38,8 @@
     pub output: f64,
 }
 
-/// Stock answers, summaries and reviews at Nyabarongo; briefings, inspections and plans at Rybníkář, of
-/// about the same sizes.
+/// Stock answers, summaries and reviews at Nyabarongo; briefings, inspections and plans at
+/// Rybníkář, of about the same sizes.
 pub const CLASSES: [Class; 3] = [
     Class {
         name: "short",
@@ -237,7 +237,7 @@
     pub fn text(arrivals: &[Arrival]) -> String {
         let mut text = String::from("at_ms,customer,class,input,output,prefix\n");
         for a in arrivals {
-            let at = whole(a.at * 1_000.0);
+            let at = floor(a.at * 1_000.0);
             let Arrival {
                 customer,
                 class,
@@ -267,8 +267,8 @@
     };
     let Class { input, output, .. } = CLASSES[class];
     let mut size = |mean: f64| (mean * (0.4 + 1.2 * random.unit())).round();
-    let input = whole(size(input)) as u64;
-    let output = whole(size(output)).max(1) as u64;
+    let input = floor(size(input)) as u64;
+    let output = floor(size(output)).max(1) as u64;
     let group = random.below(4) as u64;
     let own = (customer as u64) * 16 + (class as u64) * 4 + group;
     let prefix = if random.unit() < recipe.hot_prefix {
@@ -296,8 +296,8 @@
     };
     Arrival {
         at: float(at) / 1_000.0,
-        customer: whole(float(customer)),
-        class: whole(float(class)),
+        customer: floor(float(customer)),
+        class: floor(float(class)),
         input,
         output,
         prefix,
--- a/crates/policy/tests/model/spend.rs
+++ b/crates/policy/tests/model/spend.rs
@@ -1,5 +1,5 @@
-//! Simulates six nodes that spend one customer's money out of grants. At a given second, one is cut off from
-//! the log and another crashes.
+//! Simulates six nodes that spend one customer's money out of grants. At a given second, one is cut
+//! off from the log and another crashes.
 
 use pimento_policy::budget::Config;
 use pimento_policy::budget::Grants;
--- a/crates/policy/tests/model/summary.rs
+++ b/crates/policy/tests/model/summary.rs
@@ -2,11 +2,11 @@
 
 use super::engine::BATCH_RATE;
 use super::float;
+use super::floor;
 use super::scenario;
 use super::scenario::CUSTOMERS;
 use super::scenario::ENDPOINTS;
 use super::scenario::Scenario;
-use super::whole;
 use super::world::Answer;
 use super::world::Request;
 use super::world::World;
@@ -17,7 +17,8 @@
     pub served: f64,
     /// The same for each customer.
     pub customers: Vec<f64>,
-    /// 50th, 95th and 99th percentiles of the seconds to the first token, for served short requests.
+    /// 50th, 95th and 99th percentiles of the seconds to the first token, for served short
+    /// requests.
     pub short: [f64; 3],
     /// The same for all served requests.
     pub all: [f64; 3],
@@ -37,8 +38,8 @@
     pub returning_served_under_load: Option<f64>,
     /// Mean number of attempts of the requests that were sent.
     pub attempts: f64,
-    /// Work of the engines per token of work served in time. Hedges that lost, late answers and uncached
-    /// prefixes raise it.
+    /// Work of the engines per token of work served in time. Hedges that lost, late answers and
+    /// uncached prefixes raise it.
     pub cost: f64,
     /// Share of all work that was done for calls that were cancelled.
     pub wasted: f64,
@@ -50,7 +51,7 @@
 pub fn quantile(values: &mut [f64], share: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let last = values.len().saturating_sub(1);
-    let place = whole((float(values.len() as u64) * share).ceil()).saturating_sub(1);
+    let place = floor((float(values.len() as u64) * share).ceil()).saturating_sub(1);
     values.get(place.min(last)).copied().unwrap_or(0.0)
 }
 
@@ -79,8 +80,8 @@
     scenario::work(float(request.arrival.input), float(request.arrival.output))
 }
 
-/// The part of a request's work that was done between `from` and `to`, assuming an even rate from the first
-/// token to the last.
+/// The part of a request's work that was done between `from` and `to`, assuming an even rate from
+/// the first token to the last.
 fn within(request: &Request, from: f64, to: f64) -> f64 {
     let began = request.first.unwrap_or(request.ended);
     let overlap = request.ended.min(to) - began.max(from);
--- a/crates/policy/tests/model/world.rs
+++ b/crates/policy/tests/model/world.rs
@@ -12,6 +12,7 @@
 use super::Random;
 use super::engine::Engine;
 use super::float;
+use super::floor;
 use super::node::Mechanisms;
 use super::node::Node;
 use super::node::moment;
@@ -20,7 +21,6 @@
 use super::scenario::ENDPOINTS;
 use super::scenario::Kind;
 use super::scenario::Scenario;
-use super::whole;
 
 /// Seconds between measurements of an engine's load.
 const MEASURE_INTERVAL: f64 = 0.5;
@@ -154,7 +154,7 @@
 
     fn at(&mut self, at: f64, event: Event) {
         self.sequence += 1;
-        let nanos = whole(at * 1e9) as u64;
+        let nanos = floor(at * 1e9) as u64;
         self.events.push(Reverse((nanos, self.sequence, event)));
     }
 
@@ -271,7 +271,7 @@
             }
             let load = self.engines[engine].load();
             self.peak_calls = self.peak_calls.max(load.0 + load.1);
-            let measured = whole(self.now * 1e9) as u64;
+            let measured = floor(self.now * 1e9) as u64;
             self.at(self.now + self.lag, Event::Report(engine, load, measured));
         }
         if self.now < self.end {
--- a/crates/policy/tests/model/world/attempts.rs
+++ b/crates/policy/tests/model/world/attempts.rs
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Abandons an attempt that had no first token for too long if another attempt is open or the retry
-    /// budget allows one. Otherwise the attempt continues, since the caller has no other.
+    /// Abandons an attempt that had no first token for too long if another attempt is open or the
+    /// retry budget allows one. Otherwise the attempt continues, since the caller has no other.
     pub(super) fn first_token_timeout(&mut self, attempt: usize) {
         let Attempt {
             request,
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -52,8 +52,9 @@
 proptest! {
     #![proptest_config(Runner { cases: 256, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Runner::default() })]
 
-    /// A chosen endpoint is usable and has a free slot, and one is chosen whenever there is such an endpoint. So
-    /// no withdrawn or leaving endpoint is used, and no request is refused while slots are free.
+    /// A chosen endpoint is usable and has a free slot, and one is chosen whenever there is such an
+    /// endpoint. So no withdrawn or leaving endpoint is used, and no request is refused while slots
+    /// are free.
     #[test]
     fn choice_is_an_open_endpoint_if_there_is_one(all in candidates(), prefix in any::<Option<u64>>(), random in any::<u64>()) {
         let open = |c: &Candidate| c.usable && c.own < c.limit;
@@ -62,8 +63,8 @@
         assert!(chosen.is_none_or(|place| open(&all[place])));
     }
 
-    /// Whatever the endpoint reports and however calls end, calls in flight are within the limit when they are
-    /// sent, and the limit is within its bounds.
+    /// Whatever the endpoint reports and however calls end, calls in flight are within the limit
+    /// when they are sent, and the limit is within its bounds.
     #[test]
     fn limit_is_kept(steps in vec((0_u8..5, 0_u32..200, 0_u32..200), 1..300)) {
         let config = limit::Config::default();
@@ -84,8 +85,8 @@
         }
     }
 
-    /// At most a share of the pool is ejected and never all of it, and an ejected endpoint gets one probe at a
-    /// time.
+    /// At most a share of the pool is ejected and never all of it, and an ejected endpoint gets one
+    /// probe at a time.
     #[test]
     fn ejection_is_bounded(size in 1_usize..20, events in vec((0_usize..20, any::<bool>(), 0_u64..3_000), 1..300)) {
         let config = eject::Config::default();
@@ -149,8 +150,8 @@
     }
 }
 
-// A call that may not run twice is neither retried nor hedged, whatever the budget holds. A second drum order
-// would be a duplicate.
+// A call that may not run twice is neither retried nor hedged, whatever the budget holds. A second
+// drum order would be a duplicate.
 #[test]
 fn calls_that_may_not_repeat_are_made_once() {
     let now = Moment::ZERO;
@@ -213,8 +214,8 @@
     );
 }
 
-// A prefix stays with its endpoint when others join and leave. Otherwise each restart of a VM would make the
-// caches of all endpoints useless.
+// A prefix stays with its endpoint when others join and leave. Otherwise each restart of a VM would
+// make the caches of all endpoints useless.
 #[test]
 fn prefix_stays_with_its_endpoint() {
     let make = |names: &[usize]| -> Vec<Candidate> {
@@ -245,9 +246,9 @@
     );
 }
 
-// Without a prefix, a call stays in the local zone while that has free slots and is about as fast. It goes to
-// another zone if the wait there is shorter by more than the delay and cost of the link, or if the local
-// zone has no free slot.
+// Without a prefix, a call stays in the local zone while that has free slots and is about as fast.
+// It goes to another zone if the wait there is shorter by more than the delay and cost of the link,
+// or if the local zone has no free slot.
 #[test]
 fn local_zone_first_until_the_wait_outweighs_the_link() {
     let candidate = |zone: u64, own: u32, run: u64| Candidate {
--- a/crates/policy/tests/quality.rs
+++ b/crates/policy/tests/quality.rs
@@ -1,4 +1,5 @@
-//! The cascade: its cost at the target quality, and how many callers a version that turns bad affects.
+//! The cascade: its cost at the target quality, and how many callers a version that turns bad
+//! affects.
 
 mod model;
 
@@ -20,8 +21,8 @@
 
 const SEED: u64 = 7;
 
-// Versions differ in cost and quality, requests in difficulty. Always using the cheapest version misses the
-// target; always using the best and a fixed cascade cost more than needed.
+// Versions differ in cost and quality, requests in difficulty. Always using the cheapest version
+// misses the target; always using the best and a fixed cascade cost more than needed.
 #[test]
 fn target_is_met_at_less_cost_than_any_baseline() {
     let ours = quality::run(Picking::Cascade, Fault::None, SEED);
@@ -34,9 +35,10 @@
     assert!(ours.cost < fixed.cost * 0.8, "{ours:?} against {fixed:?}");
 }
 
-// From half of the run on, a version passes a fifth of its former share. Bad answers that are rated before
-// their release are replaced. Of those released unrated, one in five is rated afterwards, and the first
-// failures end the use of the version. Without the cascade, every caller of the version gets bad answers.
+// From half of the run on, a version passes a fifth of its former share. Bad answers that are rated
+// before their release are replaced. Of those released unrated, one in five is rated afterwards,
+// and the first failures end the use of the version. Without the cascade, every caller of the
+// version gets bad answers.
 #[test]
 fn version_that_turns_bad_is_abandoned() {
     for version in [0, 1] {
@@ -48,8 +50,9 @@
     assert!(cheapest.bad_answers > 1_000, "{cheapest:?}");
 }
 
-// The rating service takes five seconds, or is unavailable. A slow service costs time but no quality. Without
-// ratings, an answer comes from a version whose lower bound meets the target, or else from the best.
+// The rating service takes five seconds, or is unavailable. A slow service costs time but no
+// quality. Without ratings, an answer comes from a version whose lower bound meets the target, or
+// else from the best.
 #[test]
 fn quality_holds_without_ratings() {
     for fault in [Fault::SlowRatings, Fault::NoRatings] {
@@ -144,8 +147,8 @@
     assert_eq!(step(no_budget), None, "the budget covers neither");
 }
 
-// A version that was good for a thousand ratings turns bad. The number of remembered ratings is bounded, so
-// that old good ratings do not outweigh recent bad ones.
+// A version that was good for a thousand ratings turns bad. The number of remembered ratings is
+// bounded, so that old good ratings do not outweigh recent bad ones.
 #[test]
 fn estimate_forgets_within_its_window() {
     let mut estimate = Estimate::new(Share::try_from(0.9).expect("a share"), Config::default());
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -1,4 +1,5 @@
-//! Replays each recorded trace and compares what callers received with the expected outcome of its scenario.
+//! Replays each recorded trace and compares what callers received with the expected outcome of its
+//! scenario.
 
 mod model;
 
@@ -68,7 +69,8 @@
     assert!(findings.is_empty(), "{findings:#?}");
 }
 
-// The benchmark compares mechanisms on the same arrivals, which is meaningless if two equal runs differ.
+// The benchmark compares mechanisms on the same arrivals, which is meaningless if two equal runs
+// differ.
 #[test]
 fn replay_is_deterministic() {
     let scenario = Scenario::load("rybnikar-slow-endpoint");
--- a/crates/policy/tests/spend.rs
+++ b/crates/policy/tests/spend.rs
@@ -1,5 +1,5 @@
-//! Spend near the limit on six nodes, of which one is cut off from the log and one has crashed. It never exceeds
-//! the limit, and little of the limit is stranded.
+//! Spend near the limit on six nodes, of which one is cut off from the log and one has crashed. It
+//! never exceeds the limit, and little of the limit is stranded.
 
 mod model;
 
@@ -15,10 +15,10 @@
 use proptest::test_runner::Config as Runner;
 use proptest::test_runner::RngSeed;
 
-// Six nodes spend one customer's money, each out of its grants. At second 5, node 0 is cut off from the log and
-// node 1 crashes. Node 0 serves until its grants are used up and then refuses; node 1's grants stay unused.
-// Together the nodes never spend more than the limit, and only a small part of it is stranded, because
-// grants shrink near the limit.
+// Six nodes spend one customer's money, each out of its grants. At second 5, node 0 is cut off from
+// the log and node 1 crashes. Node 0 serves until its grants are used up and then refuses; node 1's
+// grants stay unused. Together the nodes never spend more than the limit, and only a small part of
+// it is stranded, because grants shrink near the limit.
 #[test]
 fn near_the_limit_nobody_overspends() {
     let limit = 300_000;
@@ -34,8 +34,8 @@
     );
 }
 
-// A node whose request to the log is pending makes no second one. Two grants would strand twice as much, and a
-// request whose answer was lost may have taken effect.
+// A node whose request to the log is pending makes no second one. Two grants would strand twice as
+// much, and a request whose answer was lost may have taken effect.
 #[test]
 fn one_request_is_pending_at_a_time() {
     let mut node = Grants::new(Config::default());
@@ -46,8 +46,8 @@
     assert!(node.request(money(1_000_000), NODES, now).is_some());
 }
 
-// A call may cost more than was reserved for it. The charge stops at the reservation, or the calls in flight
-// could exceed the limit. The service bears the difference, not the customer.
+// A call may cost more than was reserved for it. The charge stops at the reservation, or the calls
+// in flight could exceed the limit. The service bears the difference, not the customer.
 #[test]
 fn charge_stops_at_the_reservation() {
     let mut node = Grants::new(Config::default());
@@ -61,8 +61,8 @@
     assert_eq!(node.available(), money(400));
 }
 
-// Released money is unavailable before the record is written, so that a node can't spend it while it is
-// granted to another node.
+// Released money is unavailable before the record is written, so that a node can't spend it while
+// it is granted to another node.
 #[test]
 fn released_money_is_not_spent() {
     let mut node = Grants::new(Config::default());
@@ -82,8 +82,8 @@
         assert!(run.spent <= money(limit));
     }
 
-    /// In any order of reservations, settlements and releases, the money spent and set aside never exceeds the
-    /// grants.
+    /// In any order of reservations, settlements and releases, the money spent and set aside never
+    /// exceeds the grants.
     #[test]
     fn never_over_the_grant(steps in proptest::collection::vec((0_u8..4, 0_u64..5_000), 1..200), late in any::<bool>()) {
         let mut node = Grants::new(Config::default());
--- a/crates/policy/tests/value.rs
+++ b/crates/policy/tests/value.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// A long report, a summary (a short prompt with a long answer) of the highest priority, and a note of the
-/// lowest priority.
+/// A long report, a summary (a short prompt with a long answer) of the highest priority, and a note
+/// of the lowest priority.
 fn kinds() -> [Request; 3] {
     [
         request(12_000, 400, 1),
@@ -81,9 +81,9 @@
         .find(|confidence| dropped(baseline, request, *confidence, next_wait))
 }
 
-// Notes of the lowest priority have the highest price per value, summaries of the highest priority the lowest.
-// With one price for all, notes would take a quarter of the large model's time, and callers with summaries
-// would keep answers that are too poor.
+// Notes of the lowest priority have the highest price per value, summaries of the highest priority
+// the lowest. With one price for all, notes would take a quarter of the large model's time, and
+// callers with summaries would keep answers that are too poor.
 #[test]
 fn requests_with_a_low_price_per_value_get_the_large_model_first() {
     let baseline = baseline(&kinds(), 1);
@@ -95,8 +95,8 @@
     assert!(note > Some(15), "{note:?}");
 }
 
-// As engines fill, notes are the first to lose the large model, then reports. Summaries, whose prefill takes
-// almost no time, hardly lose it.
+// As engines fill, notes are the first to lose the large model, then reports. Summaries, whose
+// prefill takes almost no time, hardly lose it.
 #[test]
 fn as_engines_fill_requests_with_most_prefill_per_value_lose_the_large_model() {
     let baseline = baseline(&kinds(), 1);
@@ -107,8 +107,8 @@
     assert!(threshold(&baseline, &summary, full) >= Some(35));
 }
 
-// Decisions don't depend on the size of the baseline: they are the same for a service whose requests are all
-// of one kind, and for one whose requests are all three times as long.
+// Decisions don't depend on the size of the baseline: they are the same for a service whose
+// requests are all of one kind, and for one whose requests are all three times as long.
 #[test]
 fn only_the_ratio_to_the_baseline_counts() {
     let times = |kind: &Request| request(kind.prompt.0 * 3, kind.answer.0 * 3, kind.priority);
--- a/crates/policy/tests/versions.rs
+++ b/crates/policy/tests/versions.rs
@@ -145,8 +145,8 @@
         assert!(moves(1_000_000) && !moves(0));
     }
 
-    /// Whatever is pinned, withdrawn, quarantined, stale or in roll-out, only versions that the class allows are
-    /// used, and no withdrawn or quarantined version gets new work.
+    /// Whatever is pinned, withdrawn, quarantined, stale or in roll-out, only versions that the
+    /// class allows are used, and no withdrawn or quarantined version gets new work.
     #[test]
     fn allowed_versions_are_not_left(
         number in any::<u128>(),
@@ -200,8 +200,8 @@
     assert!((900..1_100).contains(&moved), "{moved} of 10,000");
 }
 
-// A session pinned to the old version keeps it while the roll-out proceeds, at any node. Once the version is
-// withdrawn, the session gets another allowed version, and the caller a new token.
+// A session pinned to the old version keeps it while the roll-out proceeds, at any node. Once the
+// version is withdrawn, the session gets another allowed version, and the caller a new token.
 #[test]
 fn session_keeps_its_version_until_it_is_withdrawn() {
     let rollouts = [rollout("small@1", "small@2", 1_000_000, Status::Running)];
@@ -217,7 +217,8 @@
     assert!(!moved[0].was_pinned && moved[0].version == name("small@2"));
 }
 
-// A node at which a version fails stops using it at once by its own evidence, before the log withdraws it.
+// A node at which a version fails stops using it at once by its own evidence, before the log
+// withdraws it.
 #[test]
 fn quarantine_holds_at_once() {
     let rollouts = [rollout("small@1", "small@2", 1_000_000, Status::Running)];
@@ -247,8 +248,8 @@
     evidence
 }
 
-// The gate waits for enough samples and time, advances if the new version is as good, and withdraws it as
-// soon as chance hardly explains the evidence.
+// The gate waits for enough samples and time, advances if the new version is as good, and withdraws
+// it as soon as chance hardly explains the evidence.
 #[test]
 fn gate_waits_advances_and_withdraws() {
     let old = evidence(190, 10, 0, 0.05);
