--- a/crates/policy/tests/model/mod.rs
+++ b/crates/policy/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A queue model in virtual time: recorded arrivals, fake endpoints, and entry nodes that decide by
-//! the crate's modules. Shared by the tests and the measuring code.
+//! A queue model in virtual time with recorded arrivals, fake endpoints, and entry nodes that
+//! decide with this crate's modules. Shared by the tests and the benchmark.
 #![allow(dead_code, reason = "each test file uses a part of the model")]
 
 pub mod engine;
@@ -30,10 +30,10 @@
 
     /// An index below `count`.
     pub fn below(&mut self, count: usize) -> usize {
-        whole(self.unit() * float(count as u64))
+        floor(self.unit() * float(count as u64))
     }
 
-    /// The next gap of a Poisson process.
+    /// A gap between two events of a Poisson process with `rate` events per second.
     pub fn gap(&mut self, rate: f64) -> f64 {
         -(1.0 - self.unit()).ln() / rate
     }
@@ -49,6 +49,6 @@
     clippy::cast_sign_loss,
     reason = "numbers in tests are small and not negative"
 )]
-pub fn whole(value: f64) -> usize {
+pub fn floor(value: f64) -> usize {
     value as usize
 }
