--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -217,14 +217,16 @@
         if until < deadline {
             return Ok(());
         }
-        let after = until.saturating_duration_since(Instant::now());
-        if after.is_zero() {
+        let retry_after = until.saturating_duration_since(Instant::now());
+        if retry_after.is_zero() {
             return Ok(());
         }
-        Err(Error::Refused { after })
+        Err(Error::Refused { retry_after })
     }
 }
 
 const fn full() -> Error {
-    Error::Refused { after: http::RETRY }
+    Error::Refused {
+        retry_after: http::RETRY,
+    }
 }
--- a/crates/coordination/src/appender/entry.rs
+++ b/crates/coordination/src/appender/entry.rs
@@ -80,6 +80,8 @@
             let reason = "the deadline passed before the log's answer".into();
             return Error::Lost { reason };
         }
-        Error::Refused { after: http::RETRY }
+        Error::Refused {
+            retry_after: http::RETRY,
+        }
     }
 }
--- a/crates/coordination/src/appender/worker.rs
+++ b/crates/coordination/src/appender/worker.rs
@@ -92,11 +92,11 @@
             }
             let wait = match self.log.append(self.stream, batch.records()).await {
                 Ok(first) => return batch.answer(first),
-                Err(Error::Refused { after }) => {
-                    let until = Instant::now() + after;
+                Err(Error::Refused { retry_after }) => {
+                    let until = Instant::now() + retry_after;
                     self.closed.set(until);
-                    batch.refused(until, after);
-                    after
+                    batch.refused(until, retry_after);
+                    retry_after
                 }
                 Err(error) => {
                     log::warn!(
@@ -129,7 +129,7 @@
     }
 
     /// Answers those whose deadline comes before the log takes appends again.
-    fn refused(&mut self, until: Instant, after: Duration) {
+    fn refused(&mut self, until: Instant, retry_after: Duration) {
         if !self.doubtful {
             self.entries.iter().for_each(|e| e.progress.unsent());
         }
@@ -137,7 +137,7 @@
             self.entries.drain(..).partition(|e| e.deadline > until);
         self.entries = waiting;
         for entry in hopeless {
-            entry.refuse(Error::Refused { after });
+            entry.refuse(Error::Refused { retry_after });
         }
     }
 }
--- a/crates/coordination/src/follower.rs
+++ b/crates/coordination/src/follower.rs
@@ -234,7 +234,7 @@
                 Err(error) => {
                     self.stumble();
                     let least = match error {
-                        Error::Refused { after } => after.min(WAIT),
+                        Error::Refused { retry_after } => retry_after.min(WAIT),
                         _ => Duration::ZERO,
                     };
                     let wait = backoff.wait(least);
--- a/crates/coordination/src/forward.rs
+++ b/crates/coordination/src/forward.rs
@@ -90,7 +90,9 @@
         };
         match self.mesh.call(&peer, call).await {
             Ok(Answer::Appended { first }) => Ok(first),
-            Ok(Answer::Refused { .. }) => Err(Error::Refused { after: http::RETRY }),
+            Ok(Answer::Refused { .. }) => Err(Error::Refused {
+                retry_after: http::RETRY,
+            }),
             Err(mesh::Error::Unreachable { .. } | mesh::Error::Frame { .. }) => {
                 self.append_here(stream, records).await
             }
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -42,10 +42,10 @@
 pub enum Error {
     /// The log said no before it did anything: over its rate, or in an outage it announced. Also
     /// if no connection to it could be made. A record refused is surely not on the log.
-    #[snafu(display("the log refused the call, ask again after {after:?}"))]
+    #[snafu(display("the log refused the call, ask again after {retry_after:?}"))]
     Refused {
         /// When to ask again.
-        after: Duration,
+        retry_after: Duration,
     },
     /// No answer, or one that can't be read: an append may or may not have taken effect.
     #[snafu(display("the log's answer was lost: {reason}"))]
@@ -102,8 +102,8 @@
 }
 
 fn check(reply: &Reply) -> Result<(), Error> {
-    if let Some(after) = reply.refusal() {
-        return Err(Error::Refused { after });
+    if let Some(retry_after) = reply.refusal() {
+        return Err(Error::Refused { retry_after });
     }
     match reply.status {
         StatusCode::OK => Ok(()),
@@ -124,7 +124,9 @@
 impl From<Failure> for Error {
     fn from(failure: Failure) -> Self {
         match failure {
-            Failure::Unreachable(_) => Self::Refused { after: http::RETRY },
+            Failure::Unreachable(_) => Self::Refused {
+                retry_after: http::RETRY,
+            },
             Failure::Lost(reason) => Self::Lost { reason },
         }
     }
--- a/crates/coordination/tests/appender.rs
+++ b/crates/coordination/tests/appender.rs
@@ -248,7 +248,7 @@
     assert!(matches!(first, Err(Error::Refused { .. })), "{first:?}");
     let second = appender.append(STREAM, "second".into(), deadline).await;
     assert!(
-        matches!(second, Err(Error::Refused { after }) if after <= outage),
+        matches!(second, Err(Error::Refused { retry_after }) if retry_after <= outage),
         "{second:?}"
     );
     assert!(Instant::now() < deadline);
--- a/crates/coordination/tests/kept/faulty.rs
+++ b/crates/coordination/tests/kept/faulty.rs
@@ -76,7 +76,7 @@
         let fault = *self.appends.lock().unwrap();
         match fault {
             Fault::None => Ok(self.inner.put(stream, records)),
-            Fault::Refuse => Err(Error::Refused { after: HANG }),
+            Fault::Refuse => Err(Error::Refused { retry_after: HANG }),
             Fault::LoseAnswer => {
                 self.inner.put(stream, records);
                 Err(lost())
--- a/crates/coordination/tests/remote.rs
+++ b/crates/coordination/tests/remote.rs
@@ -92,7 +92,7 @@
 fn seen<T>(result: &Result<T, log::Error>) -> Seen {
     match result {
         Ok(_) => Seen::Done,
-        Err(log::Error::Refused { after }) => Seen::Refused(after.as_secs()),
+        Err(log::Error::Refused { retry_after }) => Seen::Refused(retry_after.as_secs()),
         Err(log::Error::Lost { .. }) => Seen::Lost,
         Err(log::Error::Gone { oldest }) => Seen::Gone(oldest.0),
     }
--- a/crates/coordination/tests/support/memory.rs
+++ b/crates/coordination/tests/support/memory.rs
@@ -195,7 +195,7 @@
     fn look(&self, stream: Stream, from: Offset, max: usize) -> Result<Batch, Error> {
         let data = self.data.lock().unwrap();
         if let Some(after) = data.outage {
-            return Err(Error::Refused { after });
+            return Err(Error::Refused { retry_after: after });
         }
         let kept = &data.streams[stream as usize];
         if from.0 < kept.oldest {
@@ -223,12 +223,12 @@
             let mut data = self.data.lock().unwrap();
             data.streams[stream as usize].begun += 1;
             if let Some(after) = data.outage {
-                return Err(Error::Refused { after });
+                return Err(Error::Refused { retry_after: after });
             }
             data.faults.pop_front()
         };
         match fault {
-            Some(Fault::Refuse(after)) => return Err(Error::Refused { after }),
+            Some(Fault::Refuse(after)) => return Err(Error::Refused { retry_after: after }),
             Some(Fault::LoseBefore) => return Err(lost()),
             Some(Fault::LoseAfter) => {
                 self.put(stream, records);
--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -69,7 +69,7 @@
 /// Waits before the next try, or gives `error` back if the time is up by then.
 pub(crate) async fn pause(error: Error, deadline: Instant) -> Result<(), Error> {
     let wait = match &error {
-        Error::Refused { after } => PAUSE.max(*after),
+        Error::Refused { retry_after } => PAUSE.max(*retry_after),
         Error::Lost { .. } | Error::Gone { .. } => PAUSE,
     };
     if Instant::now() + wait >= deadline {
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -86,7 +86,7 @@
         match fault {
             Fault::Refuse => {
                 let after = Duration::ZERO;
-                return Err(Error::Refused { after });
+                return Err(Error::Refused { retry_after: after });
             }
             Fault::LoseCall => return Err(lost()),
             Fault::None | Fault::LoseAnswer => {}
