--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -113,9 +113,9 @@
     },
     /// The log is out or slow.
     #[snafu(display("the platform's log is out, so the call can't be claimed"))]
-    Out {
+    Unavailable {
         /// When to come back.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Age`] or [`Error::Out`]. In both cases nobody may dispatch under this claim.
+    /// [`Error::Age`] or [`Error::Unavailable`]. In both cases nobody may dispatch under this claim.
     pub async fn claim(
         &self,
         request: id::Request,
@@ -219,7 +219,7 @@
                 Ok(Verdict::Taken(owner))
             }
             Some(None) => Err(Error::Age { age: Age::Fresh }),
-            None => Err(self.out()),
+            None => Err(self.unavailable()),
         }
     }
 
@@ -264,16 +264,16 @@
         // Until the first read reaches the end, an earlier claim may be unread.
         let known = self.follower.next() > Offset(0) || self.follower.caught_up();
         if !known || self.follower.age() > self.config.outage {
-            return Err(self.out());
+            return Err(self.unavailable());
         }
         Ok(())
     }
 
-    fn out(&self) -> Error {
+    fn unavailable(&self) -> Error {
         let closed = self.appender.closed_until();
-        let after = closed.saturating_duration_since(Instant::now());
-        Error::Out {
-            after: after.max(Duration::from_secs(1)),
+        let retry_after = closed.saturating_duration_since(Instant::now());
+        Error::Unavailable {
+            retry_after: retry_after.max(Duration::from_secs(1)),
         }
     }
 
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -109,13 +109,13 @@
     #[snafu(display("the spend limit of this period is reached"))]
     Exhausted {
         /// When the next period begins.
-        after: Duration,
+        retry_after: Duration,
     },
     /// This node's grants are spent, and the log can't be asked for more.
     #[snafu(display("the platform's log is out, and what was granted before is spent"))]
-    Out {
+    Unavailable {
         /// When to come back.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -211,7 +211,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Exhausted`] or [`Error::Out`].
+    /// [`Error::Exhausted`] or [`Error::Unavailable`].
     pub async fn reserve(
         &self,
         account: Account<'_>,
@@ -229,15 +229,15 @@
                 return Err(exhausted(account));
             }
             if self.shared.follower.age() > self.shared.config.outage {
-                return Err(self.out());
+                return Err(self.unavailable());
             }
             if !self.ask(account, nodes, deadline).await {
-                return self.take(account, most).ok_or_else(|| self.out());
+                return self.take(account, most).ok_or_else(|| self.unavailable());
             }
         }
     }
 
-    /// Borrows of peers' grants after [`Error::Out`]: a node that starts while the log is out has
+    /// Borrows of peers' grants after [`Error::Unavailable`]: a node that starts while the log is out has
     /// none of its own, and one that is cut off for long has spent them. Returns whether there is
     /// enough now.
     pub async fn borrow(&self, account: Account<'_>, most: Money, lenders: &impl Lenders) -> bool {
@@ -357,11 +357,11 @@
         Instant::now() < deadline
     }
 
-    fn out(&self) -> Error {
+    fn unavailable(&self) -> Error {
         let closed = self.shared.appender.closed_until();
-        let after = closed.saturating_duration_since(Instant::now());
-        Error::Out {
-            after: after.max(Duration::from_secs(1)),
+        let retry_after = closed.saturating_duration_since(Instant::now());
+        Error::Unavailable {
+            retry_after: retry_after.max(Duration::from_secs(1)),
         }
     }
 }
@@ -373,6 +373,6 @@
     let length = account.contract.spend.period.millis().max(1);
     let spent = account.now.millis() % length;
     Error::Exhausted {
-        after: Duration::from_millis(length - spent),
+        retry_after: Duration::from_millis(length - spent),
     }
 }
--- a/crates/coordination/tests/kept/claims.rs
+++ b/crates/coordination/tests/kept/claims.rs
@@ -145,7 +145,10 @@
     log.fail_appends(Fault::LoseAnswer);
     log.fail_reads(Fault::Hang);
     let refused = claim(&claimer, &log, order).await;
-    assert!(matches!(refused, Err(Error::Out { .. })), "{refused:?}");
+    assert!(
+        matches!(refused, Err(Error::Unavailable { .. })),
+        "{refused:?}"
+    );
     assert!(!log.records(Stream::Claims).is_empty());
     log.fail_appends(Fault::None);
     log.fail_reads(Fault::None);
@@ -219,7 +222,10 @@
     let before = log.records(Stream::Claims).len();
     let order = order();
     let refused = claim(&claimer, &log, order).await;
-    assert!(matches!(refused, Err(Error::Out { .. })), "{refused:?}");
+    assert!(
+        matches!(refused, Err(Error::Unavailable { .. })),
+        "{refused:?}"
+    );
     let written = log.records(Stream::Claims).split_off(before);
     let name = order.to_string();
     assert!(written.iter().all(|record| !record.contains(&name)));
--- a/crates/coordination/tests/kept/grants.rs
+++ b/crates/coordination/tests/kept/grants.rs
@@ -114,7 +114,7 @@
     let mut spent = first.expect("granted").settle(CALL);
     log.fail_appends(Fault::Refuse);
     let (more, error) = spend_all(&one, &contract).await;
-    assert!(matches!(error, Error::Out { .. }), "{error}");
+    assert!(matches!(error, Error::Unavailable { .. }), "{error}");
     spent += more;
     assert!(spent < LIMIT);
     log.fail_appends(Fault::None);
@@ -207,7 +207,7 @@
         let (more, error) = spend_all(wallet, contract).await;
         spent += more;
         assert!(spent <= LIMIT, "{spent} was spent out of loans");
-        if !matches!(error, Error::Out { .. }) {
+        if !matches!(error, Error::Unavailable { .. }) {
             return spent;
         }
         if !wallet.borrow(account(contract), CALL, peers).await {
--- a/crates/entry/src/filter/budget.rs
+++ b/crates/entry/src/filter/budget.rs
@@ -108,7 +108,7 @@
         let deadline = self.0.clock.instant(deadline);
         let wallet = &self.0.wallet;
         let mut hold = wallet.reserve(account, most, nodes, deadline).await;
-        if matches!(hold, Err(grants::Error::Out { .. }))
+        if matches!(hold, Err(grants::Error::Unavailable { .. }))
             && wallet.borrow(account, most, &self.0.mesh).await
         {
             hold = wallet.reserve(account, most, nodes, deadline).await;
@@ -129,11 +129,11 @@
 fn refusal(error: &grants::Error) -> Refusal {
     let message = error.to_string();
     match *error {
-        grants::Error::Exhausted { after } => {
-            Refusal::not_run(Code::SpendLimit, message).retry_after(after)
+        grants::Error::Exhausted { retry_after } => {
+            Refusal::not_run(Code::SpendLimit, message).retry_after(retry_after)
         }
-        grants::Error::Out { after } => {
-            Refusal::not_run(Code::SpendWait, message).retry_after(after)
+        grants::Error::Unavailable { retry_after } => {
+            Refusal::not_run(Code::SpendWait, message).retry_after(retry_after)
         }
     }
 }
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -130,8 +130,8 @@
     let message = error.to_string();
     match *error {
         claims::Error::Age { .. } => Refusal::not_run(Code::BadRequestId, message),
-        claims::Error::Out { after } => {
-            Refusal::not_run(Code::ClaimsOut, message).retry_after(after)
+        claims::Error::Unavailable { retry_after } => {
+            Refusal::not_run(Code::ClaimsOut, message).retry_after(retry_after)
         }
     }
 }
