--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -47,7 +47,7 @@
     pub outage: Duration,
     /// How long a claim may take. A log that takes longer is as good as out, and a caller who is
     /// told so can come back.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 impl Default for Config {
@@ -55,7 +55,7 @@
         Self {
             window: Duration::from_mins(30),
             outage: Duration::from_secs(4),
-            patience: Duration::from_secs(3),
+            timeout: Duration::from_secs(3),
         }
     }
 }
@@ -198,7 +198,7 @@
             at: now,
         };
         let attempt = claim.attempt;
-        let by = deadline.min(Instant::now() + self.config.patience);
+        let by = deadline.min(Instant::now() + self.config.timeout);
         let doubt = Doubt {
             claimer: self,
             request,
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -47,7 +47,7 @@
     /// When and how much to ask for.
     pub budget: budget::Config,
     /// How long one grant may take to be written and read back.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Age of the view from which on the log counts as out and is not waited for.
     pub outage: Duration,
 }
@@ -56,7 +56,7 @@
     fn default() -> Self {
         Self {
             budget: budget::Config::default(),
-            patience: Duration::from_secs(3),
+            timeout: Duration::from_secs(3),
             outage: Duration::from_secs(4),
         }
     }
@@ -219,7 +219,7 @@
         nodes: u32,
         deadline: Instant,
     ) -> Result<Hold, Error> {
-        let deadline = deadline.min(Instant::now() + self.shared.config.patience);
+        let deadline = deadline.min(Instant::now() + self.shared.config.timeout);
         loop {
             if let Some(hold) = self.take(account, most) {
                 self.ask_ahead(account, nodes);
@@ -338,7 +338,7 @@
         };
         let shared = Arc::clone(&self.shared);
         self.shared.tasks.spawn(async move {
-            let deadline = Instant::now() + shared.config.patience;
+            let deadline = Instant::now() + shared.config.timeout;
             shared.obtain(grant, deadline).await;
         });
     }
--- a/crates/coordination/tests/kept/claims.rs
+++ b/crates/coordination/tests/kept/claims.rs
@@ -27,7 +27,7 @@
 fn claimer(log: &Memory, node: &str, token: &CancellationToken) -> Claimer {
     let config = Config {
         outage: Duration::from_millis(1_500),
-        patience: Duration::from_secs(1),
+        timeout: Duration::from_secs(1),
         ..Config::default()
     };
     let appender = Appender::start(log.clone(), appender::Config::default(), token.clone());
--- a/crates/coordination/tests/kept/grants.rs
+++ b/crates/coordination/tests/kept/grants.rs
@@ -43,7 +43,7 @@
 
 fn wallet(log: &Memory, node: &str, token: &CancellationToken) -> Wallet {
     let config = Config {
-        patience: Duration::from_millis(500),
+        timeout: Duration::from_millis(500),
         outage: Duration::from_secs(3),
         ..Config::default()
     };
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -120,7 +120,7 @@
         );
         let claims = claims::Config {
             window: config.claims_window,
-            patience: config.claim_timeout,
+            timeout: config.claim_timeout,
             ..claims::Config::default()
         };
         let node = &config.node;
