--- a/crates/coordination/src/bills.rs
+++ b/crates/coordination/src/bills.rs
@@ -4,7 +4,7 @@
 //! log in batches. A peer that holds a copy for too long appends it too: the fold counts one bill
 //! for each request, so that a bill appended twice does no harm and one whose writer is gone is
 //! not lost. Where neither a peer nor the log can be reached, the bill has one holder only and
-//! [`Slot::hold`] fails.
+//! [`Slot::replicate`] fails.
 
 mod copies;
 mod peers;
@@ -27,7 +27,7 @@
 use tokio_util::task::TaskTracker;
 
 use self::copies::Copies;
-pub(crate) use self::peers::find;
+pub(crate) use self::peers::find_peer;
 pub use self::peers::ring;
 use self::pending::Pending;
 use self::worker::Job;
@@ -44,13 +44,13 @@
     /// Copies held for peers.
     pub copies: usize,
     /// How long the first bill of a batch to a peer waits for more.
-    pub gather: Duration,
+    pub batch_delay: Duration,
     /// Time between two appends to the log.
     pub interval: Duration,
     /// How long one append to the log may take.
-    pub patience: Duration,
+    pub append_timeout: Duration,
     /// A copy held this long is appended by its keeper: its writer is gone, or cut off.
-    pub adopt: Duration,
+    pub max_copy_age: Duration,
 }
 
 impl Default for Config {
@@ -61,10 +61,10 @@
         Self {
             capacity: 16_384,
             copies: 16_384,
-            gather: Duration::from_millis(2),
+            batch_delay: Duration::from_millis(2),
             interval: Duration::from_secs(1),
-            patience: Duration::from_secs(5),
-            adopt: Duration::from_secs(30),
+            append_timeout: Duration::from_secs(5),
+            max_copy_age: Duration::from_secs(30),
         }
     }
 }
@@ -75,7 +75,7 @@
     fn peers(&self) -> Vec<id::Node>;
 
     /// Has a peer hold copies (JSON text each); returns whether it said that it does.
-    fn hold(&self, peer: &id::Node, bills: Vec<String>) -> impl Future<Output = bool> + Send;
+    fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> impl Future<Output = bool> + Send;
 
     /// Tells a peer that copies are on the log. If this is lost, the peer appends them once more.
     fn release(
@@ -88,7 +88,7 @@
 /// The bill could not be given a second holder in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("no peer and no log could be reached to hold the bill"))]
-pub struct Alone;
+pub struct NotReplicated;
 
 /// The outbox is full: too many bills wait for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
@@ -122,13 +122,16 @@
     ///
     /// # Errors
     ///
-    /// [`Alone`] if that could not be had by `deadline`. The bill is then dropped, since its caller
+    /// [`NotReplicated`] if that could not be had by `deadline`. The bill is then dropped, since its caller
     /// won't get the whole answer. Only where a peer or the log took it and its answer was lost may
     /// it count all the same.
-    pub async fn hold(self, bill: &Bill, deadline: Instant) -> Result<(), Alone> {
+    pub async fn replicate(self, bill: &Bill, deadline: Instant) -> Result<(), NotReplicated> {
         let shared = &self.outbox.shared;
         let (sender, held) = oneshot::channel();
-        let number = shared.pending.insert(bill, self.permit).ok_or(Alone)?;
+        let number = shared
+            .pending
+            .insert(bill, self.permit)
+            .ok_or(NotReplicated)?;
         let job = Job::Hold(Wanted {
             number,
             deadline,
@@ -136,13 +139,13 @@
         });
         if shared.jobs.send(job).is_err() {
             shared.pending.remove(number);
-            return Err(Alone);
+            return Err(NotReplicated);
         }
         if let Ok(Ok(())) = tokio::time::timeout_at(deadline, held).await {
             return Ok(());
         }
         shared.pending.remove(number);
-        Err(Alone)
+        Err(NotReplicated)
     }
 }
 
@@ -202,8 +205,8 @@
 
     /// Holds copies for a peer, all or none. Returns whether it does.
     #[must_use]
-    pub fn keep(&self, node: &id::Node, bills: Vec<String>) -> bool {
-        self.shared.copies.keep(node, bills)
+    pub fn store_copies(&self, node: &id::Node, bills: Vec<String>) -> bool {
+        self.shared.copies.insert(node, bills)
     }
 
     /// Drops copies of a peer's bills that it says are on the log.
--- a/crates/coordination/src/bills/copies.rs
+++ b/crates/coordination/src/bills/copies.rs
@@ -45,7 +45,7 @@
     }
 
     /// Takes copies, all or none; refuses when full and what is not a bill.
-    pub fn keep(&self, node: &id::Node, bills: Vec<String>) -> bool {
+    pub fn insert(&self, node: &id::Node, bills: Vec<String>) -> bool {
         let mut requests = Vec::with_capacity(bills.len());
         for bill in &bills {
             let Ok(bill) = serde_json::from_str::<Bill>(bill) else {
--- a/crates/coordination/src/bills/peers.rs
+++ b/crates/coordination/src/bills/peers.rs
@@ -31,8 +31,8 @@
         order
     }
 
-    async fn hold(&self, peer: &id::Node, bills: Vec<String>) -> bool {
-        let Some(peer) = find(self, peer) else {
+    async fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> bool {
+        let Some(peer) = find_peer(self, peer) else {
             return false;
         };
         let node = self.node().clone();
@@ -41,7 +41,9 @@
     }
 
     async fn release(&self, peer: &id::Node, requests: Vec<id::Request>) {
-        let Some(peer) = find(self, peer) else { return };
+        let Some(peer) = find_peer(self, peer) else {
+            return;
+        };
         let node = self.node().clone();
         let call = Call::Drop { node, requests };
         if let Err(error) = self.call(&peer, call).await {
@@ -50,7 +52,7 @@
     }
 }
 
-pub(crate) fn find(mesh: &Mesh, node: &id::Node) -> Option<Peer> {
+pub(crate) fn find_peer(mesh: &Mesh, node: &id::Node) -> Option<Peer> {
     Mesh::peers(mesh)
         .into_iter()
         .find(|peer| &peer.node == node)
--- a/crates/coordination/src/bills/worker.rs
+++ b/crates/coordination/src/bills/worker.rs
@@ -65,7 +65,7 @@
         while let Some(job) = jobs.recv().await {
             let mut wanted = Vec::new();
             let mut flush = sort(job, &mut wanted);
-            tokio::time::sleep(self.config.gather).await;
+            tokio::time::sleep(self.config.batch_delay).await;
             while wanted.len() < BATCH && flush.is_none() {
                 let Ok(job) = jobs.try_recv() else { break };
                 flush = sort(job, &mut wanted);
@@ -112,7 +112,7 @@
         }
         for peer in self.peers.peers() {
             let bills = items.iter().map(|item| item.text.clone()).collect();
-            if self.peers.hold(&peer, bills).await {
+            if self.peers.replicate(&peer, bills).await {
                 self.shared.pending.held(numbers, &peer);
                 return true;
             }
@@ -125,7 +125,7 @@
     async fn append(&self, numbers: &[Number], deadline: Instant) -> bool {
         let items = self.shared.pending.items(numbers);
         let rest = deadline.saturating_duration_since(Instant::now());
-        self.append_items(items, rest.min(self.config.patience))
+        self.append_items(items, rest.min(self.config.append_timeout))
             .await
     }
 
@@ -134,8 +134,8 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.append_own(self.config.patience).await;
-            self.append_copies(self.config.adopt, self.config.patience)
+            self.append_own(self.config.append_timeout).await;
+            self.append_copies(self.config.max_copy_age, self.config.append_timeout)
                 .await;
             self.copy_orphans().await;
         }
--- a/crates/coordination/src/grants/lenders.rs
+++ b/crates/coordination/src/grants/lenders.rs
@@ -21,7 +21,7 @@
         period: u64,
         amount: Money,
     ) -> Money {
-        let Some(peer) = bills::find(self, peer) else {
+        let Some(peer) = bills::find_peer(self, peer) else {
             return Money::ZERO;
         };
         let call = Call::Lend {
--- a/crates/coordination/tests/kept/bills.rs
+++ b/crates/coordination/tests/kept/bills.rs
@@ -6,9 +6,9 @@
 
 use pimento_coordination::Appender;
 use pimento_coordination::appender;
-use pimento_coordination::bills::Alone;
 use pimento_coordination::bills::Config;
 use pimento_coordination::bills::Full;
+use pimento_coordination::bills::NotReplicated;
 use pimento_coordination::bills::Outbox;
 use pimento_coordination::bills::Peers;
 use pimento_coordination::bills::ring;
@@ -61,9 +61,9 @@
         others.map(|(name, _)| name.clone()).collect()
     }
 
-    async fn hold(&self, peer: &id::Node, bills: Vec<String>) -> bool {
+    async fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> bool {
         self.find(peer)
-            .is_some_and(|outbox| outbox.keep(&self.own, bills))
+            .is_some_and(|outbox| outbox.store_copies(&self.own, bills))
     }
 
     async fn release(&self, peer: &id::Node, requests: Vec<id::Request>) {
@@ -82,8 +82,8 @@
         capacity: 100,
         copies: 100,
         interval: Duration::from_millis(50),
-        patience: Duration::from_millis(500),
-        adopt: Duration::from_millis(300),
+        append_timeout: Duration::from_millis(500),
+        max_copy_age: Duration::from_millis(300),
         ..Config::default()
     }
 }
@@ -121,9 +121,9 @@
     Instant::now() + Duration::from_secs(10)
 }
 
-async fn hold(outbox: &Outbox, number: u128) -> Result<(), Alone> {
+async fn hold(outbox: &Outbox, number: u128) -> Result<(), NotReplicated> {
     let slot = outbox.reserve().expect("room");
-    slot.hold(&bill(number), soon()).await
+    slot.replicate(&bill(number), soon()).await
 }
 
 /// What the ledger reader makes of the usage stream: bills that count, and all records.
@@ -184,7 +184,7 @@
     let began = Instant::now();
     until(|| billed(&log).0 == 1).await;
     assert!(
-        began.elapsed() < config().adopt,
+        began.elapsed() < config().max_copy_age,
         "waited for the usual time"
     );
     assert_eq!(two.copies(), 0);
@@ -260,7 +260,7 @@
     log.fail_appends(Fault::Refuse);
     let slot = one.reserve().expect("room");
     let deadline = Instant::now() + Duration::from_millis(300);
-    assert_eq!(slot.hold(&bill(1), deadline).await, Err(Alone));
+    assert_eq!(slot.replicate(&bill(1), deadline).await, Err(NotReplicated));
     assert_eq!(one.waiting(), 0);
     log.fail_appends(Fault::None);
     hold(&one, 2).await.expect("the log holds it");
--- a/crates/entry/src/filter/bill.rs
+++ b/crates/entry/src/filter/bill.rs
@@ -91,7 +91,7 @@
             at: node.clock.wall(),
         };
         let deadline = tokio::time::Instant::now() + node.config.bill_timeout;
-        let held = answered.fund.slot.hold(&bill, deadline).await;
+        let held = answered.fund.slot.replicate(&bill, deadline).await;
         // Settled only now: an answer that is withheld is not charged, and its money is free again.
         if held.is_ok() {
             let _ = answered.fund.hold.settle(charge);
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -39,7 +39,7 @@
             return answer;
         }
         match call {
-            Call::Hold { node: owner, bills } => held(node.outbox.keep(&owner, bills)),
+            Call::Hold { node: owner, bills } => held(node.outbox.store_copies(&owner, bills)),
             Call::Drop {
                 node: owner,
                 requests,
