--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -34,15 +34,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
     /// How long the first record of a batch waits for more.
-    pub gather: Duration,
+    pub batch_delay: Duration,
     /// The most records in one append.
-    pub records: usize,
+    pub max_records: usize,
     /// The most bytes in one append; a single larger record goes alone.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// The most calls that wait for each stream.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// The most bytes of records that wait over all streams.
-    pub memory: u32,
+    pub max_memory: u32,
 }
 
 impl Default for Settings {
@@ -52,11 +52,11 @@
     /// memory that control may use on a node.
     fn default() -> Self {
         Self {
-            gather: Duration::from_millis(10),
-            records: 512,
-            bytes: 1 << 20,
-            queue: 4_096,
-            memory: 16 << 20,
+            batch_delay: Duration::from_millis(10),
+            max_records: 512,
+            max_bytes: 1 << 20,
+            queue_capacity: 4_096,
+            max_memory: 16 << 20,
         }
     }
 }
@@ -75,12 +75,12 @@
 impl TryFrom<Settings> for Config {
     type Error = Finding;
     fn try_from(settings: Settings) -> Result<Self, Finding> {
-        let setting = "records";
-        ensure!(settings.records > 0, FindingSnafu { setting });
-        let setting = "queue";
-        ensure!(settings.queue > 0, FindingSnafu { setting });
-        let setting = "memory";
-        ensure!(settings.memory > 0, FindingSnafu { setting });
+        let setting = "max_records";
+        ensure!(settings.max_records > 0, FindingSnafu { setting });
+        let setting = "queue_capacity";
+        ensure!(settings.queue_capacity > 0, FindingSnafu { setting });
+        let setting = "max_memory";
+        ensure!(settings.max_memory > 0, FindingSnafu { setting });
         Ok(Self(settings))
     }
 }
@@ -124,7 +124,7 @@
             .into_iter()
             .zip(logs)
             .map(|(stream, log)| {
-                let (sender, queue) = mpsc::channel(config.0.queue);
+                let (sender, queue) = mpsc::channel(config.0.queue_capacity);
                 let worker = Worker {
                     log,
                     stream,
@@ -135,7 +135,7 @@
                 sender
             })
             .collect();
-        let memory = Arc::new(Semaphore::new(config.0.memory as usize));
+        let memory = Arc::new(Semaphore::new(config.0.max_memory as usize));
         let shared = Shared {
             queues,
             memory,
--- a/crates/coordination/src/appender/worker.rs
+++ b/crates/coordination/src/appender/worker.rs
@@ -63,17 +63,17 @@
         queue: &mut Receiver<Entry>,
         held: &mut Option<Entry>,
     ) -> Vec<Entry> {
-        let end = Instant::now() + self.settings.gather;
+        let end = Instant::now() + self.settings.batch_delay;
         let mut records = first.records.len();
         let mut bytes = first.size;
         let mut entries = vec![first];
-        while records < self.settings.records && bytes < self.settings.bytes {
+        while records < self.settings.max_records && bytes < self.settings.max_bytes {
             let Ok(Some(entry)) = tokio::time::timeout_at(end, queue.recv()).await else {
                 break;
             };
             records += entry.records.len();
             bytes += entry.size;
-            if records > self.settings.records || bytes > self.settings.bytes {
+            if records > self.settings.max_records || bytes > self.settings.max_bytes {
                 *held = Some(entry);
                 break;
             }
--- a/crates/coordination/tests/appender.rs
+++ b/crates/coordination/tests/appender.rs
@@ -61,8 +61,8 @@
 async fn batches_keep_to_their_limits() {
     let log = Memory::default();
     let settings = Settings {
-        records: 10,
-        bytes: 40,
+        max_records: 10,
+        max_bytes: 40,
         ..Settings::default()
     };
     let appender = appender(&log, settings);
@@ -186,7 +186,7 @@
     let free = Arc::new(AtomicBool::new(false));
     log.faults([Fault::Hold(Arc::clone(&free))]);
     let settings = Settings {
-        memory: 64,
+        max_memory: 64,
         ..Settings::default()
     };
     let appender = appender(&log, settings);
@@ -211,8 +211,8 @@
     let free = Arc::new(AtomicBool::new(false));
     log.faults([Fault::Hold(Arc::clone(&free))]);
     let settings = Settings {
-        queue: 4,
-        records: 1,
+        queue_capacity: 4,
+        max_records: 1,
         ..Settings::default()
     };
     let appender = appender(&log, settings);
@@ -294,7 +294,7 @@
         change(&mut settings);
         Config::try_from(settings).is_err()
     };
-    assert!(zero(|s| s.records = 0));
-    assert!(zero(|s| s.queue = 0));
-    assert!(zero(|s| s.memory = 0));
+    assert!(zero(|s| s.max_records = 0));
+    assert!(zero(|s| s.queue_capacity = 0));
+    assert!(zero(|s| s.max_memory = 0));
 }
--- a/crates/coordination/tests/forward.rs
+++ b/crates/coordination/tests/forward.rs
@@ -60,7 +60,7 @@
     let token = CancellationToken::new();
     let (mesh, listener) = bind(name, seeds, &token).await;
     let settings = appender::Settings {
-        gather: Duration::from_millis(50),
+        batch_delay: Duration::from_millis(50),
         ..appender::Settings::default()
     };
     let config = appender::Config::try_from(settings).unwrap();
