--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -138,7 +138,7 @@
     /// A process may be paused for minutes between claim and dispatch. Its caller was told long ago
     /// that the call may have run; running it now would surprise everybody.
     #[must_use]
-    pub fn valid(&self, now: Instant) -> bool {
+    pub fn is_valid(&self, now: Instant) -> bool {
         now < self.deadline
     }
 }
--- a/crates/coordination/src/forward.rs
+++ b/crates/coordination/src/forward.rs
@@ -24,14 +24,14 @@
 
 /// A log whose appends go through the zone's appender. Clones share it.
 #[derive(Debug, Clone)]
-pub struct Forward<L> {
+pub struct Forwarder<L> {
     log: L,
     direct: Appender,
     mesh: Mesh,
     timeout: Duration,
 }
 
-impl<L: Log> Forward<L> {
+impl<L: Log> Forwarder<L> {
     /// Appends by `direct` where this node is the zone's appender or can't reach it; each append
     /// takes at most `timeout`, which is shorter than that of peers' calls, so that a peer hears
     /// what became of its records and need not stay in doubt.
@@ -79,7 +79,7 @@
     }
 }
 
-impl<L: Log> Log for Forward<L> {
+impl<L: Log> Log for Forwarder<L> {
     async fn append(&self, stream: Stream, records: Vec<String>) -> Result<Offset, Error> {
         let Some(peer) = self.appender() else {
             return self.append_here(stream, records).await;
--- a/crates/coordination/tests/forward.rs
+++ b/crates/coordination/tests/forward.rs
@@ -9,7 +9,7 @@
 use pimento_coordination::Log;
 use pimento_coordination::Mesh;
 use pimento_coordination::appender;
-use pimento_coordination::forward::Forward;
+use pimento_coordination::forward::Forwarder;
 use pimento_coordination::log::Error;
 use pimento_coordination::mesh;
 use pimento_coordination::mesh::Duty;
@@ -31,12 +31,12 @@
 
 struct Node {
     mesh: Mesh,
-    forward: Forward<Memory>,
+    forward: Forwarder<Memory>,
     appender: Appender,
     token: CancellationToken,
 }
 
-struct Serve(Forward<Memory>);
+struct Serve(Forwarder<Memory>);
 
 impl Handler for Serve {
     async fn handle(&self, call: Call) -> Answer {
@@ -66,7 +66,7 @@
     let config = appender::Config::try_from(settings).unwrap();
     let direct = Appender::start(log.clone(), config, token.clone());
     // Shorter than that of the peers' calls, so that they hear what became of the append.
-    let forward = Forward::new(log.clone(), direct, mesh.clone(), TIMEOUT / 2);
+    let forward = Forwarder::new(log.clone(), direct, mesh.clone(), TIMEOUT / 2);
     listener.serve(Serve(forward.clone()));
     let appender = Appender::start(forward.clone(), config, token.clone());
     Node {
--- a/crates/coordination/tests/kept/claims.rs
+++ b/crates/coordination/tests/kept/claims.rs
@@ -288,9 +288,9 @@
     let claimer = claimer(&log, "node-1", &token);
     ready(&claimer).await;
     let ticket = owned(claim(&claimer, &log, order()).await);
-    assert!(ticket.valid(Instant::now()));
+    assert!(ticket.is_valid(Instant::now()));
     tokio::time::advance(Duration::from_secs(11)).await;
-    assert!(!ticket.valid(Instant::now()));
+    assert!(!ticket.is_valid(Instant::now()));
     token.cancel();
 }
 
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -201,7 +201,7 @@
         let refusal = Refusal::not_run(Code::UnknownService, message);
         return Err(trace.amend(refusal));
     }
-    let valid = ticket.is_none_or(|ticket| ticket.valid(Instant::now()));
+    let valid = ticket.is_none_or(|ticket| ticket.is_valid(Instant::now()));
     if !valid || node.clock.now() >= call.identity.deadline {
         let message = "the deadline passed before the call could be sent";
         return Err(trace.amend(Refusal::not_run(Code::Timeout, message)));
