--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -227,6 +227,6 @@
 
 const fn full() -> Error {
     Error::Refused {
-        retry_after: http::RETRY,
+        retry_after: http::RETRY_DELAY,
     }
 }
--- a/crates/coordination/src/appender/entry.rs
+++ b/crates/coordination/src/appender/entry.rs
@@ -81,7 +81,7 @@
             return Error::Lost { reason };
         }
         Error::Refused {
-            retry_after: http::RETRY,
+            retry_after: http::RETRY_DELAY,
         }
     }
 }
--- a/crates/coordination/src/appender/worker.rs
+++ b/crates/coordination/src/appender/worker.rs
@@ -107,7 +107,7 @@
                     Duration::ZERO
                 }
             };
-            tokio::time::sleep(backoff.wait(wait)).await;
+            tokio::time::sleep(backoff.next_delay(wait)).await;
         }
     }
 }
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -230,7 +230,7 @@
     }
 
     /// Writes what became of a claimed call, in the background.
-    pub fn finish(&self, outcome: Outcome) {
+    pub fn record_outcome(&self, outcome: Outcome) {
         let appender = self.appender.clone();
         self.tasks.spawn(async move {
             let Ok(record) = serde_json::to_string(&Call::Outcome(outcome)) else {
@@ -245,7 +245,7 @@
 
     /// Writes what became of the call of `ticket`.
     pub fn report(&self, ticket: Ticket, run: Run, status: Option<u16>) {
-        self.finish(Outcome {
+        self.record_outcome(Outcome {
             request: ticket.request,
             attempt: ticket.attempt,
             run,
@@ -322,7 +322,7 @@
 impl Drop for Doubt<'_> {
     fn drop(&mut self) {
         if !self.settled {
-            self.claimer.finish(Outcome {
+            self.claimer.record_outcome(Outcome {
                 request: self.request,
                 attempt: self.attempt,
                 run: Run::NotRun,
--- a/crates/coordination/src/follower.rs
+++ b/crates/coordination/src/follower.rs
@@ -237,7 +237,7 @@
                         Error::Refused { retry_after } => retry_after.min(WAIT),
                         _ => Duration::ZERO,
                     };
-                    let wait = backoff.wait(least);
+                    let wait = backoff.next_delay(least);
                     log::debug!(
                         "follower: {} not read, again in {wait:?}: {error}",
                         self.stream
--- a/crates/coordination/src/forward.rs
+++ b/crates/coordination/src/forward.rs
@@ -91,7 +91,7 @@
         match self.mesh.call(&peer, call).await {
             Ok(Answer::Appended { first }) => Ok(first),
             Ok(Answer::Refused { .. }) => Err(Error::Refused {
-                retry_after: http::RETRY,
+                retry_after: http::RETRY_DELAY,
             }),
             Err(mesh::Error::Unreachable { .. } | mesh::Error::Frame { .. }) => {
                 self.append_here(stream, records).await
--- a/crates/coordination/src/http.rs
+++ b/crates/coordination/src/http.rs
@@ -26,9 +26,9 @@
 const MAX_BODY: usize = 32 << 20;
 /// Idle connections kept for each service. A node has one long poll open for each stream and a
 /// handful of appends; more would only cost file descriptors.
-const IDLE: usize = 16;
+const MAX_IDLE: usize = 16;
 /// When to ask again a service that can't be reached, or that says no without a time.
-pub(crate) const RETRY: Duration = Duration::from_secs(1);
+pub(crate) const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Why there is no reply.
 #[derive(Debug)]
@@ -54,23 +54,23 @@
     /// Status.
     pub(crate) status: StatusCode,
     /// The time of `Retry-After`, if there is one.
-    pub(crate) after: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
     /// Body.
     pub(crate) body: Bytes,
 }
 
 impl Reply {
     /// The body as a message.
-    pub(crate) fn read<T: DeserializeOwned>(&self) -> Result<T, String> {
+    pub(crate) fn decode<T: DeserializeOwned>(&self) -> Result<T, String> {
         serde_json::from_slice(&self.body).map_err(|e| format!("unreadable body: {e}"))
     }
 
     /// The body of a reply that says that all is well.
-    pub(crate) fn done<T: DeserializeOwned>(&self) -> Result<T, String> {
+    pub(crate) fn decode_ok<T: DeserializeOwned>(&self) -> Result<T, String> {
         if self.status != StatusCode::OK {
             return Err(format!("status {}", self.status));
         }
-        self.read()
+        self.decode()
     }
 
     /// When to ask again, if the service said before doing anything that it won't.
@@ -83,7 +83,7 @@
             StatusCode::SERVICE_UNAVAILABLE,
         ];
         if refused.contains(&self.status) {
-            self.after
+            self.retry_after
         } else {
             None
         }
@@ -106,7 +106,7 @@
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(timeout));
         let inner = legacy::Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(IDLE)
+            .pool_max_idle_per_host(MAX_IDLE)
             .build(connector);
         Self {
             inner,
@@ -143,7 +143,7 @@
         let progress = Progress::default();
         let exchange = async {
             let response = self.inner.request(request).await.map_err(|e| failure(&e))?;
-            collect(response, &progress).await
+            read_body(response, &progress).await
         };
         progress
             .wait(exchange, self.timeout + wait, self.timeout)
@@ -159,9 +159,9 @@
     Failure::Lost(error.to_string())
 }
 
-async fn collect(response: Response<Incoming>, progress: &Progress) -> Result<Reply, Failure> {
+async fn read_body(response: Response<Incoming>, progress: &Progress) -> Result<Reply, Failure> {
     let (head, body) = response.into_parts();
-    let after = head
+    let retry_after = head
         .headers
         .get(header::RETRY_AFTER)
         .and_then(|value| value.to_str().ok())
@@ -178,7 +178,7 @@
         .to_bytes();
     Ok(Reply {
         status: head.status,
-        after,
+        retry_after,
         body,
     })
 }
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -82,7 +82,7 @@
         let path = format!("/streams/{stream}");
         let reply = self.client.post(&path, &Append { records }).await?;
         check(&reply)?;
-        let appended: Appended = reply.read().map_err(lost)?;
+        let appended: Appended = reply.decode().map_err(lost)?;
         Ok(appended.first)
     }
 
@@ -97,7 +97,7 @@
         let path = format!("/streams/{stream}?from={from}&max={max}&wait_ms={wait_ms}");
         let reply = self.client.get(&path, wait).await?;
         check(&reply)?;
-        reply.read().map_err(lost)
+        reply.decode().map_err(lost)
     }
 }
 
@@ -108,7 +108,7 @@
     match reply.status {
         StatusCode::OK => Ok(()),
         StatusCode::GONE => {
-            let gone: Gone = reply.read().map_err(lost)?;
+            let gone: Gone = reply.decode().map_err(lost)?;
             Err(Error::Gone {
                 oldest: gone.oldest,
             })
@@ -125,7 +125,7 @@
     fn from(failure: Failure) -> Self {
         match failure {
             Failure::Unreachable(_) => Self::Refused {
-                retry_after: http::RETRY,
+                retry_after: http::RETRY_DELAY,
             },
             Failure::Lost(reason) => Self::Lost { reason },
         }
--- a/crates/coordination/src/operators.rs
+++ b/crates/coordination/src/operators.rs
@@ -42,7 +42,7 @@
 impl Operators for Remote {
     async fn state(&self) -> Result<State, Error> {
         let reply = self.client.get("/state", Duration::ZERO).await?;
-        reply.done().map_err(|reason| Error { reason })
+        reply.decode_ok().map_err(|reason| Error { reason })
     }
 }
 
--- a/crates/coordination/src/rating.rs
+++ b/crates/coordination/src/rating.rs
@@ -43,7 +43,7 @@
 impl Rater for Remote {
     async fn rate(&self, rate: Rate) -> Result<Rating, Error> {
         let reply = self.client.post("/rate", &rate).await?;
-        reply.done().map_err(|reason| Error { reason })
+        reply.decode_ok().map_err(|reason| Error { reason })
     }
 }
 
--- a/crates/coordination/src/vms.rs
+++ b/crates/coordination/src/vms.rs
@@ -42,7 +42,7 @@
 impl List for Remote {
     async fn list(&self) -> Result<Vms, Error> {
         let reply = self.client.get("/vms", Duration::ZERO).await?;
-        reply.done().map_err(|reason| Error { reason })
+        reply.decode_ok().map_err(|reason| Error { reason })
     }
 }
 
--- a/crates/coordination/src/weights.rs
+++ b/crates/coordination/src/weights.rs
@@ -68,7 +68,9 @@
 impl From<Failure> for Error {
     fn from(failure: Failure) -> Self {
         match failure {
-            Failure::Unreachable(_) => Self::Refused { after: http::RETRY },
+            Failure::Unreachable(_) => Self::Refused {
+                after: http::RETRY_DELAY,
+            },
             Failure::Lost(reason) => Self::Lost { reason },
         }
     }
