--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -1,7 +1,7 @@
-//! Group commit: joins the records of one process into few appends.
+//! Group commit: batches the records of one process into few appends.
 //!
-//! The log takes a few hundred appends a second for the whole deployment. One append for each
-//! record would spend that at a few hundred requests a second; gathering for some milliseconds
+//! The log accepts a few hundred appends a second for the whole deployment. One append for each
+//! record would exhaust that rate at a few hundred requests a second. Batching for some milliseconds
 //! makes the number of appends independent of the number of records. Each stream has one append
 //! in flight at a time, so a slow log makes batches larger instead of more numerous.
 
@@ -33,23 +33,23 @@
 /// Settings of an [`Appender`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// How long the first record of a batch waits for more.
+    /// How long the first record of a batch waits for others.
     pub batch_delay: Duration,
     /// The most records in one append.
     pub max_records: usize,
-    /// The most bytes in one append; a single larger record goes alone.
+    /// The most bytes in one append. A larger record is appended alone.
     pub max_bytes: usize,
-    /// The most calls that wait for each stream.
+    /// The most pending calls for each stream.
     pub queue_capacity: usize,
-    /// The most bytes of records that wait over all streams.
+    /// The most bytes of pending records over all streams.
     pub max_memory: u32,
 }
 
 impl Default for Settings {
-    /// 10 ms make at most 100 appends a second for each stream of a node, and are short beside the
-    /// log's own time. 512 records and 1 MiB keep one append far below the log's timeout. 4,096
-    /// calls are several seconds of a node's share of the target rate; 16 MiB is half of the
-    /// memory that control may use on a node.
+    /// 10 ms limit a node to 100 appends a second for each stream, and are short compared with the
+    /// log's latency. 512 records and 1 MiB keep one append far below the log's timeout. 4,096
+    /// calls are several seconds of a node's share of the target rate. 16 MiB is half of the memory
+    /// that coordination may use on a node.
     fn default() -> Self {
         Self {
             batch_delay: Duration::from_millis(10),
@@ -61,14 +61,14 @@
     }
 }
 
-/// A setting that makes no sense.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("the appender's {setting} must not be zero"))]
 pub struct Finding {
     setting: &'static str,
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Config(Settings);
 
@@ -99,7 +99,7 @@
     token: CancellationToken,
 }
 
-/// Until when the log said that it refuses appends.
+/// The end of the outage that the log announced last; in the past if there is none.
 #[derive(Debug)]
 struct Closed(Mutex<Instant>);
 
@@ -114,9 +114,9 @@
 }
 
 impl Appender {
-    /// Starts one worker for each stream; they end with `token`.
+    /// Starts one worker for each stream; they stop when `token` is cancelled.
     ///
-    /// What still waits then is answered as refused, or as lost if it was sent before.
+    /// Pending appends then fail as refused, or as lost if they were sent before.
     pub fn start(log: impl Log, config: Config, token: CancellationToken) -> Self {
         let closed = Arc::new(Closed(Mutex::new(Instant::now())));
         let logs = std::iter::repeat_n(log, Stream::ALL.len());
@@ -147,15 +147,15 @@
         }
     }
 
-    /// Appends one record and gives its offset.
+    /// Appends one record and returns its offset.
     ///
-    /// An append whose answer was lost is made again until `deadline`, so the record must be safe
-    /// to append twice; the offset is that of the last append.
+    /// An append whose response was lost is retried until `deadline`, so the record must be safe to
+    /// append twice. The offset is that of the last append.
     ///
     /// # Errors
     ///
-    /// [`Error::Refused`] if the record surely is not on the log: the queue is full, or the log
-    /// refused until `deadline`. [`Error::Lost`] if it may be on the log.
+    /// [`Error::Refused`] if the record is certainly not on the log: the queue is full, the appender
+    /// is shutting down, or the log refused until `deadline`. [`Error::Lost`] if it may be on the log.
     pub async fn append(
         &self,
         stream: Stream,
@@ -165,7 +165,7 @@
         self.append_all(stream, vec![record], deadline).await
     }
 
-    /// Appends records side by side, all or none, and gives the first one's offset.
+    /// Appends records contiguously and atomically, and returns the offset of the first.
     ///
     /// # Errors
     ///
@@ -181,37 +181,37 @@
         let permits = u32::try_from(size).unwrap_or(u32::MAX);
         let permit = Arc::clone(&self.shared.memory)
             .try_acquire_many_owned(permits)
-            .map_err(|_| full())?;
+            .map_err(|_| refused())?;
         let progress = Arc::new(Progress::default());
-        let (answer, answered) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let entry = Entry {
             records,
             size,
             deadline,
             progress: Arc::clone(&progress),
-            answer,
+            answer: sender,
             _permit: permit,
         };
         self.shared.queues[stream as usize]
             .try_send(entry)
-            .map_err(|_| full())?;
-        match tokio::time::timeout_at(deadline, answered).await {
+            .map_err(|_| refused())?;
+        match tokio::time::timeout_at(deadline, receiver).await {
             Ok(Ok(result)) => result,
-            Ok(Err(_)) | Err(_) => Err(progress.give_up()),
+            Ok(Err(_)) | Err(_) => Err(progress.abandon()),
         }
     }
 
-    /// When the log said that it will take appends again; in the past if it takes them now.
+    /// When the log will accept appends again, as it announced; in the past if it accepts them now.
     #[must_use]
     pub fn closed_until(&self) -> Instant {
         self.shared.closed.until()
     }
 
-    /// Refuses at once what the log has said it won't take before `deadline`, so that a caller in
-    /// an outage hears it now and not when its time is up.
+    /// Refuses an append at once if the log has announced that it won't accept it before `deadline`,
+    /// so that a caller in an outage does not wait for its deadline.
     fn admit(&self, deadline: Instant) -> Result<(), Error> {
         if self.shared.token.is_cancelled() {
-            return Err(full());
+            return Err(refused());
         }
         let until = self.closed_until();
         if until < deadline {
@@ -225,7 +225,7 @@
     }
 }
 
-const fn full() -> Error {
+const fn refused() -> Error {
     Error::Refused {
         retry_after: http::RETRY_DELAY,
     }
--- a/crates/coordination/src/appender/entry.rs
+++ b/crates/coordination/src/appender/entry.rs
@@ -1,4 +1,4 @@
-//! What waits in the appender's queues.
+//! Entries of the appender's queues.
 
 use std::sync::atomic::AtomicU8;
 use std::sync::atomic::Ordering;
@@ -11,36 +11,35 @@
 use crate::http;
 use crate::log::Error;
 
-/// Records that are appended side by side, and who waits for them.
+/// Records that are appended contiguously, and the call that waits for them.
 #[derive(Debug)]
 pub(super) struct Entry {
-    /// The records.
     pub(super) records: Vec<String>,
-    /// Their bytes.
+    /// Size of the records in bytes.
     pub(super) size: usize,
-    /// Until when the caller waits.
+    /// When the caller stops waiting.
     pub(super) deadline: Instant,
-    /// How far they got.
+    /// State shared with the caller.
     pub(super) progress: std::sync::Arc<Progress>,
-    /// Where the caller waits.
+    /// Sends the result to the caller.
     pub(super) answer: oneshot::Sender<Result<Offset, Error>>,
-    /// The memory that they take; given back when the entry is dropped.
+    /// The memory that the records occupy; released when the entry is dropped.
     pub(super) _permit: OwnedSemaphorePermit,
 }
 
 impl Entry {
-    /// Whether anyone still waits.
-    pub(super) fn wanted(&self) -> bool {
+    /// Whether the caller still waits.
+    pub(super) fn has_waiter(&self) -> bool {
         !self.answer.is_closed() && self.deadline > Instant::now()
     }
 
-    /// Answers that the log won't take the records before the deadline.
+    /// Fails the call, since the log won't accept the records before the deadline.
     pub(super) fn refuse(self, error: Error) {
-        let error = match self.progress.give_up() {
+        let error = match self.progress.abandon() {
             Error::Refused { .. } => error,
             lost => lost,
         };
-        // The caller may have gone; it then answered itself by the same progress.
+        // If the caller has gone, it has derived its own error from the same progress.
         let _ = self.answer.send(Err(error));
     }
 }
@@ -49,35 +48,35 @@
 const SENT: u8 = 1;
 const ABANDONED: u8 = 2;
 
-/// How far an entry got, agreed between its caller and the worker.
+/// The state of an entry, shared by its caller and the worker.
 ///
-/// A caller whose time is up must not say "refused" of a record that the worker sends in the same
-/// moment: the request would be called not run while its record stands on the log. Both move the
-/// state by compare-and-swap, so exactly one of them wins.
+/// A caller whose deadline passes must not report a record as refused while the worker sends it: the
+/// request would be reported as not run although its record is on the log. Both change the state
+/// by compare-and-swap, so exactly one of them wins.
 #[derive(Debug, Default)]
 pub(super) struct Progress(AtomicU8);
 
 impl Progress {
-    /// The worker is about to send; false if the caller has given up.
-    pub(super) fn send(&self) -> bool {
+    /// Marks the entry as sent; false if the caller has abandoned it.
+    pub(super) fn mark_sent(&self) -> bool {
         let result = self
             .0
             .compare_exchange(WAITING, SENT, Ordering::AcqRel, Ordering::Acquire);
         result != Err(ABANDONED)
     }
 
-    /// The log refused a first sending: the records surely are not on it.
-    pub(super) fn unsent(&self) {
+    /// Marks the entry as not sent: the log refused its first append, so the records are not on it.
+    pub(super) fn mark_unsent(&self) {
         self.0.store(WAITING, Ordering::Release);
     }
 
-    /// The caller gives up.
-    pub(super) fn give_up(&self) -> Error {
+    /// Abandons the entry if it is not sent, and returns the error for the caller.
+    pub(super) fn abandon(&self) -> Error {
         let result =
             self.0
                 .compare_exchange(WAITING, ABANDONED, Ordering::AcqRel, Ordering::Acquire);
         if result == Err(SENT) {
-            let reason = "the deadline passed before the log's answer".into();
+            let reason = "the deadline passed before the log's response".into();
             return Error::Lost { reason };
         }
         Error::Refused {
--- a/crates/coordination/src/appender/worker.rs
+++ b/crates/coordination/src/appender/worker.rs
@@ -1,4 +1,4 @@
-//! The worker of one stream: gathers, appends, tries again.
+//! The worker of one stream: batches, appends and retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::log::Error;
 use crate::log::Log;
 
-/// The worker of one stream.
+/// Appends the entries of one stream.
 pub(super) struct Worker<L> {
     pub(super) log: L,
     pub(super) stream: Stream,
@@ -27,41 +27,41 @@
 /// Entries for one append.
 struct Batch {
     entries: Vec<Entry>,
-    /// Whether an earlier append of these may have taken effect.
-    doubtful: bool,
+    /// Whether an earlier append of these entries may have taken effect.
+    maybe_appended: bool,
 }
 
 impl<L: Log> Worker<L> {
-    /// Works until `token` or until no appender is left.
+    /// Runs until `token` is cancelled or all appenders are dropped.
     pub(super) async fn run(self, queue: Receiver<Entry>, token: CancellationToken) {
-        token.run_until_cancelled(self.work(queue)).await;
+        token.run_until_cancelled(self.run_loop(queue)).await;
     }
 
-    async fn work(self, mut queue: Receiver<Entry>) {
-        let mut held = None;
+    async fn run_loop(self, mut queue: Receiver<Entry>) {
+        let mut carried = None;
         loop {
-            let first = match held.take() {
+            let first = match carried.take() {
                 Some(entry) => entry,
                 None => match queue.recv().await {
                     Some(entry) => entry,
                     None => return,
                 },
             };
-            let entries = self.gather(first, &mut queue, &mut held).await;
+            let entries = self.collect(first, &mut queue, &mut carried).await;
             let batch = Batch {
                 entries,
-                doubtful: false,
+                maybe_appended: false,
             };
             self.commit(batch).await;
         }
     }
 
-    /// Gathers entries up to the limits; one that does not fit is held for the next batch.
-    async fn gather(
+    /// Collects entries up to the limits. One that does not fit is carried over to the next batch.
+    async fn collect(
         &self,
         first: Entry,
         queue: &mut Receiver<Entry>,
-        held: &mut Option<Entry>,
+        carried: &mut Option<Entry>,
     ) -> Vec<Entry> {
         let end = Instant::now() + self.settings.batch_delay;
         let mut records = first.records.len();
@@ -74,7 +74,7 @@
             records += entry.records.len();
             bytes += entry.size;
             if records > self.settings.max_records || bytes > self.settings.max_bytes {
-                *held = Some(entry);
+                *carried = Some(entry);
                 break;
             }
             entries.push(entry);
@@ -82,11 +82,13 @@
         entries
     }
 
-    /// Appends a batch, again and again while anyone waits for it.
+    /// Appends a batch, and retries as long as any of its callers waits.
     async fn commit(&self, mut batch: Batch) {
         let mut backoff = Backoff::new();
         loop {
-            batch.entries.retain(|e| e.wanted() && e.progress.send());
+            batch
+                .entries
+                .retain(|e| e.has_waiter() && e.progress.mark_sent());
             if batch.entries.is_empty() {
                 return;
             }
@@ -95,15 +97,15 @@
                 Err(Error::Refused { retry_after }) => {
                     let until = Instant::now() + retry_after;
                     self.closed.set(until);
-                    batch.refused(until, retry_after);
+                    batch.refuse_expiring(until, retry_after);
                     retry_after
                 }
                 Err(error) => {
                     log::warn!(
-                        "appender: {} append in doubt, made again: {error}",
+                        "appender: {} append may have taken effect, retrying: {error}",
                         self.stream
                     );
-                    batch.doubtful = true;
+                    batch.maybe_appended = true;
                     Duration::ZERO
                 }
             };
@@ -122,21 +124,21 @@
         let mut offset = first;
         for entry in self.entries {
             let next = Offset(offset.0 + entry.records.len() as u64);
-            // A caller that has gone reads its record back from the stream.
+            // A caller that no longer waits reads its record back from the stream.
             let _ = entry.answer.send(Ok(offset));
             offset = next;
         }
     }
 
-    /// Answers those whose deadline comes before the log takes appends again.
-    fn refused(&mut self, until: Instant, retry_after: Duration) {
-        if !self.doubtful {
-            self.entries.iter().for_each(|e| e.progress.unsent());
+    /// Fails the entries whose deadline passes before the log accepts appends again.
+    fn refuse_expiring(&mut self, until: Instant, retry_after: Duration) {
+        if !self.maybe_appended {
+            self.entries.iter().for_each(|e| e.progress.mark_unsent());
         }
-        let (waiting, hopeless): (Vec<_>, Vec<_>) =
+        let (waiting, expiring): (Vec<_>, Vec<_>) =
             self.entries.drain(..).partition(|e| e.deadline > until);
         self.entries = waiting;
-        for entry in hopeless {
+        for entry in expiring {
             entry.refuse(Error::Refused { retry_after });
         }
     }
--- a/crates/coordination/src/backoff.rs
+++ b/crates/coordination/src/backoff.rs
@@ -1,34 +1,34 @@
-//! Growing waits between tries.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
 use rand::RngExt;
 
-/// The first wait. A lost answer is often a single broken connection, so the second try is early.
+/// The first delay. A lost response is often a single broken connection, so the first retry is early.
 const INITIAL_DELAY: Duration = Duration::from_millis(50);
-/// The longest wait. It bounds how long a node stays unaware that the service is back.
+/// The longest delay. It bounds how long a node takes to notice that the service is back.
 const MAX_DELAY: Duration = Duration::from_secs(1);
 
-/// Doubling waits with a random part, so that nodes which failed together don't come back together.
+/// Doubling delays with jitter, so that nodes which failed together do not retry together.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     next: Duration,
 }
 
 impl Backoff {
-    /// Starts at the shortest wait.
+    /// Starts at the initial delay.
     pub(crate) const fn new() -> Self {
         Self {
             next: INITIAL_DELAY,
         }
     }
 
-    /// Starts over after a success.
+    /// Returns to the initial delay after a success.
     pub(crate) const fn reset(&mut self) {
         self.next = INITIAL_DELAY;
     }
 
-    /// The next wait: between half and the whole of the current bound, but not under `least`.
+    /// The next delay: between half and the whole of the current bound, but at least `least`.
     pub(crate) fn next_delay(&mut self, least: Duration) -> Duration {
         let factor = rand::rng().random_range(0.5..=1.0);
         let delay = self.next.mul_f64(factor);
--- a/crates/coordination/src/bills.rs
+++ b/crates/coordination/src/bills.rs
@@ -1,10 +1,9 @@
-//! Bills held by two entry VMs, or by the log, before the caller gets the last byte.
+//! Bills that two entry VMs, or the log, hold before the caller gets the last byte.
 //!
-//! The outbox copies each bill to a peer, of its own zone if there is one, and appends it to the
-//! log in batches. A peer that holds a copy for too long appends it too: the fold counts one bill
-//! for each request, so that a bill appended twice does no harm and one whose writer is gone is
-//! not lost. Where neither a peer nor the log can be reached, the bill has one holder only and
-//! [`Slot::replicate`] fails.
+//! The outbox copies each bill to a peer, preferably of its own zone, and appends it to the log in
+//! batches. A peer that holds a copy for too long appends it too, so that a bill is not lost with
+//! the VM that wrote it. The fold counts one bill for each request, so a bill may be appended
+//! twice. If neither a peer nor the log can be reached, [`Slot::replicate`] fails.
 
 mod copies;
 mod peers;
@@ -31,32 +30,33 @@
 pub use self::peers::ring;
 use self::pending::Pending;
 use self::worker::Job;
-use self::worker::Wanted;
+use self::worker::Unreplicated;
 use self::worker::Worker;
 use crate::appender::Appender;
 
 /// Settings of an [`Outbox`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Config {
-    /// Bills that are answered or being answered and not yet on the log. At the bound requests are
-    /// refused before they are sent: a log that is out for long must not fill the memory.
+    /// The most bills that are not yet on the log, those of requests in progress included. At the
+    /// bound, requests are refused before they are sent: a long outage of the log must not exhaust
+    /// memory.
     pub capacity: usize,
-    /// Copies held for peers.
+    /// The most copies held for peers.
     pub copies: usize,
-    /// How long the first bill of a batch to a peer waits for more.
+    /// How long the first bill of a batch to a peer waits for others.
     pub batch_delay: Duration,
-    /// Time between two appends to the log.
+    /// Interval between appends to the log.
     pub interval: Duration,
-    /// How long one append to the log may take.
+    /// Timeout of one append to the log.
     pub append_timeout: Duration,
-    /// A copy held this long is appended by its keeper: its writer is gone, or cut off.
+    /// The age at which the holder of a copy appends it: its writer is gone, or cannot reach the log.
     pub max_copy_age: Duration,
 }
 
 impl Default for Config {
     /// A bill takes about 600 bytes as text, so that 16,384 bills and as many copies stay under
-    /// 20 MB. They cover a log outage of sixteen minutes at the target's 17 requests a second for
-    /// each node.
+    /// 20 MB. They cover a log outage of sixteen minutes at the target rate of 17 requests a second
+    /// for each node.
     fn default() -> Self {
         Self {
             capacity: 16_384,
@@ -71,13 +71,14 @@
 
 /// Entry VMs that can hold copies.
 pub trait Peers: Clone + Send + Sync + 'static {
-    /// Live peers, those of the own zone first.
+    /// Live peers, those of the local zone first.
     fn peers(&self) -> Vec<id::Node>;
 
-    /// Has a peer hold copies (JSON text each); returns whether it said that it does.
+    /// Sends copies (JSON text each) to a peer; returns whether it confirmed that it holds them.
     fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> impl Future<Output = bool> + Send;
 
-    /// Tells a peer that copies are on the log. If this is lost, the peer appends them once more.
+    /// Notifies a peer that bills are on the log, so that it drops its copies. If the message is lost,
+    /// the peer appends them again.
     fn release(
         &self,
         peer: &id::Node,
@@ -85,17 +86,17 @@
     ) -> impl Future<Output = ()> + Send;
 }
 
-/// The bill could not be given a second holder in time.
+/// The bill got no second holder before the deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("no peer and no log could be reached to hold the bill"))]
 pub struct NotReplicated;
 
-/// The outbox is full: too many bills wait for the log.
+/// The outbox is full: too many bills are not yet on the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("too many bills wait for the platform's log"))]
 pub struct Full;
 
-/// Bills of one entry VM, and copies it holds for peers. Clones share everything.
+/// Bills of one entry VM, and the copies it holds for peers. Clones share all state.
 #[derive(Debug, Clone)]
 pub struct Outbox {
     shared: Arc<Shared>,
@@ -105,12 +106,12 @@
 struct Shared {
     pending: Pending,
     copies: Copies,
-    room: Arc<Semaphore>,
+    capacity: Arc<Semaphore>,
     jobs: mpsc::UnboundedSender<Job>,
     tasks: TaskTracker,
 }
 
-/// Room for one bill, taken before the request is sent.
+/// Reserved capacity for one bill, acquired before the request is sent.
 #[derive(Debug)]
 pub struct Slot {
     outbox: Outbox,
@@ -118,30 +119,30 @@
 }
 
 impl Slot {
-    /// Holds the bill of an answered request; returns once a second VM or the log holds it too.
+    /// Stores the bill of an answered request; returns once a second VM or the log holds it too.
     ///
     /// # Errors
     ///
-    /// [`NotReplicated`] if that could not be had by `deadline`. The bill is then dropped, since its caller
-    /// won't get the whole answer. Only where a peer or the log took it and its answer was lost may
-    /// it count all the same.
+    /// [`NotReplicated`] if none of them confirmed it by `deadline`. The bill is then dropped, since
+    /// its caller won't get the whole response. It may count all the same if a peer or the log stored
+    /// it and the confirmation was lost.
     pub async fn replicate(self, bill: &Bill, deadline: Instant) -> Result<(), NotReplicated> {
         let shared = &self.outbox.shared;
-        let (sender, held) = oneshot::channel();
+        let (sender, confirmed) = oneshot::channel();
         let number = shared
             .pending
             .insert(bill, self.permit)
             .ok_or(NotReplicated)?;
-        let job = Job::Hold(Wanted {
+        let job = Job::Replicate(Unreplicated {
             number,
             deadline,
-            held: sender,
+            confirm: sender,
         });
         if shared.jobs.send(job).is_err() {
             shared.pending.remove(number);
             return Err(NotReplicated);
         }
-        if let Ok(Ok(())) = tokio::time::timeout_at(deadline, held).await {
+        if let Ok(Ok(())) = tokio::time::timeout_at(deadline, confirmed).await {
             return Ok(());
         }
         shared.pending.remove(number);
@@ -150,7 +151,7 @@
 }
 
 impl Outbox {
-    /// Starts the worker that copies and appends, until `token`.
+    /// Starts the worker that copies and appends bills until `token` is cancelled.
     #[must_use]
     pub fn start(
         config: Config,
@@ -162,7 +163,7 @@
         let shared = Arc::new(Shared {
             pending: Pending::default(),
             copies: Copies::new(config.copies),
-            room: Arc::new(Semaphore::new(config.capacity)),
+            capacity: Arc::new(Semaphore::new(config.capacity)),
             jobs,
             tasks: TaskTracker::new(),
         });
@@ -176,13 +177,13 @@
         Self { shared }
     }
 
-    /// Takes room for one bill.
+    /// Reserves capacity for one bill.
     ///
     /// # Errors
     ///
-    /// [`Full`]; the request must then be refused before it is sent.
+    /// [`Full`] if there is none; the request must then be refused before it is sent.
     pub fn reserve(&self) -> Result<Slot, Full> {
-        let permit = Arc::clone(&self.shared.room)
+        let permit = Arc::clone(&self.shared.capacity)
             .try_acquire_owned()
             .map_err(|_| Full)?;
         Ok(Slot {
@@ -191,31 +192,31 @@
         })
     }
 
-    /// Bills that are not yet on the log.
+    /// The number of bills that are not yet on the log.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.shared.pending.len()
     }
 
-    /// Copies held for peers.
+    /// The number of copies held for peers.
     #[must_use]
     pub fn copies(&self) -> usize {
         self.shared.copies.len()
     }
 
-    /// Holds copies for a peer, all or none. Returns whether it does.
+    /// Stores copies for a peer, all or none. Returns whether they are stored.
     #[must_use]
     pub fn store_copies(&self, node: &id::Node, bills: Vec<String>) -> bool {
         self.shared.copies.insert(node, bills)
     }
 
-    /// Drops copies of a peer's bills that it says are on the log.
+    /// Drops the copies of bills that a peer reports to be on the log.
     pub fn drop_copies(&self, node: &id::Node, requests: &[id::Request]) {
         self.shared.copies.remove(node, requests);
     }
 
-    /// Appends all bills and copies now, and waits until they are on the log or `deadline`.
-    /// Returns how many are not.
+    /// Appends all bills and copies, waiting until they are on the log or until `deadline`. Returns
+    /// how many are not on the log.
     pub async fn flush(&self, deadline: Instant) -> usize {
         let (sender, done) = oneshot::channel();
         let job = Job::Flush {
--- a/crates/coordination/src/bills/copies.rs
+++ b/crates/coordination/src/bills/copies.rs
@@ -9,7 +9,7 @@
 use pimento_units::id;
 use tokio::time::Instant;
 
-/// Copies, bounded in number and sorted by request and writer.
+/// A bounded table of copies, sorted by request and writer.
 #[derive(Debug)]
 pub struct Copies {
     capacity: usize,
@@ -26,17 +26,17 @@
 
 /// A copy to be appended.
 #[derive(Debug)]
-pub struct Held {
+pub struct Due {
     /// The request billed.
     pub request: id::Request,
-    /// Whose bill.
+    /// The node that wrote the bill.
     pub node: id::Node,
     /// The bill as JSON text.
     pub text: String,
 }
 
 impl Copies {
-    /// Room for `capacity` copies.
+    /// An empty table with room for `capacity` copies.
     pub const fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes copies, all or none; refuses when full and what is not a bill.
+    /// Inserts copies, all or none. Returns false if there is no room or if one is not a bill.
     pub fn insert(&self, node: &id::Node, bills: Vec<String>) -> bool {
         let mut requests = Vec::with_capacity(bills.len());
         for bill in &bills {
@@ -60,7 +60,7 @@
         let since = Instant::now();
         for (request, text) in requests.into_iter().zip(bills) {
             let place = entries.binary_search_by(|e| (e.request, &e.node).cmp(&(request, node)));
-            // A repeated call brings the same bill.
+            // A repeated call carries the same bill.
             if let Err(place) = place {
                 let node = node.clone();
                 entries.insert(
@@ -77,8 +77,8 @@
         true
     }
 
-    /// Drops copies of one writer. Another writer's bill of the same request is not known to be on
-    /// the log.
+    /// Removes copies of one writer. Another writer's bill for the same request may not be on the log
+    /// yet, so its copy stays.
     pub fn remove(&self, node: &id::Node, requests: &[id::Request]) {
         let mut sorted = requests.to_vec();
         sorted.sort_unstable();
@@ -86,8 +86,8 @@
             .retain(|entry| &entry.node != node || sorted.binary_search(&entry.request).is_err());
     }
 
-    /// Drops copies that were appended here.
-    pub fn remove_all(&self, copies: &[Held]) {
+    /// Removes copies that this node has appended.
+    pub fn remove_all(&self, copies: &[Due]) {
         let mut entries = self.entries();
         for copy in copies {
             let place =
@@ -98,13 +98,13 @@
         }
     }
 
-    /// Copies held longer than `age`, or whose writer is not among `live`, at most `most`.
-    pub fn due(&self, age: Duration, live: &[id::Node], most: usize) -> Vec<Held> {
+    /// At most `limit` copies that are at least `age` old or whose writer is not among `live`.
+    pub fn due(&self, age: Duration, live: &[id::Node], limit: usize) -> Vec<Due> {
         self.entries()
             .iter()
             .filter(|entry| entry.since.elapsed() >= age || !live.contains(&entry.node))
-            .take(most)
-            .map(|entry| Held {
+            .take(limit)
+            .map(|entry| Due {
                 request: entry.request,
                 node: entry.node.clone(),
                 text: entry.text.clone(),
@@ -112,7 +112,7 @@
             .collect()
     }
 
-    /// Copies held.
+    /// The number of copies.
     pub fn len(&self) -> usize {
         self.entries().len()
     }
--- a/crates/coordination/src/bills/peers.rs
+++ b/crates/coordination/src/bills/peers.rs
@@ -1,4 +1,4 @@
-//! Entry VMs as holders of copies.
+//! Replication of bills to other entry VMs.
 
 use pimento_units::id;
 use pimento_wire::peer::Answer;
@@ -8,9 +8,9 @@
 use crate::mesh::Mesh;
 use crate::mesh::Peer;
 
-/// The order in which a node asks others to hold its copies: those that come after it by name, then
-/// from the first one on. If all began with the same one, that node would hold the copies of its
-/// whole zone, and its loss would leave all of them with one holder.
+/// The order in which a node asks others to hold its copies: nodes after it by name, then from the
+/// first name on. If all nodes began with the same one, it would hold the copies of its whole zone,
+/// and its loss would leave all of those bills with one holder.
 #[must_use]
 pub fn ring(own: &id::Node, mut nodes: Vec<id::Node>) -> Vec<id::Node> {
     nodes.sort_unstable();
@@ -20,14 +20,15 @@
 }
 
 impl Peers for Mesh {
-    /// The own zone's first: a copy across zones costs the caller the link's delay, but where the
-    /// zone has no other VM it is the only copy.
+    /// Peers of the local zone come first, since a copy to another zone adds the link's delay to the
+    /// caller's response. If the local zone has no other VM, it is the only copy.
     fn peers(&self) -> Vec<id::Node> {
         let peers = Self::peers(self).into_iter().filter(|peer| !peer.leaving);
-        let (near, far): (Vec<Peer>, Vec<Peer>) = peers.partition(|peer| &peer.zone == self.zone());
+        let (local, remote): (Vec<Peer>, Vec<Peer>) =
+            peers.partition(|peer| &peer.zone == self.zone());
         let names = |peers: Vec<Peer>| peers.into_iter().map(|peer| peer.node).collect();
-        let mut order = ring(self.node(), names(near));
-        order.extend(ring(self.node(), names(far)));
+        let mut order = ring(self.node(), names(local));
+        order.extend(ring(self.node(), names(remote)));
         order
     }
 
--- a/crates/coordination/src/bills/pending.rs
+++ b/crates/coordination/src/bills/pending.rs
@@ -1,4 +1,4 @@
-//! Own bills that are not yet on the log.
+//! Bills of this node that are not yet on the log.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -8,11 +8,11 @@
 use pimento_units::id;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// A bill's number in this process, in the order of insertion.
+/// The sequence number of a bill in this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Number(u64);
 
-/// Own bills, sorted by number.
+/// Bills of this node, sorted by number.
 #[derive(Debug, Default)]
 pub struct Pending(Mutex<Table>);
 
@@ -27,17 +27,17 @@
     number: Number,
     request: id::Request,
     text: String,
-    /// Its second holder, the last one if it had several. A bill that never had one may still be
-    /// dropped, since its caller has not got the last byte, and must not be appended behind the
-    /// caller's back.
+    /// The most recent peer that confirmed a copy. A bill that never had a second holder may still be
+    /// dropped, since its caller has not got the last byte; until then it must not be appended in
+    /// the background.
     holder: Option<id::Node>,
-    _room: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 }
 
-/// A bill to be sent.
+/// A bill to be copied or appended.
 #[derive(Debug, Clone)]
 pub struct Item {
-    /// Its number.
+    /// Sequence number.
     pub number: Number,
     /// The request billed.
     pub request: id::Request,
@@ -48,8 +48,8 @@
 }
 
 impl Pending {
-    /// Adds a bill; none if it can't be written as text.
-    pub fn insert(&self, bill: &Bill, room: OwnedSemaphorePermit) -> Option<Number> {
+    /// Inserts a bill; none if it cannot be encoded.
+    pub fn insert(&self, bill: &Bill, permit: OwnedSemaphorePermit) -> Option<Number> {
         let text = serde_json::to_string(bill).ok()?;
         let mut table = self.table();
         let number = Number(table.next);
@@ -59,7 +59,7 @@
             request: bill.request,
             text,
             holder: None,
-            _room: room,
+            _permit: permit,
         });
         Some(number)
     }
@@ -67,12 +67,12 @@
     /// Removes a bill.
     pub fn remove(&self, number: Number) {
         let mut table = self.table();
-        if let Ok(place) = table.place(number) {
-            table.entries.remove(place);
+        if let Ok(position) = table.position(number) {
+            table.entries.remove(position);
         }
     }
 
-    /// Removes bills that are on the log. Both are sorted, and most often the oldest go.
+    /// Removes bills that are on the log. `numbers` must be sorted.
     pub fn remove_all(&self, numbers: &[Number]) {
         let mut table = self.table();
         table
@@ -80,39 +80,39 @@
             .retain(|entry| numbers.binary_search(&entry.number).is_err());
     }
 
-    /// Notes who holds copies.
-    pub fn held(&self, numbers: &[Number], holder: &id::Node) {
+    /// Records the holder of copies.
+    pub fn set_holder(&self, numbers: &[Number], holder: &id::Node) {
         let mut table = self.table();
         for number in numbers {
-            if let Ok(place) = table.place(*number) {
-                table.entries[place].holder = Some(holder.clone());
+            if let Ok(position) = table.position(*number) {
+                table.entries[position].holder = Some(holder.clone());
             }
         }
     }
 
-    /// Those of `numbers` that still wait.
+    /// Those of `numbers` that are still pending.
     pub fn items(&self, numbers: &[Number]) -> Vec<Item> {
         let table = self.table();
         numbers
             .iter()
-            .filter_map(|number| table.place(*number).ok())
-            .map(|place| table.entries[place].item())
+            .filter_map(|number| table.position(*number).ok())
+            .map(|position| table.entries[position].item())
             .collect()
     }
 
-    /// The oldest bills that had a second holder, at most `most`.
-    pub fn oldest(&self, most: usize) -> Vec<Item> {
+    /// The oldest bills that have had a second holder, at most `limit`.
+    pub fn oldest(&self, limit: usize) -> Vec<Item> {
         self.table()
             .entries
             .iter()
             .filter(|entry| entry.holder.is_some())
-            .take(most)
+            .take(limit)
             .map(Entry::item)
             .collect()
     }
 
-    /// Bills whose second holder is not among `live`, at most `most`.
-    pub fn orphans(&self, live: &[id::Node], most: usize) -> Vec<Number> {
+    /// At most `limit` bills whose second holder is not among `live`.
+    pub fn orphans(&self, live: &[id::Node], limit: usize) -> Vec<Number> {
         let gone = |holder: &id::Node| !live.contains(holder);
         let orphan = |entry: &&Entry| entry.holder.as_ref().is_some_and(gone);
         self.table()
@@ -120,11 +120,11 @@
             .iter()
             .filter(orphan)
             .map(|entry| entry.number)
-            .take(most)
+            .take(limit)
             .collect()
     }
 
-    /// Bills that wait.
+    /// The number of pending bills.
     pub fn len(&self) -> usize {
         self.table().entries.len()
     }
@@ -135,7 +135,7 @@
 }
 
 impl Table {
-    fn place(&self, number: Number) -> Result<usize, usize> {
+    fn position(&self, number: Number) -> Result<usize, usize> {
         self.entries
             .binary_search_by_key(&number, |entry| entry.number)
     }
--- a/crates/coordination/src/bills/worker.rs
+++ b/crates/coordination/src/bills/worker.rs
@@ -17,20 +17,20 @@
 use crate::bills::pending::Item;
 use crate::bills::pending::Number;
 
-/// The most bills in one message to a peer or one append. At 600 bytes each this stays far below
-/// the limits of a frame and of an append.
+/// The most bills in one message to a peer or in one append. At 600 bytes each, a batch stays far
+/// below the limits of a frame and of an append.
 const BATCH: usize = 256;
 
-/// Something for the worker to do.
+/// A job of the worker.
 #[derive(Debug)]
 pub enum Job {
-    /// Give a bill a second holder.
-    Hold(Wanted),
-    /// Append everything now.
+    /// Get a second holder for a bill.
+    Replicate(Unreplicated),
+    /// Append all bills and copies now.
     Flush {
-        /// When to give up.
+        /// When to stop trying.
         deadline: Instant,
-        /// Told at the end.
+        /// Notified at the end.
         done: oneshot::Sender<()>,
     },
 }
@@ -42,35 +42,35 @@
     pub shared: Arc<Shared>,
 }
 
-/// A bill that wants a second holder.
+/// A bill that needs a second holder.
 #[derive(Debug)]
-pub struct Wanted {
+pub struct Unreplicated {
     /// The bill.
     pub number: Number,
-    /// When its caller gives up.
+    /// When its caller stops waiting.
     pub deadline: Instant,
-    /// Told once it has one.
-    pub held: oneshot::Sender<()>,
+    /// Notified once the bill has a second holder.
+    pub confirm: oneshot::Sender<()>,
 }
 
 impl<P: Peers> Worker<P> {
     pub async fn run(self, mut jobs: UnboundedReceiver<Job>) {
         let this = Arc::new(self);
-        // Copies must not wait behind an append: the log may take seconds when a peer takes one
-        // round trip, and callers wait for the copy.
+        // Copies must not wait behind an append: callers wait for the copy, and an append may take
+        // seconds while a copy takes one round trip.
         tokio::join!(Arc::clone(&this).append_loop(), this.copy_loop(&mut jobs));
     }
 
     async fn copy_loop(&self, jobs: &mut UnboundedReceiver<Job>) {
         while let Some(job) = jobs.recv().await {
-            let mut wanted = Vec::new();
-            let mut flush = sort(job, &mut wanted);
+            let mut unreplicated = Vec::new();
+            let mut flush = enqueue(job, &mut unreplicated);
             tokio::time::sleep(self.config.batch_delay).await;
-            while wanted.len() < BATCH && flush.is_none() {
+            while unreplicated.len() < BATCH && flush.is_none() {
                 let Ok(job) = jobs.try_recv() else { break };
-                flush = sort(job, &mut wanted);
+                flush = enqueue(job, &mut unreplicated);
             }
-            self.spread(wanted).await;
+            self.replicate(unreplicated).await;
             if let Some((deadline, done)) = flush {
                 self.flush(deadline).await;
                 let _ = done.send(());
@@ -78,33 +78,33 @@
         }
     }
 
-    /// Gives bills a second holder: a peer, or else the log.
-    async fn spread(&self, wanted: Vec<Wanted>) {
-        let Some(deadline) = wanted.iter().map(|wanted| wanted.deadline).min() else {
+    /// Gets a second holder for bills: a peer, or else the log.
+    async fn replicate(&self, unreplicated: Vec<Unreplicated>) {
+        let Some(deadline) = unreplicated.iter().map(|bill| bill.deadline).min() else {
             return;
         };
-        let numbers: Vec<Number> = wanted.iter().map(|wanted| wanted.number).collect();
+        let numbers: Vec<Number> = unreplicated.iter().map(|bill| bill.number).collect();
         if self.copy(&numbers).await || self.append(&numbers, deadline).await {
-            for wanted in wanted {
-                let _ = wanted.held.send(());
+            for bill in unreplicated {
+                let _ = bill.confirm.send(());
             }
             return;
         }
-        // Neither could be reached. The callers' deadlines decide how long to go on; meanwhile
-        // later bills must not wait behind these.
+        // Neither could be reached. Retry until the callers' deadlines, in a separate task so that
+        // later bills do not wait behind these.
         let jobs = self.shared.jobs.clone();
-        let pause = self.config.interval;
+        let delay = self.config.interval;
         self.shared.tasks.spawn(async move {
-            tokio::time::sleep(pause).await;
-            for wanted in wanted {
-                if !wanted.held.is_closed() {
-                    let _ = jobs.send(Job::Hold(wanted));
+            tokio::time::sleep(delay).await;
+            for bill in unreplicated {
+                if !bill.confirm.is_closed() {
+                    let _ = jobs.send(Job::Replicate(bill));
                 }
             }
         });
     }
 
-    /// Copies bills to the first live peer that takes them.
+    /// Copies bills to the first live peer that accepts them.
     async fn copy(&self, numbers: &[Number]) -> bool {
         let items = self.shared.pending.items(numbers);
         if items.is_empty() {
@@ -113,19 +113,19 @@
         for peer in self.peers.peers() {
             let bills = items.iter().map(|item| item.text.clone()).collect();
             if self.peers.replicate(&peer, bills).await {
-                self.shared.pending.held(numbers, &peer);
+                self.shared.pending.set_holder(numbers, &peer);
                 return true;
             }
         }
         false
     }
 
-    /// Appends bills that have one holder. Not beyond the first caller's deadline: a bill that is
+    /// Appends bills that have one holder, at most until the first caller's deadline: a bill that is
     /// dropped then must not reach the log later.
     async fn append(&self, numbers: &[Number], deadline: Instant) -> bool {
         let items = self.shared.pending.items(numbers);
-        let rest = deadline.saturating_duration_since(Instant::now());
-        self.append_items(items, rest.min(self.config.append_timeout))
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        self.append_items(items, time_left.min(self.config.append_timeout))
             .await
     }
 
@@ -141,22 +141,22 @@
         }
     }
 
-    /// Appends own bills, oldest first, until none is left or the log does not take them.
-    async fn append_own(&self, patience: Duration) {
+    /// Appends this node's bills, oldest first, until none is left or an append fails.
+    async fn append_own(&self, timeout: Duration) {
         loop {
             let items = self.shared.pending.oldest(BATCH);
-            if items.is_empty() || !self.append_items(items, patience).await {
+            if items.is_empty() || !self.append_items(items, timeout).await {
                 return;
             }
         }
     }
 
-    async fn append_items(&self, items: Vec<Item>, patience: Duration) -> bool {
+    async fn append_items(&self, items: Vec<Item>, timeout: Duration) -> bool {
         if items.is_empty() {
             return true;
         }
         let records = items.iter().map(|item| item.text.clone()).collect();
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         let appended = self
             .appender
             .append_all(Stream::Usage, records, deadline)
@@ -166,31 +166,31 @@
             return false;
         }
         let mut numbers: Vec<Number> = items.iter().map(|item| item.number).collect();
-        // Bills that are tried again stand behind newer ones. Searched unsorted, some would stay and
-        // keep their room for ever.
+        // Retried bills come after newer ones, and `remove_all` searches a sorted list. In an unsorted
+        // one it would miss some, whose capacity would never be released.
         numbers.sort_unstable();
         self.shared.pending.remove_all(&numbers);
         self.release(items).await;
         true
     }
 
-    /// Tells the holders that copies are on the log.
+    /// Notifies the holders of copies that the bills are on the log.
     async fn release(&self, items: Vec<Item>) {
-        let mut held: Vec<(id::Node, id::Request)> = items
+        let mut holders: Vec<(id::Node, id::Request)> = items
             .into_iter()
             .filter_map(|item| Some((item.holder?, item.request)))
             .collect();
-        held.sort_unstable();
-        for chunk in held.chunk_by(|a, b| a.0 == b.0) {
+        holders.sort_unstable();
+        for chunk in holders.chunk_by(|a, b| a.0 == b.0) {
             let requests = chunk.iter().map(|(_, request)| *request).collect();
             self.peers.release(&chunk[0].0, requests).await;
         }
     }
 
-    /// Appends copies that are held for long, and at once those whose writer looks dead: until they
-    /// are on the log this node is their last holder. A writer that is alive after all appends
-    /// them too, which does no harm.
-    async fn append_copies(&self, age: Duration, patience: Duration) {
+    /// Appends copies that reached `age`, and at once those whose writer is not a live peer: this node
+    /// is then their last holder. If the writer is alive after all it appends them too, which is
+    /// harmless.
+    async fn append_copies(&self, age: Duration, timeout: Duration) {
         let live = self.peers.peers();
         loop {
             let due = self.shared.copies.due(age, &live, BATCH);
@@ -198,7 +198,7 @@
                 return;
             }
             let records = due.iter().map(|copy| copy.text.clone()).collect();
-            let deadline = Instant::now() + patience;
+            let deadline = Instant::now() + timeout;
             let appended = self
                 .appender
                 .append_all(Stream::Usage, records, deadline)
@@ -211,8 +211,7 @@
         }
     }
 
-    /// Finds new holders for bills whose holder is gone while the log does not take them: the next
-    /// VM to go would take the last copy along.
+    /// Finds new holders for pending bills whose holder is gone: losing one more VM would lose them.
     async fn copy_orphans(&self) {
         let live = self.peers.peers();
         if live.is_empty() {
@@ -225,18 +224,21 @@
     }
 
     async fn flush(&self, deadline: Instant) {
-        let rest = deadline.saturating_duration_since(Instant::now());
-        self.append_own(rest).await;
-        let rest = deadline.saturating_duration_since(Instant::now());
-        self.append_copies(Duration::ZERO, rest).await;
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        self.append_own(time_left).await;
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        self.append_copies(Duration::ZERO, time_left).await;
     }
 }
 
-/// Puts a job with its like; gives a flush back.
-fn sort(job: Job, wanted: &mut Vec<Wanted>) -> Option<(Instant, oneshot::Sender<()>)> {
+/// Adds a bill to `unreplicated`, or returns the deadline and the sender of a flush.
+fn enqueue(
+    job: Job,
+    unreplicated: &mut Vec<Unreplicated>,
+) -> Option<(Instant, oneshot::Sender<()>)> {
     match job {
-        Job::Hold(bill) => {
-            wanted.push(bill);
+        Job::Replicate(bill) => {
+            unreplicated.push(bill);
             None
         }
         Job::Flush { deadline, done } => Some((deadline, done)),
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -1,8 +1,8 @@
-//! Claims on calls that may not be repeated, made in the platform's log before any byte is sent.
+//! Claims on calls that must not be repeated, written to the platform's log before any byte is sent.
 //!
-//! A claim is appended and then read back: only an attempt that has seen itself as the owner may
-//! dispatch. An append's answer is never taken for ownership, since another claim may stand before
-//! it, and its loss is no harm, since the claim is found by reading.
+//! A claim is appended and then read back: an attempt may dispatch only after it has read that it is
+//! the owner. A successful append does not prove ownership, since another claim may precede it on
+//! the log. If the append's response is lost, the claim is still found by reading.
 
 use std::fmt;
 use std::sync::Arc;
@@ -31,22 +31,20 @@
 use crate::view;
 use crate::view::Records;
 
-/// How long an outcome is tried to be written. Longer than the log's usual outages; what is not
-/// written by then leaves the request claimed, which is safe and answers later callers with
-/// "unknown".
-const OUTCOME_PATIENCE: Duration = Duration::from_mins(10);
+/// How long the append of an outcome is retried. Longer than the log's usual outages. If it fails, the
+/// request stays claimed, which is safe: later callers get the answer "unknown".
+const OUTCOME_TIMEOUT: Duration = Duration::from_mins(10);
 
 /// Settings of a [`Claimer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Config {
-    /// Ids up to this age may be claimed. Shorter than the log's retention by more than
-    /// [`claims::SKEW`], or a new node would not read all claims that still count.
+    /// The greatest age of a request id that can be claimed. It must be shorter than the log's
+    /// retention by more than [`claims::SKEW`], or a new node would miss claims that still count.
     pub window: Duration,
-    /// Age of the view from which on the log counts as out, and calls are refused at once. Above
-    /// the time of a long-poll read, or a quiet log would look out.
+    /// The age of the view beyond which the log counts as unavailable and calls are refused at once.
+    /// It must exceed the duration of a long-poll read, or a quiet log would count as unavailable.
     pub outage: Duration,
-    /// How long a claim may take. A log that takes longer is as good as out, and a caller who is
-    /// told so can come back.
+    /// Timeout of a claim. A slower log counts as unavailable, and the caller can retry.
     pub timeout: Duration,
 }
 
@@ -60,7 +58,7 @@
     }
 }
 
-/// What this node has read of the claims stream.
+/// This node's view of the claims stream.
 pub type View = view::View<claims::Fold>;
 
 impl Records for claims::Fold {
@@ -73,7 +71,7 @@
     }
 }
 
-/// Claims requests for one entry VM. Clones share everything.
+/// Claims requests for one entry VM. Clones share all state.
 #[derive(Debug, Clone)]
 pub struct Claimer {
     node: id::Node,
@@ -83,12 +81,12 @@
     tasks: TaskTracker,
 }
 
-/// Whether the caller of [`Claimer::claim`] may dispatch.
+/// The result of [`Claimer::claim`].
 #[derive(Debug)]
 pub enum Verdict {
-    /// It owns the request.
+    /// The caller owns the request and may dispatch.
     Owned(Ticket),
-    /// Another attempt owns it.
+    /// Another attempt owns the request.
     Taken(Owner),
 }
 
@@ -97,24 +95,24 @@
 pub struct Ticket {
     /// The request.
     pub request: id::Request,
-    /// The owning attempt, to be sent along to the endpoint.
+    /// The owning attempt, which is sent to the endpoint with the call.
     pub attempt: id::Attempt,
     deadline: Instant,
 }
 
-/// Why a request could not be claimed. It was not run, whatever the reason.
+/// Why a request could not be claimed. In all cases it was not run.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// The id's age does not allow a claim.
     #[snafu(display("the request id can't be claimed: {}", Reason(*age)))]
     Age {
-        /// What is wrong with it.
+        /// The result of the age check.
         age: Age,
     },
-    /// The log is out or slow.
-    #[snafu(display("the platform's log is out, so the call can't be claimed"))]
+    /// The log is unavailable or slow.
+    #[snafu(display("the platform's log is unavailable, so the call can't be claimed"))]
     Unavailable {
-        /// When to come back.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
 }
@@ -124,7 +122,7 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self.0 {
-            Age::Fresh => "the log's clock and ours disagree",
+            Age::Fresh => "the clocks of the log and of this VM disagree",
             Age::Unreadable => "it is not a version 7 UUID",
             Age::Old => "it is too old",
             Age::Early => "it is from the future",
@@ -133,10 +131,10 @@
 }
 
 impl Ticket {
-    /// Whether the call may still be handed to an endpoint. Asked right before the first byte.
+    /// Whether the call may still be dispatched. To be checked right before the first byte is sent.
     ///
-    /// A process may be paused for minutes between claim and dispatch. Its caller was told long ago
-    /// that the call may have run; running it now would surprise everybody.
+    /// A process may be paused for minutes between claim and dispatch. Its caller has then long been
+    /// told that the call may have run, and does not expect it to run any more.
     #[must_use]
     pub fn is_valid(&self, now: Instant) -> bool {
         now < self.deadline
@@ -144,7 +142,7 @@
 }
 
 impl Claimer {
-    /// Starts to follow the claims stream.
+    /// Starts a follower of the claims stream.
     pub fn start(
         node: id::Node,
         config: Config,
@@ -163,14 +161,14 @@
         }
     }
 
-    /// The view of the claims stream.
+    /// The follower of the claims stream.
     #[must_use]
     pub const fn follower(&self) -> &Follower<View> {
         &self.follower
     }
 
-    /// Claims a request and reads the claim back. `digest` stands for customer, method, path and
-    /// body; `now` is this node's wall clock.
+    /// Claims a request and reads the claim back. `digest` covers customer, method, path and body;
+    /// `now` is this node's wall clock.
     ///
     /// # Errors
     ///
@@ -189,7 +187,7 @@
             Age::Fresh => {}
             age => return Err(Error::Age { age }),
         }
-        self.available()?;
+        self.check_available()?;
         let claim = Claim {
             request,
             digest,
@@ -198,16 +196,16 @@
             at: now,
         };
         let attempt = claim.attempt;
-        let by = deadline.min(Instant::now() + self.config.timeout);
-        let doubt = Doubt {
+        let claim_deadline = deadline.min(Instant::now() + self.config.timeout);
+        let guard = ReleaseGuard {
             claimer: self,
             request,
             attempt,
-            settled: false,
+            resolved: false,
         };
-        match self.settle(claim, by).await {
+        match self.append_and_read(claim, claim_deadline).await {
             Some(Some(owner)) if owner.attempt == attempt => {
-                doubt.settle();
+                guard.resolve();
                 Ok(Verdict::Owned(Ticket {
                     request,
                     attempt,
@@ -215,7 +213,7 @@
                 }))
             }
             Some(Some(owner)) => {
-                doubt.settle();
+                guard.resolve();
                 Ok(Verdict::Taken(owner))
             }
             Some(None) => Err(Error::Age { age: Age::Fresh }),
@@ -223,27 +221,27 @@
         }
     }
 
-    /// Who owns a request, as far as this node has read.
+    /// The owner of a request, as far as this node has read the stream.
     #[must_use]
     pub fn owner(&self, request: id::Request) -> Option<Owner> {
         self.follower.view(|view| view.fold().owner(request))
     }
 
-    /// Writes what became of a claimed call, in the background.
+    /// Appends the outcome of a claimed call in the background.
     pub fn record_outcome(&self, outcome: Outcome) {
         let appender = self.appender.clone();
         self.tasks.spawn(async move {
             let Ok(record) = serde_json::to_string(&Call::Outcome(outcome)) else {
                 return;
             };
-            let deadline = Instant::now() + OUTCOME_PATIENCE;
+            let deadline = Instant::now() + OUTCOME_TIMEOUT;
             if let Err(error) = appender.append(Stream::Claims, record, deadline).await {
-                log::warn!("claims: outcome not written: {error}");
+                log::warn!("claims: outcome not appended: {error}");
             }
         });
     }
 
-    /// Writes what became of the call of `ticket`.
+    /// Appends the outcome of the call of `ticket` in the background.
     pub fn report(&self, ticket: Ticket, run: Run, status: Option<u16>) {
         self.record_outcome(Outcome {
             request: ticket.request,
@@ -253,17 +251,17 @@
         });
     }
 
-    /// Waits until all outcomes are written, for a shutdown.
+    /// Waits until the appends of all outcomes have ended, for a shutdown.
     pub async fn flush(&self) {
         self.tasks.close();
         self.tasks.wait().await;
         self.tasks.reopen();
     }
 
-    fn available(&self) -> Result<(), Error> {
+    fn check_available(&self) -> Result<(), Error> {
         // Until the first read reaches the end, an earlier claim may be unread.
-        let known = self.follower.next() > Offset(0) || self.follower.caught_up();
-        if !known || self.follower.age() > self.config.outage {
+        let has_read = self.follower.next() > Offset(0) || self.follower.caught_up();
+        if !has_read || self.follower.age() > self.config.outage {
             return Err(self.unavailable());
         }
         Ok(())
@@ -277,8 +275,9 @@
         }
     }
 
-    /// Appends the claim and waits until it was read; none if that is not known by `deadline`.
-    async fn settle(&self, claim: Claim, deadline: Instant) -> Option<Option<Owner>> {
+    /// Appends the claim and waits until the request's owner is read. `None` if that does not happen by
+    /// `deadline`; `Some(None)` if the claim was read and the fold did not accept it.
+    async fn append_and_read(&self, claim: Claim, deadline: Instant) -> Option<Option<Owner>> {
         let request = claim.request;
         let record = Arc::new(serde_json::to_string(&Call::Claim(claim)).ok()?);
         let append = self
@@ -289,7 +288,7 @@
             .wait(deadline, |view| view.fold().owner(request));
         tokio::pin!(append);
         tokio::select! {
-            // The owner may be read before the append is answered, or though its answer was lost.
+            // The owner may be read before the append returns, or although its response was lost.
             owner = read => owner.map(Some),
             appended = &mut append => {
                 let offset = appended.ok()?;
@@ -303,25 +302,25 @@
     }
 }
 
-/// A claim of which it is not known whether it stands. Dropped in doubt, it is released: if it
-/// reached the log and stayed, every later attempt of the same call would be turned away though
-/// nobody runs it. It may be dropped at any await, when a caller goes away.
-struct Doubt<'a> {
+/// Releases a claim when dropped, unless its owner was read before. Otherwise a claim that reached the
+/// log would block every later attempt of the same call although nobody runs it. The drop may happen
+/// at any await, when the caller disconnects.
+struct ReleaseGuard<'a> {
     claimer: &'a Claimer,
     request: id::Request,
     attempt: id::Attempt,
-    settled: bool,
+    resolved: bool,
 }
 
-impl Doubt<'_> {
-    fn settle(mut self) {
-        self.settled = true;
+impl ReleaseGuard<'_> {
+    fn resolve(mut self) {
+        self.resolved = true;
     }
 }
 
-impl Drop for Doubt<'_> {
+impl Drop for ReleaseGuard<'_> {
     fn drop(&mut self) {
-        if !self.settled {
+        if !self.resolved {
             self.claimer.record_outcome(Outcome {
                 request: self.request,
                 attempt: self.attempt,
--- a/crates/coordination/src/forward.rs
+++ b/crates/coordination/src/forward.rs
@@ -1,8 +1,9 @@
 //! Appends through the zone's appender.
 //!
-//! At the target size 400 nodes that append for themselves would spend the log's whole rate. One
-//! node of each zone joins the records of all; which one is found by each node for itself. Two at
-//! once, or a record that takes two ways, do no harm, since records are safe to append twice.
+//! At the target size, 400 nodes that each append for themselves would exhaust the log's rate. So one
+//! node of each zone appends the records of all. Each node determines that node for itself. Two
+//! appenders at once, or a record that is appended by two, are harmless, since records are safe to
+//! append twice.
 
 use std::time::Duration;
 
@@ -32,9 +33,9 @@
 }
 
 impl<L: Log> Forwarder<L> {
-    /// Appends by `direct` where this node is the zone's appender or can't reach it; each append
-    /// takes at most `timeout`, which is shorter than that of peers' calls, so that a peer hears
-    /// what became of its records and need not stay in doubt.
+    /// Appends through `direct` if this node is the zone's appender or cannot reach it. Each such
+    /// append takes at most `timeout`, which must be shorter than the timeout of peers' calls, so that
+    /// a peer gets the result for its records.
     pub const fn new(log: L, direct: Appender, mesh: Mesh, timeout: Duration) -> Self {
         Self {
             log,
@@ -44,30 +45,30 @@
         }
     }
 
-    /// Answers a peer's call, if it is an append.
+    /// Answers a peer's call if it is an append.
     ///
-    /// It always appends itself: handing on what was handed to it could go in a circle between two
-    /// nodes that see different peers.
+    /// It always appends directly: records forwarded again could loop between two nodes that see
+    /// different peers.
     pub async fn answer(&self, call: &Call) -> Option<Answer> {
         let Call::Append { stream, records } = call else {
             return None;
         };
         let named = |known: &&Stream| known.name() == stream.as_str();
         let Some(stream) = Stream::ALL.iter().find(named) else {
-            let reason = "no such stream".into();
+            let reason = "unknown stream".into();
             return Some(Answer::Refused { reason });
         };
-        Some(match self.append_here(*stream, records.clone()).await {
+        Some(match self.append_direct(*stream, records.clone()).await {
             Ok(first) => Answer::Appended { first },
             Err(Error::Refused { .. }) => Answer::Refused {
                 reason: "the log refused".into(),
             },
-            // In doubt; the caller must not take it for refused.
+            // The records may be on the log, so the caller must not treat them as refused.
             Err(_) => Answer::Nothing,
         })
     }
 
-    async fn append_here(&self, stream: Stream, records: Vec<String>) -> Result<Offset, Error> {
+    async fn append_direct(&self, stream: Stream, records: Vec<String>) -> Result<Offset, Error> {
         let deadline = Instant::now() + self.timeout;
         self.direct.append_all(stream, records, deadline).await
     }
@@ -82,7 +83,7 @@
 impl<L: Log> Log for Forwarder<L> {
     async fn append(&self, stream: Stream, records: Vec<String>) -> Result<Offset, Error> {
         let Some(peer) = self.appender() else {
-            return self.append_here(stream, records).await;
+            return self.append_direct(stream, records).await;
         };
         let call = Call::Append {
             stream: stream.name().into(),
@@ -94,7 +95,7 @@
                 retry_after: http::RETRY_DELAY,
             }),
             Err(mesh::Error::Unreachable { .. } | mesh::Error::Frame { .. }) => {
-                self.append_here(stream, records).await
+                self.append_direct(stream, records).await
             }
             Ok(_) | Err(_) => {
                 let reason = format!("no answer from the appender {}", peer.node);
--- a/crates/coordination/src/http.rs
+++ b/crates/coordination/src/http.rs
@@ -1,4 +1,4 @@
-//! One call over HTTP, shared by the clients of the platform's services.
+//! The HTTP client that the clients of the platform's services share.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,26 +21,26 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The largest body that is read from a platform service, in bytes. A batch of the log may hold a
-/// checkpoint of the whole configuration beside other records.
+/// The largest response body accepted from a platform service, in bytes. A batch of the log may hold
+/// a checkpoint of the whole configuration beside other records.
 const MAX_BODY: usize = 32 << 20;
-/// Idle connections kept for each service. A node has one long poll open for each stream and a
-/// handful of appends; more would only cost file descriptors.
+/// Idle connections in the pool of each service. A node has one long poll open for each stream and a
+/// handful of appends; more connections would only cost file descriptors.
 const MAX_IDLE: usize = 16;
-/// When to ask again a service that can't be reached, or that says no without a time.
+/// Delay before a retry if the service is unreachable, or refuses without `Retry-After`.
 pub(crate) const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Why there is no reply.
+/// Why a call got no reply.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// No connection was made, so the service can't have done anything.
+    /// No connection was made, so the call had no effect.
     Unreachable(String),
-    /// The service may have done what it was asked.
+    /// The call may have taken effect.
     Lost(String),
 }
 
 impl Failure {
-    /// What happened.
+    /// The reason as text.
     pub(crate) fn reason(self) -> String {
         match self {
             Self::Unreachable(reason) | Self::Lost(reason) => reason,
@@ -48,24 +48,22 @@
     }
 }
 
-/// A whole reply.
+/// A complete response.
 #[derive(Debug)]
 pub(crate) struct Reply {
-    /// Status.
     pub(crate) status: StatusCode,
-    /// The time of `Retry-After`, if there is one.
+    /// The value of `Retry-After`, if present.
     pub(crate) retry_after: Option<Duration>,
-    /// Body.
     pub(crate) body: Bytes,
 }
 
 impl Reply {
-    /// The body as a message.
+    /// Decodes the body from JSON.
     pub(crate) fn decode<T: DeserializeOwned>(&self) -> Result<T, String> {
         serde_json::from_slice(&self.body).map_err(|e| format!("unreadable body: {e}"))
     }
 
-    /// The body of a reply that says that all is well.
+    /// Decodes the body of a reply with status 200.
     pub(crate) fn decode_ok<T: DeserializeOwned>(&self) -> Result<T, String> {
         if self.status != StatusCode::OK {
             return Err(format!("status {}", self.status));
@@ -73,10 +71,10 @@
         self.decode()
     }
 
-    /// When to ask again, if the service said before doing anything that it won't.
+    /// The delay before a retry, if the service refused the call before it had any effect.
     ///
-    /// A status 503 without `Retry-After` is not taken for a refusal: a gateway in between says
-    /// this also when the service behind it has already acted.
+    /// A status 503 without `Retry-After` is not a refusal: a gateway also returns it when the
+    /// service behind it has already acted.
     pub(crate) fn refusal(&self) -> Option<Duration> {
         let refused = [
             StatusCode::TOO_MANY_REQUESTS,
@@ -90,7 +88,7 @@
     }
 }
 
-/// A client of one service. Clones share the connections.
+/// A client of one service. Clones share the connection pool.
 #[derive(Debug, Clone)]
 pub(crate) struct Client {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
@@ -99,8 +97,8 @@
 }
 
 impl Client {
-    /// A client of the service at `address`. The answer to a call may take `timeout` to begin, and as
-    /// long to go on.
+    /// A client of the service at `address`. `timeout` bounds the time until a response begins, and
+    /// then each gap until more of it arrives.
     pub(crate) fn new(address: SocketAddr, timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -115,12 +113,12 @@
         }
     }
 
-    /// `GET path`; the service may wait up to `wait` before it answers.
+    /// Sends `GET path`. A long poll may take up to `wait` longer than the timeout to respond.
     pub(crate) async fn get(&self, path: &str, wait: Duration) -> Result<Reply, Failure> {
         self.call(Method::GET, path, Bytes::new(), wait).await
     }
 
-    /// `POST path` with a JSON body.
+    /// Sends `POST path` with a JSON body.
     pub(crate) async fn post(&self, path: &str, body: &impl Serialize) -> Result<Reply, Failure> {
         let body = serde_json::to_vec(body).map_err(|e| Failure::Unreachable(e.to_string()))?;
         self.call(Method::POST, path, body.into(), Duration::ZERO)
@@ -148,7 +146,7 @@
         progress
             .wait(exchange, self.timeout + wait, self.timeout)
             .await
-            .unwrap_or_else(|silent| Err(Failure::Lost(silent.to_string())))
+            .unwrap_or_else(|timeout| Err(Failure::Lost(timeout.to_string())))
     }
 }
 
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -20,14 +20,14 @@
 
 /// The platform's log. Clones share one connection pool.
 pub trait Log: Clone + Send + Sync + 'static {
-    /// Appends records (JSON text each), all or none, and gives the first one's offset.
+    /// Appends records (JSON text each) atomically and returns the offset of the first.
     fn append(
         &self,
         stream: Stream,
         records: Vec<String>,
     ) -> impl Future<Output = Result<Offset, Error>> + Send;
 
-    /// Reads at most `max` records from `from` on, waiting up to `wait` if there are none yet.
+    /// Reads at most `max` records starting at `from`. Waits up to `wait` if there are none yet.
     fn read(
         &self,
         stream: Stream,
@@ -40,36 +40,36 @@
 /// Why a call to the log failed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The log said no before it did anything: over its rate, or in an outage it announced. Also
-    /// if no connection to it could be made. A record refused is surely not on the log.
-    #[snafu(display("the log refused the call, ask again after {retry_after:?}"))]
+    /// The log refused the call before it had any effect, since its rate limit is exceeded or it has
+    /// announced an outage; or no connection could be made. A refused record is not on the log.
+    #[snafu(display("the log refused the call, retry after {retry_after:?}"))]
     Refused {
-        /// When to ask again.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
-    /// No answer, or one that can't be read: an append may or may not have taken effect.
-    #[snafu(display("the log's answer was lost: {reason}"))]
+    /// There was no response, or it could not be decoded: an append may or may not have taken effect.
+    #[snafu(display("the log's response was lost: {reason}"))]
     Lost {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
-    /// Retention has passed the offset asked for.
-    #[snafu(display("the log keeps records from {oldest} on only"))]
+    /// The records at the requested offset have expired.
+    #[snafu(display("the log only retains records from offset {oldest} on"))]
     Gone {
-        /// The oldest offset that is kept.
+        /// The oldest offset that is retained.
         oldest: Offset,
     },
 }
 
-/// The log over HTTP, as in [`pimento_wire::platform`].
+/// A client of the log over HTTP; the messages are in [`pimento_wire::platform`].
 #[derive(Debug, Clone)]
 pub struct Remote {
     client: Client,
 }
 
 impl Remote {
-    /// The log at `address`. The answer to a call may take `timeout` to begin, beyond the wait of a
-    /// read, and as long to go on.
+    /// A client of the log at `address`. `timeout` bounds the time until a response begins, beyond
+    /// the wait of a read, and then each gap until more of it arrives.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let client = Client::new(address, timeout);
