--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -1,9 +1,9 @@
-//! Spend out of grants that the platform's log accepted.
+//! Spending from grants that are recorded on the platform's log.
 //!
-//! The wallet reserves the most that a call can cost before the call is sent, and settles what it
-//! did cost after. How much to ask for and when is decided by [`pimento_policy::budget`]; the fold
-//! of the grants stream decides what is granted. Cut off from the log, a node spends what it was
-//! granted, then what peers lend it of theirs, and then refuses.
+//! The wallet reserves the maximum cost of a call before the call is sent, and settles the actual
+//! cost afterwards. [`pimento_policy::budget`] decides when to request a grant and how much; the fold
+//! of the grants stream decides what is granted. Without the log, a node spends its own grants, then
+//! what peers lend it of theirs, and then refuses calls.
 
 mod lenders;
 mod shared;
@@ -38,17 +38,17 @@
 use crate::view;
 use crate::view::Records;
 
-/// Calls of the size at hand that are borrowed at a time.
-const BORROW: u64 = 16;
+/// Size of a loan, as a multiple of the cost of the call that needs it.
+const LOAN_CALLS: u64 = 16;
 
 /// Settings of a [`Wallet`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// When and how much to ask for.
+    /// When to request a grant, and how much.
     pub budget: budget::Config,
-    /// How long one grant may take to be written and read back.
+    /// Timeout for appending one grant and reading it back.
     pub timeout: Duration,
-    /// Age of the view from which on the log counts as out and is not waited for.
+    /// The age of the view beyond which the log counts as unavailable and is not waited for.
     pub outage: Duration,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// What this node has read of the grants stream.
+/// This node's view of the grants stream.
 pub type View = view::View<grants::Fold>;
 
 impl Records for grants::Fold {
@@ -75,13 +75,13 @@
     }
 }
 
-/// Entry VMs that can lend a part of their grants.
+/// Entry VMs that can lend part of their grants.
 pub trait Lenders: Sync {
-    /// Live peers, those of the own zone first.
+    /// Live peers, those of the local zone first.
     fn peers(&self) -> Vec<id::Node>;
 
-    /// Asks a peer for a part of its grants and gives what it lent. An answer that is lost leaves
-    /// the part with nobody, which wastes it and breaks no limit.
+    /// Requests part of a peer's grants and returns the amount lent. If the response is lost, neither
+    /// node can spend that amount: it is wasted, and no limit is exceeded.
     fn lend(
         &self,
         peer: &id::Node,
@@ -91,41 +91,41 @@
     ) -> impl Future<Output = Money> + Send;
 }
 
-/// Whose money is to be spent.
+/// The account that a call is charged to.
 #[derive(Debug, Clone, Copy)]
 pub struct Account<'a> {
     /// The contract in force.
     pub contract: &'a Contract,
-    /// Its revision.
+    /// The contract's revision.
     pub revision: Revision,
-    /// This node's wall clock, which decides on the spend period.
+    /// This node's wall clock, which determines the spend period.
     pub now: Wall,
 }
 
-/// Why nothing could be reserved. The call was not run.
+/// Why no money could be reserved. The call was not run.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The limit is spent or granted elsewhere.
+    /// The limit is spent, or granted to other nodes.
     #[snafu(display("the spend limit of this period is reached"))]
     Exhausted {
-        /// When the next period begins.
+        /// Time until the next period begins.
         retry_after: Duration,
     },
-    /// This node's grants are spent, and the log can't be asked for more.
-    #[snafu(display("the platform's log is out, and what was granted before is spent"))]
+    /// This node's grants are spent, and the log is unavailable for another one.
+    #[snafu(display("the platform's log is unavailable, and the earlier grants are spent"))]
     Unavailable {
-        /// When to come back.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
 }
 
-/// The grants of one entry VM. Clones share everything.
+/// The grants of one entry VM. Clones share all state.
 #[derive(Debug, Clone)]
 pub struct Wallet {
     shared: Arc<Shared>,
 }
 
-/// Money set aside for one call. Dropped unsettled, it is freed.
+/// Money reserved for one call. It is released if the hold is dropped unsettled.
 #[derive(Debug)]
 pub struct Hold {
     wallet: Wallet,
@@ -141,7 +141,7 @@
         self.period
     }
 
-    /// Charges what the call did cost, never more than was reserved, and gives the charge.
+    /// Charges the actual cost of the call, at most the reserved amount, and returns the charge.
     #[must_use = "the charge goes on the bill"]
     pub fn settle(mut self, cost: Money) -> Money {
         self.finish(cost)
@@ -169,7 +169,7 @@
 }
 
 impl Wallet {
-    /// Starts to follow the grants stream.
+    /// Starts a follower of the grants stream.
     pub fn start(
         node: &id::Node,
         config: Config,
@@ -194,20 +194,20 @@
         }
     }
 
-    /// The view of the grants stream.
+    /// The follower of the grants stream.
     #[must_use]
     pub fn follower(&self) -> &Follower<View> {
         &self.shared.follower
     }
 
-    /// The name that this wallet's grants are written under.
+    /// The name under which this wallet's grants are recorded.
     #[must_use]
     pub fn holder(&self) -> &id::Node {
         &self.shared.holder
     }
 
-    /// Sets aside the most that a call can cost, asking the log for more if needed. `nodes` is the
-    /// number of live entry VMs.
+    /// Reserves the maximum cost of a call, requesting another grant if needed. `nodes` is the number
+    /// of live entry VMs.
     ///
     /// # Errors
     ///
@@ -221,45 +221,47 @@
     ) -> Result<Hold, Error> {
         let deadline = deadline.min(Instant::now() + self.shared.config.timeout);
         loop {
-            if let Some(hold) = self.take(account, most) {
-                self.ask_ahead(account, nodes);
+            if let Some(hold) = self.try_reserve(account, most) {
+                self.request_ahead(account, nodes);
                 return Ok(hold);
             }
-            if self.left(account) < most {
+            if self.remaining(account) < most {
                 return Err(exhausted(account));
             }
             if self.shared.follower.age() > self.shared.config.outage {
                 return Err(self.unavailable());
             }
-            if !self.ask(account, nodes, deadline).await {
-                return self.take(account, most).ok_or_else(|| self.unavailable());
+            if !self.request(account, nodes, deadline).await {
+                return self
+                    .try_reserve(account, most)
+                    .ok_or_else(|| self.unavailable());
             }
         }
     }
 
-    /// Borrows of peers' grants after [`Error::Unavailable`]: a node that starts while the log is out has
-    /// none of its own, and one that is cut off for long has spent them. Returns whether there is
-    /// enough now.
+    /// Borrows from peers' grants after [`Error::Unavailable`]: a node that starts while the log is
+    /// unavailable has no grants of its own, and after a long outage they are spent. Returns whether
+    /// `most` is available now.
     pub async fn borrow(&self, account: Account<'_>, most: Money, lenders: &impl Lenders) -> bool {
-        let _turn = self.shared.borrowing.lock().await;
+        let _guard = self.shared.borrowing.lock().await;
         let customer = &account.contract.customer;
         let period = account.contract.spend.period(account.now).0;
         for peer in lenders.peers() {
-            if self.free(customer, period) >= most {
+            if self.available(customer, period) >= most {
                 return true;
             }
-            let amount = most.scale(BORROW, 1);
+            let amount = most.scale(LOAN_CALLS, 1);
             let lent = lenders.lend(&peer, customer, period, amount).await;
             let mut balances = self.shared.balances();
             let balance = self.shared.balance(&mut balances, customer, period);
             balance.borrowed += lent;
             balance.grants.add(lent);
         }
-        self.free(customer, period) >= most
+        self.available(customer, period) >= most
     }
 
-    /// Lends a peer up to `amount`, at most half of what is free here. What is lent can't be spent
-    /// here any more, so that the sum of all nodes' grants stays the same.
+    /// Lends a peer up to `amount`, at most half of what is available here. This node can no longer
+    /// spend the lent amount, so the sum of all nodes' grants stays the same.
     #[must_use]
     pub fn lend(&self, customer: &id::Customer, period: u64, amount: Money) -> Money {
         let mut balances = self.shared.balances();
@@ -270,18 +272,19 @@
         lent
     }
 
-    fn free(&self, customer: &id::Customer, period: u64) -> Money {
+    fn available(&self, customer: &id::Customer, period: u64) -> Money {
         let mut balances = self.shared.balances();
         let balance = self.shared.balance(&mut balances, customer, period);
         balance.grants.available()
     }
 
-    /// Gives back what is not set aside, and waits until that is written or `deadline`.
+    /// Returns all money that is not reserved, and waits until the returns are appended or until
+    /// `deadline`.
     pub async fn close(&self, deadline: Instant) {
         let returns: Vec<(id::Customer, u64, Money)> = {
             let mut balances = self.shared.balances();
             let returns = balances.iter_mut().map(|balance| {
-                // What peers lent can't be returned under this name; the fold would refuse it all.
+                // Borrowed money cannot be returned under this name: the fold would refuse the return.
                 let granted = self.shared.granted(&balance.customer, balance.period);
                 let amount = balance.grants.available().min(granted);
                 let amount = balance.grants.release(amount);
@@ -293,18 +296,18 @@
                 .collect()
         };
         for (customer, period, amount) in returns {
-            let back = Allowance::Return(Return {
+            let record = Allowance::Return(Return {
                 id: id::Record(Uuid::now_v7()),
                 customer,
                 node: self.shared.holder.clone(),
                 period,
                 amount,
             });
-            self.shared.write(&back, deadline).await;
+            self.shared.write(&record, deadline).await;
         }
     }
 
-    fn take(&self, account: Account<'_>, most: Money) -> Option<Hold> {
+    fn try_reserve(&self, account: Account<'_>, most: Money) -> Option<Hold> {
         let customer = &account.contract.customer;
         let period = account.contract.spend.period(account.now).0;
         let mut balances = self.shared.balances();
@@ -318,8 +321,8 @@
         })
     }
 
-    /// What is left of the limit, with what this node still has.
-    fn left(&self, account: Account<'_>) -> Money {
+    /// What is left of the limit, including what this node still has available.
+    fn remaining(&self, account: Account<'_>) -> Money {
         let customer = &account.contract.customer;
         let period = account.contract.spend.period(account.now).0;
         let limit = account.contract.spend.limit;
@@ -332,7 +335,7 @@
             .available()
     }
 
-    fn ask_ahead(&self, account: Account<'_>, nodes: u32) {
+    fn request_ahead(&self, account: Account<'_>, nodes: u32) {
         let Some(grant) = self.shared.next_grant(account, nodes) else {
             return;
         };
@@ -343,16 +346,16 @@
         });
     }
 
-    /// Asks for a grant, or waits for the one that is asked for already. Returns whether anything
-    /// was decided by `deadline`.
-    async fn ask(&self, account: Account<'_>, nodes: u32, deadline: Instant) -> bool {
+    /// Requests a grant, or waits for the one in flight. Returns false if neither ended by `deadline`.
+    async fn request(&self, account: Account<'_>, nodes: u32, deadline: Instant) -> bool {
         if let Some(grant) = self.shared.next_grant(account, nodes) {
             return self.shared.obtain(grant, deadline).await;
         }
         let mut changed = self.shared.follower.changed();
         changed.mark_unchanged();
-        let retry = (Instant::now() + RETRY).min(deadline);
-        // Another call's ask is out; its answer may come with any batch, or its failure without.
+        let retry = (Instant::now() + RECHECK_INTERVAL).min(deadline);
+        // Another call's request is in flight. Any batch may bring its result, but its failure brings
+        // no batch.
         let _ = tokio::time::timeout_at(retry, changed.changed()).await;
         Instant::now() < deadline
     }
@@ -366,8 +369,8 @@
     }
 }
 
-/// How long to wait for the answer to another call's ask before looking again.
-const RETRY: Duration = Duration::from_millis(50);
+/// How long to wait for the result of another call's request before checking again.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 fn exhausted(account: Account<'_>) -> Error {
     let length = account.contract.spend.period.millis().max(1);
--- a/crates/coordination/src/grants/lenders.rs
+++ b/crates/coordination/src/grants/lenders.rs
@@ -30,7 +30,7 @@
             amount,
         };
         match self.call(&peer, call).await {
-            // A peer never lends more than was asked for; more would be money from nowhere.
+            // Nothing beyond the requested amount counts: it would raise the sum of all grants.
             Ok(Answer::Lent { amount: lent }) => lent.min(amount),
             Ok(_) => Money::ZERO,
             Err(error) => {
--- a/crates/coordination/src/grants/shared.rs
+++ b/crates/coordination/src/grants/shared.rs
@@ -1,4 +1,4 @@
-//! What the clones of a wallet share: balances, and grants asked for on the log.
+//! The state that the clones of a wallet share: balances, and grants requested through the log.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -22,35 +22,35 @@
 use crate::appender::Appender;
 use crate::follower::Follower;
 
-/// Characters of a life's mark in the name that a wallet's grants are written under.
-const MARK: usize = 8;
+/// Length of the incarnation suffix in the name under which a wallet's grants are recorded.
+const SUFFIX_LENGTH: usize = 8;
 
 #[derive(Debug)]
 pub(super) struct Shared {
-    /// The node's name and a mark of this life: a node that comes back under its old name must not
-    /// take the grants of its earlier life, part of which is spent, for its own.
+    /// The node's name with a suffix for this incarnation. A node that restarts under its old name must
+    /// not spend the grants of its earlier incarnation, part of which is spent already.
     pub(super) holder: id::Node,
     pub(super) config: Config,
     pub(super) appender: Appender,
     pub(super) follower: Follower<View>,
     pub(super) start: Instant,
     pub(super) balances: Mutex<Vec<Balance>>,
-    /// Held by the call that borrows: others wait and find what it got.
+    /// Locked by the call that borrows. Others wait, and then use what it borrowed.
     pub(super) borrowing: tokio::sync::Mutex<()>,
     pub(super) tasks: TaskTracker,
 }
 
-/// One customer's grants in one period. Sorted by customer and period.
+/// One customer's grants in one period.
 #[derive(Debug)]
 pub(super) struct Balance {
     pub(super) customer: id::Customer,
     pub(super) period: u64,
     pub(super) grants: budget::Grants,
-    /// Given back here and not yet read on the log.
+    /// Returned by this node, with a return that it has not read on the log yet.
     pub(super) returning: Money,
-    /// Of what the log granted to this node, lent to peers for good.
+    /// The part of this node's grants that it has lent to peers, for good.
     pub(super) lent: Money,
-    /// Of what the log granted to peers, lent to this node for good.
+    /// The part of peers' grants that they have lent to this node, for good.
     pub(super) borrowed: Money,
 }
 
@@ -63,19 +63,20 @@
         Moment::ZERO + self.start.elapsed()
     }
 
-    /// A customer's balance, with all that the log has granted by now.
+    /// A customer's balance, updated with all grants read so far.
     pub(super) fn balance<'a>(
         &self,
         balances: &'a mut Vec<Balance>,
         customer: &id::Customer,
         period: u64,
     ) -> &'a mut Balance {
-        let place = balances.binary_search_by(|p| (&p.customer, p.period).cmp(&(customer, period)));
-        let place = place.unwrap_or_else(|place| {
-            balances.insert(place, Balance::new(customer, period, self.config.budget));
-            place
+        let position =
+            balances.binary_search_by(|p| (&p.customer, p.period).cmp(&(customer, period)));
+        let position = position.unwrap_or_else(|position| {
+            balances.insert(position, Balance::new(customer, period, self.config.budget));
+            position
         });
-        let balance = &mut balances[place];
+        let balance = &mut balances[position];
         balance.update(self.granted(customer, period));
         balance
     }
@@ -91,7 +92,7 @@
             .unwrap_or(limit)
     }
 
-    /// The grant to ask for now, if any.
+    /// The grant to request now, if any.
     pub(super) fn next_grant(&self, account: Account<'_>, nodes: u32) -> Option<Grant> {
         let customer = &account.contract.customer;
         let period = account.contract.spend.period(account.now).0;
@@ -111,37 +112,38 @@
         })
     }
 
-    /// Writes a grant and waits until it was read. Returns whether it was.
+    /// Appends a grant and waits until it is read, or the log is read past it. Returns false if neither
+    /// happens by `deadline`.
     pub(super) async fn obtain(&self, grant: Grant, deadline: Instant) -> bool {
         let customer = grant.customer.clone();
         let period = grant.period;
         let record = grant.id;
         let allowance = Allowance::Grant(grant);
         let write = self.write(&allowance, deadline);
-        let look = |view: &View| view.fold().read(&customer, period, record).then_some(());
+        let find = |view: &View| view.fold().read(&customer, period, record).then_some(());
         tokio::pin!(write);
         let read = tokio::select! {
-            // A grant may be read before its append is answered, or though the answer was lost.
-            read = self.follower.wait(deadline, look) => read,
-            written = &mut write => self.pass(written, deadline, look).await,
+            // A grant may be read before its append returns, or although its response was lost.
+            read = self.follower.wait(deadline, find) => read,
+            written = &mut write => self.wait_passed(written, deadline, find).await,
         };
         let mut balances = self.balances();
         let balance = self.balance(&mut balances, &customer, period);
-        // Also where the answer is not known: a grant that is accepted later is found by reading.
+        // The request also ends if its result is unknown: a grant accepted later is found by reading.
         balance.grants.request_done();
         read.is_some()
     }
 
-    /// Waits until the record at `written` was read, or found by `look`.
-    async fn pass(
+    /// Waits until the follower has read past `written`, or until `find` finds the record.
+    async fn wait_passed(
         &self,
         written: Option<Offset>,
         deadline: Instant,
-        look: impl Fn(&View) -> Option<()>,
+        find: impl Fn(&View) -> Option<()>,
     ) -> Option<()> {
         let passed = |view: &View| written.is_some_and(|offset| view.passed(offset));
         self.follower
-            .wait(deadline, |view| look(view).or(passed(view).then_some(())))
+            .wait(deadline, |view| find(view).or(passed(view).then_some(())))
             .await
     }
 
@@ -149,7 +151,7 @@
         let record = serde_json::to_string(allowance).ok()?;
         let appended = self.appender.append(Stream::Grants, record, deadline).await;
         appended
-            .inspect_err(|error| log::warn!("grants: record not written: {error}"))
+            .inspect_err(|error| log::warn!("grants: record not appended: {error}"))
             .ok()
     }
 }
@@ -166,17 +168,18 @@
         }
     }
 
-    /// Takes what the log has granted to this holder in all, less what it returned there.
+    /// Updates the balance from `granted`: all that the log has granted to this holder, less what the
+    /// holder has returned.
     pub(super) fn update(&mut self, granted: Money) {
         let total = granted + self.borrowed;
         let known = self.grants.granted() + self.returning + self.lent;
         match total.checked_sub(known) {
             Some(Money::ZERO) => {}
             Some(more) => self.grants.add(more),
-            // A return was read.
+            // A return was read, so that much is no longer pending.
             None => {
-                let kept = self.grants.granted() + self.lent;
-                self.returning = total.saturating_sub(kept);
+                let accounted = self.grants.granted() + self.lent;
+                self.returning = total.saturating_sub(accounted);
             }
         }
     }
@@ -184,9 +187,12 @@
 
 pub(super) fn holder(node: &id::Node) -> id::Node {
     // The last bytes of a version 7 UUID are random.
-    let life = Uuid::now_v7().simple().to_string();
-    let longest = id::MAX_NAME - MARK - 1;
-    let name: String = node.as_str().chars().take(longest).collect();
-    let marked = format!("{name}.{}", &life[life.len() - MARK..]);
-    marked.parse().unwrap_or_else(|_| node.clone())
+    let incarnation = Uuid::now_v7().simple().to_string();
+    let max_name = id::MAX_NAME - SUFFIX_LENGTH - 1;
+    let name: String = node.as_str().chars().take(max_name).collect();
+    let holder = format!(
+        "{name}.{}",
+        &incarnation[incarnation.len() - SUFFIX_LENGTH..]
+    );
+    holder.parse().unwrap_or_else(|_| node.clone())
 }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,10 +1,10 @@
-//! A lease in the platform's log, held for orders to endpoints.
+//! A lease on the platform's log that covers orders to endpoints.
 //!
-//! The holder counts the lease from before it sent the record, by its monotonic clock, and stops a
-//! margin before the end. A successor is accepted by the fold only after the end by the log's
-//! clock, which began later. So the two never overlap as long as the clocks' rates differ by less
-//! than the margin, whatever pauses either of them. A holder that was paused finds the lease
-//! over when it asks [`Lease::held`], which it must do right before each order.
+//! The holder measures the lease with its monotonic clock, starting before it sends the record, and
+//! stops a margin before the end. The fold accepts a successor only after the end by the log's
+//! clock, which started later. So the two never overlap while the clocks drift apart by less than
+//! the margin during a lease, even if either process is paused. A holder that was paused finds the
+//! lease expired when it calls [`Lease::held`], which it must do right before each order.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -29,7 +29,7 @@
 use crate::view;
 use crate::view::Records;
 
-/// Renewals in the time of one lease. Two may fail before the third ends it.
+/// Renewals in the time of one lease, so that one that fails at once can be repeated before the end.
 const RENEWALS: u32 = 3;
 
 /// Settings of a [`Lease`].
@@ -37,14 +37,14 @@
 pub struct Config {
     /// How long a lease lasts without renewal.
     pub span: Span,
-    /// How long before the end the holder stops. Covers the drift between two clocks over one
-    /// lease, and the flight of an order.
+    /// How long before the end the holder stops. Covers the drift between two clocks during one lease,
+    /// and the time that an order is in flight.
     pub margin: Duration,
 }
 
 impl Default for Config {
-    /// Fifteen seconds are long beside a slow append and short beside an operator's patience; two
-    /// seconds cover the flight of an order, and a drift far beyond that of real clocks.
+    /// 15 s are long compared with a slow append, and short for an operator who waits for a successor.
+    /// 2 s cover an order in flight, and a drift far beyond that of real clocks.
     fn default() -> Self {
         Self {
             span: Span::from_secs(15),
@@ -53,7 +53,7 @@
     }
 }
 
-/// What this node has read of the leases stream.
+/// This node's view of the leases stream.
 pub type View = view::View<leases::Fold>;
 
 impl Records for leases::Fold {
@@ -69,23 +69,24 @@
 /// The right to give orders, with its fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fencing {
-    /// The number to send along with each order.
+    /// The number to send with each order.
     pub number: Offset,
     /// When the holder must stop.
     pub until: Instant,
-    /// When this node first held the lease without a break. Where endpoints ignore numbers, it
-    /// must let the longest flight of a predecessor's order pass from here on.
+    /// When this node acquired the lease that it has held without interruption since. If endpoints
+    /// ignore fencing numbers, it must first wait from here until no order of a predecessor can still
+    /// be in flight.
     pub since: Instant,
 }
 
-/// Keeps one lease for one node. Clones share it.
+/// One lease, acquired and renewed for one node. Clones share it.
 #[derive(Debug, Clone)]
 pub struct Lease {
     held: Arc<Mutex<Option<Fencing>>>,
 }
 
 impl Lease {
-    /// Tries to take the lease and renews it, until `token`; then gives it up.
+    /// Acquires and renews the lease until `token` is cancelled, then releases it.
     #[must_use]
     pub fn start(
         resource: id::Resource,
@@ -96,7 +97,7 @@
         token: CancellationToken,
     ) -> Self {
         let held = Arc::new(Mutex::new(None));
-        let keeper = Keeper {
+        let renewer = Renewer {
             resource,
             node,
             config,
@@ -105,13 +106,13 @@
             held: Arc::clone(&held),
         };
         tokio::spawn(async move {
-            token.run_until_cancelled(keeper.run()).await;
-            keeper.release().await;
+            token.run_until_cancelled(renewer.run()).await;
+            renewer.release().await;
         });
         Self { held }
     }
 
-    /// The fencing number, if the lease is held now. Asked right before each order.
+    /// The fencing number, if this node holds the lease now. To be called right before each order.
     #[must_use]
     pub fn held(&self) -> Option<Fencing> {
         let held = *self.held.lock().unwrap_or_else(PoisonError::into_inner);
@@ -119,7 +120,7 @@
     }
 }
 
-struct Keeper {
+struct Renewer {
     resource: id::Resource,
     node: id::Node,
     config: Config,
@@ -128,19 +129,19 @@
     held: Arc<Mutex<Option<Fencing>>>,
 }
 
-impl Keeper {
+impl Renewer {
     async fn run(&self) {
-        let mut seen = Sighting::default();
+        let mut foreign = ForeignLease::default();
         loop {
             let (current, now) = self.current();
             let wait = match &current {
                 Some(lease) if lease.holder != self.node && lease.until > now => {
-                    seen.wait(lease, self.config.span)
+                    foreign.wait(lease, self.config.span)
                 }
                 _ => Duration::ZERO,
             };
             if wait.is_zero() {
-                self.take(current.as_ref()).await;
+                self.acquire(current.as_ref()).await;
                 tokio::time::sleep(self.config.span.duration() / RENEWALS).await;
             } else {
                 tokio::time::sleep(wait).await;
@@ -148,15 +149,15 @@
         }
     }
 
-    /// The lease, and the log's clock as far as it was read. A lease that was given up ends with the
-    /// record that says so, so that a node which begins after that need not wait it out.
+    /// The lease, and the log's clock as far as this node has read. A lease ends with its release
+    /// record, so that a node that starts later need not wait for the end of its span.
     fn current(&self) -> (Option<leases::Lease>, Wall) {
         self.follower
             .view(|view| (view.fold().lease(&self.resource).cloned(), view.now()))
     }
 
     /// Appends a take that follows `current` and reads it back.
-    async fn take(&self, current: Option<&leases::Lease>) {
+    async fn acquire(&self, current: Option<&leases::Lease>) {
         let record = id::Record(Uuid::now_v7());
         let take = Take {
             id: record,
@@ -168,7 +169,7 @@
         let Ok(text) = serde_json::to_string(&Hold::Take(take)) else {
             return;
         };
-        // Counted from before the record is sent: the log's own count begins later.
+        // Measured from before the record is sent: the log starts its own measurement later.
         let sent = Instant::now();
         let deadline = sent + self.config.span.duration() / RENEWALS;
         let appended = self.appender.append(Stream::Leases, text, deadline).await;
@@ -176,24 +177,27 @@
             .follower
             .wait(deadline, |view| {
                 let lease = view.fold().lease(&self.resource)?;
-                let mine = lease.record == record;
+                let is_ours = lease.record == record;
                 let passed = appended.as_ref().is_ok_and(|offset| view.passed(*offset));
-                (mine || passed).then(|| mine.then_some(lease.fencing))
+                (is_ours || passed).then(|| is_ours.then_some(lease.fencing))
             })
             .await;
         if let Some(Some(number)) = taken {
-            self.hold(number, sent);
+            self.set_held(number, sent);
         }
     }
 
-    fn hold(&self, number: Offset, sent: Instant) {
+    fn set_held(&self, number: Offset, sent: Instant) {
         let span = self.config.span.duration();
         let until = sent + span.saturating_sub(self.config.margin);
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         let since = match *held {
             Some(before) if before.number == number => before.since,
             _ => {
-                log::info!("lease: took {} under {number}", self.resource);
+                log::info!(
+                    "lease: acquired {} with fencing number {number}",
+                    self.resource
+                );
                 sent
             }
         };
@@ -219,7 +223,7 @@
         let Ok(text) = serde_json::to_string(&Hold::Release(release)) else {
             return;
         };
-        // Not written in time, it does no harm: the successor waits the lease out.
+        // If the append fails, the successor waits until the lease expires.
         let deadline = Instant::now() + self.config.margin;
         if self
             .appender
@@ -227,31 +231,31 @@
             .await
             .is_err()
         {
-            log::debug!("lease: release of {} not written", self.resource);
+            log::debug!("lease: release of {} not appended", self.resource);
         }
     }
 }
 
-/// The take of another holder that this node waits out.
+/// The lease of another holder whose end this node waits for.
 #[derive(Debug, Default)]
-struct Sighting {
+struct ForeignLease {
     lease: Option<Offset>,
-    free: Option<Instant>,
+    expires: Option<Instant>,
 }
 
-impl Sighting {
-    /// How long to wait before a take of our own is worth a record. The fold has the last word, so
-    /// that a wrong guess costs a refused record and nothing else.
+impl ForeignLease {
+    /// How long to wait before this node appends a take of its own. The fold decides whether it is
+    /// accepted, so a take that comes too early costs one refused record and nothing else.
     fn wait(&mut self, lease: &leases::Lease, span: Span) -> Duration {
         let now = Instant::now();
         if self.lease != Some(lease.last) {
-            self.free = Some(now + span.duration());
+            self.expires = Some(now + span.duration());
         }
         self.lease = Some(lease.last);
         let poll = span.duration() / RENEWALS;
-        let rest = self
-            .free
-            .map_or(poll, |free| free.saturating_duration_since(now));
-        rest.min(poll)
+        let time_left = self
+            .expires
+            .map_or(poll, |expires| expires.saturating_duration_since(now));
+        time_left.min(poll)
     }
 }
