--- a/crates/coordination/examples/spread.rs
+++ b/crates/coordination/examples/spread.rs
@@ -1,7 +1,7 @@
-//! Measures how soon a change is in force on all nodes, and what following it costs a node.
+//! Measures how soon a change is in force on all nodes, and what idle nodes cost.
 //!
-//! All nodes run in this process over loopback, with a log in memory; the figures are those of the
-//! mechanism and leave out links and the log's own time. Run with `--release`.
+//! All nodes run in this process over loopback with an in-memory log, so the figures exclude the
+//! latency of links and of the log. Run with `--release`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -30,10 +30,10 @@
 use tokio::time::Instant;
 
 const ZONES: [&str; 3] = ["kig-gikondo", "kig-kicukiro", "kig-remera"];
-/// Time between heartbeats, as in the usual settings.
+/// Interval between heartbeats, as in the default settings.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// Clock ticks of the kernel in a second, as in its accounting of processes.
-const TICKS: f64 = 100.0;
+/// Kernel clock ticks in a second, the unit of the times in `/proc/self/stat`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 async fn nodes(log: &Memory, count: usize, tail: Tail) -> Vec<Node> {
     let mut nodes: Vec<Node> = Vec::new();
@@ -45,7 +45,7 @@
         plan.settings.doubt = Duration::from_secs(5);
         nodes.push(plan.start(log.link()).await);
     }
-    // All addresses, as the platform's list would tell them.
+    // All addresses, as the platform's list of VMs would contain them.
     for node in &nodes {
         node.mesh.learn(nodes.iter().map(|n| n.mesh.address()));
     }
@@ -53,8 +53,8 @@
     nodes
 }
 
-/// Publishes changes one by one; gives each one's time until the last node has it, sorted.
-async fn spread(log: &Memory, nodes: &[Node], from: u64, changes: u64) -> Vec<Duration> {
+/// Publishes changes one by one. Returns the times until each was in force on the last node, sorted.
+async fn propagation_times(log: &Memory, nodes: &[Node], from: u64, changes: u64) -> Vec<Duration> {
     let mut times = Vec::new();
     for n in from..from + changes {
         let begin = Instant::now();
@@ -63,7 +63,7 @@
             node.reaches(n + 1).await;
         }
         times.push(begin.elapsed());
-        // Not in step with the heartbeats.
+        // Varies the phase relative to the heartbeats.
         tokio::time::sleep(Duration::from_millis(37 * (n % 11))).await;
     }
     times.sort_unstable();
@@ -71,7 +71,7 @@
 }
 
 fn print(what: &str, times: &[Duration]) {
-    let at = |share: usize| times[(times.len() * share / 100).min(times.len() - 1)];
+    let at = |percentile: usize| times[(times.len() * percentile / 100).min(times.len() - 1)];
     println!(
         "{what}: {} changes, 50th percentile {:?}, 95th {:?}, most {:?}",
         times.len(),
@@ -81,15 +81,15 @@
     );
 }
 
-/// Processor time of this process so far, in seconds.
-fn processor() -> f64 {
+/// The CPU time of this process so far, in seconds.
+fn cpu_seconds() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = text.split_whitespace().collect();
     let ticks = |at: usize| fields.get(at).and_then(|f| f.parse().ok()).unwrap_or(0.0);
-    (ticks(13) + ticks(14)) / TICKS
+    (ticks(13) + ticks(14)) / TICKS_PER_SECOND
 }
 
-fn number(count: usize) -> f64 {
+fn float(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
@@ -98,18 +98,18 @@
     publish(&log, 0..1);
     let nodes = nodes(&log, count, tail).await;
     let span = Duration::from_secs(20);
-    let before = processor();
+    let before = cpu_seconds();
     let reads = log.reads(STREAM);
     tokio::time::sleep(span).await;
     let seconds = span.as_secs_f64();
-    let share = (processor() - before) / seconds / number(count);
+    let share = (cpu_seconds() - before) / seconds / float(count);
     let live: usize = nodes.iter().map(|n| n.mesh.peers().len()).sum();
     println!(
         "idle, {count} nodes, {tail:?}: {:.3}% of a core a node, {:.2} reads of the log a second in \
          all, {:.1} of {} peers live at a node",
         share * 100.0,
         f64::from(u32::try_from(log.reads(STREAM) - reads).unwrap_or(u32::MAX)) / seconds,
-        number(live) / number(count),
+        float(live) / float(count),
         count - 1
     );
     for node in nodes {
@@ -145,7 +145,7 @@
         endpoint: format!("pimento-llm-{n:04}").parse().expect("a name"),
         incarnation: 1_700_000_000_000,
     };
-    let word = |n: usize| Heard {
+    let entry = |n: usize| Heard {
         node: u32::MAX - u32::try_from(n).unwrap_or(0),
         sequence: 1_700_000_000_000,
     };
@@ -163,7 +163,7 @@
         leaving: false,
         departures: (0..departures).map(departure).collect(),
         quarantined: Vec::new(),
-        heard: (0..heard).map(word).collect(),
+        heard: (0..heard).map(entry).collect(),
         suspicions: Vec::new(),
     };
     match Frame::seal(&beat, &Key::derive("k"), MAX_DATAGRAM) {
@@ -187,12 +187,12 @@
     let six = nodes(&log, 6, Tail::Always).await;
     print(
         "in force, 6 nodes, log in reach",
-        &spread(&log, &six, 0, 100).await,
+        &propagation_times(&log, &six, 0, 100).await,
     );
     for node in six.iter().skip(2).step_by(3) {
         node.cut_log(true);
     }
-    let times = spread(&log, &six, 100, 40).await;
+    let times = propagation_times(&log, &six, 100, 40).await;
     print("in force, 6 nodes, one zone cut off from the log", &times);
     for node in six {
         node.kill();
@@ -200,7 +200,7 @@
 
     let log = Memory::default();
     let sixty = nodes(&log, 60, Tail::Elected).await;
-    let times = spread(&log, &sixty, 0, 40).await;
+    let times = propagation_times(&log, &sixty, 0, 40).await;
     print("in force, 60 nodes, a tailer a zone", &times);
     for node in sixty {
         node.kill();
--- a/crates/coordination/examples/tail.rs
+++ b/crates/coordination/examples/tail.rs
@@ -1,5 +1,5 @@
-//! An appender and a follower over somebody's own log: here a vector that loses the answer to its
-//! first append, after that took effect.
+//! An appender and a follower over a custom log: here a vector that loses the response to its first
+//! append after the append took effect.
 //!
 //! `cargo run -p pimento-coordination --example tail`
 
@@ -21,39 +21,42 @@
 type Read = Result<platform::Batch, Error>;
 
 #[derive(Clone, Default)]
-struct Own(Arc<Mutex<Vec<platform::Entry>>>);
+struct VecLog(Arc<Mutex<Vec<platform::Entry>>>);
 
-impl Log for Own {
+impl Log for VecLog {
     async fn append(&self, _: Stream, new: Vec<String>) -> Result<Offset, Error> {
-        let mut kept = self.0.lock().await;
-        let (first, at) = (kept.len() as u64, Wall::from_millis(0));
+        let mut entries = self.0.lock().await;
+        let (first, at) = (entries.len() as u64, Wall::from_millis(0));
         for (offset, record) in (first..).map(Offset).zip(new) {
-            kept.push(platform::Entry { offset, at, record });
+            entries.push(platform::Entry { offset, at, record });
         }
-        let (reason, taken) = ("cut".into(), (first > 0).then_some(Offset(first)));
-        taken.ok_or(Error::Lost { reason })
+        let (reason, answer) = ("cut".into(), (first > 0).then_some(Offset(first)));
+        answer.ok_or(Error::Lost { reason })
     }
 
     async fn read(&self, _: Stream, from: Offset, max: usize, _: Duration) -> Read {
-        // A log of one's own would wait for records here instead of being polled.
+        // A real log would wait for records here instead of being polled.
         tokio::time::sleep(Duration::from_millis(10)).await;
-        let kept = self.0.lock().await;
-        let new = kept.iter().filter(|entry| entry.offset >= from).take(max);
+        let entries = self.0.lock().await;
+        let new = entries
+            .iter()
+            .filter(|entry| entry.offset >= from)
+            .take(max);
         let records: Vec<_> = new.cloned().collect();
         Ok(platform::Batch {
             next: Offset(from.0 + records.len() as u64),
-            end: Offset(kept.len() as u64),
+            end: Offset(entries.len() as u64),
             records,
             now: Wall::from_millis(0),
         })
     }
 }
 
-/// The view: each record once, since it may stand on the log twice.
+/// The view. It contains each record once, although the log may contain it twice.
 #[derive(Default)]
-struct Seen(Vec<String>);
+struct Records(Vec<String>);
 
-impl follower::Fold for Seen {
+impl follower::Fold for Records {
     fn apply(&mut self, offset: Offset, _: Wall, record: &str) {
         println!("{offset}: {record}");
         let found = self.0.iter().any(|seen| seen == record);
@@ -65,15 +68,15 @@
 
 #[tokio::main]
 async fn main() -> Result<(), Error> {
-    let (own, token) = (Own::default(), CancellationToken::new());
-    let writer = appender::Appender::start(own.clone(), appender::Config::default(), token.clone());
+    let (log, token) = (VecLog::default(), CancellationToken::new());
+    let writer = appender::Appender::start(log.clone(), appender::Config::default(), token.clone());
     let deadline = Instant::now() + Duration::from_secs(5);
     let append = |record: &str| writer.append(Stream::Usage, record.into(), deadline);
     let (one, other) = tokio::join!(append("one"), append("other"));
     println!("one append, made twice: at {} and {}", one?, other?);
-    let (from, view) = (Offset(0), Seen::default());
-    let follower = follower::Follower::start(own, Stream::Usage, from, view, token);
-    let both = |seen: &Seen| (seen.0.len() == 2).then(|| seen.0.clone());
+    let (from, view) = (Offset(0), Records::default());
+    let follower = follower::Follower::start(log, Stream::Usage, from, view, token);
+    let both = |view: &Records| (view.0.len() == 2).then(|| view.0.clone());
     println!("the view: {:?}", follower.wait(deadline, both).await);
     Ok(())
 }
--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -1,9 +1,9 @@
 //! Group commit: batches the records of one process into few appends.
 //!
 //! The log accepts a few hundred appends a second for the whole deployment. One append for each
-//! record would exhaust that rate at a few hundred requests a second. Batching for some milliseconds
-//! makes the number of appends independent of the number of records. Each stream has one append
-//! in flight at a time, so a slow log makes batches larger instead of more numerous.
+//! record would exhaust that rate at a few hundred requests a second. Batching for some
+//! milliseconds makes the number of appends independent of the number of records. Each stream has
+//! one append in flight at a time, so a slow log makes batches larger instead of more numerous.
 
 mod entry;
 mod worker;
@@ -154,8 +154,9 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Refused`] if the record is certainly not on the log: the queue is full, the appender
-    /// is shutting down, or the log refused until `deadline`. [`Error::Lost`] if it may be on the log.
+    /// [`Error::Refused`] if the record is certainly not on the log: the queue is full, the
+    /// appender is shutting down, or the log refused until `deadline`. [`Error::Lost`] if it may be
+    /// on the log.
     pub async fn append(
         &self,
         stream: Stream,
@@ -207,8 +208,8 @@
         self.shared.closed.until()
     }
 
-    /// Refuses an append at once if the log has announced that it won't accept it before `deadline`,
-    /// so that a caller in an outage does not wait for its deadline.
+    /// Refuses an append at once if the log has announced that it won't accept it before
+    /// `deadline`, so that a caller in an outage does not wait for its deadline.
     fn admit(&self, deadline: Instant) -> Result<(), Error> {
         if self.shared.token.is_cancelled() {
             return Err(refused());
--- a/crates/coordination/src/appender/entry.rs
+++ b/crates/coordination/src/appender/entry.rs
@@ -50,9 +50,9 @@
 
 /// The state of an entry, shared by its caller and the worker.
 ///
-/// A caller whose deadline passes must not report a record as refused while the worker sends it: the
-/// request would be reported as not run although its record is on the log. Both change the state
-/// by compare-and-swap, so exactly one of them wins.
+/// A caller whose deadline passes must not report a record as refused while the worker sends it:
+/// the request would be reported as not run although its record is on the log. Both change the
+/// state by compare-and-swap, so exactly one of them wins.
 #[derive(Debug, Default)]
 pub(super) struct Progress(AtomicU8);
 
--- a/crates/coordination/src/backoff.rs
+++ b/crates/coordination/src/backoff.rs
@@ -4,7 +4,8 @@
 
 use rand::RngExt;
 
-/// The first delay. A lost response is often a single broken connection, so the first retry is early.
+/// The first delay. A lost response is often a single broken connection, so the first retry is
+/// early.
 const INITIAL_DELAY: Duration = Duration::from_millis(50);
 /// The longest delay. It bounds how long a node takes to notice that the service is back.
 const MAX_DELAY: Duration = Duration::from_secs(1);
--- a/crates/coordination/src/bills.rs
+++ b/crates/coordination/src/bills.rs
@@ -49,7 +49,8 @@
     pub interval: Duration,
     /// Timeout of one append to the log.
     pub append_timeout: Duration,
-    /// The age at which the holder of a copy appends it: its writer is gone, or cannot reach the log.
+    /// The age at which the holder of a copy appends it: its writer is gone, or cannot reach the
+    /// log.
     pub max_copy_age: Duration,
 }
 
@@ -77,8 +78,8 @@
     /// Sends copies (JSON text each) to a peer; returns whether it confirmed that it holds them.
     fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> impl Future<Output = bool> + Send;
 
-    /// Notifies a peer that bills are on the log, so that it drops its copies. If the message is lost,
-    /// the peer appends them again.
+    /// Notifies a peer that bills are on the log, so that it drops its copies. If the message is
+    /// lost, the peer appends them again.
     fn release(
         &self,
         peer: &id::Node,
@@ -123,9 +124,9 @@
     ///
     /// # Errors
     ///
-    /// [`NotReplicated`] if none of them confirmed it by `deadline`. The bill is then dropped, since
-    /// its caller won't get the whole response. It may count all the same if a peer or the log stored
-    /// it and the confirmation was lost.
+    /// [`NotReplicated`] if none of them confirmed it by `deadline`. The bill is then dropped,
+    /// since its caller won't get the whole response. It may count all the same if a peer or the
+    /// log stored it and the confirmation was lost.
     pub async fn replicate(self, bill: &Bill, deadline: Instant) -> Result<(), NotReplicated> {
         let shared = &self.outbox.shared;
         let (sender, confirmed) = oneshot::channel();
--- a/crates/coordination/src/bills/copies.rs
+++ b/crates/coordination/src/bills/copies.rs
@@ -77,8 +77,8 @@
         true
     }
 
-    /// Removes copies of one writer. Another writer's bill for the same request may not be on the log
-    /// yet, so its copy stays.
+    /// Removes copies of one writer. Another writer's bill for the same request may not be on the
+    /// log yet, so its copy stays.
     pub fn remove(&self, node: &id::Node, requests: &[id::Request]) {
         let mut sorted = requests.to_vec();
         sorted.sort_unstable();
--- a/crates/coordination/src/bills/peers.rs
+++ b/crates/coordination/src/bills/peers.rs
@@ -20,8 +20,8 @@
 }
 
 impl Peers for Mesh {
-    /// Peers of the local zone come first, since a copy to another zone adds the link's delay to the
-    /// caller's response. If the local zone has no other VM, it is the only copy.
+    /// Peers of the local zone come first, since a copy to another zone adds the link's delay to
+    /// the caller's response. If the local zone has no other VM, it is the only copy.
     fn peers(&self) -> Vec<id::Node> {
         let peers = Self::peers(self).into_iter().filter(|peer| !peer.leaving);
         let (local, remote): (Vec<Peer>, Vec<Peer>) =
--- a/crates/coordination/src/bills/worker.rs
+++ b/crates/coordination/src/bills/worker.rs
@@ -120,8 +120,8 @@
         false
     }
 
-    /// Appends bills that have one holder, at most until the first caller's deadline: a bill that is
-    /// dropped then must not reach the log later.
+    /// Appends bills that have one holder, at most until the first caller's deadline: a bill that
+    /// is dropped then must not reach the log later.
     async fn append(&self, numbers: &[Number], deadline: Instant) -> bool {
         let items = self.shared.pending.items(numbers);
         let time_left = deadline.saturating_duration_since(Instant::now());
@@ -166,8 +166,8 @@
             return false;
         }
         let mut numbers: Vec<Number> = items.iter().map(|item| item.number).collect();
-        // Retried bills come after newer ones, and `remove_all` searches a sorted list. In an unsorted
-        // one it would miss some, whose capacity would never be released.
+        // Retried bills come after newer ones, and `remove_all` searches a sorted list. In an
+        // unsorted one it would miss some, whose capacity would never be released.
         numbers.sort_unstable();
         self.shared.pending.remove_all(&numbers);
         self.release(items).await;
@@ -187,9 +187,9 @@
         }
     }
 
-    /// Appends copies that reached `age`, and at once those whose writer is not a live peer: this node
-    /// is then their last holder. If the writer is alive after all it appends them too, which is
-    /// harmless.
+    /// Appends copies that reached `age`, and at once those whose writer is not a live peer: this
+    /// node is then their last holder. If the writer is alive after all it appends them too, which
+    /// is harmless.
     async fn append_copies(&self, age: Duration, timeout: Duration) {
         let live = self.peers.peers();
         loop {
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Finds new holders for pending bills whose holder is gone: losing one more VM would lose them.
+    /// Finds new holders for pending bills whose holder is gone: losing one more VM would lose
+    /// them.
     async fn copy_orphans(&self) {
         let live = self.peers.peers();
         if live.is_empty() {
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -1,8 +1,9 @@
-//! Claims on calls that must not be repeated, written to the platform's log before any byte is sent.
+//! Claims on calls that must not be repeated, written to the platform's log before any byte is
+//! sent.
 //!
-//! A claim is appended and then read back: an attempt may dispatch only after it has read that it is
-//! the owner. A successful append does not prove ownership, since another claim may precede it on
-//! the log. If the append's response is lost, the claim is still found by reading.
+//! A claim is appended and then read back: an attempt may dispatch only after it has read that it
+//! is the owner. A successful append does not prove ownership, since another claim may precede it
+//! on the log. If the append's response is lost, the claim is still found by reading.
 
 use std::fmt;
 use std::sync::Arc;
@@ -31,8 +32,8 @@
 use crate::view;
 use crate::view::Records;
 
-/// How long the append of an outcome is retried. Longer than the log's usual outages. If it fails, the
-/// request stays claimed, which is safe: later callers get the answer "unknown".
+/// How long the append of an outcome is retried. Longer than the log's usual outages. If it fails,
+/// the request stays claimed, which is safe: later callers get the answer "unknown".
 const OUTCOME_TIMEOUT: Duration = Duration::from_mins(10);
 
 /// Settings of a [`Claimer`].
@@ -41,8 +42,9 @@
     /// The greatest age of a request id that can be claimed. It must be shorter than the log's
     /// retention by more than [`claims::SKEW`], or a new node would miss claims that still count.
     pub window: Duration,
-    /// The age of the view beyond which the log counts as unavailable and calls are refused at once.
-    /// It must exceed the duration of a long-poll read, or a quiet log would count as unavailable.
+    /// The age of the view beyond which the log counts as unavailable and calls are refused at
+    /// once. It must exceed the duration of a long-poll read, or a quiet log would count as
+    /// unavailable.
     pub outage: Duration,
     /// Timeout of a claim. A slower log counts as unavailable, and the caller can retry.
     pub timeout: Duration,
@@ -133,8 +135,8 @@
 impl Ticket {
     /// Whether the call may still be dispatched. To be checked right before the first byte is sent.
     ///
-    /// A process may be paused for minutes between claim and dispatch. Its caller has then long been
-    /// told that the call may have run, and does not expect it to run any more.
+    /// A process may be paused for minutes between claim and dispatch. Its caller has then long
+    /// been told that the call may have run, and does not expect it to run any more.
     #[must_use]
     pub fn is_valid(&self, now: Instant) -> bool {
         now < self.deadline
@@ -172,7 +174,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Age`] or [`Error::Unavailable`]. In both cases nobody may dispatch under this claim.
+    /// [`Error::Age`] or [`Error::Unavailable`]. In both cases nobody may dispatch under this
+    /// claim.
     pub async fn claim(
         &self,
         request: id::Request,
@@ -275,8 +278,9 @@
         }
     }
 
-    /// Appends the claim and waits until the request's owner is read. `None` if that does not happen by
-    /// `deadline`; `Some(None)` if the claim was read and the fold did not accept it.
+    /// Appends the claim and waits until the request's owner is read. `None` if that does not
+    /// happen by `deadline`; `Some(None)` if the log was read past the claim and the fold did not
+    /// accept it.
     async fn append_and_read(&self, claim: Claim, deadline: Instant) -> Option<Option<Owner>> {
         let request = claim.request;
         let record = Arc::new(serde_json::to_string(&Call::Claim(claim)).ok()?);
@@ -302,9 +306,9 @@
     }
 }
 
-/// Releases a claim when dropped, unless its owner was read before. Otherwise a claim that reached the
-/// log would block every later attempt of the same call although nobody runs it. The drop may happen
-/// at any await, when the caller disconnects.
+/// Releases a claim when dropped, unless its owner was read before. Otherwise a claim that reached
+/// the log would block every later attempt of the same call although nobody runs it. The drop may
+/// happen at any await, when the caller disconnects.
 struct ReleaseGuard<'a> {
     claimer: &'a Claimer,
     request: id::Request,
--- a/crates/coordination/src/forward.rs
+++ b/crates/coordination/src/forward.rs
@@ -1,7 +1,7 @@
 //! Appends through the zone's appender.
 //!
-//! At the target size, 400 nodes that each append for themselves would exhaust the log's rate. So one
-//! node of each zone appends the records of all. Each node determines that node for itself. Two
+//! At the target size, 400 nodes that each append for themselves would exhaust the log's rate. So
+//! one node of each zone appends the records of all. Each node determines that node for itself. Two
 //! appenders at once, or a record that is appended by two, are harmless, since records are safe to
 //! append twice.
 
@@ -34,8 +34,8 @@
 
 impl<L: Log> Forwarder<L> {
     /// Appends through `direct` if this node is the zone's appender or cannot reach it. Each such
-    /// append takes at most `timeout`, which must be shorter than the timeout of peers' calls, so that
-    /// a peer gets the result for its records.
+    /// append takes at most `timeout`, which must be shorter than the timeout of peers' calls, so
+    /// that a peer gets the result for its records.
     pub const fn new(log: L, direct: Appender, mesh: Mesh, timeout: Duration) -> Self {
         Self {
             log,
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -1,9 +1,9 @@
 //! Spending from grants that are recorded on the platform's log.
 //!
 //! The wallet reserves the maximum cost of a call before the call is sent, and settles the actual
-//! cost afterwards. [`pimento_policy::budget`] decides when to request a grant and how much; the fold
-//! of the grants stream decides what is granted. Without the log, a node spends its own grants, then
-//! what peers lend it of theirs, and then refuses calls.
+//! cost afterwards. [`pimento_policy::budget`] decides when to request a grant and how much; the
+//! fold of the grants stream decides what is granted. Without the log, a node spends its own
+//! grants, then what peers lend it of theirs, and then refuses calls.
 
 mod lenders;
 mod shared;
@@ -80,8 +80,8 @@
     /// Live peers, those of the local zone first.
     fn peers(&self) -> Vec<id::Node>;
 
-    /// Requests part of a peer's grants and returns the amount lent. If the response is lost, neither
-    /// node can spend that amount: it is wasted, and no limit is exceeded.
+    /// Requests part of a peer's grants and returns the amount lent. If the response is lost,
+    /// neither node can spend that amount: it is wasted, and no limit is exceeded.
     fn lend(
         &self,
         peer: &id::Node,
@@ -206,8 +206,8 @@
         &self.shared.holder
     }
 
-    /// Reserves the maximum cost of a call, requesting another grant if needed. `nodes` is the number
-    /// of live entry VMs.
+    /// Reserves the maximum cost of a call, requesting another grant if needed. `nodes` is the
+    /// number of live entry VMs.
     ///
     /// # Errors
     ///
@@ -240,8 +240,8 @@
     }
 
     /// Borrows from peers' grants after [`Error::Unavailable`]: a node that starts while the log is
-    /// unavailable has no grants of its own, and after a long outage they are spent. Returns whether
-    /// `most` is available now.
+    /// unavailable has no grants of its own, and after a long outage they are spent. Returns
+    /// whether `most` is available now.
     pub async fn borrow(&self, account: Account<'_>, most: Money, lenders: &impl Lenders) -> bool {
         let _guard = self.shared.borrowing.lock().await;
         let customer = &account.contract.customer;
@@ -284,7 +284,8 @@
         let returns: Vec<(id::Customer, u64, Money)> = {
             let mut balances = self.shared.balances();
             let returns = balances.iter_mut().map(|balance| {
-                // Borrowed money cannot be returned under this name: the fold would refuse the return.
+                // Borrowed money cannot be returned under this name: the fold would refuse the
+                // return.
                 let granted = self.shared.granted(&balance.customer, balance.period);
                 let amount = balance.grants.available().min(granted);
                 let amount = balance.grants.release(amount);
@@ -346,7 +347,8 @@
         });
     }
 
-    /// Requests a grant, or waits for the one in flight. Returns false if neither ended by `deadline`.
+    /// Requests a grant, or waits for the one in flight. Returns false if neither ended by
+    /// `deadline`.
     async fn request(&self, account: Account<'_>, nodes: u32, deadline: Instant) -> bool {
         if let Some(grant) = self.shared.next_grant(account, nodes) {
             return self.shared.obtain(grant, deadline).await;
@@ -354,8 +356,8 @@
         let mut changed = self.shared.follower.changed();
         changed.mark_unchanged();
         let retry = (Instant::now() + RECHECK_INTERVAL).min(deadline);
-        // Another call's request is in flight. Any batch may bring its result, but its failure brings
-        // no batch.
+        // Another call's request is in flight. Any batch may bring its result, but its failure
+        // brings no batch.
         let _ = tokio::time::timeout_at(retry, changed.changed()).await;
         Instant::now() < deadline
     }
--- a/crates/coordination/src/grants/shared.rs
+++ b/crates/coordination/src/grants/shared.rs
@@ -27,8 +27,8 @@
 
 #[derive(Debug)]
 pub(super) struct Shared {
-    /// The node's name with a suffix for this incarnation. A node that restarts under its old name must
-    /// not spend the grants of its earlier incarnation, part of which is spent already.
+    /// The node's name with a suffix for this incarnation. A node that restarts under its old name
+    /// must not spend the grants of its earlier incarnation, part of which is spent already.
     pub(super) holder: id::Node,
     pub(super) config: Config,
     pub(super) appender: Appender,
@@ -112,8 +112,8 @@
         })
     }
 
-    /// Appends a grant and waits until it is read, or the log is read past it. Returns false if neither
-    /// happens by `deadline`.
+    /// Appends a grant and waits until it is read, or the log is read past it. Returns false if
+    /// neither happens by `deadline`.
     pub(super) async fn obtain(&self, grant: Grant, deadline: Instant) -> bool {
         let customer = grant.customer.clone();
         let period = grant.period;
@@ -129,7 +129,8 @@
         };
         let mut balances = self.balances();
         let balance = self.balance(&mut balances, &customer, period);
-        // The request also ends if its result is unknown: a grant accepted later is found by reading.
+        // The request also ends if its result is unknown: a grant accepted later is found by
+        // reading.
         balance.grants.request_done();
         read.is_some()
     }
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Updates the balance from `granted`: all that the log has granted to this holder, less what the
-    /// holder has returned.
+    /// Updates the balance from `granted`: all that the log has granted to this holder, less what
+    /// the holder has returned.
     pub(super) fn update(&mut self, granted: Money) {
         let total = granted + self.borrowed;
         let known = self.grants.granted() + self.returning + self.lent;
--- a/crates/coordination/src/http.rs
+++ b/crates/coordination/src/http.rs
@@ -21,11 +21,11 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The largest response body accepted from a platform service, in bytes. A batch of the log may hold
-/// a checkpoint of the whole configuration beside other records.
+/// The largest response body accepted from a platform service, in bytes. A batch of the log may
+/// hold a checkpoint of the whole configuration beside other records.
 const MAX_BODY: usize = 32 << 20;
-/// Idle connections in the pool of each service. A node has one long poll open for each stream and a
-/// handful of appends; more connections would only cost file descriptors.
+/// Idle connections in the pool of each service. A node has one long poll open for each stream and
+/// a handful of appends; more connections would only cost file descriptors.
 const MAX_IDLE: usize = 16;
 /// Delay before a retry if the service is unreachable, or refuses without `Retry-After`.
 pub(crate) const RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -29,7 +29,8 @@
 use crate::view;
 use crate::view::Records;
 
-/// Renewals in the time of one lease, so that one that fails at once can be repeated before the end.
+/// Renewals in the time of one lease, so that one that fails at once can be repeated before the
+/// end.
 const RENEWALS: u32 = 3;
 
 /// Settings of a [`Lease`].
@@ -37,14 +38,14 @@
 pub struct Config {
     /// How long a lease lasts without renewal.
     pub span: Span,
-    /// How long before the end the holder stops. Covers the drift between two clocks during one lease,
-    /// and the time that an order is in flight.
+    /// How long before the end the holder stops. Covers the drift between two clocks during one
+    /// lease, and the time that an order is in flight.
     pub margin: Duration,
 }
 
 impl Default for Config {
-    /// 15 s are long compared with a slow append, and short for an operator who waits for a successor.
-    /// 2 s cover an order in flight, and a drift far beyond that of real clocks.
+    /// 15 s are long compared with a slow append, and short for an operator who waits for a
+    /// successor. 2 s cover an order in flight, and a drift far beyond that of real clocks.
     fn default() -> Self {
         Self {
             span: Span::from_secs(15),
@@ -74,8 +75,8 @@
     /// When the holder must stop.
     pub until: Instant,
     /// When this node acquired the lease that it has held without interruption since. If endpoints
-    /// ignore fencing numbers, it must first wait from here until no order of a predecessor can still
-    /// be in flight.
+    /// ignore fencing numbers, it must first wait from here until no order of a predecessor can
+    /// still be in flight.
     pub since: Instant,
 }
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,9 +1,10 @@
 //! Clients of the platform's services behind small traits, and the state that nodes build on them.
 //!
-//! [`log::Log`], [`vms::List`], [`weights::Store`] and [`rating::Rater`] are the interfaces; each has
-//! an HTTP client. The [`Appender`] batches records into few appends, the [`Follower`] folds a stream
-//! into a view, the [`configuration::Source`] holds the configuration in force and never reverts to
-//! an older one, and the [`Mesh`] lets nodes help each other while the platform is unavailable.
+//! [`log::Log`], [`vms::List`], [`weights::Store`] and [`rating::Rater`] are the interfaces; each
+//! has an HTTP client. The [`Appender`] batches records into few appends, the [`Follower`] folds a
+//! stream into a view, the [`configuration::Source`] holds the configuration in force and never
+//! reverts to an older one, and the [`Mesh`] lets nodes help each other while the platform is
+//! unavailable.
 
 pub mod appender;
 mod backoff;
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -40,14 +40,15 @@
 /// Why a call to the log failed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The log refused the call before it had any effect, since its rate limit is exceeded or it has
-    /// announced an outage; or no connection could be made. A refused record is not on the log.
+    /// The log refused the call before it had any effect, since its rate limit is exceeded or it
+    /// has announced an outage; or no connection could be made. A refused record is not on the log.
     #[snafu(display("the log refused the call, retry after {retry_after:?}"))]
     Refused {
         /// Delay before the next attempt.
         retry_after: Duration,
     },
-    /// There was no response, or it could not be decoded: an append may or may not have taken effect.
+    /// There was no response, or it could not be decoded: an append may or may not have taken
+    /// effect.
     #[snafu(display("the log's response was lost: {reason}"))]
     Lost {
         /// The cause.
--- a/crates/coordination/tests/appender.rs
+++ b/crates/coordination/tests/appender.rs
@@ -1,4 +1,4 @@
-//! The appender: group commit, lost answers, refusals, bounds.
+//! The appender: group commit, lost responses, refusals and bounds.
 
 mod support;
 
@@ -29,20 +29,20 @@
     Appender::start(log.clone(), config, CancellationToken::new())
 }
 
-fn usual(log: &Memory) -> Appender {
+fn default_appender(log: &Memory) -> Appender {
     appender(log, Settings::default())
 }
 
-/// Waits until an append is on its way.
-async fn begun(log: &Memory) {
+/// Waits until an append is in flight.
+async fn append_in_flight(log: &Memory) {
     let begun = async || (log.begun(STREAM) > 0).then_some(());
-    eventually("an append on its way", begun).await;
+    eventually("an append in flight", begun).await;
 }
 
 #[tokio::test]
-async fn records_of_one_moment_share_an_append() {
+async fn concurrent_records_share_appends() {
     let log = Memory::default();
-    let appender = usual(&log);
+    let appender = default_appender(&log);
     let appends = (0..100).map(|n| appender.append(STREAM, n.to_string(), bound()));
     let offsets: Vec<Offset> = join_all(appends)
         .await
@@ -53,12 +53,12 @@
     for (n, offset) in offsets.iter().enumerate() {
         assert_eq!(records[usize::try_from(offset.0).unwrap()], n.to_string());
     }
-    // While the first append is on its way, the others gather behind it.
+    // While the first append is in flight, the others wait and form a batch.
     assert!(log.appends(STREAM).len() <= 5, "{:?}", log.appends(STREAM));
 }
 
 #[tokio::test]
-async fn batches_keep_to_their_limits() {
+async fn batches_stay_within_their_limits() {
     let log = Memory::default();
     let settings = Settings {
         max_records: 10,
@@ -70,7 +70,7 @@
     let appends = (0..20).map(|_| appender.append(STREAM, record.clone(), bound()));
     assert!(join_all(appends).await.iter().all(Result::is_ok));
     assert!(log.appends(STREAM).iter().all(|count| *count <= 5));
-    // A record over the limit goes alone.
+    // A record over the limit is appended alone.
     assert!(
         appender
             .append(STREAM, "x".repeat(100), bound())
@@ -80,11 +80,11 @@
     assert_eq!(log.appends(STREAM).last(), Some(&1));
 }
 
-/// The log fails in some order and then works. The caller gets an offset at which its record
-/// stands, however often it was appended; a record is on the log twice only where an answer was
-/// lost after the effect.
+/// The log fails in various ways and then works. The caller gets an offset of its record, however
+/// often it was appended. A record is on the log more than once only if a response was lost after
+/// the append took effect.
 #[tokio::test]
-async fn faults_before_the_deadline_are_made_good() {
+async fn faults_before_the_deadline_are_retried() {
     let refuse = || Fault::Refuse(Duration::from_millis(1));
     let cases = [
         ("lost before the effect", vec![Fault::LoseBefore], 1),
@@ -101,7 +101,7 @@
     for (what, faults, copies) in cases {
         let log = Memory::default();
         log.faults(faults);
-        let offset = usual(&log)
+        let offset = default_appender(&log)
             .append(STREAM, "mine".into(), bound())
             .await
             .unwrap();
@@ -115,18 +115,18 @@
     }
 }
 
-/// The log does not work until the caller's time is up. "Refused" makes a caller hear "not run", so
-/// it is said only if the record surely is not on the log.
+/// The log fails until the caller's deadline. A refusal is reported to the caller as "not run", so
+/// it is only returned if the record is certainly not on the log.
 #[tokio::test]
-async fn error_at_the_deadline_says_whether_the_record_may_be_there() {
-    let forever = Duration::from_hours(1);
+async fn error_at_the_deadline_tells_whether_the_record_may_be_on_the_log() {
+    let long = Duration::from_hours(1);
     let held = || Fault::Hold(Arc::new(AtomicBool::new(false)));
     let cases = [
-        ("refused", vec![Fault::Refuse(forever)], false),
+        ("refused", vec![Fault::Refuse(long)], false),
         ("in flight", vec![held()], true),
         (
             "lost, then refused",
-            vec![Fault::LoseAfter, Fault::Refuse(forever)],
+            vec![Fault::LoseAfter, Fault::Refuse(long)],
             true,
         ),
         (
@@ -135,43 +135,43 @@
             true,
         ),
     ];
-    for (what, faults, doubtful) in cases {
+    for (what, faults, maybe_appended) in cases {
         let log = Memory::default();
         log.faults(faults);
         let deadline = Instant::now() + Duration::from_millis(300);
-        let error = usual(&log)
+        let error = default_appender(&log)
             .append(STREAM, "mine".into(), deadline)
             .await
             .unwrap_err();
         assert_eq!(
             matches!(error, Error::Lost { .. }),
-            doubtful,
+            maybe_appended,
             "{what}: {error}"
         );
-        if !doubtful {
+        if !maybe_appended {
             assert!(log.records(STREAM).is_empty(), "{what}");
         }
     }
 }
 
-/// One append hangs, a second record waits behind it until its caller's time is up. The caller
-/// hears "refused", so the record must not be sent when the first append comes free.
+/// One append hangs, and a second record waits behind it until its deadline. Its caller gets a
+/// refusal, so the record must not be sent once the first append ends.
 #[tokio::test]
 async fn record_refused_in_the_queue_is_never_sent() {
     let log = Memory::default();
-    let free = Arc::new(AtomicBool::new(false));
-    log.faults([Fault::Hold(Arc::clone(&free))]);
-    let appender = usual(&log);
+    let released = Arc::new(AtomicBool::new(false));
+    log.faults([Fault::Hold(Arc::clone(&released))]);
+    let appender = default_appender(&log);
     let first = {
         let appender = appender.clone();
         tokio::spawn(async move { appender.append(STREAM, "first".into(), bound()).await })
     };
-    begun(&log).await;
+    append_in_flight(&log).await;
     let second = appender
         .append(STREAM, "second".into(), Instant::now() + SOON)
         .await;
     assert!(matches!(second, Err(Error::Refused { .. })), "{second:?}");
-    free.store(true, Ordering::SeqCst);
+    released.store(true, Ordering::SeqCst);
     first.await.unwrap().unwrap();
     appender
         .append(STREAM, "third".into(), bound())
@@ -183,8 +183,8 @@
 #[tokio::test]
 async fn memory_of_what_waits_is_bounded() {
     let log = Memory::default();
-    let free = Arc::new(AtomicBool::new(false));
-    log.faults([Fault::Hold(Arc::clone(&free))]);
+    let released = Arc::new(AtomicBool::new(false));
+    log.faults([Fault::Hold(Arc::clone(&released))]);
     let settings = Settings {
         max_memory: 64,
         ..Settings::default()
@@ -194,10 +194,10 @@
         let appender = appender.clone();
         tokio::spawn(async move { appender.append(STREAM, "x".repeat(60), bound()).await })
     };
-    begun(&log).await;
+    append_in_flight(&log).await;
     let more = appender.append(STREAM, "x".repeat(10), bound()).await;
     assert!(matches!(more, Err(Error::Refused { .. })), "{more:?}");
-    free.store(true, Ordering::SeqCst);
+    released.store(true, Ordering::SeqCst);
     large.await.unwrap().unwrap();
     appender
         .append(STREAM, "x".repeat(10), bound())
@@ -208,8 +208,8 @@
 #[tokio::test]
 async fn full_queue_refuses_at_once() {
     let log = Memory::default();
-    let free = Arc::new(AtomicBool::new(false));
-    log.faults([Fault::Hold(Arc::clone(&free))]);
+    let released = Arc::new(AtomicBool::new(false));
+    log.faults([Fault::Hold(Arc::clone(&released))]);
     let settings = Settings {
         queue_capacity: 4,
         max_records: 1,
@@ -221,28 +221,28 @@
         tokio::spawn(async move { appender.append(STREAM, n.to_string(), bound()).await })
     };
     let mut waiting = vec![spawn(0)];
-    begun(&log).await;
+    append_in_flight(&log).await;
     waiting.extend((1..20).map(spawn));
     eventually("refusals while the queue is full", async || {
         let refused = waiting.iter().filter(|task| task.is_finished()).count();
         (refused == 15).then_some(())
     })
     .await;
-    free.store(true, Ordering::SeqCst);
+    released.store(true, Ordering::SeqCst);
     let results = join_all(waiting).await;
-    let taken = results.iter().filter(|r| matches!(r, Ok(Ok(_)))).count();
-    assert_eq!(taken, 5, "one on its way and four in the queue");
+    let appended = results.iter().filter(|r| matches!(r, Ok(Ok(_)))).count();
+    assert_eq!(appended, 5, "one in flight and four in the queue");
     assert_eq!(log.records(STREAM).len(), 5);
 }
 
-/// The log is in an outage that it announces for longer than a caller waits. The first caller finds
-/// out; those after it are refused at once, not when their time is up, and nothing is sent.
+/// The log announces an outage that lasts beyond a caller's deadline. The first append is sent and
+/// refused. Later ones are refused at once instead of at their deadline, and nothing is sent.
 #[tokio::test]
 async fn announced_outage_refuses_at_once() {
     let log = Memory::default();
     let outage = Duration::from_mins(1);
     log.outage(Some(outage));
-    let appender = usual(&log);
+    let appender = default_appender(&log);
     let deadline = Instant::now() + Duration::from_secs(30);
     let first = appender.append(STREAM, "first".into(), deadline).await;
     assert!(matches!(first, Err(Error::Refused { .. })), "{first:?}");
@@ -256,10 +256,10 @@
 }
 
 #[tokio::test]
-async fn outage_of_one_moment_is_waited_out() {
+async fn short_outage_is_waited_out() {
     let log = Memory::default();
     log.faults([Fault::Refuse(SOON), Fault::Refuse(SOON)]);
-    let appender = usual(&log);
+    let appender = default_appender(&log);
     let both = [
         appender.append(STREAM, "a".into(), bound()),
         appender.append(STREAM, "b".into(), bound()),
@@ -269,7 +269,7 @@
 }
 
 #[tokio::test]
-async fn shutdown_answers_what_waits() {
+async fn shutdown_fails_pending_appends() {
     let log = Memory::default();
     let token = CancellationToken::new();
     let held = Fault::Hold(Arc::new(AtomicBool::new(false)));
@@ -279,7 +279,7 @@
         let appender = appender.clone();
         tokio::spawn(async move { appender.append(STREAM, "first".into(), bound()).await })
     };
-    begun(&log).await;
+    append_in_flight(&log).await;
     token.cancel();
     let first = first.await.unwrap();
     assert!(matches!(first, Err(Error::Lost { .. })), "{first:?}");
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn settings_of_nothing_are_found() {
+fn zero_settings_are_rejected() {
     let zero = |change: fn(&mut Settings)| {
         let mut settings = Settings::default();
         change(&mut settings);
--- a/crates/coordination/tests/forward.rs
+++ b/crates/coordination/tests/forward.rs
@@ -1,4 +1,4 @@
-//! Appends through the zone's appender: fewer appends, and no record lost when it fails.
+//! Appends through the zone's appender: fewer appends, and no lost record if it fails.
 
 mod support;
 
@@ -65,7 +65,7 @@
     };
     let config = appender::Config::try_from(settings).unwrap();
     let direct = Appender::start(log.clone(), config, token.clone());
-    // Shorter than that of the peers' calls, so that they hear what became of the append.
+    // Shorter than the timeout of peers' calls, so that they get the result of the append.
     let forward = Forwarder::new(log.clone(), direct, mesh.clone(), TIMEOUT / 2);
     listener.serve(Serve(forward.clone()));
     let appender = Appender::start(forward.clone(), config, token.clone());
@@ -77,19 +77,19 @@
     }
 }
 
-async fn zone(log: &Memory) -> Vec<Node> {
+async fn start_zone(log: &Memory) -> Vec<Node> {
     let mut nodes = Vec::new();
     for name in ["a", "b", "c", "d"] {
         nodes.push(start(name, &nodes, log).await);
     }
     for node in &nodes {
         let all = async || (node.mesh.peers().len() == 3).then_some(());
-        eventually("all nodes of the zone", all).await;
+        eventually("all nodes of the zone as peers", all).await;
     }
     nodes
 }
 
-fn split(nodes: &[Node]) -> (&Node, Vec<&Node>) {
+fn appender_and_others(nodes: &[Node]) -> (&Node, Vec<&Node>) {
     let chosen = nodes[0].mesh.chosen(Duty::Appender);
     let (one, others): (Vec<&Node>, Vec<&Node>) =
         nodes.iter().partition(|n| *n.mesh.node() == chosen);
@@ -106,46 +106,46 @@
     }
 }
 
-fn count(log: &Memory, nodes: &[&Node], tag: &str) -> usize {
+fn count_appended(log: &Memory, nodes: &[&Node], tag: &str) -> usize {
     let records = log.records(STREAM);
-    let wanted = |node: &&&Node| records.contains(&format!("{tag}-{}", node.mesh.node()));
-    nodes.iter().filter(wanted).count()
+    let appended = |node: &&&Node| records.contains(&format!("{tag}-{}", node.mesh.node()));
+    nodes.iter().filter(appended).count()
 }
 
 #[tokio::test]
 async fn records_of_a_zone_share_appends() {
     let log = Memory::default();
-    let nodes = zone(&log).await;
+    let nodes = start_zone(&log).await;
     let all: Vec<&Node> = nodes.iter().collect();
     for round in 0..10 {
         append_from_all(&all, &round.to_string()).await;
-        assert_eq!(count(&log, &all, &round.to_string()), 4);
+        assert_eq!(count_appended(&log, &all, &round.to_string()), 4);
     }
     let appends = log.appends(STREAM);
     assert_eq!(appends.iter().sum::<usize>(), 40);
-    // Four nodes for themselves would need four a round.
+    // Without sharing, four nodes would need four appends in each round.
     assert!(appends.len() <= 30, "{appends:?}");
 }
 
-/// The zone's appender dies with records of others in hand. Their appends go another way before
-/// their deadline; a record may stand twice, none is missing.
+/// The zone's appender fails, and the other nodes append records. The records reach the log by
+/// another way before their deadline; none is missing, and one may be on the log twice.
 #[tokio::test]
-async fn death_of_the_appender_loses_no_record() {
+async fn failure_of_the_appender_loses_no_record() {
     let log = Memory::default();
-    let nodes = zone(&log).await;
-    let (chosen, others) = split(&nodes);
+    let nodes = start_zone(&log).await;
+    let (chosen, others) = appender_and_others(&nodes);
     chosen.token.cancel();
     append_from_all(&others, "after").await;
-    assert_eq!(count(&log, &others, "after"), 3);
+    assert_eq!(count_appended(&log, &others, "after"), 3);
 }
 
-/// The log refuses the zone's appender. The peer that handed it a record hears a refusal as well, so
-/// that its caller may be told at once that the call was not run.
+/// The log refuses an append of the zone's appender. The peer that forwarded the record gets a
+/// refusal as well, so that its caller can be told at once that the call was not run.
 #[tokio::test]
 async fn refusal_of_the_log_reaches_the_peer() {
     let log = Memory::default();
-    let nodes = zone(&log).await;
-    let (_, others) = split(&nodes);
+    let nodes = start_zone(&log).await;
+    let (_, others) = appender_and_others(&nodes);
     let forward = &others[0].forward;
 
     log.faults([Fault::Refuse(Duration::from_hours(1))]);
@@ -154,13 +154,13 @@
     assert!(log.records(STREAM).is_empty());
 }
 
-/// The log answers nothing to the appender. A peer that handed it a record hears doubt, and not a
-/// refusal: the record may be on the log, and here it is.
+/// The log's responses to the appender are lost. The peer that forwarded a record gets "lost" and
+/// not a refusal: the record may be on the log, and in this test it is.
 #[tokio::test]
-async fn lost_answer_at_the_log_is_doubt_for_the_peer() {
+async fn lost_response_at_the_log_is_lost_for_the_peer() {
     let log = Memory::default();
-    let nodes = zone(&log).await;
-    let (_, others) = split(&nodes);
+    let nodes = start_zone(&log).await;
+    let (_, others) = appender_and_others(&nodes);
     let faults = std::iter::repeat_n(Fault::LoseAfter, 100);
     log.faults(faults);
     let deadline = Instant::now() + 2 * TIMEOUT;
--- a/crates/coordination/tests/kept/bills.rs
+++ b/crates/coordination/tests/kept/bills.rs
@@ -1,4 +1,4 @@
-//! Bills are held twice before the last byte, and counted once.
+//! Bills have two holders before the last byte is sent, and are counted once.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -27,7 +27,7 @@
 use crate::faulty::Fault;
 use crate::faulty::Memory;
 
-/// Entry VMs in one process: each outbox can reach those that are not cut off.
+/// Entry VMs in one process. Each outbox can reach those that were not removed.
 #[derive(Clone)]
 struct Neighbours {
     own: id::Node,
@@ -48,7 +48,7 @@
         found.map(|(_, outbox)| outbox.clone())
     }
 
-    fn cut(&self, node: &id::Node) {
+    fn remove(&self, node: &id::Node) {
         let mut all = self.all.lock().expect("not poisoned");
         all.retain(|(name, _)| name != node);
     }
@@ -121,12 +121,12 @@
     Instant::now() + Duration::from_secs(10)
 }
 
-async fn hold(outbox: &Outbox, number: u128) -> Result<(), NotReplicated> {
-    let slot = outbox.reserve().expect("room");
+async fn store(outbox: &Outbox, number: u128) -> Result<(), NotReplicated> {
+    let slot = outbox.reserve().expect("capacity");
     slot.replicate(&bill(number), soon()).await
 }
 
-/// What the ledger reader makes of the usage stream: bills that count, and all records.
+/// The number of bills that count on the usage stream, and the number of its records.
 fn billed(log: &Memory) -> (u64, usize) {
     let mut fold = usage::Fold::default();
     let records = log.records(Stream::Usage);
@@ -137,62 +137,63 @@
     (bills, records.len())
 }
 
-async fn until(mut holds: impl FnMut() -> bool) {
+async fn until(mut condition: impl FnMut() -> bool) {
     let deadline = soon();
-    while !holds() {
+    while !condition() {
         assert!(Instant::now() < deadline, "not reached in time");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// The log is out when an answer ends, and the VM that served it is lost right after the last
-/// byte. Its peer holds the bill and appends it when the log is back: billed, and once.
+/// The log is unavailable when a response ends, and the VM that served it is lost right after the
+/// last byte. Its peer holds a copy of the bill and appends it when the log is back. The bill
+/// counts once.
 #[tokio::test(start_paused = true)]
 async fn a_lost_vms_bill_is_appended_by_its_peer() {
     let log = Memory::new();
     let all = Neighbours::new();
-    let dies = CancellationToken::new();
+    let lost_token = CancellationToken::new();
     let token = CancellationToken::new();
-    let one = start("node-1", &log, &all, &dies);
+    let one = start("node-1", &log, &all, &lost_token);
     let two = start("node-2", &log, &all, &token);
     log.fail_appends(Fault::Refuse);
-    hold(&one, 1).await.expect("the peer holds it");
+    store(&one, 1).await.expect("the peer holds it");
     assert_eq!(two.copies(), 1);
-    dies.cancel();
-    all.cut(&node("node-1"));
+    lost_token.cancel();
+    all.remove(&node("node-1"));
     log.fail_appends(Fault::None);
     until(|| billed(&log).0 == 1).await;
     until(|| two.copies() == 0).await;
     token.cancel();
 }
 
-/// The same, and the loss is seen: the peer appends the bill long before copies of living writers are
-/// due, since it is now the last holder.
+/// As above, but the peer notices the loss. As the last holder it appends the bill long before the
+/// copies of live writers are due.
 #[tokio::test(start_paused = true)]
 async fn a_dead_writers_copy_is_appended_at_once() {
     let log = Memory::new();
     let all = Neighbours::new();
-    let dies = CancellationToken::new();
+    let lost_token = CancellationToken::new();
     let token = CancellationToken::new();
-    let one = start("node-1", &log, &all, &dies);
+    let one = start("node-1", &log, &all, &lost_token);
     let two = start("node-2", &log, &all, &token);
     log.fail_appends(Fault::Refuse);
-    hold(&one, 1).await.expect("the peer holds it");
-    dies.cancel();
-    all.cut(&node("node-1"));
+    store(&one, 1).await.expect("the peer holds it");
+    lost_token.cancel();
+    all.remove(&node("node-1"));
     log.fail_appends(Fault::None);
     let began = Instant::now();
     until(|| billed(&log).0 == 1).await;
     assert!(
         began.elapsed() < config().max_copy_age,
-        "waited for the usual time"
+        "waited until the copy reached its maximum age"
     );
     assert_eq!(two.copies(), 0);
     token.cancel();
 }
 
-/// The log takes bills and loses its answers for a while, so that each is appended again and again
-/// by both holders. The customer pays for each request once.
+/// Appends take effect and their responses are lost for a while, so that both holders append each
+/// bill repeatedly. Each request is billed once.
 #[tokio::test(start_paused = true)]
 async fn lost_answers_bill_once() {
     let log = Memory::new();
@@ -202,7 +203,7 @@
     let two = start("node-2", &log, &all, &token);
     log.fail_appends(Fault::LoseAnswer);
     for number in 0..20 {
-        hold(&one, number).await.expect("the peer holds it");
+        store(&one, number).await.expect("the peer holds it");
     }
     until(|| billed(&log).1 > 40).await;
     log.fail_appends(Fault::None);
@@ -211,46 +212,46 @@
     token.cancel();
 }
 
-/// A VM alone in all reach still answers: the log itself holds the bill before the last byte.
+/// A VM without any reachable peer still serves: the log holds the bill before the last byte.
 #[tokio::test(start_paused = true)]
 async fn without_a_peer_the_log_holds_the_bill() {
     let log = Memory::new();
     let all = Neighbours::new();
     let token = CancellationToken::new();
     let one = start("node-1", &log, &all, &token);
-    hold(&one, 1).await.expect("the log holds it");
+    store(&one, 1).await.expect("the log holds it");
     assert_eq!(billed(&log).0, 1);
     token.cancel();
 }
 
-/// Bills that first found no second holder are tried again behind newer ones, and all reach the log at
-/// last. Each gives its room back: a leak would one day refuse every request.
+/// Bills that found no second holder are retried after newer ones, and all reach the log. Each
+/// releases its capacity: a leak would in the end refuse every request.
 #[tokio::test(start_paused = true)]
-async fn bills_tried_again_give_their_room_back() {
+async fn retried_bills_release_their_capacity() {
     let log = Memory::new();
     let all = Neighbours::new();
     let token = CancellationToken::new();
     let one = start("node-1", &log, &all, &token);
     log.fail_appends(Fault::Refuse);
-    let holds = (0..60_u32).map(|number| {
+    let stores = (0..60_u32).map(|number| {
         let one = one.clone();
         async move {
             tokio::time::sleep(Duration::from_millis(20) * number).await;
-            hold(&one, u128::from(number)).await
+            store(&one, u128::from(number)).await
         }
     });
     let heal = async {
         tokio::time::sleep(Duration::from_millis(1_100)).await;
         log.fail_appends(Fault::None);
     };
-    let (holds, ()) = tokio::join!(futures::future::join_all(holds), heal);
-    assert!(holds.iter().all(Result::is_ok), "{holds:?}");
+    let (stored, ()) = tokio::join!(futures::future::join_all(stores), heal);
+    assert!(stored.iter().all(Result::is_ok), "{stored:?}");
     assert_eq!((one.waiting(), billed(&log).0), (0, 60));
     token.cancel();
 }
 
-/// Neither a peer nor the log can be reached. The bill has one holder and the caller doesn't get
-/// the last byte; nothing is billed for what was not delivered whole.
+/// Neither a peer nor the log can be reached. The bill has one holder, so the caller doesn't get
+/// the last byte, and an incomplete response is not billed.
 #[tokio::test(start_paused = true)]
 async fn alone_and_cut_off_nothing_is_billed() {
     let log = Memory::new();
@@ -258,37 +259,37 @@
     let token = CancellationToken::new();
     let one = start("node-1", &log, &all, &token);
     log.fail_appends(Fault::Refuse);
-    let slot = one.reserve().expect("room");
+    let slot = one.reserve().expect("capacity");
     let deadline = Instant::now() + Duration::from_millis(300);
     assert_eq!(slot.replicate(&bill(1), deadline).await, Err(NotReplicated));
     assert_eq!(one.waiting(), 0);
     log.fail_appends(Fault::None);
-    hold(&one, 2).await.expect("the log holds it");
+    store(&one, 2).await.expect("the log holds it");
     assert_eq!(billed(&log).0, 1);
     token.cancel();
 }
 
-/// The log is out for long, and the peer that held the copies is lost. Another peer gets them, so
-/// that the next loss takes no bill along.
+/// During a long outage of the log, the peer that held the copies is lost. Another peer gets new
+/// copies, so that the loss of one more VM loses no bill.
 #[tokio::test(start_paused = true)]
 async fn copies_of_a_lost_peer_are_made_anew() {
     let log = Memory::new();
     let all = Neighbours::new();
-    let dies = CancellationToken::new();
+    let lost_token = CancellationToken::new();
     let token = CancellationToken::new();
     let one = start("node-1", &log, &all, &token);
-    let _two = start("node-2", &log, &all, &dies);
+    let _two = start("node-2", &log, &all, &lost_token);
     log.fail_appends(Fault::Refuse);
-    hold(&one, 1).await.expect("the peer holds it");
-    dies.cancel();
-    all.cut(&node("node-2"));
+    store(&one, 1).await.expect("the peer holds it");
+    lost_token.cancel();
+    all.remove(&node("node-2"));
     let three = start("node-3", &log, &all, &token);
     until(|| three.copies() == 1).await;
     token.cancel();
 }
 
-/// The log is out for so long that the outbox is full. Further requests are refused before they
-/// are sent anywhere, and are taken again once bills have gone to the log.
+/// During a long outage of the log the outbox fills up. Further requests are refused before they
+/// are dispatched, and accepted again once bills are on the log.
 #[tokio::test(start_paused = true)]
 async fn a_full_outbox_refuses_before_dispatch() {
     let log = Memory::new();
@@ -298,7 +299,7 @@
     let _two = start("node-2", &log, &all, &token);
     log.fail_appends(Fault::Refuse);
     for number in 0..100 {
-        hold(&one, number).await.expect("the peer holds it");
+        store(&one, number).await.expect("the peer holds it");
     }
     assert_eq!(one.reserve().expect_err("full"), Full);
     log.fail_appends(Fault::None);
@@ -307,7 +308,8 @@
     token.cancel();
 }
 
-/// Each VM of a zone begins with another one. Otherwise one VM would hold the copies of the whole zone.
+/// Each VM of a zone asks a different peer first. Otherwise one VM would hold the copies of the
+/// whole zone.
 #[test]
 fn copies_are_spread_over_the_zone() {
     let nodes: Vec<id::Node> = (0..50).map(|n| node(&format!("node-{n}"))).collect();
@@ -321,7 +323,7 @@
     assert_eq!(holders.len(), nodes.len());
 }
 
-/// A VM shuts down. All its bills, and the copies it keeps for others, are on the log before its
+/// A VM shuts down. All its bills, and the copies it holds for others, are on the log before its
 /// process ends.
 #[tokio::test(start_paused = true)]
 async fn a_shutdown_leaves_nothing_behind() {
@@ -332,7 +334,7 @@
     let two = start("node-2", &log, &all, &token);
     log.fail_appends(Fault::Refuse);
     for number in 0..10 {
-        hold(&one, number).await.expect("the peer holds it");
+        store(&one, number).await.expect("the peer holds it");
     }
     log.fail_appends(Fault::None);
     assert_eq!(one.flush(soon()).await, 0);
--- a/crates/coordination/tests/kept/claims.rs
+++ b/crates/coordination/tests/kept/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on calls that may not be repeated.
+//! Claims on calls that must not be repeated.
 
 use std::time::Duration;
 
@@ -61,8 +61,8 @@
     }
 }
 
-/// The caller sends one order to two entry VMs at once, as after a broken connection. Both claim;
-/// exactly one may dispatch, and the other learns whose it is.
+/// The caller sends one order to two entry VMs at once, as after a broken connection. Both claim
+/// it, and exactly one may dispatch.
 #[tokio::test(start_paused = true)]
 async fn one_of_two_claimers_owns() {
     let log = Memory::new();
@@ -83,8 +83,8 @@
     token.cancel();
 }
 
-/// The log takes the claim, and its answer is lost. The claimer finds itself by reading and serves
-/// the caller.
+/// The claim is appended and the log's response is lost. The claimer finds its claim by reading,
+/// and owns the request.
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_is_read_back() {
     let log = Memory::new();
@@ -96,9 +96,8 @@
     token.cancel();
 }
 
-/// An earlier claim of another node stands in the log, unread here, when ours is appended. The log
-/// answers our append with success all the same; taking that for ownership would run the order
-/// twice.
+/// Another node's earlier claim is on the log and has not been read here when this node appends its
+/// own. The append succeeds all the same; treating that as ownership would run the order twice.
 #[tokio::test(start_paused = true)]
 async fn an_append_is_not_ownership() {
     let log = Memory::new();
@@ -131,9 +130,9 @@
     token.cancel();
 }
 
-/// The log is out. The caller hears so at once, with when to come back, and nothing was run. When
-/// the log is back, the same request id is served: the claim given up does not stand in its way,
-/// though its record reached the log.
+/// The log is unavailable. The caller gets an error with a retry delay, and nothing was run. When
+/// the log is back, the same request id can be claimed: the abandoned claim is released, although
+/// its record reached the log.
 #[tokio::test(start_paused = true)]
 async fn an_outage_refuses_and_heals() {
     let log = Memory::new();
@@ -141,7 +140,7 @@
     let claimer = claimer(&log, "node-1", &token);
     ready(&claimer).await;
     let order = order();
-    // The claim is taken, and neither its answer nor its reading comes through in time.
+    // The claim reaches the log, but neither the response nor a read arrives in time.
     log.fail_appends(Fault::LoseAnswer);
     log.fail_reads(Fault::Hang);
     let refused = claim(&claimer, &log, order).await;
@@ -173,8 +172,8 @@
     }
 }
 
-/// The caller goes away while its claim is on the way, so that the claiming task ends there. The claim
-/// reaches the log; it is released, and the caller's next try is served.
+/// The caller disconnects while its claim is in flight, so that the claiming task is dropped. The
+/// claim reaches the log. It is released, and the caller's next attempt owns the request.
 #[tokio::test(start_paused = true)]
 async fn a_claim_dropped_on_the_way_is_released() {
     let log = Memory::new();
@@ -183,10 +182,10 @@
     ready(&claimer).await;
     let order = order();
     log.fail_reads(Fault::Hang);
-    let gone = claim(&claimer, &log, order);
-    let left = tokio::time::timeout(Duration::from_millis(100), gone).await;
+    let abandoned = claim(&claimer, &log, order);
+    let outcome = tokio::time::timeout(Duration::from_millis(100), abandoned).await;
     assert!(
-        left.is_err(),
+        outcome.is_err(),
         "the claim was decided before the caller left"
     );
     log.fail_reads(Fault::None);
@@ -203,8 +202,8 @@
     token.cancel();
 }
 
-/// The log has not answered for longer than the bound. Calls are refused without waiting for it,
-/// and no claim is written that could reach the log later.
+/// The log has not responded for longer than the configured bound. Calls are refused without
+/// waiting for it, and no claim is appended that could reach the log later.
 #[tokio::test(start_paused = true)]
 async fn a_known_outage_is_refused_at_once() {
     let log = Memory::new();
@@ -232,17 +231,17 @@
     token.cancel();
 }
 
-/// The first claimer's VM is gone after its claim. Another caller's try of the same order hears
-/// whose it was and must not run: nobody knows whether the endpoint got it.
+/// The first claimer's VM is lost after its claim. Another attempt at the same order gets the
+/// earlier owner and must not run: it is unknown whether the endpoint received the order.
 #[tokio::test(start_paused = true)]
 async fn a_dead_claimers_order_stays_claimed() {
     let log = Memory::new();
-    let dead = CancellationToken::new();
-    let one = claimer(&log, "node-1", &dead);
+    let lost_token = CancellationToken::new();
+    let one = claimer(&log, "node-1", &lost_token);
     ready(&one).await;
     let order = order();
     let ticket = owned(claim(&one, &log, order).await);
-    dead.cancel();
+    lost_token.cancel();
     let token = CancellationToken::new();
     let two = claimer(&log, "node-2", &token);
     ready(&two).await;
@@ -256,8 +255,8 @@
     token.cancel();
 }
 
-/// An endpoint refuses the order without starting it, and the claimer says so. The caller's next
-/// try, at another VM, runs.
+/// An endpoint refuses the order without starting it, and the claimer records that. The caller's
+/// next attempt, at another VM, owns the request.
 #[tokio::test(start_paused = true)]
 async fn a_call_that_did_not_run_is_free_again() {
     let log = Memory::new();
@@ -279,8 +278,8 @@
     token.cancel();
 }
 
-/// The claimer's process is paused between claim and dispatch until its caller's deadline is over.
-/// It finds its ticket void and does not dispatch.
+/// The claimer's process is paused between claim and dispatch until after the caller's deadline.
+/// Its ticket is no longer valid, so it does not dispatch.
 #[tokio::test(start_paused = true)]
 async fn a_paused_claimer_does_not_dispatch() {
     let log = Memory::new();
@@ -294,7 +293,8 @@
     token.cancel();
 }
 
-/// Ids whose age can't be read or does not allow a claim are refused before anything is written.
+/// Request ids whose age is unreadable or does not allow a claim are refused before anything is
+/// appended.
 #[tokio::test(start_paused = true)]
 async fn the_age_of_an_id_is_checked_first() {
     let log = Memory::new();
--- a/crates/coordination/tests/kept/faulty.rs
+++ b/crates/coordination/tests/kept/faulty.rs
@@ -1,4 +1,4 @@
-//! The log in memory with faults that last until they are lifted, apart for appends and reads.
+//! An in-memory log with persistent faults, which are set separately for appends and reads.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -13,24 +13,24 @@
 
 use crate::support::memory;
 
-/// What the log does with calls until further notice.
+/// How the log handles calls until the fault is changed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It works.
+    /// Calls work.
     #[default]
     None,
-    /// It says no at once.
+    /// Calls are refused at once.
     Refuse,
-    /// It carries appends out and never answers that it did.
+    /// Appends take effect, and their responses are lost.
     LoseAnswer,
-    /// It neither carries calls out nor answers.
+    /// Calls have no effect and get no response.
     Hang,
 }
 
-/// How long a call that is not answered takes to fail.
+/// The time until a call without a response fails.
 const HANG: Duration = Duration::from_millis(20);
 
-/// A log in memory. Clones are one log.
+/// An in-memory log. Clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Memory {
     inner: memory::Memory,
@@ -39,7 +39,6 @@
 }
 
 impl Memory {
-    /// An empty log.
     pub fn new() -> Self {
         Self::default()
     }
@@ -49,7 +48,7 @@
         *self.appends.lock().unwrap() = fault;
     }
 
-    /// Sets the fault of reads, also of those under way.
+    /// Sets the fault of reads, including those in flight.
     pub fn fail_reads(&self, fault: Fault) {
         *self.reads.lock().unwrap() = fault;
         self.inner.cut(fault != Fault::None);
@@ -65,7 +64,7 @@
         self.inner.records(stream)
     }
 
-    /// Appends a record past all faults, as another node would.
+    /// Appends a record regardless of faults, as if from another node.
     pub fn put(&self, stream: Stream, record: String) -> Offset {
         self.inner.put(stream, [record])
     }
@@ -105,6 +104,6 @@
 }
 
 fn lost() -> Error {
-    let reason = "no answer".into();
+    let reason = "no response".into();
     Error::Lost { reason }
 }
--- a/crates/coordination/tests/kept/grants.rs
+++ b/crates/coordination/tests/kept/grants.rs
@@ -1,4 +1,4 @@
-//! Spend stays within the limit, whoever is cut off.
+//! Spend stays within the limit when nodes cannot reach the log.
 
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Spends call by call until the wallet refuses; gives what was spent and why it ended.
+/// Spends call by call until the wallet refuses; returns the amount spent and the error.
 async fn spend_all(wallet: &Wallet, contract: &Contract) -> (Money, Error) {
     let mut spent = Money::ZERO;
     loop {
@@ -76,8 +76,8 @@
     }
 }
 
-/// Six nodes spend one customer's limit as fast as they can. Together they spend all of it that
-/// buys a call, and not a millionth more.
+/// Six nodes spend one customer's limit as fast as they can. Together they spend most of it, and
+/// never more.
 #[tokio::test(start_paused = true)]
 async fn six_nodes_never_pass_the_limit() {
     let log = Memory::new();
@@ -87,13 +87,13 @@
         .map(|number| wallet(&log, &format!("node-{number}"), &token))
         .collect();
     let runs = wallets.iter().map(|wallet| spend_all(wallet, &contract));
-    let ends = futures::future::join_all(runs).await;
-    let spent: Money = ends.iter().map(|(spent, _)| *spent).sum();
+    let results = futures::future::join_all(runs).await;
+    let spent: Money = results.iter().map(|(spent, _)| *spent).sum();
     assert!(spent <= LIMIT, "{spent}");
-    for (_, error) in &ends {
+    for (_, error) in &results {
         assert!(matches!(error, Error::Exhausted { .. }), "{error}");
     }
-    // What other nodes were granted and had no call for is stranded until the period ends.
+    // The part that was granted to nodes without further calls is stranded until the period ends.
     assert!(
         spent >= LIMIT.scale(9, 10),
         "only {spent} of {LIMIT} was spent"
@@ -101,8 +101,8 @@
     token.cancel();
 }
 
-/// A node is cut off from the log. It spends what it was granted and then says that the log is
-/// out; the others go on, and the limit holds over all of them.
+/// A node cannot append to the log. It spends its grants and then reports that the log is
+/// unavailable. Another node spends the rest, and both together stay within the limit.
 #[tokio::test(start_paused = true)]
 async fn a_cut_off_node_spends_its_grants_only() {
     let log = Memory::new();
@@ -124,8 +124,8 @@
     token.cancel();
 }
 
-/// The log takes a grant and its answer is lost. The node finds the grant by reading and spends
-/// it; asking again does not double it.
+/// The log appends a grant and its response is lost. The node finds the grant by reading and spends
+/// it. The retried append does not double it.
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_neither_loses_nor_doubles_a_grant() {
     let log = Memory::new();
@@ -139,24 +139,24 @@
     token.cancel();
 }
 
-/// A node's VM is replaced under its old name. The new one has no right to what its predecessor was
-/// granted, since part of that is spent.
+/// A VM is replaced under its old name. The new incarnation must not use the grants of its
+/// predecessor, part of which are spent.
 #[tokio::test(start_paused = true)]
 async fn a_second_life_does_not_inherit_grants() {
     let log = Memory::new();
-    let dies = CancellationToken::new();
+    let first_token = CancellationToken::new();
     let token = CancellationToken::new();
     let contract = contract();
-    let first = wallet(&log, "node-1", &dies);
+    let first = wallet(&log, "node-1", &first_token);
     let (spent, _) = spend_all(&first, &contract).await;
-    dies.cancel();
+    first_token.cancel();
     let second = wallet(&log, "node-1", &token);
     let (more, _) = spend_all(&second, &contract).await;
     assert!(spent + more <= LIMIT, "{spent} and {more}");
     token.cancel();
 }
 
-/// A node shuts down and gives back what it has not spent. Another one spends it.
+/// A node shuts down and returns what it has not spent. Another node spends it.
 #[tokio::test(start_paused = true)]
 async fn a_shutdown_returns_what_is_left() {
     let log = Memory::new();
@@ -174,11 +174,11 @@
     token.cancel();
 }
 
-/// Other wallets, reached without a network; answers may be lost after the effect.
+/// Other wallets, called without a network. Responses can be lost after the loan took effect.
 #[derive(Clone, Default)]
 struct Neighbours {
     wallets: Vec<Wallet>,
-    lose: bool,
+    lose_responses: bool,
 }
 
 impl Lenders for Neighbours {
@@ -196,11 +196,15 @@
     ) -> Money {
         let lender = self.wallets.iter().find(|wallet| wallet.holder() == peer);
         let lent = lender.map_or(Money::ZERO, |w| w.lend(customer, period, amount));
-        if self.lose { Money::ZERO } else { lent }
+        if self.lose_responses {
+            Money::ZERO
+        } else {
+            lent
+        }
     }
 }
 
-/// Spends until neither the log nor any peer gives more.
+/// Spends until neither the log nor a peer provides more.
 async fn spend_borrowed(wallet: &Wallet, contract: &Contract, peers: &Neighbours) -> Money {
     let mut spent = Money::ZERO;
     loop {
@@ -216,8 +220,8 @@
     }
 }
 
-/// A VM starts while the log is out. It has no grants of its own and serves out of what its peer
-/// lends; when the log is back both spend on, and together never more than the limit.
+/// A VM starts while the log is unavailable. It has no grants of its own and spends what its peer
+/// lends. When the log is back both continue, and together they stay within the limit.
 #[tokio::test(start_paused = true)]
 async fn a_new_node_borrows_while_the_log_is_out() {
     let log = Memory::new();
@@ -233,7 +237,7 @@
     let two = wallet(&log, "node-2", &token);
     let peers = Neighbours {
         wallets: vec![one.clone()],
-        lose: false,
+        lose_responses: false,
     };
     let borrowed = spend_borrowed(&two, &contract, &peers).await;
     assert!(borrowed >= CALL.scale(10, 1), "only {borrowed} was served");
@@ -252,7 +256,7 @@
     token.cancel();
 }
 
-/// A peer lends and its answer is lost. The part is wasted until the period ends; it is not spent
+/// The response to a loan is lost. The amount is wasted until the period ends, and is not spent
 /// twice.
 #[tokio::test(start_paused = true)]
 async fn a_lost_loan_is_not_spent_twice() {
@@ -267,13 +271,13 @@
     log.fail_appends(Fault::Refuse);
     let peers = Neighbours {
         wallets: vec![one.clone()],
-        lose: true,
+        lose_responses: true,
     };
     spent += spend_borrowed(&two, &contract, &peers).await;
     assert_eq!(spent, CALL, "nothing was borrowed");
     log.fail_appends(Fault::None);
     spent += spend_all(&one, &contract).await.0;
     spent += spend_all(&two, &contract).await.0;
-    assert!(spent < LIMIT, "the lost part is wasted");
+    assert!(spent < LIMIT, "the lost loan is wasted");
     token.cancel();
 }
--- a/crates/coordination/tests/kept/lease.rs
+++ b/crates/coordination/tests/kept/lease.rs
@@ -1,4 +1,4 @@
-//! One holder at a time, also when it was paused.
+//! A lease has one holder at a time.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     "orders:pimento-llm:kig-remera".parse().expect("a name")
 }
 
-/// A node's lease; `stops` ends the lease alone, since giving it up needs the log.
+/// A node's lease. `stops` ends only the lease, since its release needs the log.
 fn lease(log: &Memory, node: &str, token: &CancellationToken, stops: &CancellationToken) -> Lease {
     let config = Config {
         span: Span::from(SPAN),
@@ -49,8 +49,8 @@
     }
 }
 
-/// Two nodes want one lease. One gets it and keeps it under one number over many renewals; the
-/// other never holds it at the same time.
+/// Two nodes try to acquire one lease. One holds it under the same fencing number over many
+/// renewals; the other never holds it at the same time.
 #[tokio::test(start_paused = true)]
 async fn one_of_two_holds() {
     let log = Memory::new();
@@ -67,8 +67,8 @@
     token.cancel();
 }
 
-/// The log goes out while a node holds the lease. Its renewals fail, and it stops before the end
-/// without being told; when the log is back somebody holds it under a higher number.
+/// The log fails while a node holds the lease. Its renewals fail, and it stops by its own clock.
+/// When the log is back, the lease is acquired under a higher fencing number.
 #[tokio::test(start_paused = true)]
 async fn a_holder_without_the_log_stops() {
     let log = Memory::new();
@@ -81,7 +81,7 @@
         assert!(Instant::now() < deadline, "still held without the log");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    // The log's own count must be over too, or the next take would be a renewal in time.
+    // The lease must also expire by the log's clock, or the next take would renew it.
     tokio::time::sleep(SPAN).await;
     log.fail_appends(Fault::None);
     let next = held(&one).await;
@@ -89,9 +89,9 @@
     token.cancel();
 }
 
-/// A holder shuts down and gives the lease up. Its successor need not wait it out.
+/// A holder shuts down and releases the lease. Its successor need not wait until the lease expires.
 #[tokio::test(start_paused = true)]
-async fn a_given_up_lease_passes_on() {
+async fn a_released_lease_is_acquired_at_once() {
     let log = Memory::new();
     let stops = CancellationToken::new();
     let token = CancellationToken::new();
@@ -110,10 +110,10 @@
     token.cancel();
 }
 
-/// A holder gives the lease up and ends, and a node that starts after that finds it free: it does not
-/// wait out a lease that nobody holds.
+/// A holder releases the lease, and a node starts after that. It does not wait for the expiry of a
+/// lease that nobody holds.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_starts_later_finds_a_given_up_lease_free() {
+async fn a_node_that_starts_later_finds_a_released_lease_free() {
     let log = Memory::new();
     let stops = CancellationToken::new();
     let token = CancellationToken::new();
@@ -134,7 +134,7 @@
     token.cancel();
 }
 
-/// Every answer of the log is lost. The node finds its own take by reading, and holds the lease.
+/// All responses to appends are lost. The node finds its own take by reading, and holds the lease.
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_is_read_back() {
     let log = Memory::new();
--- a/crates/coordination/tests/kept/main.rs
+++ b/crates/coordination/tests/kept/main.rs
@@ -1,4 +1,4 @@
-//! What the system keeps on the log: claims, bills, grants and leases, under faults of log and peers.
+//! Claims, bills, grants and leases on the log, under faults of the log and of peers.
 
 #[path = "../support/mod.rs"]
 mod support;
