--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -75,11 +75,11 @@
 impl TryFrom<Settings> for Config {
     type Error = Finding;
     fn try_from(settings: Settings) -> Result<Self, Finding> {
-        let setting = "max_records";
+        let setting = "records";
         ensure!(settings.max_records > 0, FindingSnafu { setting });
-        let setting = "queue_capacity";
+        let setting = "queue";
         ensure!(settings.queue_capacity > 0, FindingSnafu { setting });
-        let setting = "max_memory";
+        let setting = "memory";
         ensure!(settings.max_memory > 0, FindingSnafu { setting });
         Ok(Self(settings))
     }
--- a/crates/coordination/tests/appender.rs
+++ b/crates/coordination/tests/appender.rs
@@ -119,14 +119,14 @@
 /// it is only returned if the record is certainly not on the log.
 #[tokio::test]
 async fn error_at_the_deadline_tells_whether_the_record_may_be_on_the_log() {
-    let long = Duration::from_hours(1);
+    let one_hour = Duration::from_hours(1);
     let held = || Fault::Hold(Arc::new(AtomicBool::new(false)));
     let cases = [
-        ("refused", vec![Fault::Refuse(long)], false),
+        ("refused", vec![Fault::Refuse(one_hour)], false),
         ("in flight", vec![held()], true),
         (
             "lost, then refused",
-            vec![Fault::LoseAfter, Fault::Refuse(long)],
+            vec![Fault::LoseAfter, Fault::Refuse(one_hour)],
             true,
         ),
         (
@@ -230,8 +230,8 @@
     .await;
     released.store(true, Ordering::SeqCst);
     let results = join_all(waiting).await;
-    let appended = results.iter().filter(|r| matches!(r, Ok(Ok(_)))).count();
-    assert_eq!(appended, 5, "one in flight and four in the queue");
+    let accepted = results.iter().filter(|r| matches!(r, Ok(Ok(_)))).count();
+    assert_eq!(accepted, 5, "one in flight and four in the queue");
     assert_eq!(log.records(STREAM).len(), 5);
 }
 
--- a/crates/coordination/tests/kept/bills.rs
+++ b/crates/coordination/tests/kept/bills.rs
@@ -244,8 +244,8 @@
         tokio::time::sleep(Duration::from_millis(1_100)).await;
         log.fail_appends(Fault::None);
     };
-    let (stored, ()) = tokio::join!(futures::future::join_all(stores), heal);
-    assert!(stored.iter().all(Result::is_ok), "{stored:?}");
+    let (results, ()) = tokio::join!(futures::future::join_all(stores), heal);
+    assert!(results.iter().all(Result::is_ok), "{results:?}");
     assert_eq!((one.waiting(), billed(&log).0), (0, 60));
     token.cancel();
 }
