--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -215,17 +215,17 @@
     pub async fn reserve(
         &self,
         account: Account<'_>,
-        most: Money,
+        max_cost: Money,
         nodes: u32,
         deadline: Instant,
     ) -> Result<Hold, Error> {
         let deadline = deadline.min(Instant::now() + self.shared.config.timeout);
         loop {
-            if let Some(hold) = self.try_reserve(account, most) {
+            if let Some(hold) = self.try_reserve(account, max_cost) {
                 self.request_ahead(account, nodes);
                 return Ok(hold);
             }
-            if self.remaining(account) < most {
+            if self.remaining(account) < max_cost {
                 return Err(exhausted(account));
             }
             if self.shared.follower.age() > self.shared.config.outage {
@@ -233,7 +233,7 @@
             }
             if !self.request(account, nodes, deadline).await {
                 return self
-                    .try_reserve(account, most)
+                    .try_reserve(account, max_cost)
                     .ok_or_else(|| self.unavailable());
             }
         }
@@ -241,23 +241,28 @@
 
     /// Borrows from peers' grants after [`Error::Unavailable`]: a node that starts while the log is
     /// unavailable has no grants of its own, and after a long outage they are spent. Returns
-    /// whether `most` is available now.
-    pub async fn borrow(&self, account: Account<'_>, most: Money, lenders: &impl Lenders) -> bool {
+    /// whether `max_cost` is available now.
+    pub async fn borrow(
+        &self,
+        account: Account<'_>,
+        max_cost: Money,
+        lenders: &impl Lenders,
+    ) -> bool {
         let _guard = self.shared.borrowing.lock().await;
         let customer = &account.contract.customer;
         let period = account.contract.spend.period(account.now).0;
         for peer in lenders.peers() {
-            if self.available(customer, period) >= most {
+            if self.available(customer, period) >= max_cost {
                 return true;
             }
-            let amount = most.scale(LOAN_CALLS, 1);
+            let amount = max_cost.scale(LOAN_CALLS, 1);
             let lent = lenders.lend(&peer, customer, period, amount).await;
             let mut balances = self.shared.balances();
             let balance = self.shared.balance(&mut balances, customer, period);
             balance.borrowed += lent;
             balance.grants.add(lent);
         }
-        self.available(customer, period) >= most
+        self.available(customer, period) >= max_cost
     }
 
     /// Lends a peer up to `amount`, at most half of what is available here. This node can no longer
@@ -308,12 +313,12 @@
         }
     }
 
-    fn try_reserve(&self, account: Account<'_>, most: Money) -> Option<Hold> {
+    fn try_reserve(&self, account: Account<'_>, max_cost: Money) -> Option<Hold> {
         let customer = &account.contract.customer;
         let period = account.contract.spend.period(account.now).0;
         let mut balances = self.shared.balances();
         let balance = self.shared.balance(&mut balances, customer, period);
-        let reservation = balance.grants.reserve(most)?;
+        let reservation = balance.grants.reserve(max_cost)?;
         Some(Hold {
             wallet: self.clone(),
             customer: customer.clone(),
@@ -347,8 +352,8 @@
         });
     }
 
-    /// Requests a grant, or waits for the one in flight. Returns false if neither ended by
-    /// `deadline`.
+    /// Requests a grant, or waits for a change of the view if one is in flight. Returns false if
+    /// `deadline` passes without a result.
     async fn request(&self, account: Account<'_>, nodes: u32, deadline: Instant) -> bool {
         if let Some(grant) = self.shared.next_grant(account, nodes) {
             return self.shared.obtain(grant, deadline).await;
