--- a/crates/coordination/src/http.rs
+++ b/crates/coordination/src/http.rs
@@ -1,4 +1,4 @@
-//! One call over HTTP, shared by the clients of the platform's services.
+//! The HTTP client that the clients of the platform's services share.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,26 +21,26 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The largest body that is read from a platform service, in bytes. A batch of the log may hold a
-/// checkpoint of the whole configuration beside other records.
+/// The largest response body accepted from a platform service, in bytes. A batch of the log may
+/// hold a checkpoint of the whole configuration beside other records.
 const MAX_BODY: usize = 32 << 20;
-/// Idle connections kept for each service. A node has one long poll open for each stream and a
-/// handful of appends; more would only cost file descriptors.
-const IDLE: usize = 16;
-/// When to ask again a service that can't be reached, or that says no without a time.
-pub(crate) const RETRY: Duration = Duration::from_secs(1);
+/// Idle connections in the pool of each service. A node has one long poll open for each stream and
+/// a handful of appends; more connections would only cost file descriptors.
+const MAX_IDLE: usize = 16;
+/// Delay before a retry if the service is unreachable, or refuses without `Retry-After`.
+pub(crate) const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Why there is no reply.
+/// Why a call got no reply.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// No connection was made, so the service can't have done anything.
+    /// No connection was made, so the call had no effect.
     Unreachable(String),
-    /// The service may have done what it was asked.
+    /// The call may have taken effect.
     Lost(String),
 }
 
 impl Failure {
-    /// What happened.
+    /// The reason as text.
     pub(crate) fn reason(self) -> String {
         match self {
             Self::Unreachable(reason) | Self::Lost(reason) => reason,
@@ -48,49 +48,47 @@
     }
 }
 
-/// A whole reply.
+/// A complete response.
 #[derive(Debug)]
 pub(crate) struct Reply {
-    /// Status.
     pub(crate) status: StatusCode,
-    /// The time of `Retry-After`, if there is one.
-    pub(crate) after: Option<Duration>,
-    /// Body.
+    /// The value of `Retry-After`, if present.
+    pub(crate) retry_after: Option<Duration>,
     pub(crate) body: Bytes,
 }
 
 impl Reply {
-    /// The body as a message.
-    pub(crate) fn read<T: DeserializeOwned>(&self) -> Result<T, String> {
+    /// Decodes the body from JSON.
+    pub(crate) fn decode<T: DeserializeOwned>(&self) -> Result<T, String> {
         serde_json::from_slice(&self.body).map_err(|e| format!("unreadable body: {e}"))
     }
 
-    /// The body of a reply that says that all is well.
-    pub(crate) fn done<T: DeserializeOwned>(&self) -> Result<T, String> {
+    /// Decodes the body of a reply with status 200.
+    pub(crate) fn decode_ok<T: DeserializeOwned>(&self) -> Result<T, String> {
         if self.status != StatusCode::OK {
             return Err(format!("status {}", self.status));
         }
-        self.read()
+        self.decode()
     }
 
-    /// When to ask again, if the service said before doing anything that it won't.
+    /// The delay before a retry, if the service refused the call before it had any effect.
     ///
-    /// A status 503 without `Retry-After` is not taken for a refusal: a gateway in between says
-    /// this also when the service behind it has already acted.
+    /// A status 503 without `Retry-After` is not a refusal: a gateway also returns it when the
+    /// service behind it has already acted.
     pub(crate) fn refusal(&self) -> Option<Duration> {
         let refused = [
             StatusCode::TOO_MANY_REQUESTS,
             StatusCode::SERVICE_UNAVAILABLE,
         ];
         if refused.contains(&self.status) {
-            self.after
+            self.retry_after
         } else {
             None
         }
     }
 }
 
-/// A client of one service. Clones share the connections.
+/// A client of one service. Clones share the connection pool.
 #[derive(Debug, Clone)]
 pub(crate) struct Client {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
@@ -99,14 +97,14 @@
 }
 
 impl Client {
-    /// A client of the service at `address`. The answer to a call may take `timeout` to begin, and as
-    /// long to go on.
+    /// A client of the service at `address`. `timeout` bounds the time until a response begins, and
+    /// then each gap until more of it arrives.
     pub(crate) fn new(address: SocketAddr, timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(timeout));
         let inner = legacy::Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(IDLE)
+            .pool_max_idle_per_host(MAX_IDLE)
             .build(connector);
         Self {
             inner,
@@ -115,12 +113,12 @@
         }
     }
 
-    /// `GET path`; the service may wait up to `wait` before it answers.
+    /// Sends `GET path`. A long poll may take up to `wait` longer than the timeout to respond.
     pub(crate) async fn get(&self, path: &str, wait: Duration) -> Result<Reply, Failure> {
         self.call(Method::GET, path, Bytes::new(), wait).await
     }
 
-    /// `POST path` with a JSON body.
+    /// Sends `POST path` with a JSON body.
     pub(crate) async fn post(&self, path: &str, body: &impl Serialize) -> Result<Reply, Failure> {
         let body = serde_json::to_vec(body).map_err(|e| Failure::Unreachable(e.to_string()))?;
         self.call(Method::POST, path, body.into(), Duration::ZERO)
@@ -143,12 +141,12 @@
         let progress = Progress::default();
         let exchange = async {
             let response = self.inner.request(request).await.map_err(|e| failure(&e))?;
-            collect(response, &progress).await
+            read_body(response, &progress).await
         };
         progress
             .wait(exchange, self.timeout + wait, self.timeout)
             .await
-            .unwrap_or_else(|silent| Err(Failure::Lost(silent.to_string())))
+            .unwrap_or_else(|timeout| Err(Failure::Lost(timeout.to_string())))
     }
 }
 
@@ -159,9 +157,9 @@
     Failure::Lost(error.to_string())
 }
 
-async fn collect(response: Response<Incoming>, progress: &Progress) -> Result<Reply, Failure> {
+async fn read_body(response: Response<Incoming>, progress: &Progress) -> Result<Reply, Failure> {
     let (head, body) = response.into_parts();
-    let after = head
+    let retry_after = head
         .headers
         .get(header::RETRY_AFTER)
         .and_then(|value| value.to_str().ok())
@@ -178,7 +176,7 @@
         .to_bytes();
     Ok(Reply {
         status: head.status,
-        after,
+        retry_after,
         body,
     })
 }
