--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -29,7 +29,7 @@
 use crate::follower::Follower;
 use crate::log::Log;
 use crate::view;
-use crate::view::Records;
+use crate::view::TypedFold;
 
 /// How long an outcome is tried to be written. Longer than the log's usual outages; what is not
 /// written by then leaves the request claimed, which is safe and answers later callers with
@@ -63,12 +63,12 @@
 /// What this node has read of the claims stream.
 pub type View = view::View<claims::Fold>;
 
-impl Records for claims::Fold {
+impl TypedFold for claims::Fold {
     type Record = Call;
 
     const PREFIX: &'static str = "claims";
 
-    fn take(&mut self, _offset: Offset, at: Wall, call: Call) {
+    fn apply(&mut self, _offset: Offset, at: Wall, call: Call) {
         self.apply(at, &call);
     }
 }
@@ -295,7 +295,7 @@
                 let offset = appended.ok()?;
                 self.follower
                     .wait(deadline, |view| {
-                        view.passed(offset).then(|| view.fold().owner(request))
+                        view.has_read(offset).then(|| view.fold().owner(request))
                     })
                     .await
             }
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -36,7 +36,7 @@
 use crate::follower::Follower;
 use crate::log::Log;
 use crate::view;
-use crate::view::Records;
+use crate::view::TypedFold;
 
 /// Calls of the size at hand that are borrowed at a time.
 const BORROW: u64 = 16;
@@ -65,12 +65,12 @@
 /// What this node has read of the grants stream.
 pub type View = view::View<grants::Fold>;
 
-impl Records for grants::Fold {
+impl TypedFold for grants::Fold {
     type Record = Allowance;
 
     const PREFIX: &'static str = "grants";
 
-    fn take(&mut self, _offset: Offset, _at: Wall, allowance: Allowance) {
+    fn apply(&mut self, _offset: Offset, _at: Wall, allowance: Allowance) {
         self.apply(&allowance);
     }
 }
--- a/crates/coordination/src/grants/shared.rs
+++ b/crates/coordination/src/grants/shared.rs
@@ -139,7 +139,7 @@
         deadline: Instant,
         look: impl Fn(&View) -> Option<()>,
     ) -> Option<()> {
-        let passed = |view: &View| written.is_some_and(|offset| view.passed(offset));
+        let passed = |view: &View| written.is_some_and(|offset| view.has_read(offset));
         self.follower
             .wait(deadline, |view| look(view).or(passed(view).then_some(())))
             .await
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -27,7 +27,7 @@
 use crate::appender::Appender;
 use crate::follower::Follower;
 use crate::view;
-use crate::view::Records;
+use crate::view::TypedFold;
 
 /// Renewals in the time of one lease. Two may fail before the third ends it.
 const RENEWALS: u32 = 3;
@@ -56,12 +56,12 @@
 /// What this node has read of the leases stream.
 pub type View = view::View<leases::Fold>;
 
-impl Records for leases::Fold {
+impl TypedFold for leases::Fold {
     type Record = Hold;
 
     const PREFIX: &'static str = "lease";
 
-    fn take(&mut self, offset: Offset, at: Wall, hold: Hold) {
+    fn apply(&mut self, offset: Offset, at: Wall, hold: Hold) {
         self.apply(offset, at, &hold);
     }
 }
@@ -177,7 +177,7 @@
             .wait(deadline, |view| {
                 let lease = view.fold().lease(&self.resource)?;
                 let mine = lease.record == record;
-                let passed = appended.as_ref().is_ok_and(|offset| view.passed(*offset));
+                let passed = appended.as_ref().is_ok_and(|offset| view.has_read(*offset));
                 (mine || passed).then(|| mine.then_some(lease.fencing))
             })
             .await;
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -7,7 +7,7 @@
 use crate::follower;
 
 /// A fold of records of one type.
-pub trait Records: Send + Sync + 'static {
+pub trait TypedFold: Send + Sync + 'static {
     /// A record as it stands on the log.
     type Record: DeserializeOwned;
 
@@ -15,7 +15,7 @@
     const PREFIX: &'static str;
 
     /// Takes the record at `offset`, which the log took at `at`.
-    fn take(&mut self, offset: Offset, at: Wall, record: Self::Record);
+    fn apply(&mut self, offset: Offset, at: Wall, record: Self::Record);
 }
 
 /// A fold, and how far it has read.
@@ -45,7 +45,7 @@
 
     /// Whether the record at `offset` was read.
     #[must_use]
-    pub fn passed(&self, offset: Offset) -> bool {
+    pub fn has_read(&self, offset: Offset) -> bool {
         self.next > offset
     }
 
@@ -56,12 +56,12 @@
     }
 }
 
-impl<F: Records> follower::Fold for View<F> {
+impl<F: TypedFold> follower::Fold for View<F> {
     fn apply(&mut self, offset: Offset, at: Wall, record: &str) {
         self.next = offset.next();
         self.now = self.now.max(at);
         match serde_json::from_str(record) {
-            Ok(record) => self.fold.take(offset, at, record),
+            Ok(record) => self.fold.apply(offset, at, record),
             Err(error) => log::warn!("{}: record {offset} can't be read: {error}", F::PREFIX),
         }
     }
