--- a/benches/capacity/mesh.rs
+++ b/benches/capacity/mesh.rs
@@ -64,7 +64,7 @@
     // As the platform's list of VMs would tell them.
     let addresses: Vec<SocketAddr> = meshes.iter().map(Mesh::address).collect();
     for mesh in &meshes {
-        mesh.learn(addresses.iter().copied());
+        mesh.add_addresses(addresses.iter().copied());
     }
     tokio::time::sleep(WARM).await;
     let known = meshes.iter().map(|mesh| mesh.peers().len() as u64).min();
--- a/crates/control/src/daemon.rs
+++ b/crates/control/src/daemon.rs
@@ -210,7 +210,7 @@
         let keeper = Keeper::new(
             self.setup.clone(),
             self.leases.clone(),
-            source.changed(),
+            source.subscribe(),
             metrics.clone(),
             self.holding.clone(),
         );
@@ -231,7 +231,7 @@
             entries,
             turn: self.leases.clone(),
         };
-        let rollouts = Rollouts::new(config.node.clone(), parts, source.changed());
+        let rollouts = Rollouts::new(config.node.clone(), parts, source.subscribe());
         self.control(rollouts, config, source, metrics);
     }
 
@@ -255,7 +255,7 @@
             store: weights::Remote::new(config.weights, config.fetch),
             dial: Engines(Pool::default()),
         };
-        Orders::new(settings, parts, source.changed(), metrics.clone())
+        Orders::new(settings, parts, source.subscribe(), metrics.clone())
     }
 
     fn control(
@@ -265,7 +265,7 @@
         source: &Source,
         metrics: &Metrics,
     ) {
-        let changed = source.changed();
+        let changed = source.subscribe();
         let (metrics, token) = (metrics.clone(), self.work.clone());
         let run = controller::run(controller, config.period, changed, metrics, token);
         self.tasks.spawn(run);
--- a/crates/coordination/examples/spread.rs
+++ b/crates/coordination/examples/spread.rs
@@ -12,7 +12,7 @@
 use pimento_contract::change::Checkpoint;
 use pimento_contract::change::Entry;
 use pimento_contract::service::Fencing;
-use pimento_coordination::configuration::Tail;
+use pimento_coordination::configuration::ReadMode;
 use pimento_units::id;
 use pimento_wire::Frame;
 use pimento_wire::frame::Key;
@@ -35,19 +35,20 @@
 /// Clock ticks of the kernel in a second, as in its accounting of processes.
 const TICKS: f64 = 100.0;
 
-async fn nodes(log: &Memory, count: usize, tail: Tail) -> Vec<Node> {
+async fn nodes(log: &Memory, count: usize, read_mode: ReadMode) -> Vec<Node> {
     let mut nodes: Vec<Node> = Vec::new();
     for n in 0..count {
         let mut plan = Plan::new(&format!("node-{n}"), ZONES[n % ZONES.len()]);
         plan.seeds = nodes.iter().take(4).map(|n| n.mesh.address()).collect();
         plan.interval = INTERVAL;
-        plan.settings.tail = tail;
-        plan.settings.doubt = Duration::from_secs(5);
+        plan.settings.read_mode = read_mode;
+        plan.settings.max_age = Duration::from_secs(5);
         nodes.push(plan.start(log.link()).await);
     }
     // All addresses, as the platform's list would tell them.
     for node in &nodes {
-        node.mesh.learn(nodes.iter().map(|n| n.mesh.address()));
+        node.mesh
+            .add_addresses(nodes.iter().map(|n| n.mesh.address()));
     }
     tokio::time::sleep(10 * INTERVAL).await;
     nodes
@@ -93,10 +94,10 @@
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
-async fn idle(count: usize, tail: Tail) {
+async fn idle(count: usize, read_mode: ReadMode) {
     let log = Memory::default();
     publish(&log, 0..1);
-    let nodes = nodes(&log, count, tail).await;
+    let nodes = nodes(&log, count, read_mode).await;
     let span = Duration::from_secs(20);
     let before = processor();
     let reads = log.reads(STREAM);
@@ -105,7 +106,7 @@
     let share = (processor() - before) / seconds / number(count);
     let live: usize = nodes.iter().map(|n| n.mesh.peers().len()).sum();
     println!(
-        "idle, {count} nodes, {tail:?}: {:.3}% of a core a node, {:.2} reads of the log a second in \
+        "idle, {count} nodes, {read_mode:?}: {:.3}% of a core a node, {:.2} reads of the log a second in \
          all, {:.1} of {} peers live at a node",
         share * 100.0,
         f64::from(u32::try_from(log.reads(STREAM) - reads).unwrap_or(u32::MAX)) / seconds,
@@ -184,7 +185,7 @@
     heartbeat(49, 8);
 
     let log = Memory::default();
-    let six = nodes(&log, 6, Tail::Always).await;
+    let six = nodes(&log, 6, ReadMode::Always).await;
     print(
         "in force, 6 nodes, log in reach",
         &spread(&log, &six, 0, 100).await,
@@ -199,14 +200,14 @@
     }
 
     let log = Memory::default();
-    let sixty = nodes(&log, 60, Tail::Elected).await;
+    let sixty = nodes(&log, 60, ReadMode::Elected).await;
     let times = spread(&log, &sixty, 0, 40).await;
     print("in force, 60 nodes, a tailer a zone", &times);
     for node in sixty {
         node.kill();
     }
     for count in [6, 30, 60, 120] {
-        idle(count, Tail::Elected).await;
+        idle(count, ReadMode::Elected).await;
     }
-    idle(6, Tail::Always).await;
+    idle(6, ReadMode::Always).await;
 }
--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -4,7 +4,7 @@
 //! from the log stays current through peers that are not; one that is cut off from all keeps the
 //! last accepted state and says how old it is.
 
-mod reader;
+mod state_fold;
 mod tasks;
 
 use std::sync::Arc;
@@ -23,19 +23,19 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use self::reader::Reader;
+use self::state_fold::StateFold;
 use crate::appender::Appender;
 use crate::follower::Follower;
 use crate::log::Log;
-use crate::mesh::Fresh;
+use crate::mesh::Freshness;
 use crate::mesh::Mesh;
 
 /// Who reads the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tail {
+pub enum ReadMode {
     /// Every node.
     Always,
-    /// The zone's tailer, and any node whose configuration is older than [`Settings::doubt`].
+    /// The zone's tailer, and any node whose configuration is older than [`Settings::max_age`].
     Elected,
 }
 
@@ -43,16 +43,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
     /// Who reads the log.
-    pub tail: Tail,
+    pub read_mode: ReadMode,
     /// After so many accepted changes a checkpoint is written.
-    pub changes: u64,
+    pub checkpoint_changes: u64,
     /// After so long a checkpoint is written even without changes; well below the log's retention.
-    pub interval: Duration,
+    pub checkpoint_interval: Duration,
     /// The longest wait before a checkpoint that is due is written. Nodes wait a random part of it,
     /// and most then find it written by another.
-    pub spread: Duration,
+    pub checkpoint_jitter: Duration,
     /// From which age on a node reads the log itself, whoever the tailer is.
-    pub doubt: Duration,
+    pub max_age: Duration,
 }
 
 impl Default for Settings {
@@ -61,11 +61,11 @@
     /// in which a change must be in force, and several heartbeats.
     fn default() -> Self {
         Self {
-            tail: Tail::Always,
-            changes: 100,
-            interval: Duration::from_hours(1),
-            spread: Duration::from_secs(10),
-            doubt: Duration::from_secs(5),
+            read_mode: ReadMode::Always,
+            checkpoint_changes: 100,
+            checkpoint_interval: Duration::from_hours(1),
+            checkpoint_jitter: Duration::from_secs(10),
+            max_age: Duration::from_secs(5),
         }
     }
 }
@@ -85,9 +85,12 @@
     type Error = Finding;
     fn try_from(settings: Settings) -> Result<Self, Finding> {
         let setting = "changes";
-        ensure!(settings.changes > 0, FindingSnafu { setting });
+        ensure!(settings.checkpoint_changes > 0, FindingSnafu { setting });
         let setting = "interval";
-        ensure!(!settings.interval.is_zero(), FindingSnafu { setting });
+        ensure!(
+            !settings.checkpoint_interval.is_zero(),
+            FindingSnafu { setting }
+        );
         Ok(Self(settings))
     }
 }
@@ -101,10 +104,10 @@
 #[derive(Debug)]
 struct Shared {
     config: Config,
-    follower: Follower<Reader>,
+    follower: Follower<StateFold>,
     mesh: Option<Mesh>,
     published: watch::Sender<Arc<State>>,
-    fresh: Mutex<Option<Fresh>>,
+    freshness: Mutex<Option<Freshness>>,
     started: Instant,
 }
 
@@ -119,12 +122,12 @@
         config: Config,
         token: CancellationToken,
     ) -> Self {
-        let gate = watch::Sender::new(config.0.tail == Tail::Always || mesh.is_none());
+        let gate = watch::Sender::new(config.0.read_mode == ReadMode::Always || mesh.is_none());
         let follower = Follower::start_gated(
             log,
             Stream::Configuration,
             Offset(0),
-            Reader::default(),
+            StateFold::default(),
             gate.subscribe(),
             token.clone(),
         );
@@ -133,7 +136,7 @@
             follower,
             mesh,
             published: watch::Sender::new(Arc::default()),
-            fresh: Mutex::new(None),
+            freshness: Mutex::new(None),
             started: Instant::now(),
         });
         tasks::start(&shared, appender, gate, token);
@@ -148,7 +151,7 @@
 
     /// A receiver that is told of each newer state.
     #[must_use]
-    pub fn changed(&self) -> watch::Receiver<Arc<State>> {
+    pub fn subscribe(&self) -> watch::Receiver<Arc<State>> {
         self.shared.published.subscribe()
     }
 
@@ -156,7 +159,10 @@
     /// node has all records. The time since the start, if nobody did.
     #[must_use]
     pub fn age(&self) -> Duration {
-        let since = self.shared.fresh().map_or(self.shared.started, |f| f.since);
+        let since = self
+            .shared
+            .freshness()
+            .map_or(self.shared.started, |f| f.since);
         since.elapsed()
     }
 
@@ -164,13 +170,13 @@
     /// read and a peer gave a state that was current once.
     #[must_use]
     pub fn ready(&self) -> bool {
-        self.shared.fresh().is_some()
+        self.shared.freshness().is_some()
     }
 
     /// Checkpoints that were ignored since they did not fit their hash or the records before them.
     #[must_use]
-    pub fn wrong_checkpoints(&self) -> u64 {
-        self.shared.follower.view(Reader::wrong)
+    pub fn invalid_checkpoints(&self) -> u64 {
+        self.shared.follower.view(StateFold::invalid_checkpoints)
     }
 
     /// Answers a peer's call, if it is about configuration.
@@ -188,7 +194,10 @@
 }
 
 impl Shared {
-    fn fresh(&self) -> Option<Fresh> {
-        *self.fresh.lock().unwrap_or_else(PoisonError::into_inner)
+    fn freshness(&self) -> Option<Freshness> {
+        *self
+            .freshness
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/coordination/src/configuration/reader.rs
+++ b/crates/coordination/src/configuration/state_fold.rs
@@ -20,7 +20,7 @@
 
 /// State and surroundings.
 #[derive(Debug, Default)]
-pub(super) struct Reader {
+pub(super) struct StateFold {
     state: State,
     /// Set while records are missing between the state and what the log still keeps.
     lapsed: Option<Offset>,
@@ -30,10 +30,10 @@
     accepted: u64,
     /// When the log took the last checkpoint.
     checkpoint: Option<Wall>,
-    wrong: u64,
+    invalid_checkpoints: u64,
 }
 
-impl Reader {
+impl StateFold {
     /// The state.
     pub(super) const fn state(&self) -> &State {
         &self.state
@@ -45,8 +45,8 @@
     }
 
     /// Checkpoints ignored.
-    pub(super) const fn wrong(&self) -> u64 {
-        self.wrong
+    pub(super) const fn invalid_checkpoints(&self) -> u64 {
+        self.invalid_checkpoints
     }
 
     /// Changes accepted since the last checkpoint, and when the log took that.
@@ -88,13 +88,13 @@
     /// Takes a peer's state, if it is newer and fits its hash.
     pub(super) fn adopt(&mut self, checkpoint: &str) -> bool {
         let Ok(checkpoint) = serde_json::from_str::<Checkpoint>(checkpoint) else {
-            self.wrong += 1;
+            self.invalid_checkpoints += 1;
             return false;
         };
         match checkpoint.check() {
             Ok(state) => self.advance(state),
             Err(error) => {
-                self.wrong += 1;
+                self.invalid_checkpoints += 1;
                 log::warn!("configuration: a peer's state was ignored: {error}");
                 false
             }
@@ -163,7 +163,7 @@
             self.checkpoint = at.or(self.checkpoint);
             return;
         }
-        self.wrong += 1;
+        self.invalid_checkpoints += 1;
         log::warn!("configuration: a checkpoint does not fit the records before it");
     }
 
@@ -220,14 +220,14 @@
                 }
             }
             Err(error) => {
-                self.wrong += 1;
+                self.invalid_checkpoints += 1;
                 log::warn!("configuration: a checkpoint was ignored: {error}");
             }
         }
     }
 }
 
-impl Fold for Reader {
+impl Fold for StateFold {
     fn apply(&mut self, offset: Offset, at: Wall, record: &str) {
         if let Some(oldest) = self.lapsed {
             self.search(oldest, at, record);
--- a/crates/coordination/src/configuration/tasks.rs
+++ b/crates/coordination/src/configuration/tasks.rs
@@ -15,13 +15,13 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+use super::ReadMode;
 use super::Shared;
-use super::Tail;
 use crate::appender::Appender;
-use crate::mesh::Duty;
-use crate::mesh::Fresh;
+use crate::mesh::Freshness;
 use crate::mesh::Mesh;
 use crate::mesh::Peer;
+use crate::mesh::Role;
 
 /// Time between looks at ages, which change without an event.
 const TICK: Duration = Duration::from_secs(1);
@@ -59,8 +59,8 @@
 impl Shared {
     /// Publishes newer states, reckons their age and decides who reads the log.
     async fn keep(self: Arc<Self>, gate: watch::Sender<bool>) {
-        let mut records = self.follower.changed();
-        let mut peers = self.mesh.as_ref().map(Mesh::changed);
+        let mut records = self.follower.subscribe();
+        let mut peers = self.mesh.as_ref().map(Mesh::subscribe);
         loop {
             self.publish();
             self.reckon();
@@ -78,9 +78,9 @@
 
     fn publish(&self) {
         let offset = self.published.borrow().offset;
-        let newer = self.follower.view(|reader| {
-            let newer = reader.state().offset > offset;
-            newer.then(|| Arc::new(reader.state().clone()))
+        let newer = self.follower.view(|fold| {
+            let newer = fold.state().offset > offset;
+            newer.then(|| Arc::new(fold.state().clone()))
         });
         if let Some(state) = newer {
             self.published.send_replace(state);
@@ -92,36 +92,39 @@
         let offset = self.published.borrow().offset;
         let own = self.own_word(offset);
         let words = own.into_iter().chain(self.words(offset));
-        let fresh = words.chain(self.fresh()).reduce(Fresh::later);
-        *self.fresh.lock().unwrap_or_else(PoisonError::into_inner) = fresh;
+        let freshness = words.chain(self.freshness()).reduce(Freshness::later);
+        *self
+            .freshness
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = freshness;
         if let Some(mesh) = &self.mesh {
-            let tailing = self.follower.caught_up();
-            mesh.report(|own| {
+            let caught_up = self.follower.caught_up();
+            mesh.update_status(|own| {
                 own.offset = offset;
-                own.fresh = fresh;
-                own.tailing = tailing;
+                own.freshness = freshness;
+                own.reads_log = caught_up;
             });
         }
     }
 
     /// What this node read itself. While records are missing it reads on past its state, and what
     /// it reads says nothing of that.
-    fn own_word(&self, offset: Offset) -> Option<Fresh> {
-        let (at, since) = self.follower.current()?;
-        (self.follower.next() <= offset).then_some(Fresh { at, since })
+    fn own_word(&self, offset: Offset) -> Option<Freshness> {
+        let (at, since) = self.follower.last_complete_read()?;
+        (self.follower.next() <= offset).then_some(Freshness { at, since })
     }
 
     /// What peers say of states that are not newer than ours.
-    fn words(&self, offset: Offset) -> Vec<Fresh> {
+    fn words(&self, offset: Offset) -> Vec<Freshness> {
         // A node that reads the log waits for its own first read: a peer that was cut off for an
         // hour would otherwise make it ready with an old state a moment before the log's answer.
-        if self.reads() && !self.follower.tried() {
+        if self.reads() && !self.follower.attempted() {
             return Vec::new();
         }
         let not_newer = |peer: &Peer| peer.offset <= offset;
         let peers = self.mesh.as_ref().map(Mesh::peers).unwrap_or_default();
         let words = peers.into_iter().filter(not_newer);
-        words.filter_map(|peer| peer.fresh).collect()
+        words.filter_map(|peer| peer.freshness).collect()
     }
 
     /// Whether this node reads the log now.
@@ -129,31 +132,34 @@
         let Some(mesh) = &self.mesh else {
             return true;
         };
-        if self.config.0.tail == Tail::Always || mesh.chosen(Duty::Tailer) == *mesh.node() {
+        if self.config.0.read_mode == ReadMode::Always || mesh.elected(Role::Reader) == *mesh.node()
+        {
             return true;
         }
-        let since = self.fresh().map_or(self.started, |fresh| fresh.since);
-        since.elapsed() >= self.config.0.doubt
+        let since = self
+            .freshness()
+            .map_or(self.started, |freshness| freshness.since);
+        since.elapsed() >= self.config.0.max_age
     }
 
     /// Pulls what a peer has and this node lacks.
     async fn pull(self: Arc<Self>, mesh: Mesh) {
-        let mut changed = mesh.changed();
+        let mut changed = mesh.subscribe();
         loop {
             if changed.changed().await.is_err() {
                 return;
             }
-            let offset = self.follower.view(|reader| reader.state().offset);
+            let offset = self.follower.view(|fold| fold.state().offset);
             let ahead = mesh.peers().into_iter().filter(|p| p.offset > offset);
             let Some(peer) = ahead.max_by_key(|p| p.offset) else {
                 continue;
             };
             match mesh.call(&peer, Call::Pull { offset }).await {
                 Ok(Answer::Records { records }) => {
-                    self.follower.update(|reader| reader.take(&records));
+                    self.follower.update(|fold| fold.take(&records));
                 }
                 Ok(Answer::State { checkpoint }) => {
-                    self.follower.update(|reader| reader.adopt(&checkpoint));
+                    self.follower.update(|fold| fold.adopt(&checkpoint));
                 }
                 Ok(_) => {}
                 Err(error) => log::debug!("configuration: nothing from {}: {error}", peer.node),
@@ -168,11 +174,11 @@
         while states.changed().await.is_ok() {
             let before = offset;
             offset = states.borrow_and_update().offset;
-            let others = self.config.0.tail == Tail::Elected;
-            if !others || mesh.chosen(Duty::Tailer) != *mesh.node() {
+            let others = self.config.0.read_mode == ReadMode::Elected;
+            if !others || mesh.elected(Role::Reader) != *mesh.node() {
                 continue;
             }
-            let missing = self.follower.view(|reader| reader.since(before));
+            let missing = self.follower.view(|fold| fold.since(before));
             if let Answer::Records { records } = missing {
                 self.push_all(&mesh, &records).await;
             }
@@ -196,13 +202,13 @@
 
     /// Writes checkpoints when they are due.
     async fn checkpoints(self: Arc<Self>, appender: Appender) {
-        let mut records = self.follower.changed();
+        let mut records = self.follower.subscribe();
         loop {
             if self.due() {
                 let wait = self
                     .config
                     .0
-                    .spread
+                    .checkpoint_jitter
                     .mul_f64(rand::rng().random_range(0.0..=1.0));
                 tokio::time::sleep(wait).await;
                 if self.due() {
@@ -217,24 +223,24 @@
     }
 
     fn due(&self) -> bool {
-        let Some((now, _)) = self.follower.current() else {
+        let Some((now, _)) = self.follower.last_complete_read() else {
             return false;
         };
         if !self.follower.caught_up() {
             return false;
         }
-        self.follower.view(|reader| {
-            if reader.lapsed() || reader.state().items().is_empty() {
+        self.follower.view(|fold| {
+            if fold.lapsed() || fold.state().items().is_empty() {
                 return false;
             }
-            let (changes, last) = reader.since_checkpoint();
-            let old = last.is_none_or(|last| now.since(last) >= self.config.0.interval);
-            changes >= self.config.0.changes || old
+            let (changes, last) = fold.since_checkpoint();
+            let old = last.is_none_or(|last| now.since(last) >= self.config.0.checkpoint_interval);
+            changes >= self.config.0.checkpoint_changes || old
         })
     }
 
     async fn write(&self, appender: &Appender) {
-        let checkpoint = self.follower.view(|reader| Checkpoint::of(reader.state()));
+        let checkpoint = self.follower.view(|fold| Checkpoint::of(fold.state()));
         let offset = checkpoint.offset;
         let Ok(record) = serde_json::to_string(&Entry::Checkpoint(checkpoint)) else {
             return;
--- a/crates/coordination/src/follower.rs
+++ b/crates/coordination/src/follower.rs
@@ -64,12 +64,12 @@
 struct Position {
     next: Offset,
     /// When a read was sent that reached the end of the stream.
-    fresh: Instant,
+    read_sent: Instant,
     /// The log's clock when it answered that read.
-    current: Option<Wall>,
+    log_time: Option<Wall>,
     caught_up: bool,
     /// Whether a read has ended, well or not.
-    tried: bool,
+    attempted: bool,
 }
 
 impl<F: Fold> Follower<F> {
@@ -96,10 +96,10 @@
     ) -> Self {
         let position = Position {
             next: from,
-            fresh: Instant::now(),
-            current: None,
+            read_sent: Instant::now(),
+            log_time: None,
             caught_up: false,
-            tried: false,
+            attempted: false,
         };
         let shared = Arc::new(Shared {
             fold: RwLock::new(fold),
@@ -158,7 +158,7 @@
 
     /// A receiver that is told of each batch.
     #[must_use]
-    pub fn changed(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.shared.changed.subscribe()
     }
 
@@ -168,7 +168,7 @@
     /// process is paused, and would make an old view look fresh.
     #[must_use]
     pub fn age(&self) -> Duration {
-        self.shared.position().fresh.elapsed()
+        self.shared.position().read_sent.elapsed()
     }
 
     /// Whether the last read reached the end of the stream.
@@ -179,15 +179,15 @@
 
     /// The log's clock, and the moment, of the last read that reached the stream's end.
     #[must_use]
-    pub fn current(&self) -> Option<(Wall, Instant)> {
+    pub fn last_complete_read(&self) -> Option<(Wall, Instant)> {
         let position = self.shared.position();
-        position.current.map(|at| (at, position.fresh))
+        position.log_time.map(|at| (at, position.read_sent))
     }
 
     /// Whether a read has ended, well or not.
     #[must_use]
-    pub fn tried(&self) -> bool {
-        self.shared.position().tried
+    pub fn attempted(&self) -> bool {
+        self.shared.position().attempted
     }
 
     /// The next offset to read.
@@ -268,11 +268,11 @@
         let resumed = self.fold(from, batch);
         let mut position = self.shared.position();
         position.next = resumed;
-        position.tried = true;
+        position.attempted = true;
         position.caught_up = resumed >= batch.end;
         if position.caught_up {
-            position.fresh = sent;
-            position.current = Some(batch.now);
+            position.read_sent = sent;
+            position.log_time = Some(batch.now);
         }
         self.shared.move_to(position);
         self.shared.wake();
@@ -320,7 +320,7 @@
 
     fn stumble(&self) {
         let mut position = self.shared.position();
-        position.tried = true;
+        position.attempted = true;
         position.caught_up = false;
         self.shared.move_to(position);
         self.shared.wake();
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -349,7 +349,7 @@
         if let Some(grant) = self.shared.next_grant(account, nodes) {
             return self.shared.obtain(grant, deadline).await;
         }
-        let mut changed = self.shared.follower.changed();
+        let mut changed = self.shared.follower.subscribe();
         changed.mark_unchanged();
         let retry = (Instant::now() + RETRY).min(deadline);
         // Another call's ask is out; its answer may come with any batch, or its failure without.
--- a/crates/coordination/src/mesh.rs
+++ b/crates/coordination/src/mesh.rs
@@ -8,7 +8,7 @@
 mod config;
 mod datagrams;
 mod drops;
-mod rumours;
+mod gossip;
 mod table;
 
 use std::future::Future;
@@ -36,9 +36,9 @@
 
 pub use self::config::Config;
 pub use self::config::Settings;
-pub use self::drops::Count;
+pub use self::drops::DropCounts;
 use self::drops::Drops;
-pub use self::rumours::Rumours;
+pub use self::gossip::Gossip;
 pub use self::table::Peer;
 use self::table::Table;
 
@@ -88,14 +88,14 @@
 
 /// Until when a configuration is known to be current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fresh {
+pub struct Freshness {
     /// The log's clock when the log was last read to its end, by whoever read it.
     pub at: Wall,
     /// The same moment on this node's clock, as well as it is known.
     pub since: Instant,
 }
 
-impl Fresh {
+impl Freshness {
     /// The later of two, by the log's clock.
     ///
     /// Word that comes back is not later than what was sent, so two nodes that are cut off from
@@ -109,13 +109,13 @@
 
 /// What this node says of itself in its heartbeats.
 #[derive(Debug, Clone, Default)]
-pub struct Own {
+pub struct Status {
     /// Offset of its configuration.
     pub offset: Offset,
     /// Until when that is known to be current.
-    pub fresh: Option<Fresh>,
+    pub freshness: Option<Freshness>,
     /// Whether it reads the log itself.
-    pub tailing: bool,
+    pub reads_log: bool,
     /// Whether it is about to go.
     pub leaving: bool,
     /// Versions that it quarantined, sorted.
@@ -124,17 +124,17 @@
 
 /// A part that one node plays for its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Duty {
+pub enum Role {
     /// Reads the configuration stream for the zone.
-    Tailer,
+    Reader,
     /// Appends the zone's records.
     Appender,
 }
 
-impl Duty {
+impl Role {
     const fn name(self) -> &'static str {
         match self {
-            Self::Tailer => "tailer",
+            Self::Reader => "tailer",
             Self::Appender => "appender",
         }
     }
@@ -159,9 +159,9 @@
     address: SocketAddr,
     socket: UdpSocket,
     table: Mutex<Table>,
-    own: Mutex<Own>,
-    departures: Mutex<Rumours<Departure>>,
-    suspicions: Mutex<Rumours<Suspicion>>,
+    own: Mutex<Status>,
+    departures: Mutex<Gossip<Departure>>,
+    suspicions: Mutex<Gossip<Suspicion>>,
     changed: watch::Sender<u64>,
     drops: Drops,
     pool: calls::Pool,
@@ -214,14 +214,19 @@
         })?;
         let address = settings.advertise.unwrap_or(local);
         let node = settings.node.clone();
-        let table = Table::new(node, settings.silence, &settings.seeds, Instant::now());
+        let table = Table::new(
+            node,
+            settings.liveness_timeout,
+            &settings.seeds,
+            Instant::now(),
+        );
         let shared = Arc::new(Shared {
             settings,
             local,
             address,
             socket,
             table: Mutex::new(table),
-            own: Mutex::new(Own::default()),
+            own: Mutex::new(Status::default()),
             departures: Mutex::default(),
             suspicions: Mutex::default(),
             changed: watch::Sender::new(0),
@@ -240,7 +245,7 @@
 
     /// Where this node listens.
     #[must_use]
-    pub fn local(&self) -> SocketAddr {
+    pub fn local_address(&self) -> SocketAddr {
         self.shared.local
     }
 
@@ -284,7 +289,7 @@
     }
 
     /// Says that an endpoint is leaving; peers hear of it with the next heartbeats.
-    pub fn announce(&self, departure: Departure) {
+    pub fn announce_departure(&self, departure: Departure) {
         if lock(&self.shared.departures).add(departure) {
             self.shared.wake();
         }
@@ -298,13 +303,13 @@
 
     /// Whether this life of the endpoint is known to be leaving.
     #[must_use]
-    pub fn departed(&self, departure: &Departure) -> bool {
+    pub fn is_leaving(&self, departure: &Departure) -> bool {
         lock(&self.shared.departures).contains(departure)
     }
 
     /// Says what this node saw of a request under which endpoints end; peers hear of it with the next
     /// heartbeats.
-    pub fn suspect(&self, suspicion: Suspicion) {
+    pub fn announce_suspicion(&self, suspicion: Suspicion) {
         if lock(&self.shared.suspicions).add(suspicion) {
             self.shared.wake();
         }
@@ -317,13 +322,13 @@
     }
 
     /// Changes what this node says of itself.
-    pub fn report(&self, change: impl FnOnce(&mut Own)) {
+    pub fn update_status(&self, change: impl FnOnce(&mut Status)) {
         change(&mut lock(&self.shared.own));
     }
 
     /// Takes addresses of possible peers, for instance from the platform's list of VMs. They add to
     /// those known, so that a list which is suddenly empty or short does no harm.
-    pub fn learn(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_addresses(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let now = Instant::now();
         let mut table = lock(&self.shared.table);
         for address in addresses {
@@ -333,7 +338,7 @@
 
     /// The node of this zone that plays a part, as seen from here; this node if it sees no other.
     #[must_use]
-    pub fn chosen(&self, duty: Duty) -> id::Node {
+    pub fn elected(&self, role: Role) -> id::Node {
         let zone = self.zone();
         let mut nodes: Vec<id::Node> = self
             .peers()
@@ -344,20 +349,20 @@
         if !lock(&self.shared.own).leaving {
             nodes.push(self.node().clone());
         }
-        let weight = |node: &id::Node| xxh3_64(format!("{}/{node}", duty.name()).as_bytes());
+        let weight = |node: &id::Node| xxh3_64(format!("{}/{node}", role.name()).as_bytes());
         let best = nodes.into_iter().max_by_key(weight);
         best.unwrap_or_else(|| self.node().clone())
     }
 
     /// Frames that were dropped, by cause.
     #[must_use]
-    pub fn drops(&self) -> Count {
+    pub fn drops(&self) -> DropCounts {
         self.shared.drops.count()
     }
 
     /// A receiver that is told of each heartbeat and each departure.
     #[must_use]
-    pub fn changed(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.shared.changed.subscribe()
     }
 }
--- a/crates/coordination/src/mesh/config.rs
+++ b/crates/coordination/src/mesh/config.rs
@@ -28,7 +28,7 @@
     /// Time between heartbeats.
     pub interval: Duration,
     /// After how long without a sign of life a peer is taken for dead.
-    pub silence: Duration,
+    pub liveness_timeout: Duration,
     /// How long the answer to a call may take to begin, and as long to go on.
     pub timeout: Duration,
 }
@@ -50,7 +50,7 @@
             seeds: Vec::new(),
             key,
             interval: Duration::from_secs(1),
-            silence: Duration::from_secs(10),
+            liveness_timeout: Duration::from_secs(10),
             timeout: Duration::from_secs(2),
         }
     }
@@ -65,7 +65,7 @@
     fn try_from(settings: Settings) -> Result<Self, Error> {
         let times = [
             ("interval", settings.interval),
-            ("silence", settings.silence),
+            ("silence", settings.liveness_timeout),
             ("timeout", settings.timeout),
         ];
         for (setting, time) in times {
--- a/crates/coordination/src/mesh/datagrams.rs
+++ b/crates/coordination/src/mesh/datagrams.rs
@@ -123,7 +123,7 @@
         let suspicions = lock(&shared.suspicions).pick(SUSPICIONS);
         let heard = lock(&shared.table).digest(&shared.settings.zone, HEARD, Instant::now());
         let own = lock(&shared.own).clone();
-        let current = own.fresh.map(|fresh| Current {
+        let current = own.freshness.map(|fresh| Current {
             at: fresh.at,
             age_ms: Span::from(fresh.since.elapsed()).millis(),
         });
@@ -135,7 +135,7 @@
             sequence: self.sequence.fetch_add(1, order),
             offset: own.offset,
             current,
-            tailing: own.tailing,
+            tailing: own.reads_log,
             leaving: own.leaving,
             departures,
             quarantined: own.quarantined,
--- a/crates/coordination/src/mesh/drops.rs
+++ b/crates/coordination/src/mesh/drops.rs
@@ -15,7 +15,7 @@
 
 /// Frames dropped so far, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct DropCounts {
     /// Over the limit, or cut off.
     pub size: u64,
     /// With a MAC that does not fit: another key, or damaged.
@@ -36,8 +36,8 @@
     }
 
     /// The counts now.
-    pub(super) fn count(&self) -> Count {
-        Count {
+    pub(super) fn count(&self) -> DropCounts {
+        DropCounts {
             size: self.size.load(Ordering::Relaxed),
             mac: self.mac.load(Ordering::Relaxed),
             body: self.body.load(Ordering::Relaxed),
--- a/crates/coordination/src/mesh/rumours.rs
+++ b/crates/coordination/src/mesh/gossip.rs
@@ -1,6 +1,6 @@
 //! What nodes pass on to each other with their heartbeats.
 
-/// The most rumours of a kind kept. At 120 VMs replaced a day departures of more than a month fit; an
+/// The most gossip of a kind kept. At 120 VMs replaced a day departures of more than a month fit; an
 /// endpoint that left longer ago is on no list any more.
 const MAX: usize = 4_096;
 
@@ -9,7 +9,7 @@
 /// A rumour is never taken back: the platform's list lags, and an older copy of it that still shows
 /// an endpoint as live would otherwise bring it back into use while it shuts down.
 #[derive(Debug)]
-pub struct Rumours<T> {
+pub struct Gossip<T> {
     /// Sorted.
     known: Vec<Known<T>>,
     added: u64,
@@ -22,7 +22,7 @@
     order: u64,
 }
 
-impl<T> Default for Rumours<T> {
+impl<T> Default for Gossip<T> {
     fn default() -> Self {
         Self {
             known: Vec::new(),
@@ -31,7 +31,7 @@
     }
 }
 
-impl<T: Ord + Clone> Rumours<T> {
+impl<T: Ord + Clone> Gossip<T> {
     /// Adds a rumour; false if it was known.
     pub fn add(&mut self, rumour: T) -> bool {
         let Err(at) = self.place(&rumour) else {
@@ -52,8 +52,8 @@
     }
 
     /// Adds what a peer passes on.
-    pub fn learn(&mut self, rumours: impl IntoIterator<Item = T>) {
-        for rumour in rumours {
+    pub fn learn(&mut self, gossip: impl IntoIterator<Item = T>) {
+        for rumour in gossip {
             self.add(rumour);
         }
     }
--- a/crates/coordination/src/mesh/table.rs
+++ b/crates/coordination/src/mesh/table.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::Fresh;
+use super::Freshness;
 
 /// The most nodes and addresses kept, each. Over twice the nodes of the target size, so that
 /// replaced ones and their successors fit side by side.
@@ -31,9 +31,9 @@
     /// Offset of its configuration.
     pub offset: Offset,
     /// Until when that is known to be current.
-    pub fresh: Option<Fresh>,
+    pub freshness: Option<Freshness>,
     /// Whether it reads the log itself.
-    pub tailing: bool,
+    pub reads_log: bool,
     /// Whether it is about to go.
     pub leaving: bool,
     /// Versions that it quarantined.
@@ -234,18 +234,18 @@
 }
 
 fn peer(beat: &Heartbeat, address: SocketAddr, now: Instant) -> Peer {
-    let fresh = beat.current.and_then(|current| {
+    let freshness = beat.current.and_then(|current| {
         let since = now.checked_sub(Duration::from_millis(current.age_ms))?;
         let at = current.at;
-        Some(Fresh { at, since })
+        Some(Freshness { at, since })
     });
     Peer {
         node: beat.node.clone(),
         zone: beat.zone.clone(),
         address,
         offset: beat.offset,
-        fresh,
-        tailing: beat.tailing,
+        freshness,
+        reads_log: beat.tailing,
         leaving: beat.leaving,
         quarantined: beat.quarantined.clone(),
     }
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -13,9 +13,9 @@
 use pimento_contract::change::Entry;
 use pimento_contract::service::Fencing;
 use pimento_coordination::Mesh;
+use pimento_coordination::configuration::ReadMode;
 use pimento_coordination::configuration::Settings;
 use pimento_coordination::configuration::Source;
-use pimento_coordination::configuration::Tail;
 use pimento_coordination::mesh;
 use pimento_coordination::mesh::Handler;
 use pimento_units::Offset;
@@ -233,7 +233,7 @@
         .seeded(&nodes)
         .start(log.link())
         .await;
-    let mut changed = new.source.changed();
+    let mut changed = new.source.subscribe();
     let watch = tokio::spawn(async move {
         let mut offsets = vec![changed.borrow_and_update().offset];
         while changed.changed().await.is_ok() {
@@ -285,7 +285,7 @@
     ready(&new.source).await;
     new.reaches(13).await;
     assert_eq!(new.source.current().items().len(), 10);
-    assert_eq!(new.source.wrong_checkpoints(), 1);
+    assert_eq!(new.source.invalid_checkpoints(), 1);
 }
 
 /// A checkpoint on the stream fits its own hash but not the records before it. A node that has the
@@ -306,7 +306,7 @@
     publish(&log, 3..4);
     node.reaches(6).await;
     assert_eq!(node.source.current().items().len(), 4);
-    assert_eq!(node.source.wrong_checkpoints(), 2);
+    assert_eq!(node.source.invalid_checkpoints(), 2);
 }
 
 fn checkpoints(log: &Memory) -> Vec<Checkpoint> {
@@ -329,8 +329,8 @@
     log.put(STREAM, [text(checkpoint(&log))]);
     let plan = |name, zone| Plan {
         settings: Settings {
-            changes: 5,
-            spread: SPREAD,
+            checkpoint_changes: 5,
+            checkpoint_jitter: SPREAD,
             ..Plan::new(name, zone).settings
         },
         ..Plan::new(name, zone)
@@ -349,7 +349,7 @@
     let end = u64::try_from(log.records(STREAM).len()).unwrap();
     for node in &nodes {
         node.reaches(end).await;
-        assert_eq!(node.source.wrong_checkpoints(), 0);
+        assert_eq!(node.source.invalid_checkpoints(), 0);
     }
     assert!(checkpoints(&log).len() <= 3, "at most one from each node");
 }
@@ -361,14 +361,14 @@
     let log = Memory::default();
     publish(&log, 0..1);
     let mut plan = Plan::new("a", "trebon");
-    plan.settings.interval = Duration::from_millis(100);
-    plan.settings.spread = SPREAD;
+    plan.settings.checkpoint_interval = Duration::from_millis(100);
+    plan.settings.checkpoint_jitter = SPREAD;
     let node = plan.start(log.link()).await;
     eventually("three checkpoints", async || {
         (checkpoints(&log).len() >= 3).then_some(())
     })
     .await;
-    assert_eq!(node.source.wrong_checkpoints(), 0);
+    assert_eq!(node.source.invalid_checkpoints(), 0);
 }
 
 /// With one tailer for a zone the others don't read the log and still have each change. When the
@@ -379,8 +379,8 @@
     let mut nodes: Vec<Node> = Vec::new();
     for name in ["a", "b", "c"] {
         let mut plan = Plan::new(name, "trebon").seeded(&nodes);
-        plan.settings.tail = Tail::Elected;
-        plan.settings.doubt = Duration::from_secs(3);
+        plan.settings.read_mode = ReadMode::Elected;
+        plan.settings.max_age = Duration::from_secs(3);
         nodes.push(plan.start(log.link()).await);
     }
     for node in &nodes {
@@ -391,7 +391,7 @@
     for node in &nodes {
         node.reaches(3).await;
     }
-    let tailer = nodes[0].mesh.chosen(mesh::Duty::Tailer);
+    let tailer = nodes[0].mesh.elected(mesh::Role::Reader);
     let at = nodes.iter().position(|n| *n.mesh.node() == tailer).unwrap();
     nodes.remove(at).kill();
     publish(&log, 3..5);
@@ -412,7 +412,7 @@
     let config = mesh::Config::try_from(settings).unwrap();
     let (mesh, listener) = Mesh::bind(config, CancellationToken::new()).await.unwrap();
     listener.serve(handler);
-    mesh.report(|own| own.offset = Offset(offset));
+    mesh.update_status(|own| own.offset = Offset(offset));
     mesh
 }
 
@@ -437,7 +437,7 @@
     node.reaches(1).await;
     let _liar = fake(&node, 50, Liar).await;
     eventually("it was asked", async || {
-        (node.source.wrong_checkpoints() > 0).then_some(())
+        (node.source.invalid_checkpoints() > 0).then_some(())
     })
     .await;
     assert_eq!(node.offset(), 1);
@@ -460,7 +460,7 @@
         publish(&self.log, 1..3);
         let checkpoint = serde_json::to_string(&checkpoint(&self.log)).unwrap();
         publish(&self.log, 3..6);
-        let mut states = self.asker.changed();
+        let mut states = self.asker.subscribe();
         let has_six = states.wait_for(|state| state.offset == Offset(6));
         assert!(has_six.await.is_ok());
         self.link.cut(true);
--- a/crates/coordination/tests/forward.rs
+++ b/crates/coordination/tests/forward.rs
@@ -12,9 +12,9 @@
 use pimento_coordination::forward::Forward;
 use pimento_coordination::log::Error;
 use pimento_coordination::mesh;
-use pimento_coordination::mesh::Duty;
 use pimento_coordination::mesh::Handler;
 use pimento_coordination::mesh::Listener;
+use pimento_coordination::mesh::Role;
 use pimento_ledger::Stream;
 use pimento_wire::peer::Answer;
 use pimento_wire::peer::Call;
@@ -50,7 +50,7 @@
     let mut settings = mesh::Settings::new(name.parse().unwrap(), zone, listen, key());
     settings.seeds = seeds.iter().map(|node| node.mesh.address()).collect();
     settings.interval = Duration::from_millis(20);
-    settings.silence = Duration::from_millis(600);
+    settings.liveness_timeout = Duration::from_millis(600);
     settings.timeout = TIMEOUT;
     let config = mesh::Config::try_from(settings).unwrap();
     Mesh::bind(config, token.clone()).await.unwrap()
@@ -90,7 +90,7 @@
 }
 
 fn split(nodes: &[Node]) -> (&Node, Vec<&Node>) {
-    let chosen = nodes[0].mesh.chosen(Duty::Appender);
+    let chosen = nodes[0].mesh.elected(Role::Appender);
     let (one, others): (Vec<&Node>, Vec<&Node>) =
         nodes.iter().partition(|n| *n.mesh.node() == chosen);
     (one[0], others)
--- a/crates/coordination/tests/kept/claims.rs
+++ b/crates/coordination/tests/kept/claims.rs
@@ -36,7 +36,7 @@
 }
 
 async fn ready(claimer: &Claimer) {
-    let mut changed = claimer.follower().changed();
+    let mut changed = claimer.follower().subscribe();
     while !claimer.follower().caught_up() {
         changed.changed().await.expect("the follower runs");
     }
--- a/crates/coordination/tests/mesh.rs
+++ b/crates/coordination/tests/mesh.rs
@@ -7,9 +7,9 @@
 
 use pimento_coordination::Mesh;
 use pimento_coordination::mesh;
-use pimento_coordination::mesh::Duty;
 use pimento_coordination::mesh::Handler;
 use pimento_coordination::mesh::Listener;
+use pimento_coordination::mesh::Role;
 use pimento_coordination::mesh::Settings;
 use pimento_units::Offset;
 use pimento_units::id;
@@ -51,7 +51,7 @@
     let mut settings = Settings::new(node.parse().unwrap(), zone.parse().unwrap(), listen, key());
     settings.seeds = seeds.to_vec();
     settings.interval = Duration::from_millis(20);
-    settings.silence = Duration::from_millis(600);
+    settings.liveness_timeout = Duration::from_millis(600);
     settings.timeout = Duration::from_millis(500);
     settings
 }
@@ -98,7 +98,7 @@
     let reason = "b".into();
     assert_eq!(answer.unwrap(), Answer::Refused { reason });
     // The platform's list gives the addresses that heartbeats alone don't spread.
-    b.learn([c.address()]);
+    b.add_addresses([c.address()]);
     names(&b, &["a", "c"]).await;
     names(&c, &["a", "b"]).await;
 }
@@ -133,14 +133,14 @@
         eventually("one choice", async || {
             let seen = nodes.iter().all(|(m, _)| m.peers().len() == nodes.len());
             let choices: Vec<id::Node> =
-                nodes.iter().map(|(m, _)| m.chosen(Duty::Tailer)).collect();
+                nodes.iter().map(|(m, _)| m.elected(Role::Reader)).collect();
             let same = choices.iter().all(|choice| *choice == choices[0]);
             (seen && same).then(|| choices[0].clone())
         })
         .await
     };
     let first = agree(&nodes).await;
-    assert_eq!(other.chosen(Duty::Tailer), *other.node());
+    assert_eq!(other.elected(Role::Reader), *other.node());
     let at = nodes.iter().position(|(m, _)| *m.node() == first).unwrap();
     nodes.remove(at).1.cancel();
     assert_ne!(agree(&nodes).await, first);
@@ -154,10 +154,10 @@
     settings_of_a.interval = Duration::from_millis(5);
     let a = start(settings_of_a).await;
     let old = |n: u16| SocketAddr::from(([127, 1, (n >> 8) as u8, (n & 255) as u8], 9));
-    a.learn((0..2_000).map(old));
+    a.add_addresses((0..2_000).map(old));
     let b = start(settings("b", "trebon", &[])).await;
-    a.learn([b.address()]);
-    a.learn([]);
+    a.add_addresses([b.address()]);
+    a.add_addresses([]);
     names(&a, &["b"]).await;
     names(&b, &["a"]).await;
 }
@@ -229,7 +229,7 @@
     for bytes in &bad {
         send(&a, bytes).await;
     }
-    let expected = mesh::Count {
+    let expected = mesh::DropCounts {
         size: 3,
         mac: 2,
         body: 1,
@@ -268,7 +268,7 @@
         let _ = stream.read_to_end(&mut answer).await;
         assert!(answer.is_empty(), "{answer:?}");
     }
-    let expected = mesh::Count {
+    let expected = mesh::DropCounts {
         size: 2,
         mac: 1,
         body: 1,
@@ -321,7 +321,7 @@
         })
         .collect();
     for departure in &departures {
-        nodes[0].announce(departure.clone());
+        nodes[0].announce_departure(departure.clone());
     }
     for node in &nodes {
         eventually("all departures", async || {
@@ -331,8 +331,8 @@
     }
     let mut reborn = departures[0].clone();
     reborn.incarnation = 99;
-    assert!(!nodes[3].departed(&reborn), "another life is not leaving");
-    assert!(nodes[3].departed(&departures[0]));
+    assert!(!nodes[3].is_leaving(&reborn), "another life is not leaving");
+    assert!(nodes[3].is_leaving(&departures[0]));
 }
 
 /// A peer's VM is gone but its last heartbeat is fresh. The first call finds out; the peer is not
@@ -362,7 +362,7 @@
         mesh::Config::try_from(settings).is_err()
     };
     assert!(change(|s| s.interval = Duration::ZERO));
-    assert!(change(|s| s.silence = Duration::ZERO));
+    assert!(change(|s| s.liveness_timeout = Duration::ZERO));
     assert!(change(|s| s.timeout = Duration::ZERO));
     assert!(change(|s| s.listen = "0.0.0.0:1".parse().unwrap()));
     assert!(!change(|s| {
@@ -393,7 +393,7 @@
     let mut settings = settings("b", "trebon", &[a.address()]);
     settings.advertise = Some(relay.address);
     let (b, listener) = bind(settings, &CancellationToken::new()).await;
-    relay.target(b.local());
+    relay.target(b.local_address());
     relay.slow(Duration::from_millis(50));
     listener.serve(Large);
     let peer = peer(&a, "b").await;
--- a/crates/coordination/tests/support/nodes.rs
+++ b/crates/coordination/tests/support/nodes.rs
@@ -13,9 +13,9 @@
 use pimento_coordination::Mesh;
 use pimento_coordination::appender;
 use pimento_coordination::configuration::Config;
+use pimento_coordination::configuration::ReadMode;
 use pimento_coordination::configuration::Settings;
 use pimento_coordination::configuration::Source;
-use pimento_coordination::configuration::Tail;
 use pimento_coordination::mesh;
 use pimento_coordination::mesh::Handler;
 use pimento_ledger::Stream;
@@ -69,11 +69,11 @@
     /// A node that reads the log, and waits for years before it writes a checkpoint that is due.
     pub fn new(name: &str, zone: &'static str) -> Self {
         let settings = Settings {
-            tail: Tail::Always,
-            changes: u64::MAX,
-            interval: Duration::from_hours(24),
-            spread: Duration::from_hours(100_000),
-            doubt: Duration::from_millis(300),
+            read_mode: ReadMode::Always,
+            checkpoint_changes: u64::MAX,
+            checkpoint_interval: Duration::from_hours(24),
+            checkpoint_jitter: Duration::from_hours(100_000),
+            max_age: Duration::from_millis(300),
         };
         Self {
             name: name.to_owned(),
@@ -101,12 +101,12 @@
         settings.advertise = Some(relay.address);
         settings.seeds = self.seeds;
         settings.interval = self.interval;
-        settings.silence = 30 * self.interval;
+        settings.liveness_timeout = 30 * self.interval;
         settings.timeout = Duration::from_millis(500);
         let config = mesh::Config::try_from(settings).unwrap();
         let token = CancellationToken::new();
         let (mesh, listener) = Mesh::bind(config, token.clone()).await.unwrap();
-        relay.target(mesh.local());
+        relay.target(mesh.local_address());
         let appender = appender::Config::default();
         let appender = Appender::start(link.clone(), appender, token.clone());
         let config = Config::try_from(self.settings).unwrap();
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -191,7 +191,7 @@
         let ends = token.clone();
         tokio::spawn(async move {
             let list = vms::Remote::new(node.config.vms_address, node.config.platform_timeout);
-            let learn = |vms: &Vms| node.mesh.learn(entries(vms));
+            let learn = |vms: &Vms| node.mesh.add_addresses(entries(vms));
             node.registry.run(list, learn, ends).await;
         });
     }
@@ -236,12 +236,12 @@
     /// Says to peers that this node is about to go, and stops being ready.
     pub fn leave(&self) {
         self.leaving.cancel();
-        self.mesh.report(|own| own.leaving = true);
+        self.mesh.update_status(|own| own.leaving = true);
     }
 
     /// Keeps configuration, departures and quarantine current.
     async fn keep(&self) {
-        let mut changed = self.source.changed();
+        let mut changed = self.source.subscribe();
         loop {
             if self.source.ready() {
                 self.state.replace(&self.source.current());
@@ -261,7 +261,7 @@
     fn spread(&self) {
         self.registry.depart(self.mesh.departures());
         for departure in self.registry.departures() {
-            self.mesh.announce(departure);
+            self.mesh.announce_departure(departure);
         }
     }
 
@@ -273,7 +273,7 @@
             self.propose(&version);
         }
         let quarantined = self.evidence.quarantined();
-        self.mesh.report(|own| own.quarantined = quarantined);
+        self.mesh.update_status(|own| own.quarantined = quarantined);
     }
 
     /// Proposes a withdrawal. Of several nodes the first in the log wins; if an operator changed
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -126,7 +126,7 @@
         bills_waiting: node.outbox.waiting(),
         bill_copies: node.outbox.copies(),
         kept_bytes: node.kept.bytes(),
-        wrong_checkpoints: node.source().wrong_checkpoints(),
+        wrong_checkpoints: node.source().invalid_checkpoints(),
     }
 }
 
--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -209,7 +209,7 @@
 
     fn suspect(&self, digest: Digest, what: Seen) {
         let at = self.clock.wall();
-        self.mesh.suspect(Suspicion { digest, what, at });
+        self.mesh.announce_suspicion(Suspicion { digest, what, at });
     }
 
     /// Takes what peers say of requests under which endpoints end.
