--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -1,8 +1,8 @@
 //! The configuration in force on this node.
 //!
-//! It comes from the newest of the log and the peers and never goes back. A node that is cut off
-//! from the log stays current through peers that are not; one that is cut off from all keeps the
-//! last accepted state and says how old it is.
+//! A node takes the newest state from the log or a peer, and never returns to an older one. A node
+//! without a connection to the log stays current through peers that have one. A node without any
+//! connection keeps the last accepted state and reports its age.
 
 mod state_fold;
 mod tasks;
@@ -30,35 +30,37 @@
 use crate::mesh::Freshness;
 use crate::mesh::Mesh;
 
-/// Who reads the log.
+/// Which nodes read the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadMode {
     /// Every node.
     Always,
-    /// The zone's tailer, and any node whose configuration is older than [`Settings::max_age`].
+    /// The node elected for the zone, and each node whose configuration is older than
+    /// [`Settings::max_age`].
     Elected,
 }
 
 /// Settings of a [`Source`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Who reads the log.
+    /// Which nodes read the log.
     pub read_mode: ReadMode,
-    /// After so many accepted changes a checkpoint is written.
+    /// Number of accepted changes after which a checkpoint is written.
     pub checkpoint_changes: u64,
-    /// After so long a checkpoint is written even without changes; well below the log's retention.
+    /// Time after which a checkpoint is written even without changes. It is well below the log's
+    /// retention.
     pub checkpoint_interval: Duration,
-    /// The longest wait before a checkpoint that is due is written. Nodes wait a random part of it,
-    /// and most then find it written by another.
+    /// The longest delay before a due checkpoint is written. Each node waits for a random part of
+    /// it; most then find that another node has written the checkpoint.
     pub checkpoint_jitter: Duration,
-    /// From which age on a node reads the log itself, whoever the tailer is.
+    /// Age of the configuration from which a node reads the log itself, whichever node is elected.
     pub max_age: Duration,
 }
 
 impl Default for Settings {
-    /// At 1,200 changes a day, a checkpoint each 100 changes or each hour makes 36 a day, and a
-    /// new node replays at most 100 changes. Five seconds of doubt are less than half of the 13 s
-    /// in which a change must be in force, and several heartbeats.
+    /// At 1,200 changes a day, a checkpoint every 100 changes or every hour makes 36 a day, and a
+    /// new node replays at most 100 changes. A `max_age` of 5 s spans several heartbeats and is less
+    /// than half of the 13 s within which a change must be in force.
     fn default() -> Self {
         Self {
             read_mode: ReadMode::Always,
@@ -70,9 +72,9 @@
     }
 }
 
-/// A setting that makes no sense.
+/// A setting that is zero.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("the configuration's {setting} must not be zero"))]
+#[snafu(display("the configuration's checkpoint {setting} must not be zero"))]
 pub struct Finding {
     setting: &'static str,
 }
@@ -112,9 +114,9 @@
 }
 
 impl Source {
-    /// Starts to follow the configuration; ends with `token`.
+    /// Starts to follow the configuration until `token` is cancelled.
     ///
-    /// `appender` writes checkpoints. A program without peers has the log alone.
+    /// `appender` writes checkpoints. Without a `mesh` the log is the only source.
     pub fn start(
         log: impl Log,
         appender: Appender,
@@ -143,50 +145,61 @@
         Self { shared }
     }
 
-    /// The state in force. Its offset never falls.
+    /// The state in force. Its offset never decreases.
     #[must_use]
     pub fn current(&self) -> Arc<State> {
         Arc::clone(&self.shared.published.borrow())
     }
 
-    /// A receiver that is told of each newer state.
+    /// A receiver that is notified of each newer state.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<State>> {
         self.shared.published.subscribe()
     }
 
-    /// How old the state can be: the time since someone read the log to its end, before which this
-    /// node has all records. The time since the start, if nobody did.
+    /// Upper bound of the state's age: the time since this node or a peer read the log to its end,
+    /// where the state holds all records up to that end. Without such a read, the time since the
+    /// start.
     #[must_use]
     pub fn age(&self) -> Duration {
         let since = self
             .shared
             .freshness()
-            .map_or(self.shared.started, |f| f.since);
+            .map_or(self.shared.started, |freshness| freshness.since);
         since.elapsed()
     }
 
-    /// Whether there is a state to serve on: the log was read to its end once, or the log can't be
-    /// read and a peer gave a state that was current once.
+    /// Whether there is a state to serve requests with: the log was read to its end once, or the log
+    /// can't be read and a peer sent a state that was current once.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.shared.freshness().is_some()
     }
 
-    /// Checkpoints that were ignored since they did not fit their hash or the records before them.
+    /// Number of checkpoints that were ignored because they did not match their hash or the records
+    /// before them.
     #[must_use]
     pub fn invalid_checkpoints(&self) -> u64 {
         self.shared.follower.view(StateFold::invalid_checkpoints)
     }
 
-    /// Answers a peer's call, if it is about configuration.
+    /// Answers a peer's call; none if the call is not about the configuration.
     #[must_use]
     pub fn answer(&self, call: &Call) -> Option<Answer> {
         match call {
-            Call::Pull { offset } => Some(self.shared.follower.view(|r| r.since(*offset))),
+            Call::Pull { offset } => {
+                Some(self.shared.follower.view(|fold| fold.answer_pull(*offset)))
+            }
             Call::Push { records } => {
-                let taken = self.shared.follower.update(|r| r.take(records));
-                Some(if taken { Answer::Done } else { Answer::Nothing })
+                let applied = self
+                    .shared
+                    .follower
+                    .update(|fold| fold.apply_records(records));
+                Some(if applied {
+                    Answer::Done
+                } else {
+                    Answer::Nothing
+                })
             }
             _ => None,
         }
--- a/crates/coordination/src/configuration/state_fold.rs
+++ b/crates/coordination/src/configuration/state_fold.rs
@@ -1,5 +1,7 @@
-//! The fold of the configuration stream with what is needed around it: checkpoints, states from
-//! peers, and the newest records for peers that lag.
+//! Folds the configuration stream into a state.
+//!
+//! The fold checks checkpoints, accepts newer states from peers, and retains the newest records for
+//! peers that lag.
 
 use std::collections::VecDeque;
 
@@ -13,55 +15,59 @@
 
 use crate::follower::Fold;
 
-/// Records kept for peers that lag. At the target size these are the last five hours.
-const TAIL: usize = 256;
-/// Bytes of them. A contract has a few kilobytes.
-const TAIL_BYTES: usize = 1 << 20;
+/// Number of records retained for peers that lag. At the target size they cover five hours.
+const MAX_RECENT: usize = 256;
+/// Bytes of records retained for peers that lag. A contract has a few kilobytes.
+const MAX_RECENT_BYTES: usize = 1 << 20;
 
-/// State and surroundings.
+/// The configuration state, and the newest records that led to it.
 #[derive(Debug, Default)]
 pub(super) struct StateFold {
     state: State,
-    /// Set while records are missing between the state and what the log still keeps.
-    lapsed: Option<Offset>,
-    tail: VecDeque<(Offset, String)>,
-    tail_bytes: usize,
+    /// The log's oldest record, while records between the state and that record are missing.
+    gap_end: Option<Offset>,
+    recent: VecDeque<(Offset, String)>,
+    recent_bytes: usize,
     /// Changes accepted since the last checkpoint on the stream.
     accepted: u64,
-    /// When the log took the last checkpoint.
-    checkpoint: Option<Wall>,
+    /// When the log appended the last checkpoint.
+    checkpoint_at: Option<Wall>,
     invalid_checkpoints: u64,
 }
 
 impl StateFold {
-    /// The state.
+    /// The current state.
     pub(super) const fn state(&self) -> &State {
         &self.state
     }
 
-    /// Whether records are missing before what the log still keeps.
-    pub(super) const fn lapsed(&self) -> bool {
-        self.lapsed.is_some()
+    /// Whether records between the state and the log's oldest record are missing.
+    pub(super) const fn has_gap(&self) -> bool {
+        self.gap_end.is_some()
     }
 
-    /// Checkpoints ignored.
+    /// Number of checkpoints that were ignored.
     pub(super) const fn invalid_checkpoints(&self) -> u64 {
         self.invalid_checkpoints
     }
 
-    /// Changes accepted since the last checkpoint, and when the log took that.
+    /// Number of changes accepted since the last checkpoint, and when the log appended it.
     pub(super) const fn since_checkpoint(&self) -> (u64, Option<Wall>) {
-        (self.accepted, self.checkpoint)
+        (self.accepted, self.checkpoint_at)
     }
 
-    /// What a peer with the records before `offset` lacks.
-    pub(super) fn since(&self, offset: Offset) -> Answer {
+    /// What a peer lacks that has all records before `offset`: the records, or the whole state if they
+    /// are not retained.
+    pub(super) fn answer_pull(&self, offset: Offset) -> Answer {
         if offset >= self.state.offset {
             return Answer::Nothing;
         }
-        let kept = self.tail.front().is_some_and(|(first, _)| *first <= offset);
-        if kept {
-            let missing = self.tail.iter().filter(|(at, _)| *at >= offset);
+        let retained = self
+            .recent
+            .front()
+            .is_some_and(|(first, _)| *first <= offset);
+        if retained {
+            let missing = self.recent.iter().filter(|(at, _)| *at >= offset);
             let records = missing.cloned().collect();
             return Answer::Records { records };
         }
@@ -72,60 +78,61 @@
         }
     }
 
-    /// Takes records from a peer; false if there is a gap before them.
-    pub(super) fn take(&mut self, records: &[(Offset, String)]) -> bool {
+    /// Applies records from a peer; false if there is a gap before them.
+    pub(super) fn apply_records(&mut self, records: &[(Offset, String)]) -> bool {
         for (offset, record) in records {
             if *offset > self.state.offset {
                 return false;
             }
             if *offset == self.state.offset {
-                self.step(*offset, None, record);
+                self.apply_record(*offset, None, record);
             }
         }
         true
     }
 
-    /// Takes a peer's state, if it is newer and fits its hash.
+    /// Adopts a peer's state if it is newer and matches its hash.
     pub(super) fn adopt(&mut self, checkpoint: &str) -> bool {
         let Ok(checkpoint) = serde_json::from_str::<Checkpoint>(checkpoint) else {
             self.invalid_checkpoints += 1;
             return false;
         };
         match checkpoint.check() {
-            Ok(state) => self.advance(state),
+            Ok(state) => self.replace_state(state),
             Err(error) => {
                 self.invalid_checkpoints += 1;
-                log::warn!("configuration: a peer's state was ignored: {error}");
+                log::warn!("configuration: state from a peer ignored: {error}");
                 false
             }
         }
     }
 
-    /// Replaces the state by a newer one. An older one is never taken: it would put back in force
-    /// what was changed since.
-    fn advance(&mut self, state: State) -> bool {
+    /// Replaces the state by a newer one; false if `state` is not newer. An older state would revert
+    /// the changes since.
+    fn replace_state(&mut self, state: State) -> bool {
         if state.offset <= self.state.offset {
             return false;
         }
         self.state = state;
-        self.tail.clear();
-        self.tail_bytes = 0;
+        self.recent.clear();
+        self.recent_bytes = 0;
         if self
-            .lapsed
+            .gap_end
             .is_some_and(|oldest| self.state.offset >= oldest)
         {
-            self.lapsed = None;
+            self.gap_end = None;
         }
         true
     }
 
     /// Applies the record at the state's offset.
-    fn step(&mut self, offset: Offset, at: Option<Wall>, record: &str) {
+    fn apply_record(&mut self, offset: Offset, at: Option<Wall>, record: &str) {
         let before = self.state.offset;
         if record.is_empty() {
-            // A peer's word that nothing changes here: a checkpoint, or what could not be read.
+            // A peer sends an empty record for a checkpoint or for an unreadable record. Neither
+            // changes the state.
             self.state.skip(offset);
-            self.keep(offset, record);
+            self.retain(offset, record);
             return;
         }
         match serde_json::from_str::<Entry>(record) {
@@ -139,48 +146,48 @@
                 if matches!(verdict, Verdict::Accepted(_)) {
                     self.accepted += 1;
                 }
-                self.keep(offset, record);
+                self.retain(offset, record);
             }
             Ok(Entry::Checkpoint(checkpoint)) => {
-                self.judge(checkpoint, at);
+                self.check_checkpoint(checkpoint, at);
                 self.state.skip(offset);
-                // A checkpoint changes nothing, so peers need its place only.
-                self.keep(offset, "");
+                // A checkpoint does not change the state, so peers need only its offset.
+                self.retain(offset, "");
             }
             Err(error) => {
-                log::warn!("configuration: the record at {offset} can't be read: {error}");
+                log::warn!("configuration: record {offset} can't be read: {error}");
                 self.state.skip(offset);
-                self.keep(offset, "");
+                self.retain(offset, "");
             }
         }
         debug_assert!(self.state.offset > before);
     }
 
-    /// Takes note of a checkpoint that stands on the stream, if it is right.
-    fn judge(&mut self, checkpoint: Checkpoint, at: Option<Wall>) {
-        if self.right(checkpoint) {
+    /// Records a checkpoint of the stream if it is valid, and counts it as invalid otherwise.
+    fn check_checkpoint(&mut self, checkpoint: Checkpoint, at: Option<Wall>) {
+        if self.is_valid(checkpoint) {
             self.accepted = 0;
-            self.checkpoint = at.or(self.checkpoint);
+            self.checkpoint_at = at.or(self.checkpoint_at);
             return;
         }
         self.invalid_checkpoints += 1;
-        log::warn!("configuration: a checkpoint does not fit the records before it");
+        log::warn!("configuration: checkpoint ignored: it does not match the records before it");
     }
 
-    /// Whether a checkpoint fits its hash, and gives this state when the records since are
-    /// applied to it. Where these are not kept any more its hash has to do.
-    fn right(&self, checkpoint: Checkpoint) -> bool {
+    /// Whether a checkpoint matches its hash and, with the records since applied to it, gives the
+    /// current state. If these records are not retained, only the hash is checked.
+    fn is_valid(&self, checkpoint: Checkpoint) -> bool {
         let Ok(mut state) = checkpoint.check() else {
             return false;
         };
         if state.offset > self.state.offset {
             return false;
         }
-        let first = self.tail.front().map_or(self.state.offset, |(at, _)| *at);
+        let first = self.recent.front().map_or(self.state.offset, |(at, _)| *at);
         if state.offset < first {
             return true;
         }
-        let since = self.tail.iter().filter(|(at, _)| *at >= state.offset);
+        let since = self.recent.iter().filter(|(at, _)| *at >= state.offset);
         for (offset, record) in since.cloned().collect::<Vec<_>>() {
             match serde_json::from_str::<Entry>(&record) {
                 Ok(Entry::Change(change)) => {
@@ -192,36 +199,36 @@
         state == self.state
     }
 
-    fn keep(&mut self, offset: Offset, record: &str) {
-        self.tail_bytes += record.len();
-        self.tail.push_back((offset, record.to_owned()));
-        while self.tail.len() > TAIL || self.tail_bytes > TAIL_BYTES {
-            let Some((_, oldest)) = self.tail.pop_front() else {
+    fn retain(&mut self, offset: Offset, record: &str) {
+        self.recent_bytes += record.len();
+        self.recent.push_back((offset, record.to_owned()));
+        while self.recent.len() > MAX_RECENT || self.recent_bytes > MAX_RECENT_BYTES {
+            let Some((_, oldest)) = self.recent.pop_front() else {
                 return;
             };
-            self.tail_bytes -= oldest.len();
+            self.recent_bytes -= oldest.len();
         }
     }
 
-    /// Looks for a checkpoint to start from, while records are missing.
-    fn search(&mut self, oldest: Offset, at: Wall, record: &str) {
+    /// Starts from the checkpoint in `record`, if it holds one that closes the gap before `oldest`.
+    fn try_checkpoint(&mut self, oldest: Offset, at: Wall, record: &str) {
         let Ok(Entry::Checkpoint(checkpoint)) = serde_json::from_str::<Entry>(record) else {
             return;
         };
-        // Records before `oldest` are gone, so an earlier checkpoint leaves a gap as well.
+        // The log has dropped the records before `oldest`: an earlier checkpoint leaves a gap too.
         if checkpoint.offset < oldest {
             return;
         }
         match checkpoint.check() {
             Ok(state) => {
-                if self.advance(state) {
-                    self.checkpoint = Some(at);
+                if self.replace_state(state) {
+                    self.checkpoint_at = Some(at);
                     self.accepted = 0;
                 }
             }
             Err(error) => {
                 self.invalid_checkpoints += 1;
-                log::warn!("configuration: a checkpoint was ignored: {error}");
+                log::warn!("configuration: checkpoint ignored: {error}");
             }
         }
     }
@@ -229,25 +236,25 @@
 
 impl Fold for StateFold {
     fn apply(&mut self, offset: Offset, at: Wall, record: &str) {
-        if let Some(oldest) = self.lapsed {
-            self.search(oldest, at, record);
+        if let Some(oldest) = self.gap_end {
+            self.try_checkpoint(oldest, at, record);
         } else if offset == self.state.offset {
-            self.step(offset, Some(at), record);
+            self.apply_record(offset, Some(at), record);
         } else if offset > self.state.offset {
-            // The log's records have no gaps; what looks like one is a record not read. Applying
-            // past it would put a state in force that no prefix of the log gives.
+            // The log has no gaps, so a record was not read. Applying later records without it would
+            // give a state that no prefix of the log gives.
             self.reset(offset);
         }
     }
 
     fn reset(&mut self, oldest: Offset) {
         if oldest > self.state.offset {
-            self.lapsed = Some(oldest);
+            self.gap_end = Some(oldest);
         }
     }
 
     fn resume(&self, next: Offset) -> Offset {
-        if self.lapsed.is_some() {
+        if self.gap_end.is_some() {
             return next;
         }
         self.state.offset
--- a/crates/coordination/src/configuration/tasks.rs
+++ b/crates/coordination/src/configuration/tasks.rs
@@ -1,4 +1,5 @@
-//! What keeps the configuration current: publishing, pulling, pushing, checkpoints.
+//! Tasks that keep the configuration current: they publish it, exchange it with peers, and write
+//! checkpoints.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -23,12 +24,12 @@
 use crate::mesh::Peer;
 use crate::mesh::Role;
 
-/// Time between looks at ages, which change without an event.
-const TICK: Duration = Duration::from_secs(1);
-/// How long an append of a checkpoint is tried. The next look tries again.
-const APPEND: Duration = Duration::from_secs(10);
+/// Interval between checks of ages, which change without an event.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Time limit for appending a checkpoint. The next check tries again.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts the tasks; they end with `token`.
+/// Starts the tasks; they run until `token` is cancelled.
 pub(super) fn start(
     shared: &Arc<Shared>,
     appender: Appender,
@@ -39,7 +40,7 @@
     let ending = token.clone();
     tokio::spawn(async move {
         ending
-            .run_until_cancelled(writer.checkpoints(appender))
+            .run_until_cancelled(writer.write_checkpoints(appender))
             .await
     });
     if let Some(mesh) = &shared.mesh {
@@ -52,31 +53,31 @@
         let to = mesh.clone();
         tokio::spawn(async move { ending.run_until_cancelled(pusher.push(to)).await });
     }
-    let keeper = Arc::clone(shared);
-    tokio::spawn(async move { token.run_until_cancelled(keeper.keep(gate)).await });
+    let publisher = Arc::clone(shared);
+    tokio::spawn(async move { token.run_until_cancelled(publisher.publish_all(gate)).await });
 }
 
 impl Shared {
-    /// Publishes newer states, reckons their age and decides who reads the log.
-    async fn keep(self: Arc<Self>, gate: watch::Sender<bool>) {
+    /// Publishes newer states and their freshness, and opens the gate while this node reads the log.
+    async fn publish_all(self: Arc<Self>, gate: watch::Sender<bool>) {
         let mut records = self.follower.subscribe();
         let mut peers = self.mesh.as_ref().map(Mesh::subscribe);
         loop {
-            self.publish();
-            self.reckon();
+            self.publish_state();
+            self.publish_freshness();
             gate.send_if_modified(|open| {
-                let wanted = self.reads();
+                let wanted = self.reads_log();
                 std::mem::replace(open, wanted) != wanted
             });
             tokio::select! {
                 _ = records.changed() => {}
-                () = heard(peers.as_mut()) => {}
-                () = tokio::time::sleep(TICK) => {}
+                () = peers_changed(peers.as_mut()) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
         }
     }
 
-    fn publish(&self) {
+    fn publish_state(&self) {
         let offset = self.published.borrow().offset;
         let newer = self.follower.view(|fold| {
             let newer = fold.state().offset > offset;
@@ -87,48 +88,48 @@
         }
     }
 
-    /// Finds until when the published state is known to be current, and tells peers.
-    fn reckon(&self) {
+    /// Finds until when the published state is known to be current, and reports it to peers.
+    fn publish_freshness(&self) {
         let offset = self.published.borrow().offset;
-        let own = self.own_word(offset);
-        let words = own.into_iter().chain(self.words(offset));
-        let freshness = words.chain(self.freshness()).reduce(Freshness::later);
+        let own = self.own_freshness(offset);
+        let known = own.into_iter().chain(self.peer_freshness(offset));
+        let freshness = known.chain(self.freshness()).reduce(Freshness::later);
         *self
             .freshness
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = freshness;
         if let Some(mesh) = &self.mesh {
             let caught_up = self.follower.caught_up();
-            mesh.update_status(|own| {
-                own.offset = offset;
-                own.freshness = freshness;
-                own.reads_log = caught_up;
+            mesh.update_status(|status| {
+                status.offset = offset;
+                status.freshness = freshness;
+                status.reads_log = caught_up;
             });
         }
     }
 
-    /// What this node read itself. While records are missing it reads on past its state, and what
-    /// it reads says nothing of that.
-    fn own_word(&self, offset: Offset) -> Option<Freshness> {
+    /// Freshness by this node's own reads. While records are missing, it reads beyond its state, and
+    /// its reads do not show that the state is current.
+    fn own_freshness(&self, offset: Offset) -> Option<Freshness> {
         let (at, since) = self.follower.last_complete_read()?;
         (self.follower.next() <= offset).then_some(Freshness { at, since })
     }
 
-    /// What peers say of states that are not newer than ours.
-    fn words(&self, offset: Offset) -> Vec<Freshness> {
-        // A node that reads the log waits for its own first read: a peer that was cut off for an
-        // hour would otherwise make it ready with an old state a moment before the log's answer.
-        if self.reads() && !self.follower.attempted() {
+    /// Freshness that peers report of states that are not newer than this node's.
+    fn peer_freshness(&self, offset: Offset) -> Vec<Freshness> {
+        // A node that reads the log waits for its own first read. Otherwise a peer that was cut off
+        // for an hour could make it ready with an old state just before the log answers.
+        if self.reads_log() && !self.follower.attempted() {
             return Vec::new();
         }
         let not_newer = |peer: &Peer| peer.offset <= offset;
         let peers = self.mesh.as_ref().map(Mesh::peers).unwrap_or_default();
-        let words = peers.into_iter().filter(not_newer);
-        words.filter_map(|peer| peer.freshness).collect()
+        let current = peers.into_iter().filter(not_newer);
+        current.filter_map(|peer| peer.freshness).collect()
     }
 
     /// Whether this node reads the log now.
-    fn reads(&self) -> bool {
+    fn reads_log(&self) -> bool {
         let Some(mesh) = &self.mesh else {
             return true;
         };
@@ -142,7 +143,7 @@
         since.elapsed() >= self.config.0.max_age
     }
 
-    /// Pulls what a peer has and this node lacks.
+    /// Pulls records or a state from a peer that is ahead of this node.
     async fn pull(self: Arc<Self>, mesh: Mesh) {
         let mut changed = mesh.subscribe();
         loop {
@@ -156,44 +157,45 @@
             };
             match mesh.call(&peer, Call::Pull { offset }).await {
                 Ok(Answer::Records { records }) => {
-                    self.follower.update(|fold| fold.take(&records));
+                    self.follower.update(|fold| fold.apply_records(&records));
                 }
                 Ok(Answer::State { checkpoint }) => {
                     self.follower.update(|fold| fold.adopt(&checkpoint));
                 }
                 Ok(_) => {}
-                Err(error) => log::debug!("configuration: nothing from {}: {error}", peer.node),
+                Err(error) => log::debug!("configuration: pull from {} failed: {error}", peer.node),
             }
         }
     }
 
-    /// Pushes new records to the zone's nodes, if this node reads the log for them.
+    /// Pushes new records to the nodes of the zone while this node is elected to read the log for
+    /// them.
     async fn push(self: Arc<Self>, mesh: Mesh) {
         let mut states = self.published.subscribe();
         let mut offset = states.borrow_and_update().offset;
         while states.changed().await.is_ok() {
             let before = offset;
             offset = states.borrow_and_update().offset;
-            let others = self.config.0.read_mode == ReadMode::Elected;
-            if !others || mesh.elected(Role::Reader) != *mesh.node() {
+            let elected = self.config.0.read_mode == ReadMode::Elected;
+            if !elected || mesh.elected(Role::Reader) != *mesh.node() {
                 continue;
             }
-            let missing = self.follower.view(|fold| fold.since(before));
+            let missing = self.follower.view(|fold| fold.answer_pull(before));
             if let Answer::Records { records } = missing {
-                self.push_all(&mesh, &records).await;
+                self.push_to_zone(&mesh, &records).await;
             }
         }
     }
 
-    async fn push_all(&self, mesh: &Mesh, records: &[(Offset, String)]) {
+    async fn push_to_zone(&self, mesh: &Mesh, records: &[(Offset, String)]) {
         let zone = mesh.zone();
-        let near = mesh.peers().into_iter().filter(|p| &p.zone == zone);
-        let calls = near.map(|peer| {
+        let local = mesh.peers().into_iter().filter(|p| &p.zone == zone);
+        let calls = local.map(|peer| {
             let records = records.to_vec();
             async move {
-                // A peer that misses this pulls it after the next heartbeat.
+                // A peer that misses this push pulls the records after the next heartbeat.
                 if let Err(error) = mesh.call(&peer, Call::Push { records }).await {
-                    log::debug!("configuration: nothing to {}: {error}", peer.node);
+                    log::debug!("configuration: push to {} failed: {error}", peer.node);
                 }
             }
         });
@@ -201,28 +203,28 @@
     }
 
     /// Writes checkpoints when they are due.
-    async fn checkpoints(self: Arc<Self>, appender: Appender) {
+    async fn write_checkpoints(self: Arc<Self>, appender: Appender) {
         let mut records = self.follower.subscribe();
         loop {
-            if self.due() {
+            if self.checkpoint_due() {
                 let wait = self
                     .config
                     .0
                     .checkpoint_jitter
                     .mul_f64(rand::rng().random_range(0.0..=1.0));
                 tokio::time::sleep(wait).await;
-                if self.due() {
-                    self.write(&appender).await;
+                if self.checkpoint_due() {
+                    self.write_checkpoint(&appender).await;
                 }
             }
             tokio::select! {
                 _ = records.changed() => {}
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
         }
     }
 
-    fn due(&self) -> bool {
+    fn checkpoint_due(&self) -> bool {
         let Some((now, _)) = self.follower.last_complete_read() else {
             return false;
         };
@@ -230,7 +232,7 @@
             return false;
         }
         self.follower.view(|fold| {
-            if fold.lapsed() || fold.state().items().is_empty() {
+            if fold.has_gap() || fold.state().items().is_empty() {
                 return false;
             }
             let (changes, last) = fold.since_checkpoint();
@@ -239,13 +241,13 @@
         })
     }
 
-    async fn write(&self, appender: &Appender) {
+    async fn write_checkpoint(&self, appender: &Appender) {
         let checkpoint = self.follower.view(|fold| Checkpoint::of(fold.state()));
         let offset = checkpoint.offset;
         let Ok(record) = serde_json::to_string(&Entry::Checkpoint(checkpoint)) else {
             return;
         };
-        let deadline = Instant::now() + APPEND;
+        let deadline = Instant::now() + APPEND_TIMEOUT;
         match appender
             .append(Stream::Configuration, record, deadline)
             .await
@@ -256,7 +258,7 @@
     }
 }
 
-async fn heard(peers: Option<&mut watch::Receiver<u64>>) {
+async fn peers_changed(peers: Option<&mut watch::Receiver<u64>>) {
     let Some(changed) = peers else {
         return std::future::pending::<()>().await;
     };
--- a/crates/coordination/src/follower.rs
+++ b/crates/coordination/src/follower.rs
@@ -1,4 +1,4 @@
-//! Follows a stream of the log and folds it into a view.
+//! Reads a stream of the log continuously and folds it into a view.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,23 +18,24 @@
 use crate::log::Error;
 use crate::log::Log;
 
-/// The most records in one read.
-const MAX: usize = 1_000;
-/// How long a read waits for records. It bounds the age that a follower reports on a quiet stream.
-const WAIT: Duration = Duration::from_secs(1);
+/// The largest number of records in one read.
+const MAX_RECORDS: usize = 1_000;
+/// How long a read waits for records. It bounds the age that a follower reports of a stream without
+/// new records.
+const READ_WAIT: Duration = Duration::from_secs(1);
 
-/// A view that is folded from a stream.
+/// A view that is folded from the records of a stream.
 pub trait Fold: Send + Sync + 'static {
-    /// Takes the record at `offset`, which the log took at `at` by its own clock. Records come in
-    /// offset order, each once.
+    /// Applies the record at `offset`, which the log appended at `at` by its own clock. Records come in
+    /// the order of their offsets, each once.
     fn apply(&mut self, offset: Offset, at: Wall, record: &str);
 
-    /// Retention passed records that were not read: the next record is not before `oldest`, and
-    /// what the view says of the past may be wrong.
+    /// The log has dropped records that were not read. The next record is at `oldest` or later, and the
+    /// view may lack what the dropped records said.
     fn reset(&mut self, oldest: Offset);
 
-    /// Where to read on after the records before `next`; a view that got a newer state elsewhere
-    /// may go further, one that must read again may go back.
+    /// The offset to continue reading at, where all records before `next` were read. A view that got a
+    /// newer state elsewhere may skip records; one that must read records again may go back.
     fn resume(&self, next: Offset) -> Offset {
         next
     }
@@ -63,17 +64,17 @@
 #[derive(Debug, Clone, Copy)]
 struct Position {
     next: Offset,
-    /// When a read was sent that reached the end of the stream.
+    /// When the last read that reached the end of the stream was sent.
     read_sent: Instant,
     /// The log's clock when it answered that read.
     log_time: Option<Wall>,
     caught_up: bool,
-    /// Whether a read has ended, well or not.
+    /// Whether a read has succeeded or failed.
     attempted: bool,
 }
 
 impl<F: Fold> Follower<F> {
-    /// Follows `stream` from `from` on until `token`.
+    /// Follows `stream`, starting at `from`, until `token` is cancelled.
     pub fn start(
         log: impl Log,
         stream: Stream,
@@ -85,7 +86,7 @@
         Self::start_gated(log, stream, from, fold, gate.subscribe(), token)
     }
 
-    /// As [`Follower::start`], but reads only while `gate` holds true.
+    /// Like [`Follower::start`], but reads only while `gate` is true.
     pub fn start_gated(
         log: impl Log,
         stream: Stream,
@@ -116,17 +117,17 @@
         Self { shared }
     }
 
-    /// Looks at the view. `look` runs under a lock and must be short.
-    pub fn view<T>(&self, look: impl FnOnce(&F) -> T) -> T {
+    /// Calls `inspect` with the view. It runs under a lock and must be short.
+    pub fn view<T>(&self, inspect: impl FnOnce(&F) -> T) -> T {
         let fold = self
             .shared
             .fold
             .read()
             .unwrap_or_else(PoisonError::into_inner);
-        look(&fold)
+        inspect(&fold)
     }
 
-    /// Changes the view by something that is not on the stream, and wakes those who wait.
+    /// Changes the view by data that is not from the stream, and wakes the waiting tasks.
     pub fn update<T>(&self, change: impl FnOnce(&mut F) -> T) -> T {
         let result = {
             let mut fold = self
@@ -140,32 +141,33 @@
         result
     }
 
-    /// Waits until `look` finds something in the view, at most until `deadline`. It is asked at
-    /// once and after each batch.
-    pub async fn wait<T>(&self, deadline: Instant, look: impl Fn(&F) -> Option<T>) -> Option<T> {
-        // Subscribed before the first look, so that a batch in between is not missed.
+    /// Waits until `find` returns a value for the view, at most until `deadline`. It is called at once
+    /// and after each batch.
+    pub async fn wait<T>(&self, deadline: Instant, find: impl Fn(&F) -> Option<T>) -> Option<T> {
+        // Subscribes before the first call, so that a batch in between is not missed.
         let mut changed = self.shared.changed.subscribe();
         loop {
-            if let Some(found) = self.view(&look) {
+            if let Some(found) = self.view(&find) {
                 return Some(found);
             }
             match tokio::time::timeout_at(deadline, changed.changed()).await {
                 Ok(Ok(())) => {}
-                Ok(Err(_)) | Err(_) => return self.view(&look),
+                Ok(Err(_)) | Err(_) => return self.view(&find),
             }
         }
     }
 
-    /// A receiver that is told of each batch.
+    /// A receiver that is notified of each batch, each failed read and each [`Follower::update`].
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.shared.changed.subscribe()
     }
 
-    /// How old the view can be: the time since a read was sent that reached the stream's end.
+    /// Upper bound of the view's age: the time since the last read that reached the end of the stream
+    /// was sent.
     ///
-    /// It counts from the sending and not from the answer. An answer may lie in a socket while the
-    /// process is paused, and would make an old view look fresh.
+    /// It counts from the sending and not from the answer. An answer may wait in a socket while the
+    /// process is paused, and would make an old view look current.
     #[must_use]
     pub fn age(&self) -> Duration {
         self.shared.position().read_sent.elapsed()
@@ -177,14 +179,15 @@
         self.shared.position().caught_up
     }
 
-    /// The log's clock, and the moment, of the last read that reached the stream's end.
+    /// The last read that reached the end of the stream: the log's clock when it answered, and when the
+    /// read was sent.
     #[must_use]
     pub fn last_complete_read(&self) -> Option<(Wall, Instant)> {
         let position = self.shared.position();
         position.log_time.map(|at| (at, position.read_sent))
     }
 
-    /// Whether a read has ended, well or not.
+    /// Whether a read has succeeded or failed.
     #[must_use]
     pub fn attempted(&self) -> bool {
         self.shared.position().attempted
@@ -202,7 +205,7 @@
         *self.position.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn move_to(&self, position: Position) {
+    fn set_position(&self, position: Position) {
         *self.position.lock().unwrap_or_else(PoisonError::into_inner) = position;
     }
 
@@ -222,24 +225,28 @@
     async fn run(mut self) {
         let mut backoff = Backoff::new();
         loop {
-            self.pass_gate().await;
+            self.wait_for_gate().await;
             let sent = Instant::now();
             let next = self.next();
-            match self.log.read(self.stream, next, MAX, WAIT).await {
+            match self
+                .log
+                .read(self.stream, next, MAX_RECORDS, READ_WAIT)
+                .await
+            {
                 Ok(batch) => {
                     backoff.reset();
-                    self.take(next, &batch, sent);
+                    self.apply(next, &batch, sent);
                 }
-                Err(Error::Gone { oldest }) if oldest > next => self.lapse(oldest),
+                Err(Error::Gone { oldest }) if oldest > next => self.skip_to(oldest),
                 Err(error) => {
-                    self.stumble();
-                    let least = match error {
-                        Error::Refused { after } => after.min(WAIT),
+                    self.record_failure();
+                    let min_wait = match error {
+                        Error::Refused { after } => after.min(READ_WAIT),
                         _ => Duration::ZERO,
                     };
-                    let wait = backoff.wait(least);
+                    let wait = backoff.wait(min_wait);
                     log::debug!(
-                        "follower: {} not read, again in {wait:?}: {error}",
+                        "follower: read of {} failed, retrying in {wait:?}: {error}",
                         self.stream
                     );
                     tokio::time::sleep(wait).await;
@@ -248,8 +255,8 @@
         }
     }
 
-    async fn pass_gate(&mut self) {
-        // A gate whose owner is gone stays as it was last set.
+    async fn wait_for_gate(&mut self) {
+        // A gate whose sender was dropped keeps its last value.
         if self.gate.wait_for(|open| *open).await.is_err() && !*self.gate.borrow() {
             std::future::pending::<()>().await;
         }
@@ -264,7 +271,7 @@
         fold.resume(self.shared.position().next)
     }
 
-    fn take(&self, from: Offset, batch: &Batch, sent: Instant) {
+    fn apply(&self, from: Offset, batch: &Batch, sent: Instant) {
         let resumed = self.fold(from, batch);
         let mut position = self.shared.position();
         position.next = resumed;
@@ -274,11 +281,11 @@
             position.read_sent = sent;
             position.log_time = Some(batch.now);
         }
-        self.shared.move_to(position);
+        self.shared.set_position(position);
         self.shared.wake();
     }
 
-    /// Applies a batch and gives the place to read on.
+    /// Applies a batch and returns the offset to continue at.
     fn fold(&self, from: Offset, batch: &Batch) -> Offset {
         let mut fold = self
             .shared
@@ -293,7 +300,7 @@
             fold.apply(entry.offset, entry.at, &entry.record);
             next = entry.offset.next();
             let resumed = fold.resume(next);
-            // The rest of the batch is not what the fold wants next.
+            // The view continues elsewhere than at the batch's next record.
             if resumed != next {
                 return resumed;
             }
@@ -301,9 +308,9 @@
         fold.resume(next.max(batch.next))
     }
 
-    fn lapse(&self, oldest: Offset) {
+    fn skip_to(&self, oldest: Offset) {
         log::warn!(
-            "follower: {} kept from {oldest} on only, records before were not read",
+            "follower: the log has dropped unread records of {}; continuing at {oldest}",
             self.stream
         );
         self.shared
@@ -314,15 +321,15 @@
         let mut position = self.shared.position();
         position.next = oldest;
         position.caught_up = false;
-        self.shared.move_to(position);
+        self.shared.set_position(position);
         self.shared.wake();
     }
 
-    fn stumble(&self) {
+    fn record_failure(&self) {
         let mut position = self.shared.position();
         position.attempted = true;
         position.caught_up = false;
-        self.shared.move_to(position);
+        self.shared.set_position(position);
         self.shared.wake();
     }
 }
--- a/crates/coordination/src/mesh.rs
+++ b/crates/coordination/src/mesh.rs
@@ -1,8 +1,8 @@
-//! The entry VMs' view of each other: heartbeats by UDP, calls by TCP.
+//! Membership of the entry VMs and calls between them: heartbeats over UDP, calls over TCP.
 //!
-//! All that comes from here is a hint or an idempotent transfer. Which node reads the log for its
-//! zone, which keeps a copy of a bill and whether a node is alive may be seen differently by two
-//! nodes at once; nothing that must be agreed depends on it.
+//! The mesh gives hints and carries idempotent calls. Two nodes may disagree on which node reads the
+//! log for their zone, which one stores the copy of a bill, and whether a node is alive. Nothing that
+//! requires agreement depends on these answers.
 
 mod calls;
 mod config;
@@ -36,44 +36,44 @@
 
 pub use self::config::Config;
 pub use self::config::Settings;
+use self::drops::Counters;
 pub use self::drops::DropCounts;
-use self::drops::Drops;
 pub use self::gossip::Gossip;
 pub use self::table::Peer;
 use self::table::Table;
 
-/// Tries to find a port that is free for TCP and UDP, if the settings leave the port open.
-const BINDS: usize = 16;
+/// Attempts to find a port that is free for both TCP and UDP, if the settings ask for any port.
+const MAX_BIND_ATTEMPTS: usize = 16;
 
-/// Why a mesh can't be had, or a call failed.
+/// Why a mesh could not be started, or a call failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A time is zero, or peers could not reach the address.
-    #[snafu(display("the {setting} of the peers' part makes no sense: {found}"))]
+    /// A duration is zero, or the address is not one that peers can reach.
+    #[snafu(display("invalid {setting} for calls between peers: {found}"))]
     Setting {
-        /// Which setting.
+        /// The setting.
         setting: &'static str,
-        /// What was found.
+        /// The invalid value.
         found: String,
     },
-    /// The address can't be listened on.
+    /// Listening on the address failed.
     #[snafu(display("can't listen for peers on {address}"))]
     Bind {
-        /// Where.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// No connection to the peer: it has not got the call.
+    /// No connection to the peer was made, so it did not receive the call.
     #[snafu(display("no connection to {node}"))]
     Unreachable {
-        /// Which peer.
+        /// The peer.
         node: id::Node,
     },
-    /// The call was sent; whether it took effect is not known.
+    /// The call was sent; whether it took effect is unknown.
     #[snafu(display("no answer from {node}: {reason}"))]
     Lost {
-        /// Which peer.
+        /// The peer.
         node: id::Node,
         /// What happened.
         reason: String,
@@ -81,7 +81,7 @@
     /// The call is too large to send.
     #[snafu(display("the call can't be sent"))]
     Frame {
-        /// Why.
+        /// The cause.
         source: pimento_wire::frame::Error,
     },
 }
@@ -89,40 +89,40 @@
 /// Until when a configuration is known to be current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Freshness {
-    /// The log's clock when the log was last read to its end, by whoever read it.
+    /// The log's clock when some node last read the log to its end.
     pub at: Wall,
-    /// The same moment on this node's clock, as well as it is known.
+    /// The same moment on this node's clock, as an estimate.
     pub since: Instant,
 }
 
 impl Freshness {
     /// The later of two, by the log's clock.
     ///
-    /// Word that comes back is not later than what was sent, so two nodes that are cut off from
-    /// the log can't keep telling each other that they are current: by their own clocks each
-    /// passing on would add the time on the way, and their age would grow too slowly.
+    /// The log's clock is compared because it does not change on the way: a report that comes back is
+    /// not later than the one that was sent. By their own clocks, two nodes that are cut off from the
+    /// log would gain the transit time with each exchange, and their age would grow too slowly.
     #[must_use]
     pub fn later(self, other: Self) -> Self {
         if other.at > self.at { other } else { self }
     }
 }
 
-/// What this node says of itself in its heartbeats.
+/// What a node reports about itself in its heartbeats.
 #[derive(Debug, Clone, Default)]
 pub struct Status {
     /// Offset of its configuration.
     pub offset: Offset,
-    /// Until when that is known to be current.
+    /// Until when its configuration is known to be current.
     pub freshness: Option<Freshness>,
-    /// Whether it reads the log itself.
+    /// Whether it reads the log itself and has reached its end.
     pub reads_log: bool,
-    /// Whether it is about to go.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Versions that it quarantined, sorted.
+    /// Versions that it has quarantined, sorted.
     pub quarantined: Vec<id::Version>,
 }
 
-/// A part that one node plays for its zone.
+/// A role that one node takes for its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// Reads the configuration stream for the zone.
@@ -132,6 +132,7 @@
 }
 
 impl Role {
+    /// The name by which nodes rank each other for the role. All nodes must hash the same name.
     const fn name(self) -> &'static str {
         match self {
             Self::Reader => "tailer",
@@ -142,11 +143,11 @@
 
 /// Answers calls of peers.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one call. Calls may come twice.
+    /// Answers one call. The same call may arrive twice.
     fn handle(&self, call: Call) -> impl Future<Output = Answer> + Send;
 }
 
-/// The entry VMs' view of each other. Clones share it.
+/// This node's view of the other entry VMs. Clones share it.
 #[derive(Debug, Clone)]
 pub struct Mesh {
     shared: Arc<Shared>,
@@ -155,15 +156,15 @@
 #[derive(Debug)]
 struct Shared {
     settings: Settings,
-    local: SocketAddr,
+    local_address: SocketAddr,
     address: SocketAddr,
     socket: UdpSocket,
     table: Mutex<Table>,
-    own: Mutex<Status>,
+    status: Mutex<Status>,
     departures: Mutex<Gossip<Departure>>,
     suspicions: Mutex<Gossip<Suspicion>>,
     changed: watch::Sender<u64>,
-    drops: Drops,
+    drops: Counters,
     pool: calls::Pool,
 }
 
@@ -176,13 +177,13 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    fn learn(&self, departures: Vec<Departure>, suspicions: Vec<Suspicion>) {
-        lock(&self.departures).learn(departures);
-        lock(&self.suspicions).learn(suspicions);
+    fn merge(&self, departures: Vec<Departure>, suspicions: Vec<Suspicion>) {
+        lock(&self.departures).merge(departures);
+        lock(&self.suspicions).merge(suspicions);
     }
 }
 
-/// The TCP side of a mesh, which answers nobody until it is served.
+/// The TCP listener of a mesh. Calls are answered only after [`Listener::serve`].
 #[derive(Debug)]
 pub struct Listener {
     inner: TcpListener,
@@ -201,18 +202,18 @@
 }
 
 impl Mesh {
-    /// Listens on TCP and UDP and starts the heartbeats; they end with `token`.
+    /// Listens on TCP and UDP, and sends heartbeats until `token` is cancelled.
     ///
     /// # Errors
     ///
-    /// [`Error::Bind`] if the address can't be had.
+    /// [`Error::Bind`] if listening on the address fails.
     pub async fn bind(config: Config, token: CancellationToken) -> Result<(Self, Listener), Error> {
         let settings = config.0;
         let (inner, socket) = bind(settings.listen).await?;
-        let local = inner.local_addr().context(BindSnafu {
+        let local_address = inner.local_addr().context(BindSnafu {
             address: settings.listen,
         })?;
-        let address = settings.advertise.unwrap_or(local);
+        let address = settings.advertise.unwrap_or(local_address);
         let node = settings.node.clone();
         let table = Table::new(
             node,
@@ -222,15 +223,15 @@
         );
         let shared = Arc::new(Shared {
             settings,
-            local,
+            local_address,
             address,
             socket,
             table: Mutex::new(table),
-            own: Mutex::new(Status::default()),
+            status: Mutex::new(Status::default()),
             departures: Mutex::default(),
             suspicions: Mutex::default(),
             changed: watch::Sender::new(0),
-            drops: Drops::default(),
+            drops: Counters::default(),
             pool: calls::Pool::default(),
         });
         datagrams::start(&shared, &token);
@@ -243,52 +244,52 @@
         Ok((mesh, listener))
     }
 
-    /// Where this node listens.
+    /// The address that this node listens on.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
-        self.shared.local
+        self.shared.local_address
     }
 
-    /// Where peers reach this node.
+    /// The address at which peers reach this node.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// This node.
+    /// The name of this node.
     #[must_use]
     pub fn node(&self) -> &id::Node {
         &self.shared.settings.node
     }
 
-    /// Its zone.
+    /// The zone of this node.
     #[must_use]
     pub fn zone(&self) -> &id::Zone {
         &self.shared.settings.zone
     }
 
-    /// Peers that showed life lately, sorted by name.
+    /// Live peers, sorted by name.
     #[must_use]
     pub fn peers(&self) -> Vec<Peer> {
         lock(&self.shared.table).live(Instant::now())
     }
 
-    /// Calls a peer. A call may reach it twice, since one that broke on a kept connection is made
-    /// again on a new one.
+    /// Calls a peer. The call may reach it twice: a call that fails on a pooled connection is repeated on
+    /// a new one.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] if the peer has not got the call, [`Error::Lost`] if it may have,
+    /// [`Error::Unreachable`] if the peer did not receive the call, [`Error::Lost`] if it may have,
     /// [`Error::Frame`] if the call is too large.
     pub async fn call(&self, peer: &Peer, call: Call) -> Result<Answer, Error> {
         let result = calls::call(&self.shared, peer, &call).await;
         if let Err(Error::Unreachable { node } | Error::Lost { node, .. }) = &result {
-            lock(&self.shared.table).suspect(node);
+            lock(&self.shared.table).mark_suspected(node);
         }
         result
     }
 
-    /// Says that an endpoint is leaving; peers hear of it with the next heartbeats.
+    /// Announces with the next heartbeats that an endpoint is leaving.
     pub fn announce_departure(&self, departure: Departure) {
         if lock(&self.shared.departures).add(departure) {
             self.shared.wake();
@@ -301,42 +302,42 @@
         lock(&self.shared.departures).all()
     }
 
-    /// Whether this life of the endpoint is known to be leaving.
+    /// Whether this incarnation of the endpoint is known to be leaving.
     #[must_use]
     pub fn is_leaving(&self, departure: &Departure) -> bool {
         lock(&self.shared.departures).contains(departure)
     }
 
-    /// Says what this node saw of a request under which endpoints end; peers hear of it with the next
-    /// heartbeats.
+    /// Announces with the next heartbeats what this node observed of a request during which endpoints
+    /// crash.
     pub fn announce_suspicion(&self, suspicion: Suspicion) {
         if lock(&self.shared.suspicions).add(suspicion) {
             self.shared.wake();
         }
     }
 
-    /// What was said of such requests after so many words, and how many there are by now.
+    /// The suspicions added after the first `after` ones, and the number added so far.
     #[must_use]
     pub fn suspicions(&self, after: u64) -> (Vec<Suspicion>, u64) {
-        lock(&self.shared.suspicions).since(after)
+        lock(&self.shared.suspicions).added_after(after)
     }
 
-    /// Changes what this node says of itself.
+    /// Changes what this node reports about itself.
     pub fn update_status(&self, change: impl FnOnce(&mut Status)) {
-        change(&mut lock(&self.shared.own));
+        change(&mut lock(&self.shared.status));
     }
 
-    /// Takes addresses of possible peers, for instance from the platform's list of VMs. They add to
-    /// those known, so that a list which is suddenly empty or short does no harm.
+    /// Adds addresses of possible peers, for instance from the platform's list of VMs. Known addresses
+    /// stay, so that a list which is suddenly empty or short does no harm.
     pub fn add_addresses(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let now = Instant::now();
         let mut table = lock(&self.shared.table);
         for address in addresses {
-            table.learn(address, now);
+            table.add_address(address, now);
         }
     }
 
-    /// The node of this zone that plays a part, as seen from here; this node if it sees no other.
+    /// The node of this zone that has `role` by this node's view; this node if it knows no other.
     #[must_use]
     pub fn elected(&self, role: Role) -> id::Node {
         let zone = self.zone();
@@ -346,7 +347,7 @@
             .filter(|peer| &peer.zone == zone && !peer.leaving)
             .map(|peer| peer.node)
             .collect();
-        if !lock(&self.shared.own).leaving {
+        if !lock(&self.shared.status).leaving {
             nodes.push(self.node().clone());
         }
         let weight = |node: &id::Node| xxh3_64(format!("{}/{node}", role.name()).as_bytes());
@@ -354,13 +355,14 @@
         best.unwrap_or_else(|| self.node().clone())
     }
 
-    /// Frames that were dropped, by cause.
+    /// Numbers of dropped frames by cause.
     #[must_use]
     pub fn drops(&self) -> DropCounts {
         self.shared.drops.count()
     }
 
-    /// A receiver that is told of each heartbeat and each departure.
+    /// A receiver that is notified of each heartbeat received, and each departure and suspicion
+    /// announced here.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.shared.changed.subscribe()
@@ -368,7 +370,7 @@
 }
 
 async fn bind(address: SocketAddr) -> Result<(TcpListener, UdpSocket), Error> {
-    let mut tries = 1;
+    let mut attempts = 1;
     loop {
         let listener = TcpListener::bind(address)
             .await
@@ -376,8 +378,8 @@
         let bound = listener.local_addr().context(BindSnafu { address })?;
         match UdpSocket::bind(bound).await {
             Ok(socket) => return Ok((listener, socket)),
-            // The port that TCP was given may be taken on UDP.
-            Err(_) if address.port() == 0 && tries < BINDS => tries += 1,
+            // The port assigned for TCP may be in use for UDP.
+            Err(_) if address.port() == 0 && attempts < MAX_BIND_ATTEMPTS => attempts += 1,
             Err(source) => return Err(Error::Bind { address, source }),
         }
     }
--- a/crates/coordination/src/mesh/calls.rs
+++ b/crates/coordination/src/mesh/calls.rs
@@ -1,4 +1,5 @@
-//! Calls by TCP: one frame there, one frame back, then the next on the same connection.
+//! Calls over TCP: a frame with the call, a frame with its answer, then the next call on the same
+//! connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,19 +32,19 @@
 use super::Shared;
 use super::lock;
 
-/// Connections served at once. A node is called by the peers of its zone (50 at the target size)
-/// with a few connections each; more would only cost memory.
-const CONNECTIONS: usize = 256;
-/// How long a connection waits for its next call.
-const IDLE: Duration = Duration::from_mins(1);
-/// How long a kept connection is used again; shorter than [`IDLE`], so that it is seldom closed by
-/// the other side in the moment of its use.
-const KEEP: Duration = Duration::from_secs(30);
-/// Connections kept for each peer.
-const KEPT: usize = 4;
+/// The largest number of connections served at once. The peers of the zone (50 at the target size) use
+/// a few connections each; more would only cost memory.
+const MAX_CONNECTIONS: usize = 256;
+/// How long the server waits for the next call on a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
+/// How long an idle connection can be reused. It is shorter than [`IDLE_TIMEOUT`], so that the peer
+/// seldom closes a connection just when it is reused.
+const REUSE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The largest number of idle connections to one peer.
+const MAX_IDLE: usize = 4;
 
-/// Bytes of a frame that are read at once.
-const PIECE: usize = 16 << 10;
+/// Bytes that are reserved for each read of a frame.
+const READ_CHUNK: usize = 16 << 10;
 
 /// Why an exchange failed.
 #[derive(Debug, Snafu)]
@@ -51,37 +52,44 @@
     #[snafu(display("{source}"), context(false))]
     Socket { source: std::io::Error },
     #[snafu(display("{source}"), context(false))]
-    Bad { source: frame::Error },
+    Frame { source: frame::Error },
     #[snafu(display("{source}"), context(false))]
     Stalled { source: Silent },
 }
 
-/// Connections kept for their next call.
+/// Idle connections for later calls.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
-    kept: Mutex<Vec<Kept>>,
+    idle: Mutex<Vec<Idle>>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct Idle {
     address: SocketAddr,
     since: Instant,
     stream: TcpStream,
 }
 
 impl Pool {
-    fn take(&self, address: SocketAddr) -> Option<TcpStream> {
-        let mut kept = lock(&self.kept);
-        kept.retain(|k| k.since.elapsed() < KEEP);
-        let at = kept.iter().rposition(|k| k.address == address)?;
-        Some(kept.remove(at).stream)
+    fn acquire(&self, address: SocketAddr) -> Option<TcpStream> {
+        let mut idle = lock(&self.idle);
+        idle.retain(|connection| connection.since.elapsed() < REUSE_TIMEOUT);
+        let at = idle
+            .iter()
+            .rposition(|connection| connection.address == address)?;
+        Some(idle.remove(at).stream)
     }
 
-    fn keep(&self, address: SocketAddr, stream: TcpStream) {
-        let mut kept = lock(&self.kept);
-        if kept.iter().filter(|k| k.address == address).count() < KEPT {
+    fn release(&self, address: SocketAddr, stream: TcpStream) {
+        let mut idle = lock(&self.idle);
+        if idle
+            .iter()
+            .filter(|connection| connection.address == address)
+            .count()
+            < MAX_IDLE
+        {
             let since = Instant::now();
-            kept.push(Kept {
+            idle.push(Idle {
                 address,
                 since,
                 stream,
@@ -90,7 +98,8 @@
     }
 }
 
-/// Makes a call, on a kept connection if there is one.
+/// Makes a call, on an idle connection if there is one. If that fails, the call is repeated on a new
+/// connection.
 pub(super) async fn call(shared: &Shared, peer: &Peer, call: &Call) -> Result<Answer, Error> {
     let frame = Frame::seal(call, &shared.settings.key, MAX_BODY).context(FrameSnafu)?;
     let lost = |reason: String| Error::Lost {
@@ -98,9 +107,9 @@
         reason,
     };
     let deadline = Instant::now() + shared.settings.timeout;
-    let kept = shared.pool.take(peer.address);
-    let again = kept.is_some();
-    if let Some(stream) = kept
+    let pooled = shared.pool.acquire(peer.address);
+    let repeated = pooled.is_some();
+    if let Some(stream) = pooled
         && let Ok(answer) = exchange(shared, peer.address, stream, &frame, deadline).await
     {
         return Ok(answer);
@@ -108,8 +117,8 @@
     let connect = connect(shared.settings.listen, peer.address);
     let stream = match tokio::time::timeout_at(deadline, connect).await {
         Ok(Ok(stream)) => stream,
-        // The peer may have got the call on the kept connection.
-        _ if again => return Err(lost("the connection broke".into())),
+        // The peer may have received the call on the pooled connection.
+        _ if repeated => return Err(lost("the connection broke".into())),
         _ => {
             let node = peer.node.clone();
             return Err(Error::Unreachable { node });
@@ -119,8 +128,8 @@
     attempt.map_err(|fault| lost(fault.to_string()))
 }
 
-/// Connects from the address that peers reach this node at. On a VM with several addresses, rules of
-/// the network between zones would else meet calls that come from another one.
+/// Connects from the IP address that this node listens on. On a VM with several addresses, calls would
+/// otherwise come from one that the network rules between zones don't expect.
 async fn connect(own: SocketAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
     if own.ip().is_unspecified() || own.is_ipv4() != to.is_ipv4() {
         return TcpStream::connect(to).await;
@@ -134,8 +143,9 @@
     socket.connect(to).await
 }
 
-/// One call and its answer, which begins by `deadline` and then keeps coming. The connection is kept
-/// only after a whole answer: a late one must not be read as that of the next call.
+/// Sends a call and reads its answer, which must begin by `deadline` and must not pause for longer than
+/// the timeout. The connection is reused only after a complete answer, so that a late answer is never
+/// read as the answer to the next call.
 async fn exchange(
     shared: &Shared,
     address: SocketAddr,
@@ -154,11 +164,11 @@
     let answer = progress
         .wait(answer, first, shared.settings.timeout)
         .await?;
-    if let Err(Fault::Bad { source }) = &answer {
+    if let Err(Fault::Frame { source }) = &answer {
         shared.drops.add(source);
     }
     let answer = answer?;
-    shared.pool.keep(address, stream);
+    shared.pool.release(address, stream);
     Ok(answer)
 }
 
@@ -169,7 +179,7 @@
     stream.write_all(&bytes).await
 }
 
-/// Reads a frame. Memory grows with the bytes that came and not with the length that was said.
+/// Reads a frame. Memory grows with the bytes received and not with the length that the peer announced.
 async fn read(stream: &mut TcpStream, progress: &Progress) -> Result<Frame, Fault> {
     let mut length = [0; LENGTH];
     stream.read_exact(&mut length).await?;
@@ -180,12 +190,12 @@
         return Err(frame::Error::Size { length, limit }.into());
     }
     let mut bytes = Vec::new();
-    let mut rest = stream.take(length as u64);
+    let mut body = stream.take(length as u64);
     loop {
-        bytes.reserve(PIECE);
-        match rest.read_buf(&mut bytes).await? {
+        bytes.reserve(READ_CHUNK);
+        match body.read_buf(&mut bytes).await? {
             0 => break,
-            came => progress.add(came),
+            received => progress.add(received),
         }
     }
     if bytes.len() < length {
@@ -194,7 +204,7 @@
     Ok(Frame::receive(bytes, MAX_BODY)?)
 }
 
-/// Answers calls.
+/// Answers calls from peers.
 pub(super) struct Server<H> {
     shared: Arc<Shared>,
     handler: Arc<H>,
@@ -202,16 +212,16 @@
 }
 
 impl<H: Handler> Server<H> {
-    /// A server that answers by `handler`.
+    /// A server that answers calls with `handler`.
     pub(super) fn new(shared: Arc<Shared>, handler: H) -> Self {
         Self {
             shared,
             handler: Arc::new(handler),
-            permits: Arc::new(Semaphore::new(CONNECTIONS)),
+            permits: Arc::new(Semaphore::new(MAX_CONNECTIONS)),
         }
     }
 
-    /// Accepts connections for ever. They end with the returned future, so with the mesh's token.
+    /// Accepts connections until the returned future is dropped, which also closes them.
     pub(super) async fn run(self, listener: TcpListener) {
         let mut connections = tokio::task::JoinSet::new();
         loop {
@@ -222,7 +232,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    log::warn!("mesh: connection not accepted: {error}");
+                    log::warn!("mesh: accepting a connection failed: {error}");
                     tokio::time::sleep(Duration::from_millis(100)).await;
                     continue;
                 }
@@ -249,18 +259,18 @@
         if stream.set_nodelay(true).is_err() {
             return;
         }
-        while let Ok(Ok(())) = tokio::time::timeout(IDLE, self.serve(&mut stream)).await {}
+        while let Ok(Ok(())) = tokio::time::timeout(IDLE_TIMEOUT, self.serve(&mut stream)).await {}
     }
 
     async fn serve(&self, stream: &mut TcpStream) -> Result<(), Fault> {
-        // Nobody waits for a call but the connection, which is bounded as a whole.
+        // The progress is not checked: `run` bounds the time of the call as a whole.
         let progress = Progress::default();
         let call = read(stream, &progress).await.and_then(|frame| {
             let call = frame.open(&self.shared.settings.key)?;
             Ok(call)
         });
-        // Whoever sends a frame that does not open gets no answer, only a closed connection.
-        if let Err(Fault::Bad { source }) = &call {
+        // A frame that fails authentication or decoding gets no answer; the connection is closed.
+        if let Err(Fault::Frame { source }) = &call {
             self.shared.drops.add(source);
         }
         let answer = self.handler.handle(call?).await;
--- a/crates/coordination/src/mesh/config.rs
+++ b/crates/coordination/src/mesh/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a mesh, and their checking.
+//! Settings of a mesh and their validation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,33 +13,34 @@
 /// Settings of a [`super::Mesh`].
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// This node.
+    /// The name of this node.
     pub node: id::Node,
-    /// Its zone.
+    /// The zone of this node.
     pub zone: id::Zone,
-    /// Where it listens, TCP and UDP on the same port.
+    /// The address to listen on; TCP and UDP use the same port.
     pub listen: SocketAddr,
-    /// Where peers reach it, if that is not where it listens.
+    /// The address at which peers reach this node, if it is not `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Peers to begin with.
+    /// Addresses of possible peers known at the start.
     pub seeds: Vec<SocketAddr>,
-    /// The key that all nodes share.
+    /// The key shared by all nodes, which authenticates frames.
     pub key: Key,
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub interval: Duration,
-    /// After how long without a sign of life a peer is taken for dead.
+    /// A peer counts as dead if no newer heartbeat of it is known for this long.
     pub liveness_timeout: Duration,
-    /// How long the answer to a call may take to begin, and as long to go on.
+    /// Time within which the answer to a call must begin, and the longest pause within the answer.
     pub timeout: Duration,
 }
 
 impl Settings {
-    /// Settings with the usual times.
+    /// Settings with default times.
     ///
-    /// A second between heartbeats keeps a node at three datagrams a second. Ten seconds of
-    /// silence are three times as long as word takes to pass through a zone of 50 nodes (six
-    /// rounds of doubling), so that lost datagrams don't make a live peer look dead. Two seconds
-    /// carry a whole state over a slow link and are short beside callers' deadlines.
+    /// With a heartbeat interval of 1 s, a node sends three datagrams a second. A liveness timeout of
+    /// 10 s is three times as long as the news of a heartbeat takes to spread in a zone of 50 nodes (six
+    /// rounds of doubling), so that lost datagrams don't make a live peer look dead. A call
+    /// timeout of 2 s suffices for a whole state over a slow link, and is short against callers'
+    /// deadlines.
     #[must_use]
     pub fn new(node: id::Node, zone: id::Zone, listen: SocketAddr, key: Key) -> Self {
         Self {
@@ -63,20 +64,20 @@
 impl TryFrom<Settings> for Config {
     type Error = Error;
     fn try_from(settings: Settings) -> Result<Self, Error> {
-        let times = [
+        let durations = [
             ("interval", settings.interval),
             ("silence", settings.liveness_timeout),
             ("timeout", settings.timeout),
         ];
-        for (setting, time) in times {
-            let found = format!("{time:?}");
-            ensure!(!time.is_zero(), SettingSnafu { setting, found });
+        for (setting, duration) in durations {
+            let found = format!("{duration:?}");
+            ensure!(!duration.is_zero(), SettingSnafu { setting, found });
         }
-        let reach = settings.advertise.unwrap_or(settings.listen);
+        let address = settings.advertise.unwrap_or(settings.listen);
         let setting = "address";
-        let found = format!("peers can't reach {reach}");
+        let found = format!("peers can't reach {address}");
         ensure!(
-            !reach.ip().is_unspecified(),
+            !address.ip().is_unspecified(),
             SettingSnafu { setting, found }
         );
         Ok(Self(settings))
--- a/crates/coordination/src/mesh/datagrams.rs
+++ b/crates/coordination/src/mesh/datagrams.rs
@@ -1,4 +1,4 @@
-//! Heartbeats by UDP.
+//! Heartbeats over UDP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,33 +20,36 @@
 
 use super::Shared;
 use super::lock;
-use super::table::News;
 use super::table::Peer;
-
-/// Peers of the own zone that get each heartbeat.
-const NEAR: usize = 2;
-/// Peers of other zones that get each heartbeat. Links between zones cost more.
-const FAR: usize = 1;
-/// Addresses that are not those of live peers and get each heartbeat too; this is how cut-off
-/// nodes find each other again.
-const QUIET: usize = 1;
-/// The same while fewer than [`NEAR`] + [`FAR`] peers are live, so that a new node finds peers soon.
-const JOIN: usize = 8;
-/// Departures in one heartbeat.
-const DEPARTURES: usize = 8;
-/// Words of requests under which endpoints end in one heartbeat.
-const SUSPICIONS: usize = 6;
-/// Nodes that a heartbeat passes on word of. A zone of the target size has 50.
-const HEARD: usize = 64;
-
-/// Pause after an error of receiving, so that one that stays does not take a whole core.
-const PAUSE: Duration = Duration::from_millis(10);
-
-/// Starts sender and receiver.
+use super::table::Update;
+
+/// Number of live peers of the same zone that each heartbeat is sent to.
+const LOCAL_FANOUT: usize = 2;
+/// Number of live peers of other zones that each heartbeat is sent to. Links between zones cost more.
+const REMOTE_FANOUT: usize = 1;
+/// Number of addresses without a live peer that each heartbeat is sent to. This lets nodes find each
+/// other again after a network partition.
+const SILENT_FANOUT: usize = 1;
+/// Replaces [`SILENT_FANOUT`] while fewer than [`LOCAL_FANOUT`] + [`REMOTE_FANOUT`] peers are live, so
+/// that a new node finds peers soon.
+const JOIN_FANOUT: usize = 8;
+/// The largest number of departures in one heartbeat.
+const MAX_DEPARTURES: usize = 8;
+/// The largest number of suspicions in one heartbeat, each about a request during which endpoints
+/// crash.
+const MAX_SUSPICIONS: usize = 6;
+/// The largest number of other nodes whose latest heartbeat is reported in one heartbeat. A zone of the
+/// target size has 50.
+const MAX_DIGEST: usize = 64;
+
+/// Delay after a receive error, so that a lasting error does not occupy a whole core.
+const ERROR_DELAY: Duration = Duration::from_millis(10);
+
+/// Starts to send and receive heartbeats until `token` is cancelled.
 pub(super) fn start(shared: &Arc<Shared>, token: &CancellationToken) {
-    let sender = Sender {
+    let sender = Heartbeats {
         shared: Arc::clone(shared),
-        sequence: Arc::new(std::sync::atomic::AtomicU64::new(first())),
+        sequence: Arc::new(std::sync::atomic::AtomicU64::new(first_sequence())),
     };
     let receiver = sender.clone();
     let send = token.clone();
@@ -55,21 +58,21 @@
     tokio::spawn(async move { receive.run_until_cancelled(receiver.receive()).await });
 }
 
-/// The first sequence number: the wall clock in milliseconds, so that a node which starts again
-/// under its old name is not taken for late datagrams of its former life.
-fn first() -> u64 {
+/// The first sequence number: the wall clock in milliseconds. The heartbeats of a node that restarts
+/// under its old name are thus newer than those of its previous incarnation.
+fn first_sequence() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.unwrap_or(Duration::ZERO).as_millis();
     u64::try_from(millis).unwrap_or(0)
 }
 
 #[derive(Clone)]
-struct Sender {
+struct Heartbeats {
     shared: Arc<Shared>,
     sequence: Arc<std::sync::atomic::AtomicU64>,
 }
 
-impl Sender {
+impl Heartbeats {
     async fn run(self) {
         let mut ticks = tokio::time::interval(self.shared.settings.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -84,18 +87,21 @@
         let now = Instant::now();
         let table = lock(&self.shared.table);
         let zone = &self.shared.settings.zone;
-        let (near, far): (Vec<Peer>, Vec<Peer>) =
+        let (local, remote): (Vec<Peer>, Vec<Peer>) =
             table.live(now).into_iter().partition(|p| &p.zone == zone);
-        let quiet = table.quiet(now);
-        let few = near.len() + far.len() < NEAR + FAR;
+        let silent = table.silent_addresses(now);
+        let few = local.len() + remote.len() < LOCAL_FANOUT + REMOTE_FANOUT;
         let mut rng = rand::rng();
         let mut targets = Vec::new();
-        let near = near.sample(&mut rng, NEAR + FAR - FAR.min(far.len()));
-        targets.extend(near.map(|p| p.address));
-        let missing = NEAR + FAR - targets.len();
-        targets.extend(far.sample(&mut rng, missing).map(|p| p.address));
-        let quiet = quiet.sample(&mut rng, if few { JOIN } else { QUIET });
-        targets.extend(quiet.copied());
+        let local = local.sample(
+            &mut rng,
+            LOCAL_FANOUT + REMOTE_FANOUT - REMOTE_FANOUT.min(remote.len()),
+        );
+        targets.extend(local.map(|p| p.address));
+        let missing = LOCAL_FANOUT + REMOTE_FANOUT - targets.len();
+        targets.extend(remote.sample(&mut rng, missing).map(|p| p.address));
+        let silent = silent.sample(&mut rng, if few { JOIN_FANOUT } else { SILENT_FANOUT });
+        targets.extend(silent.copied());
         targets.retain(|target| *target != self.shared.address);
         targets
     }
@@ -107,10 +113,10 @@
         let beat = self.heartbeat();
         let frame = match self.seal(beat) {
             Ok(frame) => frame,
-            Err(error) => return log::error!("mesh: no heartbeat: {error}"),
+            Err(error) => return log::error!("mesh: failed to encode a heartbeat: {error}"),
         };
         for target in targets {
-            // A datagram may be lost on its way as well; the next one is a second off.
+            // A failed send is like a datagram lost on the network; the next heartbeat follows soon.
             if let Err(error) = self.shared.socket.send_to(frame.bytes(), target).await {
                 log::debug!("mesh: heartbeat to {target} not sent: {error}");
             }
@@ -119,32 +125,32 @@
 
     fn heartbeat(&self) -> Heartbeat {
         let shared = &self.shared;
-        let departures = lock(&shared.departures).pick(DEPARTURES);
-        let suspicions = lock(&shared.suspicions).pick(SUSPICIONS);
-        let heard = lock(&shared.table).digest(&shared.settings.zone, HEARD, Instant::now());
-        let own = lock(&shared.own).clone();
-        let current = own.freshness.map(|fresh| Current {
-            at: fresh.at,
-            age_ms: Span::from(fresh.since.elapsed()).millis(),
+        let departures = lock(&shared.departures).select(MAX_DEPARTURES);
+        let suspicions = lock(&shared.suspicions).select(MAX_SUSPICIONS);
+        let heard = lock(&shared.table).digest(&shared.settings.zone, MAX_DIGEST, Instant::now());
+        let status = lock(&shared.status).clone();
+        let current = status.freshness.map(|freshness| Current {
+            at: freshness.at,
+            age_ms: Span::from(freshness.since.elapsed()).millis(),
         });
-        let order = std::sync::atomic::Ordering::Relaxed;
+        let ordering = std::sync::atomic::Ordering::Relaxed;
         Heartbeat {
             node: shared.settings.node.clone(),
             zone: shared.settings.zone.clone(),
             address: shared.address.to_compact_string(),
-            sequence: self.sequence.fetch_add(1, order),
-            offset: own.offset,
+            sequence: self.sequence.fetch_add(1, ordering),
+            offset: status.offset,
             current,
-            tailing: own.reads_log,
-            leaving: own.leaving,
+            tailing: status.reads_log,
+            leaving: status.leaving,
             departures,
-            quarantined: own.quarantined,
+            quarantined: status.quarantined,
             heard,
             suspicions,
         }
     }
 
-    /// Seals a heartbeat, leaving out what does not fit into a datagram.
+    /// Seals a heartbeat, without what does not fit into a datagram.
     fn seal(&self, mut beat: Heartbeat) -> Result<Frame, Error> {
         loop {
             let result = Frame::seal(&beat, &self.shared.settings.key, MAX_DATAGRAM);
@@ -155,17 +161,17 @@
     }
 
     async fn receive(self) {
-        // One byte more than allowed, so that a longer datagram is seen as such and not cut.
+        // One byte more than allowed: a datagram that is too long is detected and not truncated.
         let mut buffer = vec![0; MAX_DATAGRAM + 1];
         loop {
             let received = self.shared.socket.recv_from(&mut buffer).await;
             let Ok((length, _)) = received else {
-                // The error is that of an earlier sending to a closed port; receiving goes on.
-                tokio::time::sleep(PAUSE).await;
+                // The error reports that an earlier datagram was sent to a closed port.
+                tokio::time::sleep(ERROR_DELAY).await;
                 continue;
             };
             match self.open(&buffer[..length]) {
-                Ok(beat) => self.hear(beat).await,
+                Ok(beat) => self.merge(beat).await,
                 Err(error) => self.shared.drops.add(&error),
             }
         }
@@ -175,21 +181,21 @@
         Frame::receive(bytes.to_vec(), MAX_DATAGRAM)?.open(&self.shared.settings.key)
     }
 
-    async fn hear(&self, beat: Heartbeat) {
+    async fn merge(&self, beat: Heartbeat) {
         let now = Instant::now();
-        let news = {
+        let update = {
             let mut table = lock(&self.shared.table);
-            let news = table.hear(&beat, now);
-            if news != News::Old {
-                table.hear_of(&beat.heard, now);
+            let update = table.merge(&beat, now);
+            if update != Update::Stale {
+                table.merge_digest(&beat.heard, now);
             }
-            news
+            update
         };
-        self.shared.learn(beat.departures, beat.suspicions);
+        self.shared.merge(beat.departures, beat.suspicions);
         self.shared.wake();
-        // A node that was not known is answered at once, so that a new one has peers without
-        // waiting to be drawn by chance. It ends there: the answer's receiver is known by then.
-        if news == News::New
+        // A new node gets a heartbeat back at once, so that it knows a peer before it is selected at
+        // random. There are no further answers: the new node is known here by then.
+        if update == Update::New
             && let Ok(address) = beat.address.parse()
         {
             self.send(&[address]).await;
@@ -197,8 +203,8 @@
     }
 }
 
-/// Drops half of what matters least; false if nothing is left to drop. Departures go last, since a
-/// missed one sends work to an endpoint that shuts down.
+/// Drops half of the least important items; false if no items are left. Departures are dropped last:
+/// without them requests are sent to an endpoint that is shutting down.
 fn shorten(beat: &mut Heartbeat) -> bool {
     if !beat.heard.is_empty() {
         beat.heard.truncate(beat.heard.len() / 2);
--- a/crates/coordination/src/mesh/drops.rs
+++ b/crates/coordination/src/mesh/drops.rs
@@ -1,30 +1,30 @@
-//! Counts of frames that were dropped.
+//! Counters of dropped frames.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
 use pimento_wire::frame::Error;
 
-/// Running counts.
+/// Counters of dropped frames by cause.
 #[derive(Debug, Default)]
-pub(super) struct Drops {
+pub(super) struct Counters {
     size: AtomicU64,
     mac: AtomicU64,
     body: AtomicU64,
 }
 
-/// Frames dropped so far, by cause.
+/// Numbers of frames dropped so far, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DropCounts {
-    /// Over the limit, or cut off.
+    /// Larger than the limit, or incomplete.
     pub size: u64,
-    /// With a MAC that does not fit: another key, or damaged.
+    /// With a MAC that does not verify: sealed with another key, or damaged.
     pub mac: u64,
     /// With a body that is not the expected message.
     pub body: u64,
 }
 
-impl Drops {
+impl Counters {
     /// Counts a dropped frame.
     pub(super) fn add(&self, error: &Error) {
         let counter = match error {
@@ -35,7 +35,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counts now.
+    /// The current counts.
     pub(super) fn count(&self) -> DropCounts {
         DropCounts {
             size: self.size.load(Ordering::Relaxed),
--- a/crates/coordination/src/mesh/gossip.rs
+++ b/crates/coordination/src/mesh/gossip.rs
@@ -1,103 +1,111 @@
-//! What nodes pass on to each other with their heartbeats.
+//! Facts that nodes spread with their heartbeats.
 
-/// The most gossip of a kind kept. At 120 VMs replaced a day departures of more than a month fit; an
-/// endpoint that left longer ago is on no list any more.
-const MAX: usize = 4_096;
+/// The largest number of facts of one kind. With 120 VMs replaced a day, the departures of more than a
+/// month fit. An endpoint that left longer ago is not listed any more.
+const MAX_FACTS: usize = 4_096;
 
-/// Facts that are true for good once they are, such as that one life of an endpoint is leaving.
+/// Facts that never become false, such as that one incarnation of an endpoint is leaving.
 ///
-/// A rumour is never taken back: the platform's list lags, and an older copy of it that still shows
-/// an endpoint as live would otherwise bring it back into use while it shuts down.
+/// A fact is never withdrawn. The platform's list lags: an older copy of it that still shows an
+/// endpoint as live would otherwise bring the endpoint back into use while it shuts down.
 #[derive(Debug)]
 pub struct Gossip<T> {
-    /// Sorted.
-    known: Vec<Known<T>>,
+    /// Sorted by fact.
+    entries: Vec<Entry<T>>,
     added: u64,
 }
 
 #[derive(Debug)]
-struct Known<T> {
-    rumour: T,
-    sent: u32,
+struct Entry<T> {
+    fact: T,
+    times_sent: u32,
     order: u64,
 }
 
 impl<T> Default for Gossip<T> {
     fn default() -> Self {
         Self {
-            known: Vec::new(),
+            entries: Vec::new(),
             added: 0,
         }
     }
 }
 
 impl<T: Ord + Clone> Gossip<T> {
-    /// Adds a rumour; false if it was known.
-    pub fn add(&mut self, rumour: T) -> bool {
-        let Err(at) = self.place(&rumour) else {
+    /// Adds a fact; false if it was known.
+    pub fn add(&mut self, fact: T) -> bool {
+        let Err(at) = self.find(&fact) else {
             return false;
         };
-        if self.known.len() == MAX {
-            self.forget();
-            return self.add(rumour);
+        if self.entries.len() == MAX_FACTS {
+            self.remove_oldest();
+            return self.add(fact);
         }
         self.added += 1;
-        let known = Known {
-            rumour,
-            sent: 0,
+        let entry = Entry {
+            fact,
+            times_sent: 0,
             order: self.added,
         };
-        self.known.insert(at, known);
+        self.entries.insert(at, entry);
         true
     }
 
-    /// Adds what a peer passes on.
-    pub fn learn(&mut self, gossip: impl IntoIterator<Item = T>) {
-        for rumour in gossip {
-            self.add(rumour);
+    /// Adds the facts that a peer sent.
+    pub fn merge(&mut self, facts: impl IntoIterator<Item = T>) {
+        for fact in facts {
+            self.add(fact);
         }
     }
 
-    /// Whether it is known.
+    /// Whether a fact is known.
     #[must_use]
-    pub fn contains(&self, rumour: &T) -> bool {
-        self.place(rumour).is_ok()
+    pub fn contains(&self, fact: &T) -> bool {
+        self.find(fact).is_ok()
     }
 
-    /// All, sorted.
+    /// All facts, sorted.
     #[must_use]
     pub fn all(&self) -> Vec<T> {
-        self.known.iter().map(|k| k.rumour.clone()).collect()
+        self.entries
+            .iter()
+            .map(|entry| entry.fact.clone())
+            .collect()
     }
 
-    /// Those that were added after so many, and how many there are by now.
+    /// The facts added after the first `added` ones, and the number added so far.
     #[must_use]
-    pub fn since(&self, added: u64) -> (Vec<T>, u64) {
-        let fresh = self.known.iter().filter(|k| k.order > added);
-        (fresh.map(|k| k.rumour.clone()).collect(), self.added)
+    pub fn added_after(&self, added: u64) -> (Vec<T>, u64) {
+        let newer = self.entries.iter().filter(|entry| entry.order > added);
+        (newer.map(|entry| entry.fact.clone()).collect(), self.added)
     }
 
-    /// At most `max` to send: those sent least often, the newest first among them, so that a burst
-    /// gets through in turn.
-    pub fn pick(&mut self, max: usize) -> Vec<T> {
-        let mut order: Vec<usize> = (0..self.known.len()).collect();
-        order.sort_by_key(|at| (self.known[*at].sent, u64::MAX - self.known[*at].order));
+    /// Selects at most `max` facts to send: those sent least often, and among them the newest first, so
+    /// that all facts of a burst are sent in turn.
+    pub fn select(&mut self, max: usize) -> Vec<T> {
+        let mut order: Vec<usize> = (0..self.entries.len()).collect();
+        order.sort_by_key(|at| {
+            (
+                self.entries[*at].times_sent,
+                u64::MAX - self.entries[*at].order,
+            )
+        });
         order.truncate(max);
         order
             .into_iter()
             .map(|at| {
-                self.known[at].sent += 1;
-                self.known[at].rumour.clone()
+                self.entries[at].times_sent += 1;
+                self.entries[at].fact.clone()
             })
             .collect()
     }
 
-    fn place(&self, rumour: &T) -> Result<usize, usize> {
-        self.known.binary_search_by(|k| k.rumour.cmp(rumour))
+    fn find(&self, fact: &T) -> Result<usize, usize> {
+        self.entries.binary_search_by(|entry| entry.fact.cmp(fact))
     }
 
-    fn forget(&mut self) {
-        let oldest = self.known.iter().map(|k| k.order).min();
-        self.known.retain(|k| Some(k.order) != oldest);
+    fn remove_oldest(&mut self) {
+        let oldest = self.entries.iter().map(|entry| entry.order).min();
+        self.entries.retain(|entry| Some(entry.order) != oldest);
     }
 }
--- a/crates/coordination/src/mesh/table.rs
+++ b/crates/coordination/src/mesh/table.rs
@@ -1,4 +1,4 @@
-//! What is known of peers. Takes the time as an argument.
+//! The table of known peers and addresses. The current time is an argument of its functions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,62 +12,65 @@
 
 use super::Freshness;
 
-/// The most nodes and addresses kept, each. Over twice the nodes of the target size, so that
-/// replaced ones and their successors fit side by side.
-const MAX: usize = 1_024;
-/// How long a silent peer's address is still tried. Longer than the cuts between regions, so that
-/// nodes find each other again without the platform.
-const REMEMBER: Duration = Duration::from_hours(1);
+/// The largest number of nodes, and of addresses. It is more than twice the number of nodes of the
+/// target size, so that replaced nodes and their successors both fit.
+const MAX_ENTRIES: usize = 1_024;
+/// How long the address of a silent peer is still tried. It is longer than partitions between regions
+/// last, so that nodes find each other again without the platform.
+const FORGET_TIMEOUT: Duration = Duration::from_hours(1);
 
-/// A peer as its last heartbeat showed it.
+/// A peer, as its last heartbeat describes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// Its name.
     pub node: id::Node,
     /// Its zone.
     pub zone: id::Zone,
-    /// Where it is reached.
+    /// The address at which it is reached.
     pub address: SocketAddr,
     /// Offset of its configuration.
     pub offset: Offset,
-    /// Until when that is known to be current.
+    /// Until when its configuration is known to be current.
     pub freshness: Option<Freshness>,
-    /// Whether it reads the log itself.
+    /// Whether it reads the log itself and has reached its end.
     pub reads_log: bool,
-    /// Whether it is about to go.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Versions that it quarantined.
+    /// Versions that it has quarantined.
     pub quarantined: Vec<id::Version>,
 }
 
-/// What a heartbeat changed.
+/// The effect of a heartbeat on the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum News {
-    /// It is from a node that was not known as live.
+pub(super) enum Update {
+    /// The sender was not known as live.
     New,
-    /// It is newer than what was known.
+    /// It is newer than the last heartbeat of a live peer.
     Newer,
-    /// It is late or repeated, or our own.
-    Old,
+    /// It is late, repeated, without a valid address, or from this node.
+    Stale,
 }
 
 #[derive(Debug)]
 struct Known {
     peer: Peer,
-    /// The number of its newest heartbeat that came here.
+    /// Sequence number of its newest heartbeat received here.
     sequence: u64,
-    heard: Instant,
-    /// The number of its newest heartbeat that came anywhere, as far as known here.
-    word: u64,
-    life: Instant,
+    /// When that heartbeat was received.
+    received: Instant,
+    /// Sequence number of its newest heartbeat that this node or, by their reports, a peer received.
+    latest: u64,
+    /// When `latest` became known here.
+    last_seen: Instant,
+    /// Whether a call to it failed after its newest heartbeat received here.
     suspected: bool,
 }
 
-/// What is known of peers.
+/// The known peers, and addresses of possible ones.
 #[derive(Debug)]
 pub(super) struct Table {
-    own: id::Node,
-    silence: Duration,
+    own_node: id::Node,
+    liveness_timeout: Duration,
     known: Vec<Known>,
     seeds: Vec<Seed>,
 }
@@ -76,159 +79,167 @@
 #[derive(Debug, Clone, Copy)]
 struct Seed {
     address: SocketAddr,
-    /// When it was last told.
-    told: Instant,
+    /// When it was last listed as a peer's address.
+    last_listed: Instant,
 }
 
 impl Table {
-    /// Knows some addresses only.
+    /// A table without peers, with the addresses of `seeds`.
     pub(super) fn new(
-        own: id::Node,
-        silence: Duration,
+        own_node: id::Node,
+        liveness_timeout: Duration,
         seeds: &[SocketAddr],
         now: Instant,
     ) -> Self {
         let mut table = Self {
-            own,
-            silence,
+            own_node,
+            liveness_timeout,
             known: Vec::new(),
             seeds: Vec::new(),
         };
         for seed in seeds {
-            table.learn(*seed, now);
+            table.add_address(*seed, now);
         }
         table
     }
 
-    /// Takes an address of a possible peer.
+    /// Adds an address of a possible peer.
     ///
-    /// Addresses are never dropped for being missing from a list: one that is suddenly empty or
-    /// short would cut the node off from peers that it may need after a cut. The one told longest
-    /// ago goes when there are too many, since VMs are replaced every day.
-    pub(super) fn learn(&mut self, address: SocketAddr, now: Instant) {
-        let seed = Seed { address, told: now };
+    /// An address that is missing from a list stays: a list that is suddenly empty or short would
+    /// otherwise cost the node peers that it needs after a partition. When there are too many
+    /// addresses, the one listed longest ago is removed, since VMs are replaced every day.
+    pub(super) fn add_address(&mut self, address: SocketAddr, now: Instant) {
+        let seed = Seed {
+            address,
+            last_listed: now,
+        };
         match self.seeds.binary_search_by_key(&address, |s| s.address) {
             Ok(at) => self.seeds[at] = seed,
             Err(at) => self.seeds.insert(at, seed),
         }
-        if self.seeds.len() > MAX {
-            let oldest = self.seeds.iter().enumerate().min_by_key(|(_, s)| s.told);
+        if self.seeds.len() > MAX_ENTRIES {
+            let oldest = self
+                .seeds
+                .iter()
+                .enumerate()
+                .min_by_key(|(_, s)| s.last_listed);
             let at = oldest.map_or(0, |(at, _)| at);
             self.seeds.remove(at);
         }
     }
 
-    /// Takes a heartbeat.
+    /// Merges a heartbeat.
     ///
-    /// One with a sequence number not above the last is late or repeated, and must not bring back
-    /// an older offset or make a dead node look alive.
-    pub(super) fn hear(&mut self, beat: &Heartbeat, now: Instant) -> News {
+    /// A heartbeat whose sequence number is not above the last one is late or repeated. It must not
+    /// restore an older offset or make a dead node look alive.
+    pub(super) fn merge(&mut self, beat: &Heartbeat, now: Instant) -> Update {
         let Ok(address) = beat.address.parse() else {
-            return News::Old;
+            return Update::Stale;
         };
-        if beat.node == self.own {
-            return News::Old;
+        if beat.node == self.own_node {
+            return Update::Stale;
         }
-        let place = self.place(&beat.node);
-        if let Ok(at) = place
+        let found = self.find(&beat.node);
+        if let Ok(at) = found
             && beat.sequence <= self.known[at].sequence
         {
-            return News::Old;
+            return Update::Stale;
         }
-        let news = match place {
-            Ok(at) if self.alive(&self.known[at], now) => News::Newer,
-            _ => News::New,
+        let update = match found {
+            Ok(at) if self.is_live(&self.known[at], now) => Update::Newer,
+            _ => Update::New,
         };
-        let (word, life) = match place {
-            // Passed on by another, a newer one of the same life came here first.
-            Ok(at) if self.known[at].word > beat.sequence => {
-                (self.known[at].word, self.known[at].life)
+        let (latest, last_seen) = match found {
+            // A peer has already reported a newer heartbeat of the same incarnation.
+            Ok(at) if self.known[at].latest > beat.sequence => {
+                (self.known[at].latest, self.known[at].last_seen)
             }
             _ => (beat.sequence, now),
         };
         let known = Known {
             peer: peer(beat, address, now),
             sequence: beat.sequence,
-            heard: now,
-            word,
-            life,
+            received: now,
+            latest,
+            last_seen,
             suspected: false,
         };
-        match place {
+        match found {
             Ok(at) => self.known[at] = known,
             Err(at) => self.known.insert(at, known),
         }
-        self.prune(now);
-        news
+        self.remove_expired(now);
+        update
     }
 
-    /// Takes word of other nodes, passed on by a peer. Only a heartbeat that was not known of is a
-    /// sign of life.
-    pub(super) fn hear_of(&mut self, heard: &[Heard], now: Instant) {
-        for word in heard {
+    /// Merges a peer's report of the latest heartbeats of other nodes. Only a heartbeat newer than the
+    /// latest one known here shows that its node is alive.
+    pub(super) fn merge_digest(&mut self, digest: &[Heard], now: Instant) {
+        for reported in digest {
             let known = self
                 .known
                 .iter_mut()
-                .find(|k| hash(&k.peer.node) == word.node);
-            if let Some(known) = known.filter(|k| k.word < word.sequence) {
-                known.word = word.sequence;
-                known.life = now;
+                .find(|k| hash(&k.peer.node) == reported.node);
+            if let Some(known) = known.filter(|k| k.latest < reported.sequence) {
+                known.latest = reported.sequence;
+                known.last_seen = now;
             }
         }
     }
 
-    /// Word of the live nodes of a zone, to pass on; the latest first.
+    /// The latest heartbeats of the live nodes of a zone, to report to peers; the most recent first.
     pub(super) fn digest(&self, zone: &id::Zone, max: usize, now: Instant) -> Vec<Heard> {
         let mut live: Vec<&Known> = self.known.iter().collect();
-        live.retain(|k| &k.peer.zone == zone && self.alive(k, now));
-        live.sort_by_key(|k| std::cmp::Reverse(k.life));
+        live.retain(|k| &k.peer.zone == zone && self.is_live(k, now));
+        live.sort_by_key(|k| std::cmp::Reverse(k.last_seen));
         live.truncate(max);
-        let word = |k: &Known| Heard {
+        let report = |k: &Known| Heard {
             node: hash(&k.peer.node),
-            sequence: k.word,
+            sequence: k.latest,
         };
-        live.into_iter().map(word).collect()
+        live.into_iter().map(report).collect()
     }
 
-    /// A call to the peer failed: it is not counted as live until it is heard itself.
-    pub(super) fn suspect(&mut self, node: &id::Node) {
-        if let Ok(at) = self.place(node) {
+    /// Marks a peer after a failed call: it does not count as live until the next heartbeat from it is
+    /// received here.
+    pub(super) fn mark_suspected(&mut self, node: &id::Node) {
+        if let Ok(at) = self.find(node) {
             self.known[at].suspected = true;
         }
     }
 
-    /// Peers that showed life lately, sorted by name.
+    /// Live peers, sorted by name.
     pub(super) fn live(&self, now: Instant) -> Vec<Peer> {
-        let live = self.known.iter().filter(|k| self.alive(k, now));
+        let live = self.known.iter().filter(|k| self.is_live(k, now));
         live.map(|k| k.peer.clone()).collect()
     }
 
-    /// Addresses that are not those of live peers: seeds, and peers that fell silent.
-    pub(super) fn quiet(&self, now: Instant) -> Vec<SocketAddr> {
-        let silent = self.known.iter().filter(|k| !self.alive(k, now));
-        let mut quiet: Vec<SocketAddr> = silent.map(|k| k.peer.address).collect();
-        quiet.extend(self.seeds.iter().map(|s| s.address));
-        quiet.sort_unstable();
-        quiet.dedup();
+    /// Addresses without a live peer: those of silent peers, and addresses of possible peers.
+    pub(super) fn silent_addresses(&self, now: Instant) -> Vec<SocketAddr> {
+        let silent = self.known.iter().filter(|k| !self.is_live(k, now));
+        let mut addresses: Vec<SocketAddr> = silent.map(|k| k.peer.address).collect();
+        addresses.extend(self.seeds.iter().map(|s| s.address));
+        addresses.sort_unstable();
+        addresses.dedup();
         let live = self.live(now);
-        quiet.retain(|address| live.iter().all(|peer| peer.address != *address));
-        quiet
+        addresses.retain(|address| live.iter().all(|peer| peer.address != *address));
+        addresses
     }
 
-    fn alive(&self, known: &Known, now: Instant) -> bool {
-        !known.suspected && now.saturating_duration_since(known.life) < self.silence
+    fn is_live(&self, known: &Known, now: Instant) -> bool {
+        !known.suspected && now.saturating_duration_since(known.last_seen) < self.liveness_timeout
     }
 
-    fn place(&self, node: &id::Node) -> Result<usize, usize> {
+    fn find(&self, node: &id::Node) -> Result<usize, usize> {
         self.known.binary_search_by(|k| k.peer.node.cmp(node))
     }
 
-    fn prune(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         self.known
-            .retain(|k| now.saturating_duration_since(k.heard) < REMEMBER);
-        if self.known.len() > MAX {
-            let oldest = self.known.iter().map(|k| k.life).min();
-            self.known.retain(|k| Some(k.life) != oldest);
+            .retain(|k| now.saturating_duration_since(k.received) < FORGET_TIMEOUT);
+        if self.known.len() > MAX_ENTRIES {
+            let oldest = self.known.iter().map(|k| k.last_seen).min();
+            self.known.retain(|k| Some(k.last_seen) != oldest);
         }
     }
 }
@@ -251,8 +262,8 @@
     }
 }
 
-/// A short hash of a node's name. Two nodes of a zone share one about once in 85 million pairs;
-/// one of them would then look alive for as long as the other is.
+/// A short hash of a node's name. If two nodes have the same hash, one of them looks alive for as long
+/// as the other one is. In a zone this happens for about one in 85 million pairs.
 fn hash(node: &id::Node) -> u32 {
     let bytes = xxh3_64(node.as_str().as_bytes()).to_le_bytes();
     u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
--- a/crates/coordination/src/operators.rs
+++ b/crates/coordination/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' address of an entry VM, as the command line and the controllers read it.
+//! Client for the operators' address of an entry VM, used by the command line and the controllers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -10,28 +10,29 @@
 use crate::http::Client;
 use crate::http::Failure;
 
-/// An entry VM's word on itself.
+/// The state that an entry VM reports on itself.
 pub trait Operators: Clone + Send + Sync + 'static {
-    /// Its state now.
+    /// The VM's current state.
     fn state(&self) -> impl Future<Output = Result<State, Error>> + Send;
 }
 
-/// The state could not be had.
+/// The state could not be fetched.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("the state could not be had: {reason}"))]
+#[snafu(display("failed to fetch the state: {reason}"))]
 pub struct Error {
     /// What happened.
     pub reason: String,
 }
 
-/// An operators' address over HTTP, as in [`pimento_wire::operators`].
+/// HTTP client for an operators' address, as specified in [`pimento_wire::operators`].
 #[derive(Debug, Clone)]
 pub struct Remote {
     client: Client,
 }
 
 impl Remote {
-    /// The operators' address `address`; an answer may take `timeout` to begin, and as long to go on.
+    /// A client for the operators' address `address`. An answer must begin within `timeout` and must
+    /// not pause for longer than `timeout`.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let client = Client::new(address, timeout);
--- a/crates/coordination/src/rating.rs
+++ b/crates/coordination/src/rating.rs
@@ -13,26 +13,27 @@
 
 /// The rating service.
 pub trait Rater: Clone + Send + Sync + 'static {
-    /// Rates a whole answer.
+    /// Rates a complete answer.
     fn rate(&self, rate: Rate) -> impl Future<Output = Result<Rating, Error>> + Send;
 }
 
-/// The rating could not be had.
+/// The rating could not be fetched.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("the rating could not be had: {reason}"))]
+#[snafu(display("failed to rate the answer: {reason}"))]
 pub struct Error {
     /// What happened.
     pub reason: String,
 }
 
-/// The rating service over HTTP, as in [`pimento_wire::platform`].
+/// HTTP client for the rating service, as specified in [`pimento_wire::platform`].
 #[derive(Debug, Clone)]
 pub struct Remote {
     client: Client,
 }
 
 impl Remote {
-    /// The rating service at `address`; an answer may take `timeout` to begin, and as long to go on.
+    /// A client for the rating service at `address`. An answer must begin within `timeout` and must not
+    /// pause for longer than `timeout`.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let client = Client::new(address, timeout);
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -1,4 +1,4 @@
-//! What a node has read of one of the streams that the system keeps: a fold of typed records.
+//! Views of streams whose records have one type.
 
 use pimento_units::Offset;
 use pimento_units::Wall;
@@ -8,17 +8,17 @@
 
 /// A fold of records of one type.
 pub trait TypedFold: Send + Sync + 'static {
-    /// A record as it stands on the log.
+    /// The type of the stream's records, as the log stores them.
     type Record: DeserializeOwned;
 
-    /// The prefix of log lines about it.
+    /// The prefix of log lines about the stream.
     const PREFIX: &'static str;
 
-    /// Takes the record at `offset`, which the log took at `at`.
+    /// Applies the record at `offset`, which the log appended at `at`.
     fn apply(&mut self, offset: Offset, at: Wall, record: Self::Record);
 }
 
-/// A fold, and how far it has read.
+/// A fold with the position that it was read up to.
 #[derive(Debug, Default)]
 pub struct View<F> {
     fold: F,
@@ -27,7 +27,7 @@
 }
 
 impl<F> View<F> {
-    /// A view that has read nothing.
+    /// A view without any records.
     #[must_use]
     pub const fn new(fold: F) -> Self {
         Self {
@@ -49,7 +49,7 @@
         self.next > offset
     }
 
-    /// The log's clock at the newest record read.
+    /// The log's clock when it appended the newest record read.
     #[must_use]
     pub const fn now(&self) -> Wall {
         self.now
@@ -67,8 +67,8 @@
     }
 
     fn reset(&mut self, oldest: Offset) {
-        // Claims and leases that retention has passed have run out, and grants of periods that are
-        // over: the log keeps its streams for longer than what they say counts.
+        // The fold needs no reset. The log retains records for longer than they are valid: claims and
+        // leases that it has dropped have expired, and the periods of dropped grants are over.
         self.next = oldest;
     }
 }
--- a/crates/coordination/src/vms.rs
+++ b/crates/coordination/src/vms.rs
@@ -12,26 +12,27 @@
 
 /// The platform's list of VMs.
 pub trait List: Clone + Send + Sync + 'static {
-    /// The list as the platform knows it now; it may lag.
+    /// The platform's current list, which may lag behind.
     fn list(&self) -> impl Future<Output = Result<Vms, Error>> + Send;
 }
 
-/// The list could not be had.
+/// The list could not be fetched.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("the VM list could not be had: {reason}"))]
+#[snafu(display("failed to fetch the VM list: {reason}"))]
 pub struct Error {
     /// What happened.
     pub reason: String,
 }
 
-/// The list over HTTP, as in [`pimento_wire::platform`].
+/// HTTP client for the list, as specified in [`pimento_wire::platform`].
 #[derive(Debug, Clone)]
 pub struct Remote {
     client: Client,
 }
 
 impl Remote {
-    /// The list at `address`; an answer may take `timeout` to begin, and as long to go on.
+    /// A client for the list at `address`. An answer must begin within `timeout` and must not pause
+    /// for longer than `timeout`.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let client = Client::new(address, timeout);
--- a/crates/coordination/src/weights.rs
+++ b/crates/coordination/src/weights.rs
@@ -14,36 +14,37 @@
 
 /// The platform's weight store.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// Brings a version to a zone; done when it returns. Asking twice does no harm.
+    /// Copies the weights of a version to a zone, and returns when they are there. Idempotent.
     fn fetch(&self, fetch: Fetch) -> impl Future<Output = Result<(), Error>> + Send;
 }
 
-/// Why a version could not be brought.
+/// Why a version's weights could not be fetched.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Over the store's rate.
-    #[snafu(display("the weight store refused the call, ask again after {after:?}"))]
+    /// The store refused the call before acting on it, or no connection was made.
+    #[snafu(display("the weight store refused the call; retry after {after:?}"))]
     Refused {
-        /// When to ask again.
+        /// Time to wait before the next call.
         after: Duration,
     },
-    /// No answer, or one that can't be read.
-    #[snafu(display("the weight store's answer was lost: {reason}"))]
+    /// There was no answer, or its status was an error. The fetch may have taken place.
+    #[snafu(display("no valid answer from the weight store: {reason}"))]
     Lost {
         /// What happened.
         reason: String,
     },
 }
 
-/// The weight store over HTTP, as in [`pimento_wire::platform`].
+/// HTTP client for the weight store, as specified in [`pimento_wire::platform`].
 #[derive(Debug, Clone)]
 pub struct Remote {
     client: Client,
 }
 
 impl Remote {
-    /// The store at `address`; an answer may take `timeout` to begin, and as long to go on. Fetching
-    /// weights takes long, so this is set far above the timeouts of the other services.
+    /// A client for the store at `address`. An answer must begin within `timeout` and must not pause
+    /// for longer than `timeout`. Fetching weights takes long, so this timeout is far above those of the
+    /// other services.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let client = Client::new(address, timeout);
