--- a/crates/coordination/src/follower.rs
+++ b/crates/coordination/src/follower.rs
@@ -31,7 +31,7 @@
     fn apply(&mut self, offset: Offset, at: Wall, record: &str);
 
     /// The log has dropped records that were not read. The next record is at `oldest` or later, and the
-    /// view may lack what the dropped records said.
+    /// view may lack the changes of the dropped records.
     fn reset(&mut self, oldest: Offset);
 
     /// The offset to continue reading at, where all records before `next` were read. A view that got a
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration in force: checkpoints, peers, cuts. What must always hold: it is in force
-//! everywhere within seconds and never goes back.
+//! Tests of the configuration in force: checkpoints, peers, partitions. A change must be in force on all
+//! nodes within seconds, and no node may return to an older state.
 
 mod support;
 
@@ -33,8 +33,8 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Spread of checkpoints, where a test looks at them.
-const SPREAD: Duration = Duration::from_millis(50);
+/// Jitter of checkpoints in the tests that check them.
+const JITTER: Duration = Duration::from_millis(50);
 
 async fn three_zones(log: &Memory) -> Vec<Node> {
     let mut nodes = Vec::new();
@@ -52,7 +52,7 @@
     eventually("ready", async || source.ready().then_some(())).await;
 }
 
-/// Looks on for a while, in which the source must not become ready.
+/// Waits for some more reads, during which the source must not become ready.
 async fn stays_unready(node: &Node) {
     let reads = node.link.reads(STREAM);
     eventually("some more reads", async || {
@@ -62,7 +62,7 @@
     assert!(!node.source.ready());
 }
 
-/// The records of the stream as a checkpoint of the state after them.
+/// A checkpoint of the state after all records of the stream.
 fn checkpoint(log: &Memory) -> Checkpoint {
     let mut state = State::default();
     for record in log.records(STREAM) {
@@ -90,8 +90,8 @@
     }
 }
 
-/// A zone loses the platform but not its neighbours. Changes reach it through them, and its age
-/// says so: it does not grow beyond theirs.
+/// A zone loses the platform but not the neighbouring zones. Changes reach it through them, and its
+/// reported age does not grow beyond theirs.
 #[tokio::test]
 async fn zone_cut_off_from_the_platform_stays_current_through_its_neighbours() {
     let log = Memory::default();
@@ -103,14 +103,14 @@
     nodes[2].reaches(4).await;
     assert_eq!(nodes[2].source.current(), nodes[0].source.current());
     let now = Instant::now();
-    eventually("word of a later read", async || {
+    eventually("report of a later read", async || {
         (Instant::now() - nodes[2].source.age() > now).then_some(())
     })
     .await;
 }
 
-/// Each zone is cut off from the others and from the platform. Each keeps what it has and says how
-/// old that is; none takes up a change it can't know. After healing all agree.
+/// Each zone is cut off from the others and from the platform. Each keeps its state and reports its
+/// age, and none applies a change that was published meanwhile. After the partition all agree.
 #[tokio::test]
 async fn zone_cut_off_from_all_keeps_its_state_and_says_its_age() {
     let log = Memory::default();
@@ -142,8 +142,8 @@
     }
 }
 
-/// Two zones see each other and nobody else. They tell each other how current they are, each word
-/// some time on its way; their age must grow all the same, and not stay at the time of one way.
+/// Two zones can reach only each other. They report to each other how current they are, with delayed
+/// datagrams. Their ages must still grow, and not stay at the transit time of one datagram.
 #[tokio::test]
 async fn two_cut_off_zones_do_not_refresh_each_other() {
     let delay = Duration::from_millis(100);
@@ -171,8 +171,8 @@
     }
 }
 
-/// The log is out when a VM is replaced. The new one starts on a neighbour's state; while neither
-/// can be had, it is not ready, and serves nothing.
+/// A VM is replaced during an outage of the log. The new one starts with a neighbour's state. Without
+/// the log and neighbours it must not become ready.
 #[tokio::test]
 async fn new_node_starts_from_peers_while_the_log_is_out() {
     let log = Memory::default();
@@ -195,8 +195,8 @@
     assert_eq!(new.source.current(), nodes[0].source.current());
 }
 
-/// A node was cut off for long and still has an old state. A new node that meets it first, with the
-/// log in reach, must not serve on that state even for a moment.
+/// A node that was cut off for long still has an old state. A new node that can reach the log but
+/// receives that state first must never count as ready with it.
 #[tokio::test]
 async fn stale_peer_does_not_make_a_new_node_ready() {
     let log = Memory::default();
@@ -207,10 +207,10 @@
     stale.cut_log(true);
     publish(&log, 1..5);
     let peers = [stale];
-    // The log's first answer takes longer than meeting the peer.
+    // The log's first answer takes longer than the discovery of the peer.
     let link = log.slow_link(Duration::from_millis(300));
     let new = Plan::new("b", "trebon").seeded(&peers).start(link).await;
-    // Its first state that counts as ready is the whole one.
+    // When it becomes ready, its state is complete.
     eventually("ready", async || {
         let ready = new.source.ready();
         ready.then(|| assert_eq!(new.offset(), 5))
@@ -218,8 +218,8 @@
     .await;
 }
 
-/// A node starts, meets peers of all ages, reads the log, is cut off and healed. What is in force
-/// on it never goes back to a lower offset.
+/// A node starts, discovers peers with states of different ages, reads the log, and is cut off from it
+/// for a while. The state in force on it never returns to a lower offset.
 #[tokio::test]
 async fn state_in_force_never_goes_back() {
     let log = Memory::default();
@@ -258,8 +258,8 @@
     assert!(offsets.is_sorted(), "{offsets:?}");
 }
 
-/// Old records are gone from the log when a VM is replaced, and there is no peer. The new one
-/// starts from the checkpoint; a wrong one before it, and one that leaves a gap, are passed over.
+/// The log has dropped old records when a VM is replaced, and there is no peer. The new one must start
+/// from the valid checkpoint, and skip an invalid one before it and one that leaves a gap.
 #[tokio::test]
 async fn new_node_starts_from_a_checkpoint_when_retention_has_passed() {
     let log = Memory::default();
@@ -288,8 +288,8 @@
     assert_eq!(new.source.invalid_checkpoints(), 1);
 }
 
-/// A checkpoint on the stream fits its own hash but not the records before it. A node that has the
-/// records goes on by them, and counts it.
+/// A checkpoint of the stream matches its own hash but not the records before it. A node that has the
+/// records must ignore and count the checkpoint.
 #[tokio::test]
 async fn wrong_checkpoint_changes_nothing_where_the_records_are_known() {
     let log = Memory::default();
@@ -320,8 +320,8 @@
         .collect()
 }
 
-/// All nodes follow the stream and any may write a checkpoint. After some changes there is a right
-/// one, without an election, and no node goes on writing.
+/// All nodes follow the stream and each may write a checkpoint, without an election. After enough
+/// changes there must be a valid one, and at most one from each node.
 #[tokio::test]
 async fn checkpoints_are_written_after_some_changes() {
     let log = Memory::default();
@@ -330,7 +330,7 @@
     let plan = |name, zone| Plan {
         settings: Settings {
             checkpoint_changes: 5,
-            checkpoint_jitter: SPREAD,
+            checkpoint_jitter: JITTER,
             ..Plan::new(name, zone).settings
         },
         ..Plan::new(name, zone)
@@ -354,15 +354,15 @@
     assert!(checkpoints(&log).len() <= 3, "at most one from each node");
 }
 
-/// No change comes for longer than the log keeps records. A checkpoint is written all the same,
-/// since the last one is about to be lost.
+/// No change is published for longer than the log retains records. Checkpoints must still be written,
+/// since the log would otherwise drop the last one.
 #[tokio::test]
 async fn checkpoints_are_written_again_on_a_quiet_stream() {
     let log = Memory::default();
     publish(&log, 0..1);
     let mut plan = Plan::new("a", "trebon");
     plan.settings.checkpoint_interval = Duration::from_millis(100);
-    plan.settings.checkpoint_jitter = SPREAD;
+    plan.settings.checkpoint_jitter = JITTER;
     let node = plan.start(log.link()).await;
     eventually("three checkpoints", async || {
         (checkpoints(&log).len() >= 3).then_some(())
@@ -371,10 +371,10 @@
     assert_eq!(node.source.invalid_checkpoints(), 0);
 }
 
-/// With one tailer for a zone the others don't read the log and still have each change. When the
-/// tailer dies, another reads.
+/// One node reads the log for its zone, and the others get each change from it. When it dies, another
+/// node takes over.
 #[tokio::test]
-async fn zone_follows_its_tailer_and_the_next_one() {
+async fn zone_follows_its_reader_and_the_successor() {
     let log = Memory::default();
     let mut nodes: Vec<Node> = Vec::new();
     for name in ["a", "b", "c"] {
@@ -391,8 +391,8 @@
     for node in &nodes {
         node.reaches(3).await;
     }
-    let tailer = nodes[0].mesh.elected(mesh::Role::Reader);
-    let at = nodes.iter().position(|n| *n.mesh.node() == tailer).unwrap();
+    let reader = nodes[0].mesh.elected(mesh::Role::Reader);
+    let at = nodes.iter().position(|n| *n.mesh.node() == reader).unwrap();
     nodes.remove(at).kill();
     publish(&log, 3..5);
     for node in &nodes {
@@ -401,8 +401,8 @@
     }
 }
 
-/// A peer that reports `offset` and answers each pull as the test likes.
-async fn fake(seed: &Node, offset: u64, handler: impl Handler) -> Mesh {
+/// Starts a peer that reports `offset` and answers calls with `handler`.
+async fn fake_peer(seed: &Node, offset: u64, handler: impl Handler) -> Mesh {
     let listen = "127.0.0.1:0".parse().unwrap();
     let name = "fake".parse().unwrap();
     let zone = "trebon".parse().unwrap();
@@ -412,14 +412,14 @@
     let config = mesh::Config::try_from(settings).unwrap();
     let (mesh, listener) = Mesh::bind(config, CancellationToken::new()).await.unwrap();
     listener.serve(handler);
-    mesh.update_status(|own| own.offset = Offset(offset));
+    mesh.update_status(|status| status.offset = Offset(offset));
     mesh
 }
 
-/// Answers every pull by a state that does not fit its hash.
-struct Liar;
+/// Answers each pull with a state that does not match its hash.
+struct WrongHash;
 
-impl Handler for Liar {
+impl Handler for WrongHash {
     async fn handle(&self, _call: Call) -> Answer {
         let mut checkpoint = Checkpoint::of(&State::default());
         checkpoint.offset = Offset(50);
@@ -430,25 +430,25 @@
 }
 
 #[tokio::test]
-async fn state_of_a_peer_that_does_not_fit_its_hash_is_ignored() {
+async fn state_from_a_peer_with_a_wrong_hash_is_ignored() {
     let log = Memory::default();
     publish(&log, 0..1);
     let node = Plan::new("a", "trebon").start(log.link()).await;
     node.reaches(1).await;
-    let _liar = fake(&node, 50, Liar).await;
-    eventually("it was asked", async || {
+    let _peer = fake_peer(&node, 50, WrongHash).await;
+    eventually("a wrong state was received", async || {
         (node.source.invalid_checkpoints() > 0).then_some(())
     })
     .await;
     assert_eq!(node.offset(), 1);
 }
 
-/// Answers the first pull by the state after three records, once the asker has six and the log
-/// can't help it any more.
+/// Answers the first pull with the state after three records, after the caller has read six and is then
+/// cut off from the log.
 struct Late {
     log: Memory,
     link: Memory,
-    asker: Source,
+    caller: Source,
     calls: Arc<AtomicU64>,
 }
 
@@ -460,7 +460,7 @@
         publish(&self.log, 1..3);
         let checkpoint = serde_json::to_string(&checkpoint(&self.log)).unwrap();
         publish(&self.log, 3..6);
-        let mut states = self.asker.subscribe();
+        let mut states = self.caller.subscribe();
         let has_six = states.wait_for(|state| state.offset == Offset(6));
         assert!(has_six.await.is_ok());
         self.link.cut(true);
@@ -468,10 +468,10 @@
     }
 }
 
-/// A node asks a peer for its newer state. Before the answer comes, the node reads still newer
-/// records from the log. The late answer must not put the older state back in force.
+/// A node pulls a newer state from a peer. Before the answer arrives, the node reads still newer records
+/// from the log. The late answer must not restore the older state.
 #[tokio::test]
-async fn late_answer_of_a_peer_does_not_put_back_an_older_state() {
+async fn late_answer_of_a_peer_does_not_restore_an_older_state() {
     let log = Memory::default();
     publish(&log, 0..1);
     let node = Plan::new("a", "trebon").start(log.link()).await;
@@ -480,21 +480,21 @@
     let late = Late {
         log: log.clone(),
         link: node.link.clone(),
-        asker: node.source.clone(),
+        caller: node.source.clone(),
         calls: Arc::clone(&calls),
     };
-    let _late = fake(&node, 50, late).await;
-    eventually("the answer was taken, and it asked again", async || {
+    let _peer = fake_peer(&node, 50, late).await;
+    eventually("further pulls after the late answer", async || {
         (calls.load(Ordering::SeqCst) > 5).then_some(())
     })
     .await;
     assert_eq!(node.offset(), 6);
 }
 
-/// Two operators publish a change of one pool on the same revision. All nodes decide alike, also
-/// the one that has it from a peer.
+/// Two operators publish a change of one pool based on the same revision. All nodes must accept the same
+/// one, including a node that gets the changes from a peer.
 #[tokio::test]
-async fn racing_operators_end_the_same_everywhere() {
+async fn concurrent_changes_have_the_same_outcome_on_all_nodes() {
     let log = Memory::default();
     let nodes = three_zones(&log).await;
     nodes[2].cut_log(true);
--- a/crates/coordination/tests/follower.rs
+++ b/crates/coordination/tests/follower.rs
@@ -1,4 +1,4 @@
-//! The follower: order, retention, outages, age.
+//! Tests of the follower: order of records, retention, outages, age of the view.
 
 mod support;
 
@@ -21,7 +21,7 @@
 
 const STREAM: Stream = Stream::Grants;
 
-/// All that a follower hands to its fold.
+/// Records all calls of a follower to its fold.
 #[derive(Debug, Default)]
 struct Seen {
     records: Vec<(u64, String)>,
@@ -79,10 +79,10 @@
     assert_eq!(follower.wait(bound(), first).await, Some((0, "0".into())));
 }
 
-/// The log forgets records before a node has read them. The fold is told, so that it does not take
-/// what it has for the whole truth, and reading goes on with the oldest record that is kept.
+/// The log drops records before a node has read them. The follower must notify the fold, which would
+/// otherwise count as complete, and continue with the oldest retained record.
 #[tokio::test]
-async fn passed_retention_is_told_and_passed() {
+async fn dropped_records_reset_the_fold_and_are_skipped() {
     let log = Memory::default();
     put(&log, 0..10);
     log.retain(STREAM, Offset(4));
@@ -94,10 +94,10 @@
     });
 }
 
-/// The log is out, then cut off, then back. Meanwhile the view's age grows and it does not count as
-/// caught up; afterwards no record is missing or doubled.
+/// The log has an outage, then the link to it is cut, then it is back. Until then the view's age must
+/// grow and the view must not count as caught up. Afterwards no record is missing or repeated.
 #[tokio::test]
-async fn outage_shows_in_the_age_and_loses_nothing() {
+async fn outage_raises_the_age_and_loses_no_record() {
     let log = Memory::default();
     put(&log, 0..5);
     let link = log.link();
@@ -129,7 +129,7 @@
     .await;
 }
 
-/// A log whose answers are on their way for a while.
+/// A log whose answers are delayed.
 #[derive(Debug, Clone)]
 struct Slow {
     log: Memory,
@@ -154,8 +154,8 @@
     }
 }
 
-/// A process is paused while the log's answer lies in its socket. The answer is as old as the pause
-/// when it is read, and the view must not look fresh.
+/// A process is paused while the log's answer waits in its socket. The answer is as old as the pause
+/// when it is read, and the view must not look current.
 #[tokio::test]
 async fn age_counts_from_the_sending_of_a_read() {
     let delay = Duration::from_millis(200);
@@ -166,11 +166,11 @@
     assert!(follower.age() >= delay, "{:?}", follower.age());
 }
 
-/// A log that answers from some records before the place asked for.
+/// A log that returns records from before the requested offset.
 #[derive(Debug, Clone)]
-struct Generous(Memory);
+struct Overlapping(Memory);
 
-impl Log for Generous {
+impl Log for Overlapping {
     async fn append(&self, stream: Stream, records: Vec<String>) -> Result<Offset, Error> {
         self.0.append(stream, records).await
     }
@@ -189,9 +189,9 @@
 }
 
 #[tokio::test]
-async fn repeated_records_are_passed_over() {
+async fn repeated_records_are_skipped() {
     let log = Memory::default();
-    let follower = follow(Generous(log.clone()));
+    let follower = follow(Overlapping(log.clone()));
     for n in 0..10 {
         put(&log, n..n + 1);
         until(&follower, usize::try_from(n + 1).unwrap()).await;
@@ -225,7 +225,7 @@
     put(&log, 0..1);
     until(&follower, 1).await;
     token.cancel();
-    // The reader's task ends with the token; only this follower holds the view after it.
+    // The token ends the reading task; afterwards only this follower holds the view.
     tokio::time::sleep(Duration::from_millis(20)).await;
     put(&log, 1..2);
     let soon = Instant::now() + Duration::from_millis(50);
--- a/crates/coordination/tests/mesh.rs
+++ b/crates/coordination/tests/mesh.rs
@@ -1,4 +1,4 @@
-//! The mesh: heartbeats, calls, frames that must be dropped, departures, cuts.
+//! Tests of the mesh: heartbeats, calls, frames that must be dropped, departures, unreachable peers.
 
 mod support;
 
@@ -23,7 +23,7 @@
 use pimento_wire::peer::Heartbeat;
 use support::eventually;
 use support::key;
-use support::nobody;
+use support::refusing_address;
 use support::relay::Relay;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
@@ -31,10 +31,10 @@
 use tokio::net::UdpSocket;
 use tokio_util::sync::CancellationToken;
 
-/// Answers a fetch by nothing, a pull by its own node's refusal, and takes the rest.
-struct Echo(id::Node);
+/// Answers a fetch with nothing, a pull with a refusal that names its node, and other calls as done.
+struct NameHandler(id::Node);
 
-impl Handler for Echo {
+impl Handler for NameHandler {
     async fn handle(&self, call: Call) -> Answer {
         match call {
             Call::Fetch { .. } => Answer::Nothing,
@@ -64,11 +64,11 @@
 async fn start(settings: Settings) -> Mesh {
     let node = settings.node.clone();
     let (mesh, listener) = bind(settings, &CancellationToken::new()).await;
-    listener.serve(Echo(node));
+    listener.serve(NameHandler(node));
     mesh
 }
 
-async fn names(mesh: &Mesh, expected: &[&str]) {
+async fn sees_peers(mesh: &Mesh, expected: &[&str]) {
     eventually("these peers", async || {
         let peers = mesh.peers();
         let names: Vec<&str> = peers.iter().map(|p| p.node.as_str()).collect();
@@ -89,18 +89,18 @@
     let a = start(settings("a", "trebon", &[])).await;
     let b = start(settings("b", "trebon", &[a.address()])).await;
     let c = start(settings("c", "hluboka", &[a.address()])).await;
-    names(&a, &["b", "c"]).await;
-    names(&b, &["a"]).await;
-    names(&c, &["a"]).await;
+    sees_peers(&a, &["b", "c"]).await;
+    sees_peers(&b, &["a"]).await;
+    sees_peers(&c, &["a"]).await;
     let answer = a
         .call(&peer(&a, "b").await, Call::Pull { offset: Offset(0) })
         .await;
     let reason = "b".into();
     assert_eq!(answer.unwrap(), Answer::Refused { reason });
-    // The platform's list gives the addresses that heartbeats alone don't spread.
+    // Heartbeats don't spread addresses; these come from the platform's list.
     b.add_addresses([c.address()]);
-    names(&b, &["a", "c"]).await;
-    names(&c, &["a", "b"]).await;
+    sees_peers(&b, &["a", "c"]).await;
+    sees_peers(&c, &["a", "b"]).await;
 }
 
 #[tokio::test]
@@ -108,29 +108,29 @@
     let a = start(settings("a", "trebon", &[])).await;
     let token = CancellationToken::new();
     let (b, listener) = bind(settings("b", "trebon", &[a.address()]), &token).await;
-    listener.serve(Echo(b.node().clone()));
-    names(&a, &["b"]).await;
+    listener.serve(NameHandler(b.node().clone()));
+    sees_peers(&a, &["b"]).await;
     token.cancel();
-    names(&a, &[]).await;
+    sees_peers(&a, &[]).await;
 }
 
-/// The tailer of a zone is found by each node for itself. With the same peers in sight all find the
-/// same one, and when it dies all find the same other.
+/// Each node determines the log reader of its zone by itself. Nodes with the same live peers must elect
+/// the same one, and the same successor when it dies.
 #[tokio::test]
-async fn nodes_of_a_zone_choose_the_same_tailer() {
+async fn nodes_of_a_zone_elect_the_same_reader() {
     let token = CancellationToken::new();
     let mut nodes = Vec::new();
     let mut seeds = Vec::new();
     for name in ["a", "b", "c", "d"] {
         let own = token.child_token();
         let (mesh, listener) = bind(settings(name, "trebon", &seeds), &own).await;
-        listener.serve(Echo(mesh.node().clone()));
+        listener.serve(NameHandler(mesh.node().clone()));
         seeds.push(mesh.address());
         nodes.push((mesh, own));
     }
     let other = start(settings("z", "hluboka", &seeds)).await;
     let agree = async |nodes: &[(Mesh, CancellationToken)]| {
-        eventually("one choice", async || {
+        eventually("the same choice on all nodes", async || {
             let seen = nodes.iter().all(|(m, _)| m.peers().len() == nodes.len());
             let choices: Vec<id::Node> =
                 nodes.iter().map(|(m, _)| m.elected(Role::Reader)).collect();
@@ -146,8 +146,8 @@
     assert_ne!(agree(&nodes).await, first);
 }
 
-/// VMs are replaced every day and the list brings ever new addresses. A node that has heard more of
-/// them than it keeps must still find the newest peer, and an empty list must not lose it one.
+/// VMs are replaced every day, and the list always contains new addresses. A node that was given more
+/// of them than it stores must still find the newest peer, and an empty list must not remove one.
 #[tokio::test]
 async fn newest_address_is_tried_after_any_number_of_old_ones() {
     let mut settings_of_a = settings("a", "trebon", &[]);
@@ -158,8 +158,8 @@
     let b = start(settings("b", "trebon", &[])).await;
     a.add_addresses([b.address()]);
     a.add_addresses([]);
-    names(&a, &["b"]).await;
-    names(&b, &["a"]).await;
+    sees_peers(&a, &["b"]).await;
+    sees_peers(&b, &["a"]).await;
 }
 
 fn heartbeat(node: &str, sequence: u64, offset: u64) -> Heartbeat {
@@ -189,28 +189,28 @@
     socket.send_to(bytes, mesh.address()).await.unwrap();
 }
 
-/// Datagrams come late, twice, or from a former life under the same name. What is known of a peer
-/// never goes back to an older word.
+/// Datagrams arrive late, twice, or from a previous incarnation under the same name. They must not
+/// replace newer data of the peer.
 #[tokio::test]
 async fn late_heartbeat_changes_nothing() {
     let a = start(settings("a", "trebon", &[])).await;
     send(&a, &seal(&heartbeat("x", 7, 70), &key())).await;
-    names(&a, &["x"]).await;
+    sees_peers(&a, &["x"]).await;
     for (sequence, offset) in [(7, 10), (6, 90), (0, 20)] {
         send(&a, &seal(&heartbeat("x", sequence, offset), &key())).await;
     }
     send(&a, &seal(&heartbeat("y", 1, 0), &key())).await;
-    names(&a, &["x", "y"]).await;
+    sees_peers(&a, &["x", "y"]).await;
     assert_eq!(peer(&a, "x").await.offset, Offset(70));
     send(&a, &seal(&heartbeat("x", 8, 80), &key())).await;
-    eventually("the newer word", async || {
+    eventually("the newer heartbeat", async || {
         (peer(&a, "x").await.offset == Offset(80)).then_some(())
     })
     .await;
 }
 
-/// Datagrams with another key, damaged, cut off, too long or of another kind reach the port. Each
-/// is counted, none is taken for a peer, and heartbeats go on.
+/// The port receives datagrams that are sealed with another key, damaged, incomplete, too long or of
+/// another kind. Each must be counted, none must add a peer, and valid heartbeats must still be merged.
 #[tokio::test]
 async fn bad_datagrams_are_dropped_and_counted() {
     let a = start(settings("a", "trebon", &[])).await;
@@ -234,20 +234,20 @@
         mac: 2,
         body: 1,
     };
-    eventually("all counted", async || {
+    eventually("all drops counted", async || {
         (a.drops() == expected).then_some(())
     })
     .await;
     assert_eq!(a.peers(), []);
     send(&a, &good).await;
-    names(&a, &["x"]).await;
+    sees_peers(&a, &["x"]).await;
 }
 
 fn framed(frame: &Frame) -> Vec<u8> {
     [&frame.length()[..], &frame.bytes()[..]].concat()
 }
 
-/// The same over TCP: whoever sends a bad frame gets no answer, and the next caller is served.
+/// The same over TCP: the sender of a bad frame gets no answer, and the next call is answered.
 #[tokio::test]
 async fn bad_calls_are_dropped_and_counted() {
     let a = start(settings("a", "trebon", &[])).await;
@@ -264,7 +264,7 @@
         let mut stream = TcpStream::connect(a.address()).await.unwrap();
         stream.write_all(bytes).await.unwrap();
         let mut answer = Vec::new();
-        // A reset is as good as an end: no answer came.
+        // A reset connection also counts as no answer.
         let _ = stream.read_to_end(&mut answer).await;
         assert!(answer.is_empty(), "{answer:?}");
     }
@@ -279,10 +279,10 @@
     assert!(answer.is_ok(), "{answer:?}");
 }
 
-/// A call's frame is cut off in the middle, for instance since the caller's VM died. It is dropped
-/// and counted, not taken for a shorter one.
+/// A call's frame ends early, for instance because the caller's VM died. It must be dropped and counted,
+/// and not be decoded as a shorter frame.
 #[tokio::test]
-async fn call_cut_in_the_middle_is_dropped() {
+async fn incomplete_call_is_dropped() {
     let a = start(settings("a", "trebon", &[])).await;
     let call = Call::Drop {
         node: "x".parse().unwrap(),
@@ -295,8 +295,8 @@
     eventually("counted", async || (a.drops().size == 1).then_some(())).await;
 }
 
-/// An endpoint says that it leaves to one node only. All nodes of all zones hear of it within a few
-/// heartbeats, and word of an older life, or a second word, changes nothing.
+/// A node announces departures of endpoints. They must spread to all nodes of all zones within a few
+/// heartbeats, and must not affect another incarnation of the endpoint.
 #[tokio::test]
 async fn departure_spreads_to_all_zones_and_stays() {
     let mut seeds = Vec::new();
@@ -311,7 +311,7 @@
         seeds.push(mesh.address());
         nodes.push(mesh);
     }
-    // More at once than fit into one datagram.
+    // More than fit into one datagram.
     let departures: Vec<Departure> = (0..40)
         .map(|n| Departure {
             endpoint: format!("engine-with-a-rather-long-name-{n:02}")
@@ -329,19 +329,22 @@
         })
         .await;
     }
-    let mut reborn = departures[0].clone();
-    reborn.incarnation = 99;
-    assert!(!nodes[3].is_leaving(&reborn), "another life is not leaving");
+    let mut restarted = departures[0].clone();
+    restarted.incarnation = 99;
+    assert!(
+        !nodes[3].is_leaving(&restarted),
+        "another incarnation is not leaving"
+    );
     assert!(nodes[3].is_leaving(&departures[0]));
 }
 
-/// A peer's VM is gone but its last heartbeat is fresh. The first call finds out; the peer is not
-/// chosen again before it is heard itself.
+/// A peer's VM has died, but its last heartbeat is recent. The first call fails, and the peer must not
+/// count as live before a new heartbeat from it is received.
 #[tokio::test]
 async fn peer_that_can_not_be_called_is_suspected() {
     let a = start(settings("a", "trebon", &[])).await;
     let mut beat = heartbeat("x", 1, 0);
-    let (_bound, address) = nobody();
+    let (_bound, address) = refusing_address();
     beat.address = address.to_string().into();
     send(&a, &seal(&beat, &key())).await;
     let x = peer(&a, "x").await;
@@ -351,27 +354,27 @@
     assert_eq!(a.peers(), []);
     beat.sequence = 2;
     send(&a, &seal(&beat, &key())).await;
-    names(&a, &["x"]).await;
+    sees_peers(&a, &["x"]).await;
 }
 
 #[test]
-fn senseless_settings_are_found() {
-    let change = |change: fn(&mut Settings)| {
+fn invalid_settings_are_rejected() {
+    let rejected = |change: fn(&mut Settings)| {
         let mut settings = settings("a", "trebon", &[]);
         change(&mut settings);
         mesh::Config::try_from(settings).is_err()
     };
-    assert!(change(|s| s.interval = Duration::ZERO));
-    assert!(change(|s| s.liveness_timeout = Duration::ZERO));
-    assert!(change(|s| s.timeout = Duration::ZERO));
-    assert!(change(|s| s.listen = "0.0.0.0:1".parse().unwrap()));
-    assert!(!change(|s| {
+    assert!(rejected(|s| s.interval = Duration::ZERO));
+    assert!(rejected(|s| s.liveness_timeout = Duration::ZERO));
+    assert!(rejected(|s| s.timeout = Duration::ZERO));
+    assert!(rejected(|s| s.listen = "0.0.0.0:1".parse().unwrap()));
+    assert!(!rejected(|s| {
         s.listen = "0.0.0.0:1".parse().unwrap();
         s.advertise = Some("10.0.0.1:1".parse().unwrap());
     }));
 }
 
-/// Answers all calls by a configuration of a megabyte.
+/// Answers all calls with a configuration of 1 MiB.
 struct Large;
 
 const LARGE: usize = 1 << 20;
@@ -383,11 +386,11 @@
     }
 }
 
-/// A node pulls a configuration that has grown from a peer behind a slow link, and the transfer takes
-/// several times as long as a silent peer is waited for. Calls that were given up for that were made
-/// again from the first byte: a node that had no way to the log stayed without the configuration.
+/// A node pulls a large configuration from a peer over a slow link. The transfer takes several times the
+/// timeout for a peer that does not answer. If the call were aborted, it would be repeated from the first
+/// byte, and a node without the log would never get the configuration.
 #[tokio::test]
-async fn a_large_answer_that_keeps_coming_is_waited_for() {
+async fn slow_large_answer_is_read_completely() {
     let a = start(settings("a", "trebon", &[])).await;
     let relay = Relay::start(Duration::ZERO).await;
     let mut settings = settings("b", "trebon", &[a.address()]);
@@ -397,11 +400,11 @@
     relay.slow(Duration::from_millis(50));
     listener.serve(Large);
     let peer = peer(&a, "b").await;
-    // The first call makes the connection, the second one takes the kept one.
+    // The first call opens a connection, the second one reuses it.
     for _ in 0..2 {
         let answer = a.call(&peer, Call::Pull { offset: Offset(0) }).await;
         let Answer::State { checkpoint } = answer.unwrap() else {
-            panic!("another answer than the peer's");
+            panic!("unexpected answer");
         };
         assert_eq!(checkpoint.len(), LARGE);
     }
--- a/crates/coordination/tests/remote.rs
+++ b/crates/coordination/tests/remote.rs
@@ -1,4 +1,4 @@
-//! Contract tests of the HTTP clients: what a service answers, and what the client makes of it.
+//! Contract tests of the HTTP clients: how each one interprets the answers of its service.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use pimento_units::Offset;
 use pimento_wire::platform::Fetch;
 use pimento_wire::platform::Rate;
-use support::nobody;
+use support::refusing_address;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
@@ -25,22 +25,22 @@
 const TIMEOUT: Duration = Duration::from_millis(300);
 const WAIT: Duration = Duration::from_millis(20);
 
-/// What a service does with each request.
+/// How a service responds to each request.
 #[derive(Debug, Clone)]
 enum Script {
     /// Sends these bytes and closes the connection.
     Send(String),
     /// Sends nothing and keeps the connection open.
     Hang,
-    /// Sends these bytes in [`PIECES`], each after [`PAUSE`].
+    /// Sends these bytes in [`CHUNKS`] chunks, each after [`DELAY`].
     Trickle(String),
-    /// Sends half of these bytes and keeps the connection open.
+    /// Sends half of these bytes, then nothing, and keeps the connection open.
     Stall(String),
 }
 
-/// Pieces of an answer over a slow link, which take several times as long as [`TIMEOUT`].
-const PIECES: usize = 12;
-const PAUSE: Duration = Duration::from_millis(80);
+/// Chunks of an answer over a slow link, which takes several times [`TIMEOUT`].
+const CHUNKS: usize = 12;
+const DELAY: Duration = Duration::from_millis(80);
 
 async fn serve(script: Script) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -57,9 +57,9 @@
                 }
                 Script::Hang => open.push(stream),
                 Script::Trickle(answer) => {
-                    for piece in answer.as_bytes().chunks(answer.len().div_ceil(PIECES)) {
-                        tokio::time::sleep(PAUSE).await;
-                        let _ = stream.write_all(piece).await;
+                    for chunk in answer.as_bytes().chunks(answer.len().div_ceil(CHUNKS)) {
+                        tokio::time::sleep(DELAY).await;
+                        let _ = stream.write_all(chunk).await;
                     }
                 }
                 Script::Stall(answer) => {
@@ -80,76 +80,80 @@
     ))
 }
 
-/// What a client made of an answer.
+/// How a client interpreted an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Seen {
+enum Outcome {
     Done,
     Refused(u64),
     Lost,
     Gone(u64),
 }
 
-fn seen<T>(result: &Result<T, log::Error>) -> Seen {
+fn outcome<T>(result: &Result<T, log::Error>) -> Outcome {
     match result {
-        Ok(_) => Seen::Done,
-        Err(log::Error::Refused { after }) => Seen::Refused(after.as_secs()),
-        Err(log::Error::Lost { .. }) => Seen::Lost,
-        Err(log::Error::Gone { oldest }) => Seen::Gone(oldest.0),
+        Ok(_) => Outcome::Done,
+        Err(log::Error::Refused { after }) => Outcome::Refused(after.as_secs()),
+        Err(log::Error::Lost { .. }) => Outcome::Lost,
+        Err(log::Error::Gone { oldest }) => Outcome::Gone(oldest.0),
     }
 }
 
-async fn append(address: SocketAddr) -> Seen {
+async fn append(address: SocketAddr) -> Outcome {
     let log = log::Remote::new(address, TIMEOUT);
-    seen(&log.append(Stream::Claims, vec!["{}".into()]).await)
+    outcome(&log.append(Stream::Claims, vec!["{}".into()]).await)
 }
 
-/// A claim is called "not run" only if the log surely has not taken it. So "refused" is what the
-/// log said itself with a time to come back, or a connection that was never made; every other
-/// answer that can't be read leaves the append in doubt.
+/// A claim is reported as "not run" only if the log certainly did not append it. An append counts as
+/// refused only if the log itself answers with a time to retry after, or if no connection was made. With
+/// any other answer that can't be read, it is unknown whether the append took effect.
 #[tokio::test]
-async fn append_is_refused_only_if_it_surely_did_nothing() {
+async fn append_is_refused_only_if_it_certainly_had_no_effect() {
     let cases = [
-        ("taken", answer("200 OK", "", r#"{"first":7}"#), Seen::Done),
+        (
+            "appended",
+            answer("200 OK", "", r#"{"first":7}"#),
+            Outcome::Done,
+        ),
         (
             "over the rate",
             answer("429 Too Many Requests", "retry-after: 2\r\n", ""),
-            Seen::Refused(2),
+            Outcome::Refused(2),
         ),
         (
             "outage",
             answer("503 Service Unavailable", "retry-after: 9\r\n", ""),
-            Seen::Refused(9),
+            Outcome::Refused(9),
         ),
         (
             "a gateway's 503",
             answer("503 Service Unavailable", "", ""),
-            Seen::Lost,
+            Outcome::Lost,
         ),
         (
             "a gateway's date",
             answer("503 Service Unavailable", "retry-after: Thu\r\n", ""),
-            Seen::Lost,
+            Outcome::Lost,
         ),
         (
             "internal error",
             answer("500 Internal Server Error", "retry-after: 1\r\n", ""),
-            Seen::Lost,
+            Outcome::Lost,
         ),
         (
             "gateway timeout",
             answer("504 Gateway Timeout", "", ""),
-            Seen::Lost,
+            Outcome::Lost,
         ),
-        ("unreadable", answer("200 OK", "", "<html>"), Seen::Lost),
+        ("unreadable", answer("200 OK", "", "<html>"), Outcome::Lost),
         (
-            "another shape",
+            "unexpected field",
             answer("200 OK", "", r#"{"offset":7}"#),
-            Seen::Lost,
+            Outcome::Lost,
         ),
         (
             "cut off",
             Script::Send("HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\n{".into()),
-            Seen::Lost,
+            Outcome::Lost,
         ),
         (
             "too long",
@@ -157,52 +161,57 @@
                 "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
                 1_u64 << 40
             )),
-            Seen::Lost,
+            Outcome::Lost,
         ),
-        ("closed", Script::Send(String::new()), Seen::Lost),
-        ("no answer", Script::Hang, Seen::Lost),
+        ("closed", Script::Send(String::new()), Outcome::Lost),
+        ("no answer", Script::Hang, Outcome::Lost),
     ];
     for (what, bytes, expected) in cases {
         assert_eq!(append(serve(bytes).await).await, expected, "{what}");
     }
-    let (_bound, address) = nobody();
+    let (_bound, address) = refusing_address();
     assert!(
-        matches!(append(address).await, Seen::Refused(_)),
+        matches!(append(address).await, Outcome::Refused(_)),
         "no connection"
     );
 }
 
 #[tokio::test]
-async fn read_tells_an_outage_from_passed_retention() {
+async fn read_distinguishes_an_outage_from_dropped_records() {
     let batch = r#"{"records":[{"offset":3,"at":5,"record":"{}"}],"next":4,"end":4,"now":6}"#;
     let cases = [
-        ("records", answer("200 OK", "", batch), Seen::Done),
+        ("records", answer("200 OK", "", batch), Outcome::Done),
         (
             "gone",
             answer("410 Gone", "", r#"{"oldest":40}"#),
-            Seen::Gone(40),
+            Outcome::Gone(40),
+        ),
+        (
+            "gone, unreadable",
+            answer("410 Gone", "", ""),
+            Outcome::Lost,
         ),
-        ("gone, unreadable", answer("410 Gone", "", ""), Seen::Lost),
         (
             "outage",
             answer("503 Service Unavailable", "retry-after: 9\r\n", ""),
-            Seen::Refused(9),
+            Outcome::Refused(9),
         ),
-        ("missing", answer("404 Not Found", "", ""), Seen::Lost),
-        ("no answer", Script::Hang, Seen::Lost),
+        ("missing", answer("404 Not Found", "", ""), Outcome::Lost),
+        ("no answer", Script::Hang, Outcome::Lost),
     ];
     for (what, bytes, expected) in cases {
         let log = log::Remote::new(serve(bytes).await, TIMEOUT);
         let result = log.read(Stream::Claims, Offset(3), 10, WAIT).await;
-        assert_eq!(seen(&result), expected, "{what}");
+        assert_eq!(outcome(&result), expected, "{what}");
     }
 }
 
-/// A batch holds a checkpoint that has grown, and takes longer on a slow link than a silent log is waited
-/// for. A read that was given up for that was made again from the first byte, and given up again: the VM
-/// never had the configuration. One whose answer stops coming is still given up.
+/// A batch holds a large checkpoint, and its transfer over a slow link takes longer than the timeout for
+/// a log that does not answer. If the read were aborted, it would be repeated from the first byte and
+/// aborted again, and the VM would never get the configuration. A read whose answer stalls must still
+/// be aborted.
 #[tokio::test]
-async fn a_batch_that_keeps_coming_is_read() {
+async fn slow_batch_is_read_completely() {
     let record = "x".repeat(4_000);
     let body = format!(
         r#"{{"records":[{{"offset":3,"at":5,"record":"{record}"}}],"next":4,"end":4,"now":6}}"#
@@ -212,15 +221,15 @@
     };
     let read = async |script| {
         let log = log::Remote::new(serve(script).await, TIMEOUT);
-        seen(&log.read(Stream::Claims, Offset(3), 10, WAIT).await)
+        outcome(&log.read(Stream::Claims, Offset(3), 10, WAIT).await)
     };
-    assert_eq!(read(Script::Send(whole.clone())).await, Seen::Done);
-    assert_eq!(read(Script::Trickle(whole.clone())).await, Seen::Done);
-    assert_eq!(read(Script::Stall(whole)).await, Seen::Lost);
+    assert_eq!(read(Script::Send(whole.clone())).await, Outcome::Done);
+    assert_eq!(read(Script::Trickle(whole.clone())).await, Outcome::Done);
+    assert_eq!(read(Script::Stall(whole)).await, Outcome::Lost);
 }
 
 #[tokio::test]
-async fn list_of_vms_is_an_error_and_not_empty_when_it_can_not_be_had() {
+async fn failed_vm_list_is_an_error_and_not_empty() {
     let vm = r#"{"vms":[{"name":"a","zone":"trebon","address":"10.0.0.1:1","role":"entry","leaving":false}]}"#;
     let list = vms::Remote::new(serve(answer("200 OK", "", vm)).await, TIMEOUT);
     assert_eq!(list.list().await.unwrap().vms.len(), 1);
@@ -240,7 +249,7 @@
 }
 
 #[tokio::test]
-async fn weight_store_tells_its_rate_from_a_lost_answer() {
+async fn weight_store_client_distinguishes_a_refusal_from_a_lost_answer() {
     let fetch = || Fetch {
         version: "small@1".parse().unwrap(),
         zone: "trebon".parse().unwrap(),
@@ -262,7 +271,7 @@
 }
 
 #[tokio::test]
-async fn rating_out_of_range_is_no_rating() {
+async fn invalid_rating_is_an_error() {
     let rate = || Rate {
         version: "small@1".parse().unwrap(),
         class: "stock".parse().unwrap(),
--- a/crates/coordination/tests/support/memory.rs
+++ b/crates/coordination/tests/support/memory.rs
@@ -1,4 +1,4 @@
-//! A log in memory with faults.
+//! An in-memory log with fault injection.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,26 +19,27 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What happens to one append.
+/// A fault of one append.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// It is refused before it does anything.
+    /// It is refused without effect.
     Refuse(Duration),
-    /// It does nothing, and no answer comes.
+    /// It has no effect, and its answer is lost.
     LoseBefore,
-    /// It takes effect, and no answer comes.
+    /// It takes effect, and its answer is lost.
     LoseAfter,
-    /// It takes effect only after the flag is set.
+    /// It takes effect after the flag is set.
     Hold(Arc<AtomicBool>),
 }
 
-/// A log in memory. Clones are links to one log; each can be cut for itself.
+/// A link to an in-memory log. Clones share the link; [`Memory::link`] makes a new link to the same log,
+/// which is cut independently.
 #[derive(Debug)]
 pub struct Memory {
     data: Arc<Mutex<Data>>,
     changed: watch::Sender<u64>,
     cut: Arc<AtomicBool>,
-    /// The log's clock runs with tokio's, so that a test may pause it.
+    /// The log's clock follows tokio's, so that a test can pause it.
     start: Instant,
     base: Wall,
     /// How long a read takes.
@@ -47,13 +48,13 @@
 
 #[derive(Debug, Default)]
 struct Data {
-    streams: [Kept; Stream::ALL.len()],
+    streams: [Retained; Stream::ALL.len()],
     faults: VecDeque<Fault>,
     outage: Option<Duration>,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct Retained {
     oldest: u64,
     records: VecDeque<Entry>,
     appends: Vec<usize>,
@@ -61,14 +62,14 @@
     reads: u64,
 }
 
-impl Kept {
+impl Retained {
     fn end(&self) -> u64 {
         self.oldest + self.records.len() as u64
     }
 }
 
 impl Clone for Memory {
-    /// The same link: a cut of one is a cut of both.
+    /// The same link: a cut affects all clones.
     fn clone(&self) -> Self {
         Self {
             data: Arc::clone(&self.data),
@@ -116,34 +117,34 @@
         }
     }
 
-    /// Cuts or heals this link: while cut, calls are lost after a moment.
+    /// Cuts or restores this link. Calls over a cut link fail as lost.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
         self.wake();
     }
 
-    /// Starts or ends an outage that the log announces.
+    /// Starts or ends an outage: the log refuses calls, to be retried after the given time.
     pub fn outage(&self, after: Option<Duration>) {
         self.data.lock().unwrap().outage = after;
         self.wake();
     }
 
-    /// Lines up faults for the next appends.
+    /// Queues faults for the next appends, one each.
     pub fn faults(&self, faults: impl IntoIterator<Item = Fault>) {
         self.data.lock().unwrap().faults.extend(faults);
     }
 
-    /// Drops records before `oldest`.
+    /// Drops the records before `oldest`.
     pub fn retain(&self, stream: Stream, oldest: Offset) {
         let mut data = self.data.lock().unwrap();
-        let kept = &mut data.streams[stream as usize];
-        while kept.oldest < oldest.0 {
-            kept.records.pop_front();
-            kept.oldest += 1;
+        let retained = &mut data.streams[stream as usize];
+        while retained.oldest < oldest.0 {
+            retained.records.pop_front();
+            retained.oldest += 1;
         }
     }
 
-    /// The records kept.
+    /// The retained records.
     pub fn records(&self, stream: Stream) -> Vec<String> {
         let data = self.data.lock().unwrap();
         let records = data.streams[stream as usize].records.iter();
@@ -156,29 +157,29 @@
         data.streams[stream as usize].appends.clone()
     }
 
-    /// The number of appends begun, with or without effect.
+    /// The number of appends started, with or without effect.
     pub fn begun(&self, stream: Stream) -> u64 {
         self.data.lock().unwrap().streams[stream as usize].begun
     }
 
-    /// The number of reads begun.
+    /// The number of reads started.
     pub fn reads(&self, stream: Stream) -> u64 {
         self.data.lock().unwrap().streams[stream as usize].reads
     }
 
-    /// Appends without faults, as another writer would.
+    /// Appends without faults, like another writer.
     pub fn put(&self, stream: Stream, records: impl IntoIterator<Item = String>) -> Offset {
         let at = self.now();
         let mut data = self.data.lock().unwrap();
-        let kept = &mut data.streams[stream as usize];
-        let first = Offset(kept.end());
+        let retained = &mut data.streams[stream as usize];
+        let first = Offset(retained.end());
         let mut count = 0;
         for record in records {
-            let offset = Offset(kept.end());
-            kept.records.push_back(Entry { offset, at, record });
+            let offset = Offset(retained.end());
+            retained.records.push_back(Entry { offset, at, record });
             count += 1;
         }
-        kept.appends.push(count);
+        retained.appends.push(count);
         drop(data);
         self.wake();
         first
@@ -192,23 +193,23 @@
         self.cut.load(Ordering::SeqCst)
     }
 
-    fn look(&self, stream: Stream, from: Offset, max: usize) -> Result<Batch, Error> {
+    fn batch(&self, stream: Stream, from: Offset, max: usize) -> Result<Batch, Error> {
         let data = self.data.lock().unwrap();
         if let Some(after) = data.outage {
             return Err(Error::Refused { after });
         }
-        let kept = &data.streams[stream as usize];
-        if from.0 < kept.oldest {
-            let oldest = Offset(kept.oldest);
+        let retained = &data.streams[stream as usize];
+        if from.0 < retained.oldest {
+            let oldest = Offset(retained.oldest);
             return Err(Error::Gone { oldest });
         }
-        let newer = kept.records.iter().filter(|entry| entry.offset >= from);
+        let newer = retained.records.iter().filter(|entry| entry.offset >= from);
         let records: Vec<Entry> = newer.take(max).cloned().collect();
         let next = records.last().map_or(from, |entry| entry.offset.next());
         Ok(Batch {
             records,
             next,
-            end: Offset(kept.end()),
+            end: Offset(retained.end()),
             now: self.now(),
         })
     }
@@ -259,7 +260,7 @@
             if self.is_cut() {
                 return Err(lost());
             }
-            let batch = self.look(stream, from, max)?;
+            let batch = self.batch(stream, from, max)?;
             if !batch.records.is_empty() {
                 return Ok(batch);
             }
@@ -267,14 +268,14 @@
                 .await
                 .is_err()
             {
-                return self.look(stream, from, max);
+                return self.batch(stream, from, max);
             }
         }
     }
 }
 
 fn lost() -> Error {
-    let reason = "cut".into();
+    let reason = "the link is cut".into();
     Error::Lost { reason }
 }
 
--- a/crates/coordination/tests/support/nodes.rs
+++ b/crates/coordination/tests/support/nodes.rs
@@ -1,4 +1,5 @@
-//! Nodes that follow the configuration, each with a link to the log and a relay before it.
+//! Nodes that follow the configuration. Each has its own link to the log, and peers reach it through a
+//! relay.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -38,35 +39,35 @@
 
 /// A node.
 pub struct Node {
-    /// Its peers.
+    /// Its mesh.
     pub mesh: Mesh,
     /// Its configuration.
     pub source: Source,
     /// Its link to the log.
     pub link: Memory,
-    /// What its peers reach it by.
+    /// The relay through which its peers reach it.
     pub relay: Relay,
     token: CancellationToken,
 }
 
-/// How a node is started.
+/// Settings of a node to start.
 pub struct Plan {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: &'static str,
-    /// Peers to begin with.
+    /// Addresses of peers known at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Time between its heartbeats.
+    /// Interval between its heartbeats.
     pub interval: Duration,
-    /// How long datagrams to it take.
+    /// Delay of datagrams to it.
     pub delay: Duration,
     /// Settings of its configuration.
     pub settings: Settings,
 }
 
 impl Plan {
-    /// A node that reads the log, and waits for years before it writes a checkpoint that is due.
+    /// A node that reads the log itself, and delays due checkpoints for so long that it writes none.
     pub fn new(name: &str, zone: &'static str) -> Self {
         let settings = Settings {
             read_mode: ReadMode::Always,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The same with peers to begin with.
+    /// Sets the peers known at the start.
     pub fn seeded(mut self, peers: &[Node]) -> Self {
         self.seeds = peers.iter().map(|node| node.mesh.address()).collect();
         self
@@ -110,8 +111,8 @@
         let appender = appender::Config::default();
         let appender = Appender::start(link.clone(), appender, token.clone());
         let config = Config::try_from(self.settings).unwrap();
-        let with = Some(mesh.clone());
-        let source = Source::start(link.clone(), appender, with, config, token.clone());
+        let peers = Some(mesh.clone());
+        let source = Source::start(link.clone(), appender, peers, config, token.clone());
         listener.serve(Serve(source.clone()));
         Node {
             mesh,
@@ -138,10 +139,10 @@
         eventually(&what, async || (self.offset() >= offset).then_some(())).await;
     }
 
-    /// Waits until it sees so many peers.
+    /// Waits until this many of its peers are live.
     pub async fn sees(&self, peers: usize) {
-        let seen = async || (self.mesh.peers().len() == peers).then_some(());
-        eventually(&format!("{peers} peers at {}", self.mesh.node()), seen).await;
+        let live = async || (self.mesh.peers().len() == peers).then_some(());
+        eventually(&format!("{peers} peers at {}", self.mesh.node()), live).await;
     }
 
     /// The offset of the state in force.
@@ -149,12 +150,12 @@
         self.source.current().offset.0
     }
 
-    /// Cuts it off from the log, or heals that.
+    /// Cuts or restores its link to the log.
     pub fn cut_log(&self, cut: bool) {
         self.link.cut(cut);
     }
 
-    /// Ends it as a killed VM would end.
+    /// Stops it without a shutdown, like a killed VM.
     pub fn kill(self) {
         self.token.cancel();
     }
@@ -165,7 +166,7 @@
     Subject::Pool(name.parse().unwrap())
 }
 
-/// A change of a pool's fencing, as text of the record.
+/// A change of a pool's fencing, as the text of its record.
 pub fn change(id: u128, name: &str, base: u64, fencing: Fencing) -> String {
     let pool: id::Pool = name.parse().unwrap();
     let change = Change {
@@ -182,7 +183,7 @@
     serde_json::to_string(&Entry::Change(change)).unwrap()
 }
 
-/// Publishes a new pool for each number.
+/// Publishes one new pool for each number.
 pub fn publish(log: &Memory, numbers: std::ops::Range<u64>) -> Offset {
     let pool = |n: u64| change(u128::from(n), &format!("pool-{n}"), 0, Fencing::Refuses);
     log.put(STREAM, numbers.map(pool))
--- a/crates/coordination/tests/support/relay.rs
+++ b/crates/coordination/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! A relay for datagrams and connections to one address, which can be cut or slow.
+//! A relay for datagrams and connections to one address, which can be cut or slowed down.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,22 +16,23 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-/// Passes on what is sent to it, unless it is cut.
+/// Forwards datagrams and connections to its target, unless it is cut.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where it is reached.
+    /// The address that it listens on.
     pub address: SocketAddr,
     target: watch::Sender<Option<SocketAddr>>,
     cut: Arc<AtomicBool>,
     severed: watch::Sender<u64>,
-    pause: Arc<AtomicU64>,
+    /// Delay of each chunk in milliseconds.
+    chunk_delay: Arc<AtomicU64>,
 }
 
-/// Bytes that a slow relay passes on at once.
-const PIECE: usize = 32 << 10;
+/// Bytes that a slow relay forwards at once.
+const CHUNK: usize = 32 << 10;
 
 impl Relay {
-    /// A relay that has no target yet and holds each datagram for `delay`.
+    /// Starts a relay without a target, which delays each datagram by `delay`.
     pub async fn start(delay: Duration) -> Self {
         let (listener, socket) = loop {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -45,7 +46,7 @@
             target: watch::Sender::new(None),
             cut: Arc::default(),
             severed: watch::Sender::new(0),
-            pause: Arc::default(),
+            chunk_delay: Arc::default(),
         };
         tokio::spawn(datagrams(
             socket,
@@ -58,23 +59,24 @@
             relay.target.subscribe(),
             Arc::clone(&relay.cut),
             relay.severed.subscribe(),
-            Arc::clone(&relay.pause),
+            Arc::clone(&relay.chunk_delay),
         ));
         relay
     }
 
-    /// Sets where it passes things on to.
+    /// Sets the address to forward to.
     pub fn target(&self, address: SocketAddr) {
         self.target.send_replace(Some(address));
     }
 
-    /// Makes it pass on [`PIECE`] bytes of a connection in this time, from the next connection on.
-    pub fn slow(&self, pause: Duration) {
-        let pause = u64::try_from(pause.as_millis()).unwrap();
-        self.pause.store(pause, Ordering::SeqCst);
+    /// Makes it wait for `chunk_delay` before each chunk of at most [`CHUNK`] bytes, on connections
+    /// accepted from now on.
+    pub fn slow(&self, chunk_delay: Duration) {
+        let chunk_delay = u64::try_from(chunk_delay.as_millis()).unwrap();
+        self.chunk_delay.store(chunk_delay, Ordering::SeqCst);
     }
 
-    /// Cuts or heals it; connections that are open break.
+    /// Cuts or restores it; open connections break.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
         self.severed.send_modify(|count| *count += 1);
@@ -101,7 +103,7 @@
             let bytes = buffer[..length].to_vec();
             tokio::spawn(async move {
                 tokio::time::sleep(delay).await;
-                // A datagram that is not sent is a datagram lost.
+                // A failed send is like a lost datagram.
                 let _ = socket.send_to(&bytes, to).await;
             });
         }
@@ -113,7 +115,7 @@
     target: watch::Receiver<Option<SocketAddr>>,
     cut: Arc<AtomicBool>,
     severed: watch::Receiver<u64>,
-    pause: Arc<AtomicU64>,
+    chunk_delay: Arc<AtomicU64>,
 ) {
     loop {
         let Ok((mut inner, _)) = listener.accept().await else {
@@ -125,42 +127,42 @@
         };
         let mut severed = severed.clone();
         severed.borrow_and_update();
-        let pause = Duration::from_millis(pause.load(Ordering::SeqCst));
+        let chunk_delay = Duration::from_millis(chunk_delay.load(Ordering::SeqCst));
         tokio::spawn(async move {
             let Ok(mut outer) = TcpStream::connect(to).await else {
                 return;
             };
             tokio::select! {
-                () = pass(&mut inner, &mut outer, pause) => {}
+                () = forward(&mut inner, &mut outer, chunk_delay) => {}
                 _ = severed.changed() => {}
             }
         });
     }
 }
 
-/// Passes both directions on until one of them ends.
-async fn pass(inner: &mut TcpStream, outer: &mut TcpStream, pause: Duration) {
-    if pause.is_zero() {
-        // A connection that breaks ends both sides, which is all that there is to do.
+/// Forwards both directions until one of them ends.
+async fn forward(inner: &mut TcpStream, outer: &mut TcpStream, chunk_delay: Duration) {
+    if chunk_delay.is_zero() {
+        // When one side breaks, both are dropped; the error needs no handling.
         let _ = tokio::io::copy_bidirectional(inner, outer).await;
         return;
     }
     let (mut from_inner, mut to_inner) = inner.split();
     let (mut from_outer, mut to_outer) = outer.split();
     tokio::select! {
-        () = crawl(&mut from_inner, &mut to_outer, pause) => {}
-        () = crawl(&mut from_outer, &mut to_inner, pause) => {}
+        () = forward_slowly(&mut from_inner, &mut to_outer, chunk_delay) => {}
+        () = forward_slowly(&mut from_outer, &mut to_inner, chunk_delay) => {}
     }
 }
 
-async fn crawl(
+async fn forward_slowly(
     from: &mut (impl AsyncRead + Unpin),
     to: &mut (impl AsyncWrite + Unpin),
-    pause: Duration,
+    chunk_delay: Duration,
 ) {
-    let mut buffer = vec![0; PIECE];
+    let mut buffer = vec![0; CHUNK];
     while let Ok(length @ 1..) = from.read(&mut buffer).await {
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(chunk_delay).await;
         if to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
