--- a/crates/coordination/src/configuration/tasks.rs
+++ b/crates/coordination/src/configuration/tasks.rs
@@ -54,12 +54,16 @@
         tokio::spawn(async move { ending.run_until_cancelled(pusher.push(to)).await });
     }
     let publisher = Arc::clone(shared);
-    tokio::spawn(async move { token.run_until_cancelled(publisher.publish_all(gate)).await });
+    tokio::spawn(async move {
+        token
+            .run_until_cancelled(publisher.publish_updates(gate))
+            .await
+    });
 }
 
 impl Shared {
     /// Publishes newer states and their freshness, and opens the gate while this node reads the log.
-    async fn publish_all(self: Arc<Self>, gate: watch::Sender<bool>) {
+    async fn publish_updates(self: Arc<Self>, gate: watch::Sender<bool>) {
         let mut records = self.follower.subscribe();
         let mut peers = self.mesh.as_ref().map(Mesh::subscribe);
         loop {
--- a/crates/coordination/src/mesh/calls.rs
+++ b/crates/coordination/src/mesh/calls.rs
@@ -35,9 +35,10 @@
 /// The largest number of connections served at once. The peers of the zone (50 at the target size) use
 /// a few connections each; more would only cost memory.
 const MAX_CONNECTIONS: usize = 256;
-/// How long the server waits for the next call on a connection.
-const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
-/// How long an idle connection can be reused. It is shorter than [`IDLE_TIMEOUT`], so that the peer
+/// Time limit on the server's side for each call of a connection, from the wait for the call to the end
+/// of its answer.
+const CALL_TIMEOUT: Duration = Duration::from_mins(1);
+/// How long an idle connection can be reused. It is shorter than [`CALL_TIMEOUT`], so that the peer
 /// seldom closes a connection just when it is reused.
 const REUSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The largest number of idle connections to one peer.
@@ -98,8 +99,8 @@
     }
 }
 
-/// Makes a call, on an idle connection if there is one. If that fails, the call is repeated on a new
-/// connection.
+/// Makes a call, on an idle connection if there is one. If the call fails there, it is repeated on a new
+/// connection before the same deadline.
 pub(super) async fn call(shared: &Shared, peer: &Peer, call: &Call) -> Result<Answer, Error> {
     let frame = Frame::seal(call, &shared.settings.key, MAX_BODY).context(FrameSnafu)?;
     let lost = |reason: String| Error::Lost {
@@ -118,7 +119,11 @@
     let stream = match tokio::time::timeout_at(deadline, connect).await {
         Ok(Ok(stream)) => stream,
         // The peer may have received the call on the pooled connection.
-        _ if repeated => return Err(lost("the connection broke".into())),
+        _ if repeated => {
+            return Err(lost(
+                "the call failed on a pooled connection, and connecting again failed".into(),
+            ));
+        }
         _ => {
             let node = peer.node.clone();
             return Err(Error::Unreachable { node });
@@ -259,7 +264,7 @@
         if stream.set_nodelay(true).is_err() {
             return;
         }
-        while let Ok(Ok(())) = tokio::time::timeout(IDLE_TIMEOUT, self.serve(&mut stream)).await {}
+        while let Ok(Ok(())) = tokio::time::timeout(CALL_TIMEOUT, self.serve(&mut stream)).await {}
     }
 
     async fn serve(&self, stream: &mut TcpStream) -> Result<(), Fault> {
--- a/crates/coordination/src/mesh/config.rs
+++ b/crates/coordination/src/mesh/config.rs
@@ -37,10 +37,9 @@
     /// Settings with default times.
     ///
     /// With a heartbeat interval of 1 s, a node sends three datagrams a second. A liveness timeout of
-    /// 10 s is three times as long as the news of a heartbeat takes to spread in a zone of 50 nodes (six
-    /// rounds of doubling), so that lost datagrams don't make a live peer look dead. A call
-    /// timeout of 2 s suffices for a whole state over a slow link, and is short against callers'
-    /// deadlines.
+    /// 10 s is three times as long as a heartbeat takes to become known in a zone of 50 nodes (six rounds
+    /// of doubling), so that lost datagrams don't make a live peer look dead. A call timeout of 2 s
+    /// suffices for a whole state over a slow link, and is short compared with callers' deadlines.
     #[must_use]
     pub fn new(node: id::Node, zone: id::Zone, listen: SocketAddr, key: Key) -> Self {
         Self {
--- a/crates/coordination/src/mesh/datagrams.rs
+++ b/crates/coordination/src/mesh/datagrams.rs
@@ -23,7 +23,8 @@
 use super::table::Peer;
 use super::table::Update;
 
-/// Number of live peers of the same zone that each heartbeat is sent to.
+/// Number of live peers of the same zone that each heartbeat is sent to. If one of the two groups has too
+/// few peers, the heartbeat is sent to more of the other group.
 const LOCAL_FANOUT: usize = 2;
 /// Number of live peers of other zones that each heartbeat is sent to. Links between zones cost more.
 const REMOTE_FANOUT: usize = 1;
--- a/crates/coordination/src/mesh/table.rs
+++ b/crates/coordination/src/mesh/table.rs
@@ -32,7 +32,7 @@
     pub offset: Offset,
     /// Until when its configuration is known to be current.
     pub freshness: Option<Freshness>,
-    /// Whether it reads the log itself and has reached its end.
+    /// Whether its last read of the log reached the end of the configuration stream.
     pub reads_log: bool,
     /// Whether it is shutting down.
     pub leaving: bool,
