--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -30,7 +30,7 @@
 use crate::follower::Follower;
 use crate::log::Log;
 use crate::view;
-use crate::view::Records;
+use crate::view::TypedFold;
 
 /// How long the append of an outcome is retried. Longer than the log's usual outages. If it fails,
 /// the request stays claimed, which is safe: later callers get the answer "unknown".
@@ -63,12 +63,12 @@
 /// This node's view of the claims stream.
 pub type View = view::View<claims::Fold>;
 
-impl Records for claims::Fold {
+impl TypedFold for claims::Fold {
     type Record = Call;
 
     const PREFIX: &'static str = "claims";
 
-    fn take(&mut self, _offset: Offset, at: Wall, call: Call) {
+    fn apply(&mut self, _offset: Offset, at: Wall, call: Call) {
         self.apply(at, &call);
     }
 }
@@ -298,7 +298,7 @@
                 let offset = appended.ok()?;
                 self.follower
                     .wait(deadline, |view| {
-                        view.passed(offset).then(|| view.fold().owner(request))
+                        view.has_read(offset).then(|| view.fold().owner(request))
                     })
                     .await
             }
--- a/crates/coordination/src/configuration/tasks.rs
+++ b/crates/coordination/src/configuration/tasks.rs
@@ -1,4 +1,5 @@
-//! What keeps the configuration current: publishing, pulling, pushing, checkpoints.
+//! Tasks that keep the configuration current: they publish it, exchange it with peers, and write
+//! checkpoints.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -15,20 +16,20 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+use super::ReadMode;
 use super::Shared;
-use super::Tail;
 use crate::appender::Appender;
-use crate::mesh::Duty;
-use crate::mesh::Fresh;
+use crate::mesh::Freshness;
 use crate::mesh::Mesh;
 use crate::mesh::Peer;
+use crate::mesh::Role;
 
-/// Time between looks at ages, which change without an event.
-const TICK: Duration = Duration::from_secs(1);
-/// How long an append of a checkpoint is tried. The next look tries again.
-const APPEND: Duration = Duration::from_secs(10);
+/// Interval between checks of ages, which change without an event.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Time limit for appending a checkpoint. The next check tries again.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts the tasks; they end with `token`.
+/// Starts the tasks; they run until `token` is cancelled.
 pub(super) fn start(
     shared: &Arc<Shared>,
     appender: Appender,
@@ -39,7 +40,7 @@
     let ending = token.clone();
     tokio::spawn(async move {
         ending
-            .run_until_cancelled(writer.checkpoints(appender))
+            .run_until_cancelled(writer.write_checkpoints(appender))
             .await
     });
     if let Some(mesh) = &shared.mesh {
@@ -52,142 +53,153 @@
         let to = mesh.clone();
         tokio::spawn(async move { ending.run_until_cancelled(pusher.push(to)).await });
     }
-    let keeper = Arc::clone(shared);
-    tokio::spawn(async move { token.run_until_cancelled(keeper.keep(gate)).await });
+    let publisher = Arc::clone(shared);
+    tokio::spawn(async move {
+        token
+            .run_until_cancelled(publisher.publish_updates(gate))
+            .await
+    });
 }
 
 impl Shared {
-    /// Publishes newer states, reckons their age and decides who reads the log.
-    async fn keep(self: Arc<Self>, gate: watch::Sender<bool>) {
-        let mut records = self.follower.changed();
-        let mut peers = self.mesh.as_ref().map(Mesh::changed);
+    /// Publishes newer states and their freshness, and opens the gate while this node reads the log.
+    async fn publish_updates(self: Arc<Self>, gate: watch::Sender<bool>) {
+        let mut records = self.follower.subscribe();
+        let mut peers = self.mesh.as_ref().map(Mesh::subscribe);
         loop {
-            self.publish();
-            self.reckon();
+            self.publish_state();
+            self.publish_freshness();
             gate.send_if_modified(|open| {
-                let wanted = self.reads();
+                let wanted = self.reads_log();
                 std::mem::replace(open, wanted) != wanted
             });
             tokio::select! {
                 _ = records.changed() => {}
-                () = heard(peers.as_mut()) => {}
-                () = tokio::time::sleep(TICK) => {}
+                () = peers_changed(peers.as_mut()) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
         }
     }
 
-    fn publish(&self) {
+    fn publish_state(&self) {
         let offset = self.published.borrow().offset;
-        let newer = self.follower.view(|reader| {
-            let newer = reader.state().offset > offset;
-            newer.then(|| Arc::new(reader.state().clone()))
+        let newer = self.follower.view(|fold| {
+            let newer = fold.state().offset > offset;
+            newer.then(|| Arc::new(fold.state().clone()))
         });
         if let Some(state) = newer {
             self.published.send_replace(state);
         }
     }
 
-    /// Finds until when the published state is known to be current, and tells peers.
-    fn reckon(&self) {
+    /// Finds until when the published state is known to be current, and reports it to peers.
+    fn publish_freshness(&self) {
         let offset = self.published.borrow().offset;
-        let own = self.own_word(offset);
-        let words = own.into_iter().chain(self.words(offset));
-        let fresh = words.chain(self.fresh()).reduce(Fresh::later);
-        *self.fresh.lock().unwrap_or_else(PoisonError::into_inner) = fresh;
+        let own = self.own_freshness(offset);
+        let known = own.into_iter().chain(self.peer_freshness(offset));
+        let freshness = known.chain(self.freshness()).reduce(Freshness::later);
+        *self
+            .freshness
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = freshness;
         if let Some(mesh) = &self.mesh {
-            let tailing = self.follower.caught_up();
-            mesh.report(|own| {
-                own.offset = offset;
-                own.fresh = fresh;
-                own.tailing = tailing;
+            let caught_up = self.follower.caught_up();
+            mesh.update_status(|status| {
+                status.offset = offset;
+                status.freshness = freshness;
+                status.reads_log = caught_up;
             });
         }
     }
 
-    /// What this node read itself. While records are missing it reads on past its state, and what
-    /// it reads says nothing of that.
-    fn own_word(&self, offset: Offset) -> Option<Fresh> {
-        let (at, since) = self.follower.current()?;
-        (self.follower.next() <= offset).then_some(Fresh { at, since })
+    /// Freshness by this node's own reads. While records are missing, it reads beyond its state, and
+    /// its reads do not show that the state is current.
+    fn own_freshness(&self, offset: Offset) -> Option<Freshness> {
+        let (at, since) = self.follower.last_complete_read()?;
+        (self.follower.next() <= offset).then_some(Freshness { at, since })
     }
 
-    /// What peers say of states that are not newer than ours.
-    fn words(&self, offset: Offset) -> Vec<Fresh> {
-        // A node that reads the log waits for its own first read: a peer that was cut off for an
-        // hour would otherwise make it ready with an old state a moment before the log's answer.
-        if self.reads() && !self.follower.tried() {
+    /// Freshness that peers report of states that are not newer than this node's.
+    fn peer_freshness(&self, offset: Offset) -> Vec<Freshness> {
+        // A node that reads the log waits for its own first read. Otherwise a peer that was cut off
+        // for an hour could make it ready with an old state just before the log answers.
+        if self.reads_log() && !self.follower.attempted() {
             return Vec::new();
         }
         let not_newer = |peer: &Peer| peer.offset <= offset;
         let peers = self.mesh.as_ref().map(Mesh::peers).unwrap_or_default();
-        let words = peers.into_iter().filter(not_newer);
-        words.filter_map(|peer| peer.fresh).collect()
+        let current = peers.into_iter().filter(not_newer);
+        current.filter_map(|peer| peer.freshness).collect()
     }
 
     /// Whether this node reads the log now.
-    fn reads(&self) -> bool {
+    fn reads_log(&self) -> bool {
         let Some(mesh) = &self.mesh else {
             return true;
         };
-        if self.config.0.tail == Tail::Always || mesh.chosen(Duty::Tailer) == *mesh.node() {
+        if self.config.0.read_mode == ReadMode::Always || mesh.elected(Role::Reader) == *mesh.node()
+        {
             return true;
         }
-        let since = self.fresh().map_or(self.started, |fresh| fresh.since);
-        since.elapsed() >= self.config.0.doubt
+        let since = self
+            .freshness()
+            .map_or(self.started, |freshness| freshness.since);
+        since.elapsed() >= self.config.0.max_age
     }
 
-    /// Pulls what a peer has and this node lacks.
+    /// Pulls records or a state from a peer that is ahead of this node.
     async fn pull(self: Arc<Self>, mesh: Mesh) {
-        let mut changed = mesh.changed();
+        let mut changed = mesh.subscribe();
         loop {
             if changed.changed().await.is_err() {
                 return;
             }
-            let offset = self.follower.view(|reader| reader.state().offset);
+            let offset = self.follower.view(|fold| fold.state().offset);
             let ahead = mesh.peers().into_iter().filter(|p| p.offset > offset);
             let Some(peer) = ahead.max_by_key(|p| p.offset) else {
                 continue;
             };
             match mesh.call(&peer, Call::Pull { offset }).await {
                 Ok(Answer::Records { records }) => {
-                    self.follower.update(|reader| reader.take(&records));
+                    self.follower.update(|fold| fold.apply_records(&records));
                 }
                 Ok(Answer::State { checkpoint }) => {
-                    self.follower.update(|reader| reader.adopt(&checkpoint));
+                    self.follower.update(|fold| fold.adopt(&checkpoint));
                 }
                 Ok(_) => {}
-                Err(error) => log::debug!("configuration: nothing from {}: {error}", peer.node),
+                Err(error) => log::debug!("configuration: pull from {} failed: {error}", peer.node),
             }
         }
     }
 
-    /// Pushes new records to the zone's nodes, if this node reads the log for them.
+    /// Pushes new records to the nodes of the zone while this node is elected to read the log for
+    /// them.
     async fn push(self: Arc<Self>, mesh: Mesh) {
         let mut states = self.published.subscribe();
         let mut offset = states.borrow_and_update().offset;
         while states.changed().await.is_ok() {
             let before = offset;
             offset = states.borrow_and_update().offset;
-            let others = self.config.0.tail == Tail::Elected;
-            if !others || mesh.chosen(Duty::Tailer) != *mesh.node() {
+            let elected = self.config.0.read_mode == ReadMode::Elected;
+            if !elected || mesh.elected(Role::Reader) != *mesh.node() {
                 continue;
             }
-            let missing = self.follower.view(|reader| reader.since(before));
+            let missing = self.follower.view(|fold| fold.answer_pull(before));
             if let Answer::Records { records } = missing {
-                self.push_all(&mesh, &records).await;
+                self.push_to_zone(&mesh, &records).await;
             }
         }
     }
 
-    async fn push_all(&self, mesh: &Mesh, records: &[(Offset, String)]) {
+    async fn push_to_zone(&self, mesh: &Mesh, records: &[(Offset, String)]) {
         let zone = mesh.zone();
-        let near = mesh.peers().into_iter().filter(|p| &p.zone == zone);
-        let calls = near.map(|peer| {
+        let local = mesh.peers().into_iter().filter(|p| &p.zone == zone);
+        let calls = local.map(|peer| {
             let records = records.to_vec();
             async move {
-                // A peer that misses this pulls it after the next heartbeat.
+                // A peer that misses this push pulls the records after the next heartbeat.
                 if let Err(error) = mesh.call(&peer, Call::Push { records }).await {
-                    log::debug!("configuration: nothing to {}: {error}", peer.node);
+                    log::debug!("configuration: push to {} failed: {error}", peer.node);
                 }
             }
         });
@@ -195,51 +207,51 @@
     }
 
     /// Writes checkpoints when they are due.
-    async fn checkpoints(self: Arc<Self>, appender: Appender) {
-        let mut records = self.follower.changed();
+    async fn write_checkpoints(self: Arc<Self>, appender: Appender) {
+        let mut records = self.follower.subscribe();
         loop {
-            if self.due() {
+            if self.checkpoint_due() {
                 let wait = self
                     .config
                     .0
-                    .spread
+                    .checkpoint_jitter
                     .mul_f64(rand::rng().random_range(0.0..=1.0));
                 tokio::time::sleep(wait).await;
-                if self.due() {
-                    self.write(&appender).await;
+                if self.checkpoint_due() {
+                    self.write_checkpoint(&appender).await;
                 }
             }
             tokio::select! {
                 _ = records.changed() => {}
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
         }
     }
 
-    fn due(&self) -> bool {
-        let Some((now, _)) = self.follower.current() else {
+    fn checkpoint_due(&self) -> bool {
+        let Some((now, _)) = self.follower.last_complete_read() else {
             return false;
         };
         if !self.follower.caught_up() {
             return false;
         }
-        self.follower.view(|reader| {
-            if reader.lapsed() || reader.state().items().is_empty() {
+        self.follower.view(|fold| {
+            if fold.has_gap() || fold.state().items().is_empty() {
                 return false;
             }
-            let (changes, last) = reader.since_checkpoint();
-            let old = last.is_none_or(|last| now.since(last) >= self.config.0.interval);
-            changes >= self.config.0.changes || old
+            let (changes, last) = fold.since_checkpoint();
+            let old = last.is_none_or(|last| now.since(last) >= self.config.0.checkpoint_interval);
+            changes >= self.config.0.checkpoint_changes || old
         })
     }
 
-    async fn write(&self, appender: &Appender) {
-        let checkpoint = self.follower.view(|reader| Checkpoint::of(reader.state()));
+    async fn write_checkpoint(&self, appender: &Appender) {
+        let checkpoint = self.follower.view(|fold| Checkpoint::of(fold.state()));
         let offset = checkpoint.offset;
         let Ok(record) = serde_json::to_string(&Entry::Checkpoint(checkpoint)) else {
             return;
         };
-        let deadline = Instant::now() + APPEND;
+        let deadline = Instant::now() + APPEND_TIMEOUT;
         match appender
             .append(Stream::Configuration, record, deadline)
             .await
@@ -250,7 +262,7 @@
     }
 }
 
-async fn heard(peers: Option<&mut watch::Receiver<u64>>) {
+async fn peers_changed(peers: Option<&mut watch::Receiver<u64>>) {
     let Some(changed) = peers else {
         return std::future::pending::<()>().await;
     };
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -36,7 +36,7 @@
 use crate::follower::Follower;
 use crate::log::Log;
 use crate::view;
-use crate::view::Records;
+use crate::view::TypedFold;
 
 /// Size of a loan, as a multiple of the cost of the call that needs it.
 const LOAN_CALLS: u64 = 16;
@@ -65,12 +65,12 @@
 /// This node's view of the grants stream.
 pub type View = view::View<grants::Fold>;
 
-impl Records for grants::Fold {
+impl TypedFold for grants::Fold {
     type Record = Allowance;
 
     const PREFIX: &'static str = "grants";
 
-    fn take(&mut self, _offset: Offset, _at: Wall, allowance: Allowance) {
+    fn apply(&mut self, _offset: Offset, _at: Wall, allowance: Allowance) {
         self.apply(&allowance);
     }
 }
@@ -358,7 +358,7 @@
         if let Some(grant) = self.shared.next_grant(account, nodes) {
             return self.shared.obtain(grant, deadline).await;
         }
-        let mut changed = self.shared.follower.changed();
+        let mut changed = self.shared.follower.subscribe();
         changed.mark_unchanged();
         let retry = (Instant::now() + RECHECK_INTERVAL).min(deadline);
         // Another call's request is in flight. Any batch may bring its result, but its failure
--- a/crates/coordination/src/grants/shared.rs
+++ b/crates/coordination/src/grants/shared.rs
@@ -142,7 +142,7 @@
         deadline: Instant,
         find: impl Fn(&View) -> Option<()>,
     ) -> Option<()> {
-        let passed = |view: &View| written.is_some_and(|offset| view.passed(offset));
+        let passed = |view: &View| written.is_some_and(|offset| view.has_read(offset));
         self.follower
             .wait(deadline, |view| find(view).or(passed(view).then_some(())))
             .await
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -27,7 +27,7 @@
 use crate::appender::Appender;
 use crate::follower::Follower;
 use crate::view;
-use crate::view::Records;
+use crate::view::TypedFold;
 
 /// Renewals in the time of one lease, so that one that fails at once can be repeated before the
 /// end.
@@ -57,12 +57,12 @@
 /// This node's view of the leases stream.
 pub type View = view::View<leases::Fold>;
 
-impl Records for leases::Fold {
+impl TypedFold for leases::Fold {
     type Record = Hold;
 
     const PREFIX: &'static str = "lease";
 
-    fn take(&mut self, offset: Offset, at: Wall, hold: Hold) {
+    fn apply(&mut self, offset: Offset, at: Wall, hold: Hold) {
         self.apply(offset, at, &hold);
     }
 }
@@ -179,7 +179,7 @@
             .wait(deadline, |view| {
                 let lease = view.fold().lease(&self.resource)?;
                 let is_ours = lease.record == record;
-                let passed = appended.as_ref().is_ok_and(|offset| view.passed(*offset));
+                let passed = appended.as_ref().is_ok_and(|offset| view.has_read(*offset));
                 (is_ours || passed).then(|| is_ours.then_some(lease.fencing))
             })
             .await;
