--- a/crates/entry/src/estimate.rs
+++ b/crates/entry/src/estimate.rs
@@ -28,13 +28,13 @@
 
 /// Tokens that a prompt is expected to have.
 #[must_use]
-pub fn prompt(chat: &Chat) -> Tokens {
+pub fn prompt_tokens(chat: &Chat) -> Tokens {
     count(chat, BYTES)
 }
 
 /// Tokens that a prompt hardly has more than.
 #[must_use]
-pub fn longest(chat: &Chat) -> Tokens {
+pub fn max_prompt_tokens(chat: &Chat) -> Tokens {
     count(chat, FEWEST_BYTES)
 }
 
@@ -56,11 +56,11 @@
 
 /// All that was learnt, sorted by customer and class. Bounded by the contracts.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Estimator {
     entries: Mutex<Vec<Entry>>,
 }
 
-impl Book {
+impl Estimator {
     fn lock(&self) -> MutexGuard<'_, Vec<Entry>> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -89,7 +89,12 @@
 
     /// Tokens that an answer is expected to have, at most `limit`.
     #[must_use]
-    pub fn answer(&self, customer: &id::Customer, class: &id::Class, limit: Tokens) -> Tokens {
+    pub fn answer_tokens(
+        &self,
+        customer: &id::Customer,
+        class: &id::Class,
+        limit: Tokens,
+    ) -> Tokens {
         let length = self.with(customer, class, |entry| entry.length);
         #[expect(
             clippy::cast_possible_truncation,
@@ -101,7 +106,7 @@
     }
 
     /// Learns the length of an answer.
-    pub fn answered(&self, customer: &id::Customer, class: &id::Class, tokens: Tokens) {
+    pub fn record_answer(&self, customer: &id::Customer, class: &id::Class, tokens: Tokens) {
         #[expect(clippy::cast_precision_loss, reason = "token counts are small")]
         let tokens = tokens.0 as f64;
         self.with(customer, class, |entry| {
@@ -126,7 +131,7 @@
     }
 
     /// Learns a rating.
-    pub fn rated(
+    pub fn record_rating(
         &self,
         customer: &id::Customer,
         class: &id::Class,
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -122,8 +122,8 @@
         let answer = self
             .0
             .estimates
-            .answer(&request.customer, class, ask.output);
-        estimate::prompt(&request.chat) + answer
+            .answer_tokens(&request.customer, class, ask.output);
+        estimate::prompt_tokens(&request.chat) + answer
     }
 
     fn job(&self, ask: &Ask<'_>) -> Job {
@@ -217,7 +217,7 @@
         ask: &mut Ask<'_>,
     ) -> Result<Answer, Fault> {
         let node = self.0;
-        let prompt = estimate::prompt(&ask.request.chat);
+        let prompt = estimate::prompt_tokens(&ask.request.chat);
         let mut opened = self.race(permit, ask).await?;
         // From here on an engine has begun, whatever becomes of the answer.
         ask.trace.begun();
@@ -253,7 +253,7 @@
         node.evidence.served(ask.version, took, pace, now);
         let class = &request.class.name;
         node.estimates
-            .answered(&request.customer, class, answer.output());
+            .record_answer(&request.customer, class, answer.output());
         node.metrics.attempt(ask.pool, "served");
         opened.permit.served(tokens);
         opened.abort.disarm();
--- a/crates/entry/src/filter/budget.rs
+++ b/crates/entry/src/filter/budget.rs
@@ -76,7 +76,7 @@
     /// The most that any version of the class would charge.
     fn most(&self, chat: &Chat, class: &Class, output: Tokens) -> Money {
         let state = self.0.state.current();
-        let input = estimate::longest(chat);
+        let input = estimate::max_prompt_tokens(chat);
         let versions = class.versions.iter().filter_map(|id| state.version(id));
         let charges = versions.map(|version| version.price.of(input, output));
         charges.max().unwrap_or_default()
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -139,10 +139,10 @@
         let now = node.clock.now();
         let request = &work.funded.bound.request;
         let class = &request.class.name;
-        let input = estimate::prompt(&request.chat);
+        let input = estimate::prompt_tokens(&request.chat);
         let output = node
             .estimates
-            .answer(&request.customer, class, work.funded.output);
+            .answer_tokens(&request.customer, class, work.funded.output);
         let candidate = |version: &Version| {
             let (mean, lower) = node
                 .estimates
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -138,7 +138,7 @@
                 ..
             } = &subject;
             node.estimates
-                .rated(customer, class, version, rating.pass, now);
+                .record_rating(customer, class, version, rating.pass, now);
             node.evidence.rated(&version.id, rating.pass, now);
             Some(rating.pass)
         }
