--- a/crates/entry/src/evidence.rs
+++ b/crates/entry/src/evidence.rs
@@ -54,17 +54,17 @@
 
 /// The evidence of a node.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Tracker {
     inner: Mutex<Inner>,
 }
 
-impl Book {
+impl Tracker {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Counts a rating.
-    pub fn rated(&self, version: &id::Version, pass: bool, now: Moment) {
+    pub fn record_rating(&self, version: &id::Version, pass: bool, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
         entry.decayed.record_rating(pass, now);
@@ -73,7 +73,7 @@
     }
 
     /// Counts an attempt that was answered, with the seconds for a token.
-    pub fn served(&self, version: &id::Version, took: Duration, pace: f64, now: Moment) {
+    pub fn record_answer(&self, version: &id::Version, took: Duration, pace: f64, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
         entry.decayed.record_answer(pace, now);
@@ -82,7 +82,7 @@
     }
 
     /// Counts an attempt that failed after it may have begun.
-    pub fn failed(&self, version: &id::Version, now: Moment) {
+    pub fn record_failure(&self, version: &id::Version, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
         entry.decayed.record_failure(now);
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -157,7 +157,7 @@
         ask.trace.failed(endpoint, fault);
         let harmless = fault.not_run() || *fault == Fault::Cancelled;
         if !harmless {
-            node.evidence.failed(ask.version, node.clock.now());
+            node.evidence.record_failure(ask.version, node.clock.now());
         }
     }
 
@@ -250,7 +250,7 @@
         let request = ask.request;
         #[expect(clippy::cast_precision_loss, reason = "token counts are small")]
         let pace = took.as_secs_f64() / answer.output().0.max(1) as f64;
-        node.evidence.served(ask.version, took, pace, now);
+        node.evidence.record_answer(ask.version, took, pace, now);
         let class = &request.class.name;
         node.estimates
             .record_answer(&request.customer, class, answer.output());
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -139,7 +139,7 @@
             } = &subject;
             node.estimates
                 .record_rating(customer, class, version, rating.pass, now);
-            node.evidence.rated(&version.id, rating.pass, now);
+            node.evidence.record_rating(&version.id, rating.pass, now);
             Some(rating.pass)
         }
         Ok(Err(error)) => {
