--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -136,7 +136,7 @@
                 trace.begun();
                 let now = node.clock.now();
                 let pool = &call.service.pool;
-                node.retries.success(&call.customer, pool, now);
+                node.retries.record_success(&call.customer, pool, now);
                 return Ok(Done::Answered(answer));
             }
             Err(fault) => {
@@ -260,7 +260,7 @@
         return retry::can_retry_unsent(failure, now);
     }
     node.retries
-        .again(&call.customer, &call.service.pool, failure, now)
+        .try_retry(&call.customer, &call.service.pool, failure, now)
 }
 
 /// Bills the call, keeps its answer and passes it on.
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -97,7 +97,7 @@
                     self.0.answered(digest);
                     let now = self.0.clock.now();
                     let customer = &ask.request.customer;
-                    self.0.retries.success(customer, ask.pool, now);
+                    self.0.retries.record_success(customer, ask.pool, now);
                     return Ok(answer);
                 }
                 Err(fault) => {
@@ -194,7 +194,7 @@
             return retry::can_retry_unsent(failure, now);
         }
         node.retries
-            .again(&request.customer, ask.pool, failure, now)
+            .try_retry(&request.customer, ask.pool, failure, now)
     }
 
     async fn once(
@@ -222,7 +222,8 @@
         // From here on an engine has begun, whatever becomes of the answer.
         ask.trace.begun();
         let first = node.clock.now().since(opened.begun);
-        node.retries.first(ask.version, first, node.clock.now());
+        node.retries
+            .record_first_token(ask.version, first, node.clock.now());
         let deadline = node.clock.instant(ask.request.identity.deadline);
         let drained = opened.drain(ask.delivery, deadline, node.config.stall_timeout);
         match drained.await {
@@ -269,7 +270,7 @@
             long,
             time_left: left,
         };
-        let delay = node.retries.delay(ask.version, attempt);
+        let delay = node.retries.hedge_delay(ask.version, attempt);
         ask.trace.attempts += 1;
         let endpoint = permit.endpoint().clone();
         let first = self.open(permit, ask);
@@ -304,8 +305,8 @@
         job.tried.push(first.clone());
         let permit = node.scheduler.pool(ask.pool).try_acquire(&job)?;
         let customer = &ask.request.customer;
-        let paid =
-            permit.endpoint() != first && node.retries.hedge(customer, ask.pool, node.clock.now());
+        let paid = permit.endpoint() != first
+            && node.retries.try_hedge(customer, ask.pool, node.clock.now());
         paid.then_some(permit)
     }
 
@@ -319,7 +320,7 @@
         let left = ask.request.identity.deadline.since(now);
         // Half of the time is left for another engine if this one never begins.
         let longest = (left / 2).max(node.config.stall_timeout).min(left);
-        let silence = node.retries.silence(ask.version);
+        let silence = node.retries.first_token_timeout(ask.version);
         let silence = silence.filter(|silence| *silence < longest && ask.trace.attempts <= 1);
         let last = node.clock.instant(now + longest);
         let early = silence.map(|silence| node.clock.instant(now + silence));
@@ -329,7 +330,7 @@
         async move {
             if let Some(early) = early {
                 tokio::time::sleep_until(early).await;
-                if node.retries.hedge(&customer, &pool, node.clock.now()) {
+                if node.retries.try_hedge(&customer, &pool, node.clock.now()) {
                     paid.store(true, Ordering::Relaxed);
                     return;
                 }
--- a/crates/entry/src/retries.rs
+++ b/crates/entry/src/retries.rs
@@ -12,7 +12,7 @@
 
 /// All budgets and tails of a node. Bounded by contracts and pools.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Tracker {
     inner: Mutex<Inner>,
 }
 
@@ -43,13 +43,13 @@
     retry::Budget::new(retry::Config::default())
 }
 
-impl Book {
+impl Tracker {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether a failed request is tried again; takes it out of both budgets if so.
-    pub fn again(
+    pub fn try_retry(
         &self,
         customer: &id::Customer,
         pool: &id::Pool,
@@ -64,7 +64,7 @@
 
     /// Takes a hedge, or a retry for an attempt that is about to be given up, out of both budgets, if
     /// they have it.
-    pub fn hedge(&self, customer: &id::Customer, pool: &id::Pool, now: Moment) -> bool {
+    pub fn try_hedge(&self, customer: &id::Customer, pool: &id::Pool, now: Moment) -> bool {
         let inner = &mut *self.lock();
         let customer = entry(&mut inner.customers, customer, budget);
         let pool = entry(&mut inner.pools, pool, budget);
@@ -72,7 +72,7 @@
     }
 
     /// Pays in for a success.
-    pub fn success(&self, customer: &id::Customer, pool: &id::Pool, now: Moment) {
+    pub fn record_success(&self, customer: &id::Customer, pool: &id::Pool, now: Moment) {
         let inner = &mut *self.lock();
         entry(&mut inner.customers, customer, budget).success(now);
         entry(&mut inner.pools, pool, budget).success(now);
@@ -80,7 +80,7 @@
 
     /// How long to wait for a first piece before a second attempt.
     #[must_use]
-    pub fn delay(&self, version: &id::Version, attempt: hedge::Attempt) -> Option<Duration> {
+    pub fn hedge_delay(&self, version: &id::Version, attempt: hedge::Attempt) -> Option<Duration> {
         let inner = &mut *self.lock();
         let tail = entry(&mut inner.tails, version, hedge::LatencyHistogram::default);
         hedge::delay(tail, attempt)
@@ -88,14 +88,14 @@
 
     /// How long an attempt may go without a first piece before it is given up, if that is paid for.
     #[must_use]
-    pub fn silence(&self, version: &id::Version) -> Option<Duration> {
+    pub fn first_token_timeout(&self, version: &id::Version) -> Option<Duration> {
         let inner = &mut *self.lock();
         let tail = entry(&mut inner.tails, version, hedge::LatencyHistogram::default);
         hedge::first_token_timeout(tail)
     }
 
     /// Learns how long a first piece took.
-    pub fn first(&self, version: &id::Version, took: Duration, now: Moment) {
+    pub fn record_first_token(&self, version: &id::Version, took: Duration, now: Moment) {
         let inner = &mut *self.lock();
         entry(&mut inner.tails, version, hedge::LatencyHistogram::default).record(took, now);
     }
