--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -132,7 +132,7 @@
         trace.attempts += 1;
         match once(node, call, *ticket, permit).await {
             Ok(answer) => {
-                node.answered(call.content);
+                node.record_complete_answer(call.content);
                 trace.begun();
                 let now = node.clock.now();
                 let pool = &call.service.pool;
@@ -156,7 +156,7 @@
 }
 
 fn unbarred(node: &Node, call: &Call, trace: &Trace) -> Result<(), Refusal> {
-    let unbarred = node.unbarred(call.content);
+    let unbarred = node.ensure_not_blocked(call.content);
     unbarred.map_err(|refusal| trace.amend(refusal))
 }
 
@@ -231,7 +231,7 @@
         }),
         Ok(_) => permit.served(WORK),
         Err(fault) => {
-            node.failed(call.content, permit.endpoint(), fault);
+            node.record_broken_run(call.content, permit.endpoint(), fault);
             permit.failed(fault);
         }
     }
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -81,7 +81,7 @@
     pub async fn answer(&self, ask: &mut Ask<'_>) -> Result<Answer, Stop> {
         let digest = ask.request.digest;
         loop {
-            self.0.unbarred(digest).map_err(Stop::Refused)?;
+            self.0.ensure_not_blocked(digest).map_err(Stop::Refused)?;
             let want = Want {
                 pool: ask.pool,
                 job: self.job(ask),
@@ -90,11 +90,11 @@
             let admitted = Admission(self.0).apply(want).await.map_err(Stop::Refused)?;
             ask.trace.waited += admitted.waited;
             let version = self.dispatch(ask).ok_or(Stop::Withdrawn)?;
-            self.0.unbarred(digest).map_err(Stop::Refused)?;
+            self.0.ensure_not_blocked(digest).map_err(Stop::Refused)?;
             let endpoint = admitted.permit.endpoint().clone();
             match self.once(admitted.permit, &version, ask).await {
                 Ok(answer) => {
-                    self.0.answered(digest);
+                    self.0.record_complete_answer(digest);
                     let now = self.0.clock.now();
                     let customer = &ask.request.customer;
                     self.0.retries.record_success(customer, ask.pool, now);
@@ -236,7 +236,7 @@
             Err(fault) => {
                 let output = Tokens(ask.delivery.pieces());
                 ask.trace.cost += version.price.of(prompt, output);
-                node.failed(ask.request.digest, opened.permit.endpoint(), &fault);
+                node.record_broken_run(ask.request.digest, opened.permit.endpoint(), &fault);
                 opened.permit.failed(&fault);
                 Err(fault)
             }
@@ -300,7 +300,7 @@
     fn second(&self, ask: &Ask<'_>, first: &id::Endpoint) -> Option<Permit> {
         let node = self.0;
         self.dispatch(ask)?;
-        node.unbarred(ask.request.digest).ok()?;
+        node.ensure_not_blocked(ask.request.digest).ok()?;
         let mut job = self.job(ask);
         job.tried.push(first.clone());
         let permit = node.scheduler.pool(ask.pool).try_acquire(&job)?;
@@ -382,7 +382,7 @@
                     abort,
                 }),
                 Err(fault) => {
-                    node.failed(digest, permit.endpoint(), &fault);
+                    node.record_broken_run(digest, permit.endpoint(), &fault);
                     permit.failed(&fault);
                     if fault.not_run() {
                         abort.disarm();
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -75,7 +75,7 @@
     pub estimates: estimate::Estimator,
     pub evidence: evidence::Tracker,
     pub retries: retries::Tracker,
-    pub poison: poison::Book,
+    pub poison: poison::Tracker,
     pub rater: Option<rating::Remote>,
     pub rating: rate::Health,
     pub session_key: session::Key,
@@ -160,7 +160,7 @@
             estimates: estimate::Estimator::default(),
             evidence: evidence::Tracker::default(),
             retries: retries::Tracker::default(),
-            poison: poison::Book::default(),
+            poison: poison::Tracker::default(),
             rater,
             rating: rate::Health::default(),
             session_key: session::Key::derive(config.session_key.reveal()),
@@ -248,7 +248,7 @@
                 self.state.confirm(self.source.age());
             }
             self.spread();
-            self.hear_suspicions();
+            self.receive_suspicions();
             self.review();
             tokio::select! {
                 _ = changed.changed() => {}
--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -31,7 +31,7 @@
 
 /// What a node knows of requests under which endpoints end.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Tracker {
     inner: Mutex<Inner>,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-impl Book {
+impl Tracker {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// A [`Refusal`] as not run, if endpoints ended under it.
-    pub fn unbarred(&self, digest: Digest) -> Result<(), Refusal> {
+    pub fn ensure_not_blocked(&self, digest: Digest) -> Result<(), Refusal> {
         let Some(left) = self.poison.barred(digest, self.clock.now()) else {
             return Ok(());
         };
@@ -138,7 +138,7 @@
     }
 
     /// An answer to a request was whole.
-    pub fn answered(&self, digest: Digest) {
+    pub fn record_complete_answer(&self, digest: Digest) {
         let suspect = self
             .poison
             .lock()
@@ -151,7 +151,7 @@
     }
 
     /// A run failed at an endpoint. Where its connection ended, the endpoint may have ended as well.
-    pub fn failed(&self, digest: Digest, endpoint: &id::Endpoint, fault: &Fault) {
+    pub fn record_broken_run(&self, digest: Digest, endpoint: &id::Endpoint, fault: &Fault) {
         if !fault.is_cut() {
             return;
         }
@@ -213,7 +213,7 @@
     }
 
     /// Takes what peers say of requests under which endpoints end.
-    pub fn hear_suspicions(&self) {
+    pub fn receive_suspicions(&self) {
         let words = |after| self.mesh.suspicions(after);
         let (now, wall) = (self.clock.now(), self.clock.wall());
         for digest in self.poison.hear(words, now, wall) {
