--- a/crates/entry/src/filter/bill.rs
+++ b/crates/entry/src/filter/bill.rs
@@ -102,7 +102,8 @@
                 bill.request
             );
             let message = "the answer was made, but its bill could not be made safe";
-            Refusal::new(Code::BillsOut, message, Run::Ran).retry_after(node.config.bill_timeout)
+            Refusal::new(Code::BillsUnavailable, message, Run::Ran)
+                .retry_after(node.config.bill_timeout)
         })
     }
 }
--- a/crates/entry/src/filter/budget.rs
+++ b/crates/entry/src/filter/budget.rs
@@ -95,7 +95,7 @@
     ) -> Result<Fund, Refusal> {
         let slot = self.0.outbox.reserve().map_err(|error| {
             let after = self.0.config.platform_timeout;
-            Refusal::not_run(Code::BillsOut, error.to_string()).retry_after(after)
+            Refusal::not_run(Code::BillsUnavailable, error.to_string()).retry_after(after)
         })?;
         let state = self.0.state.current();
         let contract = state.contract(customer).ok_or_else(gone)?;
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -131,7 +131,7 @@
     match *error {
         claims::Error::Age { .. } => Refusal::not_run(Code::BadRequestId, message),
         claims::Error::Out { after } => {
-            Refusal::not_run(Code::ClaimsOut, message).retry_after(after)
+            Refusal::not_run(Code::ClaimsUnavailable, message).retry_after(after)
         }
     }
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -59,9 +59,9 @@
     /// No endpoint took the call.
     NoEndpoint,
     /// The platform's log can't take a claim now.
-    ClaimsOut,
+    ClaimsUnavailable,
     /// The platform can't take a bill now, nor can a peer.
-    BillsOut,
+    BillsUnavailable,
     /// The endpoints failed.
     EndpointFailed,
     /// Endpoints ended under the call.
@@ -69,7 +69,7 @@
     /// The deadline passed.
     Timeout,
     /// The caller went away; nobody reads this.
-    Gone,
+    CallerGone,
     /// A fault of ours.
     Internal,
 }
@@ -101,12 +101,12 @@
             Self::NotReady => (503, SERVER, "not_ready"),
             Self::NoVersion => (503, SERVER, "no_version"),
             Self::NoEndpoint => (503, SERVER, "no_endpoint"),
-            Self::ClaimsOut => (503, SERVER, "claims_unavailable"),
-            Self::BillsOut => (503, SERVER, "bills_unavailable"),
+            Self::ClaimsUnavailable => (503, SERVER, "claims_unavailable"),
+            Self::BillsUnavailable => (503, SERVER, "bills_unavailable"),
             Self::EndpointFailed => (502, SERVER, "endpoint_failed"),
             Self::Poison => (503, SERVER, "poison_request"),
             Self::Timeout => (504, SERVER, "timeout"),
-            Self::Gone => (499, SERVER, "caller_gone"),
+            Self::CallerGone => (499, SERVER, "caller_gone"),
             Self::Internal => (500, SERVER, "internal_error"),
         }
     }
@@ -134,7 +134,7 @@
     /// Whether the call was carried out.
     pub run: Run,
     /// When to ask again, if that can help.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl From<Refused> for Refusal {
@@ -144,10 +144,13 @@
             Refused::Overloaded { after } | Refused::Expired { after } => {
                 (Code::Overloaded, Some(after))
             }
-            Refused::CallerGone => (Code::Gone, None),
+            Refused::CallerGone => (Code::CallerGone, None),
         };
         let refusal = Self::not_run(code, refused.to_string());
-        Self { after, ..refusal }
+        Self {
+            retry_after: after,
+            ..refusal
+        }
     }
 }
 
@@ -165,14 +168,14 @@
             code,
             message: message.into(),
             run,
-            after: None,
+            retry_after: None,
         }
     }
 
     /// Adds when to ask again.
     #[must_use]
     pub const fn retry_after(mut self, after: Duration) -> Self {
-        self.after = Some(after);
+        self.retry_after = Some(after);
         self
     }
 
@@ -208,7 +211,7 @@
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(header::RUN, HeaderValue::from_static(self.run.as_str()));
-        if let Some(after) = self.after {
+        if let Some(after) = self.retry_after {
             headers.insert(header::RETRY_AFTER, seconds(after).into());
         }
         if self.code == Code::WrongMethod {
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -75,7 +75,7 @@
     pub fn refusal(&self, fault: &Fault) -> Refusal {
         let run = self.run();
         match fault {
-            Fault::Cancelled => Refusal::new(Code::Gone, "the caller went away", run),
+            Fault::Cancelled => Refusal::new(Code::CallerGone, "the caller went away", run),
             Fault::Timeout => Refusal::new(Code::Timeout, "no whole answer in time", run),
             Fault::Refused { after, .. } if !self.started => {
                 Refusal::not_run(Code::NoEndpoint, fault.to_string())
--- a/crates/entry/tests/all/scheduler.rs
+++ b/crates/entry/tests/all/scheduler.rs
@@ -131,7 +131,7 @@
     let refusal = Refusal::from(refusal);
     assert_eq!(refusal.code, Code::NoEndpoint);
     assert_eq!(refusal.run, Run::NotRun);
-    assert!(refusal.after.is_some());
+    assert!(refusal.retry_after.is_some());
 }
 
 #[tokio::test]
@@ -215,6 +215,6 @@
     gone.cancel();
     let refusal = waiting.await.unwrap().unwrap_err();
     let refusal = Refusal::from(refusal);
-    assert_eq!(refusal.code, Code::Gone);
+    assert_eq!(refusal.code, Code::CallerGone);
     assert_eq!(bench.pool.depth().waiting, 0);
 }
