--- a/crates/entry/src/chain/model.rs
+++ b/crates/entry/src/chain/model.rs
@@ -119,7 +119,7 @@
     finished.map_err(|fault| trace.refusal(&fault))?;
     let now = node.clock.now();
     let arrived = request.identity.arrived;
-    let first = delivery.first().unwrap_or(now);
+    let first = delivery.first_sent_at().unwrap_or(now);
     let sample = Sample {
         first: first.since(arrived),
         last: now.since(arrived),
--- a/crates/entry/src/filter/assemble.rs
+++ b/crates/entry/src/filter/assemble.rs
@@ -137,14 +137,14 @@
 
     /// Whether the caller has a part of the answer already.
     #[must_use]
-    pub const fn begun(&self) -> bool {
+    pub const fn has_started(&self) -> bool {
         matches!(self.outlet, Outlet::Open(_))
     }
 
     /// Prepares for another attempt of the same version. If the caller has a part already, the new
     /// attempt must repeat it word for word, and only what follows is passed on.
     pub fn restart(&mut self) {
-        if self.begun() {
+        if self.has_started() {
             // The last piece was held, so that the caller does not have it.
             let held = self.last.take();
             let held = held.as_ref().map_or(0, |chunk| content(chunk).len());
@@ -288,13 +288,13 @@
 
     /// When the first byte was released.
     #[must_use]
-    pub const fn first(&self) -> Option<Moment> {
+    pub const fn first_sent_at(&self) -> Option<Moment> {
         self.first
     }
 
     /// Pieces of the present answer.
     #[must_use]
-    pub const fn pieces(&self) -> u64 {
+    pub const fn chunks(&self) -> u64 {
         self.pieces
     }
 
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -176,7 +176,7 @@
             ask.trace.refused();
             return now < half;
         }
-        let repeats = !ask.delivery.begun() || request.chat.temperature == Some(0.0);
+        let repeats = !ask.delivery.has_started() || request.chat.temperature == Some(0.0);
         if *fault == Fault::Cancelled || !repeats || now >= request.identity.deadline {
             return false;
         }
@@ -234,7 +234,7 @@
                 Ok(answer)
             }
             Err(fault) => {
-                let output = Tokens(ask.delivery.pieces());
+                let output = Tokens(ask.delivery.chunks());
                 ask.trace.cost += version.price.of(prompt, output);
                 node.record_broken_run(ask.request.digest, opened.permit.endpoint(), &fault);
                 opened.permit.failed(&fault);
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -164,7 +164,10 @@
         let node = self.0;
         let now = node.clock.now();
         let request = &work.funded.bound.request;
-        let rating = node.rater.as_ref().and_then(|_| node.rating.time(now));
+        let rating = node
+            .rater
+            .as_ref()
+            .and_then(|_| node.rating.expected_time(now));
         Terms {
             target: request.class.quality,
             budget: work.funded.fund.most,
@@ -237,7 +240,7 @@
             }
         };
         self.0.metrics.step(version, "none");
-        if last || work.delivery.begun() {
+        if last || work.delivery.has_started() {
             return Err(refusal);
         }
         course.refusal = Some(refusal);
--- a/crates/entry/src/filter/identify.rs
+++ b/crates/entry/src/filter/identify.rs
@@ -37,7 +37,7 @@
 const OVERHEAD: usize = 16 << 10;
 
 /// The unit in which memory of requests is counted, since a semaphore counts in 32 bits.
-pub const UNIT: usize = 1 << 10;
+pub const MEMORY_UNIT_BYTES: usize = 1 << 10;
 
 /// Reads what a model request says of itself.
 #[derive(Debug, Clone)]
@@ -177,7 +177,7 @@
     let announced = body.size_hint().exact();
     let size = announced.and_then(|size| usize::try_from(size).ok());
     let size = size.unwrap_or(limit).min(limit) + OVERHEAD;
-    let units = u32::try_from(size.div_ceil(UNIT)).unwrap_or(u32::MAX);
+    let units = u32::try_from(size.div_ceil(MEMORY_UNIT_BYTES)).unwrap_or(u32::MAX);
     let room = Arc::clone(&node.room).try_acquire_many_owned(units);
     let room = room.map_err(|_| {
         /// The queues drain meanwhile; how fast is not known here.
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -51,14 +51,14 @@
 
     /// How long a rating takes; none while the service is out.
     #[must_use]
-    pub fn time(&self, now: Moment) -> Option<Duration> {
+    pub fn expected_time(&self, now: Moment) -> Option<Duration> {
         let inner = self.lock();
         let resting = inner.rest.is_some_and(|until| now < until);
         (!resting).then(|| inner.mean.unwrap_or(FIRST))
     }
 
     /// Learns of a rating.
-    pub fn answered(&self, took: Duration) {
+    pub fn record_success(&self, took: Duration) {
         let mut inner = self.lock();
         let mean = inner.mean.unwrap_or(took);
         inner.mean = Some(mean.mul_f64(1.0 - WEIGHT) + took.mul_f64(WEIGHT));
@@ -67,7 +67,7 @@
     }
 
     /// Learns that a rating could not be had.
-    pub fn failed(&self, now: Moment) {
+    pub fn record_failure(&self, now: Moment) {
         let mut inner = self.lock();
         inner.failures = inner.failures.saturating_add(1);
         let Some(further) = inner.failures.checked_sub(CHANCE + 1) else {
@@ -119,7 +119,7 @@
 pub async fn rate(node: &Node, subject: Subject, deadline: Moment) -> Option<bool> {
     let rater = node.rater.as_ref()?;
     let begun = node.clock.now();
-    node.rating.time(begun)?;
+    node.rating.expected_time(begun)?;
     let call = rater.rate(platform::Rate {
         version: subject.version.id.clone(),
         class: subject.class.clone(),
@@ -130,7 +130,7 @@
     let now = node.clock.now();
     match result {
         Ok(Ok(rating)) => {
-            node.rating.answered(now.since(begun));
+            node.rating.record_success(now.since(begun));
             let Subject {
                 customer,
                 class,
@@ -144,11 +144,11 @@
         }
         Ok(Err(error)) => {
             log::warn!("rating: {error}.");
-            node.rating.failed(now);
+            node.rating.record_failure(now);
             None
         }
         Err(_) => {
-            node.rating.failed(now);
+            node.rating.record_failure(now);
             None
         }
     }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -84,7 +84,7 @@
     pub wallet: Wallet,
     pub kept: Kept,
     pub mesh: Mesh,
-    /// Memory for requests in flight, in units of [`identify::UNIT`].
+    /// Memory for requests in flight, in units of [`identify::MEMORY_UNIT_BYTES`].
     pub room: Arc<Semaphore>,
     pub metrics: Metrics,
     /// Requests in flight and what they left behind to do.
@@ -169,7 +169,9 @@
             wallet,
             kept: Kept::new(config.kept_bytes, config.claims_window),
             mesh,
-            room: Arc::new(Semaphore::new(config.request_memory / identify::UNIT)),
+            room: Arc::new(Semaphore::new(
+                config.request_memory / identify::MEMORY_UNIT_BYTES,
+            )),
             metrics: Metrics::new(config.metric_customers),
             tasks: TaskTracker::new(),
             leaving: CancellationToken::new(),
--- a/crates/entry/tests/all/delivery.rs
+++ b/crates/entry/tests/all/delivery.rs
@@ -123,14 +123,14 @@
     for piece in pieces(&[5, 9]) {
         delivery.push(piece).await.unwrap();
     }
-    assert!(!delivery.begun());
+    assert!(!delivery.has_started());
     // A better version is asked instead, and the first answer is gone.
     delivery.begin(Head::default(), false);
     for piece in pieces(&[12]) {
         delivery.push(piece).await.unwrap();
     }
     delivery.release().await.unwrap();
-    assert!(delivery.begun());
+    assert!(delivery.has_started());
     delivery.finish().await.unwrap();
     assert_eq!(caller.await.unwrap().streamed(), TEXT);
 }
--- a/crates/entry/tests/all/rating.rs
+++ b/crates/entry/tests/all/rating.rs
@@ -8,7 +8,7 @@
 const TOOK: Duration = Duration::from_millis(20);
 
 fn out(health: &Health, now: Moment) -> bool {
-    health.time(now).is_none()
+    health.expected_time(now).is_none()
 }
 
 /// One rating in a few fails. The service goes on to be used: resting it after each failure would send
@@ -18,9 +18,9 @@
     let health = Health::default();
     for second in 0..100 {
         let now = Moment::from_millis(second * 1_000);
-        health.failed(now);
+        health.record_failure(now);
         assert!(!out(&health, now), "after {second} s");
-        health.answered(TOOK);
+        health.record_success(TOOK);
     }
 }
 
@@ -32,7 +32,7 @@
     let mut now = Moment::ZERO;
     let mut rests = Vec::new();
     for _ in 0..40 {
-        health.failed(now);
+        health.record_failure(now);
         let began = now;
         while out(&health, now) {
             now = now + Duration::from_millis(100);
@@ -43,8 +43,8 @@
     assert!(rests[1] > Duration::ZERO);
     assert!(rests.is_sorted(), "{rests:?}");
     assert_eq!(rests.last(), Some(&Duration::from_secs(8)));
-    health.failed(now);
+    health.record_failure(now);
     assert!(out(&health, now));
-    health.answered(TOOK);
+    health.record_success(TOOK);
     assert!(!out(&health, now));
 }
