--- a/crates/entry/src/chain/model.rs
+++ b/crates/entry/src/chain/model.rs
@@ -104,7 +104,7 @@
     let input = served.answer.input();
     let output = served.answer.output();
     let answered = Answered {
-        request: bill::chat(request.identity.id, &request.chat),
+        request: bill::chat_billing_id(request.identity.id, &request.chat),
         customer: request.customer.clone(),
         class: Some(request.class.name.clone()),
         item: Item::Version(version.id.clone()),
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -278,7 +278,7 @@
             // A claimed call's id stands for one call; no other can be made under it.
             request: match call.claim {
                 Some(subject) => subject.request,
-                None => bill::subject(call.identity.id, call.digest),
+                None => bill::billing_id(call.identity.id, call.digest),
             },
             customer: call.customer.clone(),
             class: None,
--- a/crates/entry/src/filter/bill.rs
+++ b/crates/entry/src/filter/bill.rs
@@ -22,7 +22,7 @@
 /// sends many calls under one id gets an answer to each, and would else pay for the first alone; the
 /// same call sent again is still one bill.
 #[must_use]
-pub fn subject(request: id::Request, call: u64) -> id::Request {
+pub fn billing_id(request: id::Request, call: u64) -> id::Request {
     id::Request(Uuid::from_u128(xxh3_128_with_seed(
         request.0.as_bytes(),
         call,
@@ -31,7 +31,7 @@
 
 /// What a model request is billed under. Whole or streamed, it is the same call.
 #[must_use]
-pub fn chat(request: id::Request, chat: &Chat) -> id::Request {
+pub fn chat_billing_id(request: id::Request, chat: &Chat) -> id::Request {
     let mut hash = Xxh3::new();
     for message in &chat.messages {
         for part in [message.role.as_str(), message.content.as_str()] {
@@ -40,7 +40,7 @@
         }
     }
     hash.update(chat.model.as_bytes());
-    subject(request, hash.digest())
+    billing_id(request, hash.digest())
 }
 
 /// Makes the bill safe.
--- a/crates/entry/tests/all/model.rs
+++ b/crates/entry/tests/all/model.rs
@@ -36,7 +36,10 @@
     let bills = world.bills();
     assert_eq!(bills.len(), 1);
     let asked: Chat = serde_json::from_slice(&ask_body).unwrap();
-    assert_eq!(bills[0].request, bill::chat(id.parse().unwrap(), &asked));
+    assert_eq!(
+        bills[0].request,
+        bill::chat_billing_id(id.parse().unwrap(), &asked)
+    );
     assert_eq!(bills[0].item, Item::Version(name(SMALL)));
     assert_eq!(bills[0].output.0, 12);
     assert_eq!(world.started(), 1);
