--- a/crates/entry/src/estimate.rs
+++ b/crates/entry/src/estimate.rs
@@ -1,4 +1,4 @@
-//! What is expected of a request before it runs: tokens, and the share of answers that pass.
+//! Estimates for a request before it runs: token counts, and the share of answers that pass their rating.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -11,52 +11,55 @@
 use pimento_units::id;
 use pimento_wire::border::Chat;
 
-/// Bytes of text in a token, at the usual rate for European languages.
-const BYTES: u64 = 4;
+/// Bytes of text per token, typical of European languages.
+const BYTES_PER_TOKEN: u64 = 4;
 
-/// Bytes in a token that hardly any text goes below; what is reserved for a prompt must cover it.
-const FEWEST_BYTES: u64 = 2;
+/// Bytes per token below which hardly any text falls. The money reserved for a prompt must cover its
+/// actual tokens.
+const MIN_BYTES_PER_TOKEN: u64 = 2;
 
-/// Tokens that a message costs beside its text.
-const MESSAGE: u64 = 8;
+/// Tokens of a message in addition to its text.
+const MESSAGE_OVERHEAD_TOKENS: u64 = 8;
 
-/// Answers expected before any was seen, in tokens, unless the limit is lower.
-const FIRST: u64 = 256;
+/// Expected length of an answer, in tokens, before any was observed.
+const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
-/// Weight of a new answer in the mean length.
-const WEIGHT: f64 = 0.1;
+/// Weight of a new answer in the exponentially weighted mean length.
+const MEAN_WEIGHT: f64 = 0.1;
 
-/// Tokens that a prompt is expected to have.
+/// Expected number of tokens in a prompt.
 #[must_use]
 pub fn prompt_tokens(chat: &Chat) -> Tokens {
-    count(chat, BYTES)
+    count_tokens(chat, BYTES_PER_TOKEN)
 }
 
-/// Tokens that a prompt hardly has more than.
+/// Upper estimate of the tokens in a prompt, which hardly any text exceeds.
 #[must_use]
 pub fn max_prompt_tokens(chat: &Chat) -> Tokens {
-    count(chat, FEWEST_BYTES)
+    count_tokens(chat, MIN_BYTES_PER_TOKEN)
 }
 
-fn count(chat: &Chat, bytes: u64) -> Tokens {
+fn count_tokens(chat: &Chat, bytes_per_token: u64) -> Tokens {
     let text: usize = chat.messages.iter().map(|m| m.content.len()).sum();
     let messages = chat.messages.len() as u64;
-    Tokens((text as u64).div_ceil(bytes) + messages * MESSAGE)
+    Tokens((text as u64).div_ceil(bytes_per_token) + messages * MESSAGE_OVERHEAD_TOKENS)
 }
 
-/// What was learnt of one customer's class.
+/// Statistics of one class of one customer.
 #[derive(Debug)]
 struct Entry {
     customer: id::Customer,
     class: id::Class,
-    length: Option<f64>,
+    /// Mean length of answers in tokens; none before the first answer.
+    mean_length: Option<f64>,
     /// Sorted by version.
     quality: Vec<(id::Version, cascade::Estimate)>,
 }
 
-/// All that was learnt, sorted by customer and class. Bounded by the contracts.
+/// Statistics per customer and class. Their number is bounded by the contracts.
 #[derive(Debug, Default)]
 pub struct Estimator {
+    /// Sorted by customer and class.
     entries: Mutex<Vec<Entry>>,
 }
 
@@ -65,29 +68,29 @@
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn with<T>(
+    fn with_entry<T>(
         &self,
         customer: &id::Customer,
         class: &id::Class,
-        act: impl FnOnce(&mut Entry) -> T,
+        update: impl FnOnce(&mut Entry) -> T,
     ) -> T {
         let mut entries = self.lock();
         let key = (customer, class);
-        let place = entries.binary_search_by(|e| (&e.customer, &e.class).cmp(&key));
-        let place = place.unwrap_or_else(|place| {
+        let index = entries.binary_search_by(|e| (&e.customer, &e.class).cmp(&key));
+        let index = index.unwrap_or_else(|index| {
             let entry = Entry {
                 customer: customer.clone(),
                 class: class.clone(),
-                length: None,
+                mean_length: None,
                 quality: Vec::new(),
             };
-            entries.insert(place, entry);
-            place
+            entries.insert(index, entry);
+            index
         });
-        act(&mut entries[place])
+        update(&mut entries[index])
     }
 
-    /// Tokens that an answer is expected to have, at most `limit`.
+    /// Expected number of tokens in an answer, at most `limit`.
     #[must_use]
     pub fn answer_tokens(
         &self,
@@ -95,27 +98,27 @@
         class: &id::Class,
         limit: Tokens,
     ) -> Tokens {
-        let length = self.with(customer, class, |entry| entry.length);
+        let length = self.with_entry(customer, class, |entry| entry.mean_length);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a mean of token counts is small and not negative"
         )]
-        let length = length.map_or(FIRST, |mean| mean as u64);
+        let length = length.map_or(DEFAULT_ANSWER_TOKENS, |mean| mean as u64);
         Tokens(length.clamp(1, limit.0.max(1)))
     }
 
-    /// Learns the length of an answer.
+    /// Records the length of an answer.
     pub fn record_answer(&self, customer: &id::Customer, class: &id::Class, tokens: Tokens) {
         #[expect(clippy::cast_precision_loss, reason = "token counts are small")]
         let tokens = tokens.0 as f64;
-        self.with(customer, class, |entry| {
-            let mean = entry.length.unwrap_or(tokens);
-            entry.length = Some(mean + WEIGHT * (tokens - mean));
+        self.with_entry(customer, class, |entry| {
+            let mean = entry.mean_length.unwrap_or(tokens);
+            entry.mean_length = Some(mean + MEAN_WEIGHT * (tokens - mean));
         });
     }
 
-    /// Expected share of a version's answers that pass, and its lower bound.
+    /// Expected share of a version's answers that pass, and the lower bound of that share.
     #[must_use]
     pub fn quality(
         &self,
@@ -124,13 +127,13 @@
         version: &Version,
         now: Moment,
     ) -> (f64, f64) {
-        self.with(customer, class, |entry| {
+        self.with_entry(customer, class, |entry| {
             let estimate = entry.estimate(version);
             (estimate.mean(now), estimate.lower_bound(now))
         })
     }
 
-    /// Learns a rating.
+    /// Records a rating.
     pub fn record_rating(
         &self,
         customer: &id::Customer,
@@ -139,7 +142,7 @@
         pass: bool,
         now: Moment,
     ) {
-        self.with(customer, class, |entry| {
+        self.with_entry(customer, class, |entry| {
             entry.estimate(version).record(pass, now);
         });
     }
@@ -147,15 +150,15 @@
 
 impl Entry {
     fn estimate(&mut self, version: &Version) -> &mut cascade::Estimate {
-        let place = self
+        let index = self
             .quality
             .binary_search_by(|(known, _)| known.cmp(&version.id));
-        let place = place.unwrap_or_else(|place| {
+        let index = index.unwrap_or_else(|index| {
             let config = cascade::Config::default();
             let estimate = cascade::Estimate::new(version.quality, config);
-            self.quality.insert(place, (version.id.clone(), estimate));
-            place
+            self.quality.insert(index, (version.id.clone(), estimate));
+            index
         });
-        &mut self.quality[place].1
+        &mut self.quality[index].1
     }
 }
--- a/crates/entry/src/evidence.rs
+++ b/crates/entry/src/evidence.rs
@@ -1,8 +1,8 @@
-//! What this node saw of each version, and the versions that it does not use for that reason.
+//! This node's observations of each version, and the versions that it quarantines because of them.
 //!
-//! A version in roll-out that the evidence shows to be worse than its gate allows is quarantined
-//! here at once, before anybody has agreed on anything, and a withdrawal is proposed to the log.
-//! The evidence begins anew when the roll-out's stage changes.
+//! If the evidence shows that a version in roll-out is worse than its gate allows, the node quarantines it
+//! at once, without waiting for an agreement between nodes, and proposes its withdrawal to the log. The
+//! evidence is reset when the stage of the roll-out changes.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -21,7 +21,7 @@
 use pimento_units::id;
 use pimento_wire::peer;
 
-/// What was seen of one version.
+/// Observations of one version.
 #[derive(Debug, Clone)]
 struct Entry {
     version: id::Version,
@@ -35,12 +35,12 @@
     latency: hedge::LatencyHistogram,
 }
 
-/// A version that is not used here.
+/// A version that this node does not use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Quarantine {
     version: id::Version,
-    /// Revisions of the version and of its roll-out when it was put here. Another one means that an
-    /// operator or the log decided anew.
+    /// Revisions of the version and of its roll-out at the time of the quarantine. A change of either means
+    /// that an operator or the log has made a new decision.
     revisions: (Revision, Revision),
 }
 
@@ -52,7 +52,7 @@
     quarantined: Vec<Quarantine>,
 }
 
-/// The evidence of a node.
+/// The evidence of this node.
 #[derive(Debug, Default)]
 pub struct Tracker {
     inner: Mutex<Inner>,
@@ -63,7 +63,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a rating.
+    /// Records a rating.
     pub fn record_rating(&self, version: &id::Version, pass: bool, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
@@ -72,16 +72,22 @@
         entry.passed = entry.passed.saturating_add(u32::from(pass));
     }
 
-    /// Counts an attempt that was answered, with the seconds for a token.
-    pub fn record_answer(&self, version: &id::Version, took: Duration, pace: f64, now: Moment) {
+    /// Records an attempt that was answered.
+    pub fn record_answer(
+        &self,
+        version: &id::Version,
+        latency: Duration,
+        seconds_per_token: f64,
+        now: Moment,
+    ) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
-        entry.decayed.record_answer(pace, now);
+        entry.decayed.record_answer(seconds_per_token, now);
         entry.attempts = entry.attempts.saturating_add(1);
-        entry.latency.record(took, now);
+        entry.latency.record(latency, now);
     }
 
-    /// Counts an attempt that failed after it may have begun.
+    /// Records an attempt that failed after the engine may have started it.
     pub fn record_failure(&self, version: &id::Version, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
@@ -90,7 +96,7 @@
         entry.failed = entry.failed.saturating_add(1);
     }
 
-    /// Versions not used here, sorted.
+    /// Versions that this node does not use, sorted.
     #[must_use]
     pub fn quarantined(&self) -> Vec<id::Version> {
         let inner = self.lock();
@@ -101,11 +107,11 @@
             .collect()
     }
 
-    /// Judges the versions in roll-out and gives those that are newly quarantined, with the cause.
+    /// Evaluates the versions in roll-out. Returns the newly quarantined ones with the cause.
     pub fn review(&self, state: &State) -> Vec<(id::Version, rollout::Cause)> {
         let mut inner = self.lock();
-        inner.begin_anew(state);
-        let mut found = Vec::new();
+        inner.reset_outdated(state);
+        let mut newly_quarantined = Vec::new();
         for rollout in state.rollouts().filter(|r| r.status == Status::Running) {
             let old = inner.entry(&rollout.from).decayed;
             let new = inner.entry(&rollout.to).decayed;
@@ -114,10 +120,10 @@
                 continue;
             };
             if inner.quarantine(&rollout.to, state) {
-                found.push((rollout.to.clone(), cause));
+                newly_quarantined.push((rollout.to.clone(), cause));
             }
         }
-        found
+        newly_quarantined
     }
 
     /// The evidence for operators and controllers, sorted by version.
@@ -159,18 +165,18 @@
 
 impl Inner {
     fn entry(&mut self, version: &id::Version) -> &mut Entry {
-        let place = self.entries.binary_search_by(|e| e.version.cmp(version));
-        let place = place.unwrap_or_else(|place| {
-            self.entries.insert(place, Entry::new(version));
-            place
+        let index = self.entries.binary_search_by(|e| e.version.cmp(version));
+        let index = index.unwrap_or_else(|index| {
+            self.entries.insert(index, Entry::new(version));
+            index
         });
-        &mut self.entries[place]
+        &mut self.entries[index]
     }
 
-    /// Forgets what was seen in an earlier stage, and lifts quarantines that were decided upon.
-    fn begin_anew(&mut self, state: &State) {
+    /// Resets the evidence of earlier stages, and lifts quarantines about which a new decision was made.
+    fn reset_outdated(&mut self, state: &State) {
         for entry in &mut self.entries {
-            let revision = newest(state, &entry.version);
+            let revision = newest_rollout(state, &entry.version);
             if revision != entry.revision {
                 *entry = Entry::new(&entry.version);
                 entry.revision = revision;
@@ -181,29 +187,29 @@
     }
 
     fn quarantine(&mut self, version: &id::Version, state: &State) -> bool {
-        let place = self
+        let index = self
             .quarantined
             .binary_search_by(|q| q.version.cmp(version));
-        let Err(place) = place else {
+        let Err(index) = index else {
             return false;
         };
         let quarantine = Quarantine {
             version: version.clone(),
             revisions: revisions(state, version),
         };
-        self.quarantined.insert(place, quarantine);
+        self.quarantined.insert(index, quarantine);
         true
     }
 }
 
 fn revisions(state: &State, version: &id::Version) -> (Revision, Revision) {
-    let own = state.revision(&Subject::Version(version.clone()));
-    let rollout = state.revision(&Subject::Rollout(version.clone()));
-    (own, rollout)
+    let own_revision = state.revision(&Subject::Version(version.clone()));
+    let rollout_revision = state.revision(&Subject::Rollout(version.clone()));
+    (own_revision, rollout_revision)
 }
 
 /// Revision of the newest roll-out that names a version; zero if none does.
-fn newest(state: &State, version: &id::Version) -> Revision {
+fn newest_rollout(state: &State, version: &id::Version) -> Revision {
     let named = state
         .rollouts()
         .filter(|r| r.from == *version || r.to == *version);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! The filter chain between callers and endpoints, and the program around it.
+//! The filter chain between callers and endpoints, and the program that runs it.
 //!
-//! A request passes the filters in [`filter`], composed in [`chain`]; what they share is
-//! [`node::Node`]. [`registry`] and [`state`] are kept current by tasks in the background, and
-//! `pimento_scheduler` joins the decisions of `pimento_policy` into slots at endpoints. [`run::Running`]
-//! binds the listeners and ends without cutting a request; [`cli`] is the command line.
+//! A request passes through the filters in [`filter`], which [`chain`] composes; they share the state in
+//! [`node::Node`]. Background tasks keep [`registry`] and [`state`] up to date. `pimento_scheduler` applies
+//! the decisions of `pimento_policy` and assigns slots at endpoints. [`run::Running`] binds the listeners
+//! and shuts down without interrupting requests; [`cli`] is the command line.
 
 pub mod chain;
 pub mod cli;
--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -1,7 +1,7 @@
-//! Requests under which endpoints end.
+//! Blocks poison requests: requests that crash the endpoints which run them.
 //!
-//! Each node counts the ends that it sees and that peers tell of with their heartbeats, by
-//! [`pimento_policy::poison`]. A barred request is refused before it waits, and before each send.
+//! Each node counts the crashes that it observes and those that peers report with their heartbeats; see
+//! [`pimento_policy::poison`]. A blocked request is refused before it is queued and before each send.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -29,7 +29,7 @@
 use crate::refusal::Refusal;
 use crate::registry::Endpoint;
 
-/// What a node knows of requests under which endpoints end.
+/// A node's record of requests during which endpoints crashed.
 #[derive(Debug, Default)]
 pub struct Tracker {
     inner: Mutex<Inner>,
@@ -38,20 +38,22 @@
 #[derive(Debug, Default)]
 struct Inner {
     table: Table,
-    breaks: BrokenRuns,
-    /// Words of peers that were read.
-    read: u64,
+    broken_runs: BrokenRuns,
+    /// Number of peers' reports read so far.
+    reports_read: u64,
 }
 
-/// How long a connection to an endpoint that may have ended may take to be made.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Timeout of the connection attempt to an endpoint that may have crashed.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an endpoint that ended may go unnoticed by its load reports, and how often they are looked at.
-const UNNOTICED: Duration = Duration::from_secs(6);
-const LOOK: Duration = Duration::from_millis(100);
+/// Time within which load reports show that an endpoint crashed.
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The end of an endpoint's present life. Plain services don't tell their lives apart.
-fn end(endpoint: &Endpoint) -> Crash {
+/// Interval between checks of an endpoint's load reports.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The crash of an endpoint's present incarnation. Plain services report no incarnations.
+fn crash_of(endpoint: &Endpoint) -> Crash {
     let incarnation = endpoint.incarnation();
     Crash {
         endpoint: choice::hash(endpoint.name.as_str()),
@@ -64,42 +66,42 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How long a request is still barred; none if it may be sent.
-    fn barred(&self, digest: Digest, now: Moment) -> Option<Duration> {
+    /// Remaining time for which a request is blocked; none if it may be sent.
+    fn blocked_for(&self, digest: Digest, now: Moment) -> Option<Duration> {
         self.lock().table.blocked_for(digest, now)
     }
 
-    /// Counts an end that this node saw; what peers are to be told.
-    fn ended(&self, digest: Digest, crash: Crash, now: Moment) -> Option<Seen> {
+    /// Records a crash that this node observed. Returns what to report to peers, if anything.
+    fn record_crash(&self, digest: Digest, crash: Crash, now: Moment) -> Option<Seen> {
         let verdict = self.lock().table.record_crash(digest, crash, now);
-        log::info!("poison: An endpoint ended under {digest}: {verdict:?}.");
+        log::info!("poison: An endpoint crashed while it ran {digest}: {verdict:?}.");
         matches!(verdict, Verdict::Suspected(_) | Verdict::Blocked).then_some(Seen::Ended {
             endpoint: crash.endpoint,
             incarnation: crash.incarnation,
         })
     }
 
-    /// Takes what peers say; gives the requests that peers are to be told are answered here. `words`
-    /// gives the words after so many, and how many there are by now.
-    fn hear(
+    /// Merges reports from peers. Returns the requests whose complete answers are to be announced to peers.
+    /// `reports` takes the number of reports read so far; it returns the later ones and the new number.
+    fn receive(
         &self,
-        words: impl FnOnce(u64) -> (Vec<Suspicion>, u64),
+        reports: impl FnOnce(u64) -> (Vec<Suspicion>, u64),
         now: Moment,
         wall: Wall,
     ) -> Vec<Digest> {
-        let memory = Config::default().crash_ttl;
+        let ttl = Config::default().crash_ttl;
         let inner = &mut *self.lock();
-        let (fresh, read) = words(inner.read);
-        inner.read = read;
+        let (new_reports, reports_read) = reports(inner.reports_read);
+        inner.reports_read = reports_read;
         let mut cleared = Vec::new();
-        for word in fresh {
-            let age = wall.since(word.at);
-            if age >= memory {
+        for report in new_reports {
+            let age = wall.since(report.at);
+            if age >= ttl {
                 continue;
             }
             let at = now.before(age);
-            match word.what {
-                Seen::Answered => inner.table.merge_answer(word.digest, at),
+            match report.what {
+                Seen::Answered => inner.table.merge_answer(report.digest, at),
                 Seen::Ended {
                     endpoint,
                     incarnation,
@@ -108,116 +110,119 @@
                         endpoint,
                         incarnation,
                     };
-                    let verdict = inner.table.record_crash(word.digest, crash, at);
+                    let verdict = inner.table.record_crash(report.digest, crash, at);
                     let contradicts = verdict == Verdict::Cleared;
-                    if contradicts && inner.table.should_announce_answer(word.digest, now) {
-                        cleared.push(word.digest);
+                    if contradicts && inner.table.should_announce_answer(report.digest, now) {
+                        cleared.push(report.digest);
                     }
                 }
             }
         }
         for digest in inner.table.expire_blocks(now) {
-            log::info!("poison: The bar of {digest} has run out.");
+            log::info!("poison: The block of {digest} has expired.");
         }
         cleared
     }
 }
 
 impl Node {
-    /// Whether a request may be sent to endpoints.
+    /// Checks that a request may be sent to endpoints.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] as not run, if endpoints ended under it.
+    /// A [`Refusal`] as not run, if the request is blocked.
     pub fn ensure_not_blocked(&self, digest: Digest) -> Result<(), Refusal> {
-        let Some(left) = self.poison.barred(digest, self.clock.now()) else {
+        let Some(remaining) = self.poison.blocked_for(digest, self.clock.now()) else {
             return Ok(());
         };
-        let message = "endpoints ended while they ran this request";
-        Err(Refusal::not_run(Code::Poison, message).retry_after(left))
+        let message = "endpoints crashed while they ran this request";
+        Err(Refusal::not_run(Code::Poison, message).retry_after(remaining))
     }
 
-    /// An answer to a request was whole.
+    /// Records a complete answer to a request, which clears it of suspicion.
     pub fn record_complete_answer(&self, digest: Digest) {
-        let suspect = self
+        let was_suspect = self
             .poison
             .lock()
             .table
             .record_answer(digest, self.clock.now());
-        if suspect {
-            log::info!("poison: {digest} is cleared by a whole answer.");
-            self.suspect(digest, Seen::Answered);
+        if was_suspect {
+            log::info!("poison: A complete answer clears {digest}.");
+            self.announce(digest, Seen::Answered);
         }
     }
 
-    /// A run failed at an endpoint. Where its connection ended, the endpoint may have ended as well.
+    /// Records that a run failed at an endpoint. If its connection broke, the endpoint may have crashed.
     pub fn record_broken_run(&self, digest: Digest, endpoint: &id::Endpoint, fault: &Fault) {
         if !fault.is_cut() {
             return;
         }
-        // One that leaves ends what runs there in its own time.
+        // An endpoint that is leaving breaks off its own runs; that is no crash.
         let Some(endpoint) = self.registry.staying(endpoint) else {
             return;
         };
-        let crash = end(&endpoint);
-        let step = self.poison.lock().breaks.record(digest, crash);
-        match step {
-            Action::Count => self.ended(crash, &[digest]),
+        let crash = crash_of(&endpoint);
+        let action = self.poison.lock().broken_runs.record(digest, crash);
+        match action {
+            Action::Count => self.record_crashes(crash, &[digest]),
             Action::Wait => {}
             Action::Probe => {
                 let Some(node) = self.shared() else { return };
-                // Bounded in time, and of no use to a node that ends.
-                tokio::spawn(async move { node.watch(&endpoint, crash).await });
+                // Not tracked for shutdown: it takes a bounded time, and its result is of no use to a node
+                // that shuts down.
+                tokio::spawn(async move { node.resolve_broken_runs(&endpoint, crash).await });
             }
         }
     }
 
-    /// Waits until it is known whether an endpoint ended, and counts that for all that ran there.
-    async fn watch(&self, endpoint: &Endpoint, crash: Crash) {
-        let ended = gone::is_refused(endpoint.address, CONNECT).await || self.gone(endpoint).await;
-        let digests = self.poison.lock().breaks.resolve(crash, ended);
+    /// Determines whether an endpoint crashed. If so, records the crash for all runs that broke off there.
+    async fn resolve_broken_runs(&self, endpoint: &Endpoint, crash: Crash) {
+        let crashed = gone::is_refused(endpoint.address, CONNECT_TIMEOUT).await
+            || self.has_restarted_or_left(endpoint).await;
+        let digests = self.poison.lock().broken_runs.resolve(crash, crashed);
         log::info!(
-            "poison: {} runs broke off at {}, ended: {ended}.",
+            "poison: {} runs broke off at {}, crashed: {crashed}.",
             digests.len(),
             endpoint.name
         );
-        if ended {
-            self.ended(crash, &digests);
+        if crashed {
+            self.record_crashes(crash, &digests);
         }
     }
 
-    /// Whether an endpoint turns out to have another life, or is off the list.
-    async fn gone(&self, endpoint: &Endpoint) -> bool {
-        let looks = UNNOTICED.as_millis() / LOOK.as_millis();
-        for _ in 0..looks {
-            let known = self.registry.staying(&endpoint.name);
-            if known.is_none_or(|known| known.incarnation() != endpoint.incarnation()) {
+    /// Whether, within [`DETECTION_TIMEOUT`], an endpoint restarts with another incarnation or leaves the
+    /// registry.
+    async fn has_restarted_or_left(&self, endpoint: &Endpoint) -> bool {
+        let checks = DETECTION_TIMEOUT.as_millis() / CHECK_INTERVAL.as_millis();
+        for _ in 0..checks {
+            let current = self.registry.staying(&endpoint.name);
+            if current.is_none_or(|current| current.incarnation() != endpoint.incarnation()) {
                 return true;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
         false
     }
 
-    fn ended(&self, crash: Crash, digests: &[Digest]) {
+    fn record_crashes(&self, crash: Crash, digests: &[Digest]) {
         for digest in digests {
-            if let Some(seen) = self.poison.ended(*digest, crash, self.clock.now()) {
-                self.suspect(*digest, seen);
+            if let Some(seen) = self.poison.record_crash(*digest, crash, self.clock.now()) {
+                self.announce(*digest, seen);
             }
         }
     }
 
-    fn suspect(&self, digest: Digest, what: Seen) {
+    fn announce(&self, digest: Digest, what: Seen) {
         let at = self.clock.wall();
         self.mesh.suspect(Suspicion { digest, what, at });
     }
 
-    /// Takes what peers say of requests under which endpoints end.
+    /// Merges peers' reports about poison requests.
     pub fn receive_suspicions(&self) {
-        let words = |after| self.mesh.suspicions(after);
+        let reports = |after| self.mesh.suspicions(after);
         let (now, wall) = (self.clock.now(), self.clock.wall());
-        for digest in self.poison.hear(words, now, wall) {
-            self.suspect(digest, Seen::Answered);
+        for digest in self.poison.receive(reports, now, wall) {
+            self.announce(digest, Seen::Answered);
         }
     }
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Every error that a caller can get: status, kind, code and whether the call was carried out.
+//! All errors that a caller can get: status, kind, code, and whether the call ran.
 
 use std::fmt;
 use std::time::Duration;
@@ -17,20 +17,20 @@
 use pimento_wire::border::Run;
 use pimento_wire::header;
 
-/// Why a caller gets an error in place of an answer.
+/// Reason why a caller gets an error instead of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Code {
     /// No API key was sent.
     MissingKey,
     /// No contract has this API key.
     UnknownKey,
-    /// The path is not one of ours.
+    /// The path does not exist.
     UnknownPath,
-    /// The path does not take this method.
+    /// The path does not support this method.
     WrongMethod,
-    /// The body is not what the path takes.
+    /// The body is not valid for the path.
     MalformedBody,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     LargeBody,
     /// A header can't be read.
     BadHeader,
@@ -42,13 +42,13 @@
     UnknownService,
     /// The request id is too old, or not of version 7 where its age matters.
     BadRequestId,
-    /// The request id stands for another call already.
+    /// The request id was used for another call.
     ReusedRequestId,
-    /// The call was made before, and its answer is not at hand.
+    /// The call was made before, and its answer is not available.
     AlreadyClaimed,
     /// The contract's spend limit is reached.
     SpendLimit,
-    /// The spend left is with other entry VMs at present.
+    /// Other entry VMs hold the remaining spend at present.
     SpendWait,
     /// The work can't start by its deadline.
     Overloaded,
@@ -56,26 +56,26 @@
     NotReady,
     /// No version that the contract allows takes new work.
     NoVersion,
-    /// No endpoint took the call.
+    /// No endpoint accepted the call.
     NoEndpoint,
-    /// The platform's log can't take a claim now.
+    /// The platform's log does not accept claims at present.
     ClaimsUnavailable,
-    /// The platform can't take a bill now, nor can a peer.
+    /// Neither the platform nor a peer accepts bills at present.
     BillsUnavailable,
     /// The endpoints failed.
     EndpointFailed,
-    /// Endpoints ended under the call.
+    /// The call is blocked because endpoints crashed while they ran it.
     Poison,
     /// The deadline passed.
     Timeout,
-    /// The caller went away; nobody reads this.
+    /// The caller disconnected, so that nobody receives this error.
     CallerGone,
-    /// A fault of ours.
+    /// A fault of the router.
     Internal,
 }
 
 impl Code {
-    /// HTTP status, kind and stable text.
+    /// HTTP status, kind and stable code.
     const fn parts(self) -> (u16, &'static str, &'static str) {
         const INVALID: &str = "invalid_request_error";
         const AUTH: &str = "authentication_error";
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The stable text in bodies and metrics.
+    /// The stable code used in bodies and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         self.parts().2
@@ -124,16 +124,16 @@
     }
 }
 
-/// An error on its way to a caller.
+/// An error response to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// What kind.
+    /// Reason.
     pub code: Code,
-    /// A sentence for people. Holds no secret.
+    /// Human-readable message. Contains no secrets.
     pub message: String,
-    /// Whether the call was carried out.
+    /// Whether the call ran.
     pub run: Run,
-    /// When to ask again, if that can help.
+    /// Delay before a retry, if a retry can help.
     pub retry_after: Option<Duration>,
 }
 
@@ -161,7 +161,7 @@
         Self::new(code, message, Run::NotRun)
     }
 
-    /// An error with what is known of the call.
+    /// An error with what is known about whether the call ran.
     #[must_use]
     pub fn new(code: Code, message: impl Into<String>, run: Run) -> Self {
         Self {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Adds when to ask again.
+    /// Sets the delay before a retry.
     #[must_use]
     pub const fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
@@ -196,13 +196,13 @@
     /// The body as JSON text.
     #[must_use]
     pub fn json(&self) -> Bytes {
-        // The body has string keys and no maps of other types, so encoding can't fail.
+        // All keys of the body are strings, so encoding can't fail.
         serde_json::to_vec(&self.failure())
             .unwrap_or_default()
             .into()
     }
 
-    /// The whole response.
+    /// The complete response.
     #[must_use]
     pub fn response(&self) -> Response<Reply> {
         let mut response = Response::new(Reply::whole(self.json()));
@@ -221,7 +221,7 @@
     }
 }
 
-/// Whole seconds, rounded up and at least one, so that a caller never comes back too early.
+/// Full seconds, rounded up and at least one, so that a caller does not retry too early.
 fn seconds(after: Duration) -> u64 {
     u64::try_from(after.as_millis().div_ceil(1_000))
         .unwrap_or(u64::MAX)
--- a/crates/entry/src/retries.rs
+++ b/crates/entry/src/retries.rs
@@ -1,4 +1,4 @@
-//! Retry budgets of customers and pools, and how long answers take until their first piece.
+//! Retry budgets of customers and pools, and the latencies of first tokens.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -10,7 +10,7 @@
 use pimento_units::Moment;
 use pimento_units::id;
 
-/// All budgets and tails of a node. Bounded by contracts and pools.
+/// Retry budgets and first-token latencies of a node. Bounded by the number of contracts, pools and versions.
 #[derive(Debug, Default)]
 pub struct Tracker {
     inner: Mutex<Inner>,
@@ -22,24 +22,24 @@
     customers: Vec<(id::Customer, retry::Budget)>,
     /// Sorted by pool.
     pools: Vec<(id::Pool, retry::Budget)>,
-    /// Sorted by version; versions differ in speed.
-    tails: Vec<(id::Version, hedge::LatencyHistogram)>,
+    /// First-token latencies, sorted by version; versions differ in speed.
+    latencies: Vec<(id::Version, hedge::LatencyHistogram)>,
 }
 
 fn entry<'a, K: Ord + Clone, V>(
     entries: &'a mut Vec<(K, V)>,
     key: &K,
-    new: impl FnOnce() -> V,
+    create: impl FnOnce() -> V,
 ) -> &'a mut V {
-    let place = entries.binary_search_by(|(known, _)| known.cmp(key));
-    let place = place.unwrap_or_else(|place| {
-        entries.insert(place, (key.clone(), new()));
-        place
+    let index = entries.binary_search_by(|(known, _)| known.cmp(key));
+    let index = index.unwrap_or_else(|index| {
+        entries.insert(index, (key.clone(), create()));
+        index
     });
-    &mut entries[place].1
+    &mut entries[index].1
 }
 
-fn budget() -> retry::Budget {
+fn new_budget() -> retry::Budget {
     retry::Budget::new(retry::Config::default())
 }
 
@@ -48,7 +48,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a failed request is tried again; takes it out of both budgets if so.
+    /// Whether to retry a failed request. If so, withdraws the retry from both budgets.
     pub fn try_retry(
         &self,
         customer: &id::Customer,
@@ -57,46 +57,60 @@
         now: Moment,
     ) -> bool {
         let inner = &mut *self.lock();
-        let customer = entry(&mut inner.customers, customer, budget);
-        let pool = entry(&mut inner.pools, pool, budget);
+        let customer = entry(&mut inner.customers, customer, new_budget);
+        let pool = entry(&mut inner.pools, pool, new_budget);
         retry::try_retry(failure, customer, pool, now)
     }
 
-    /// Takes a hedge, or a retry for an attempt that is about to be given up, out of both budgets, if
-    /// they have it.
+    /// Withdraws a hedge, or a retry of an attempt that is about to be abandoned, from both budgets. Returns
+    /// false and withdraws nothing if either is exhausted.
     pub fn try_hedge(&self, customer: &id::Customer, pool: &id::Pool, now: Moment) -> bool {
         let inner = &mut *self.lock();
-        let customer = entry(&mut inner.customers, customer, budget);
-        let pool = entry(&mut inner.pools, pool, budget);
+        let customer = entry(&mut inner.customers, customer, new_budget);
+        let pool = entry(&mut inner.pools, pool, new_budget);
         customer.can_withdraw(now) && pool.withdraw(now) && customer.withdraw(now)
     }
 
-    /// Pays in for a success.
+    /// Credits both budgets for a success.
     pub fn record_success(&self, customer: &id::Customer, pool: &id::Pool, now: Moment) {
         let inner = &mut *self.lock();
-        entry(&mut inner.customers, customer, budget).success(now);
-        entry(&mut inner.pools, pool, budget).success(now);
+        entry(&mut inner.customers, customer, new_budget).success(now);
+        entry(&mut inner.pools, pool, new_budget).success(now);
     }
 
-    /// How long to wait for a first piece before a second attempt.
+    /// How long to wait for the first token before a hedge; none if there is to be no hedge.
     #[must_use]
     pub fn hedge_delay(&self, version: &id::Version, attempt: hedge::Attempt) -> Option<Duration> {
         let inner = &mut *self.lock();
-        let tail = entry(&mut inner.tails, version, hedge::LatencyHistogram::default);
-        hedge::delay(tail, attempt)
+        let latencies = entry(
+            &mut inner.latencies,
+            version,
+            hedge::LatencyHistogram::default,
+        );
+        hedge::delay(latencies, attempt)
     }
 
-    /// How long an attempt may go without a first piece before it is given up, if that is paid for.
+    /// How long an attempt may take until its first token before it is abandoned, if the retry budgets allow
+    /// another attempt.
     #[must_use]
     pub fn first_token_timeout(&self, version: &id::Version) -> Option<Duration> {
         let inner = &mut *self.lock();
-        let tail = entry(&mut inner.tails, version, hedge::LatencyHistogram::default);
-        hedge::first_token_timeout(tail)
+        let latencies = entry(
+            &mut inner.latencies,
+            version,
+            hedge::LatencyHistogram::default,
+        );
+        hedge::first_token_timeout(latencies)
     }
 
-    /// Learns how long a first piece took.
-    pub fn record_first_token(&self, version: &id::Version, took: Duration, now: Moment) {
+    /// Records the latency of a first token.
+    pub fn record_first_token(&self, version: &id::Version, latency: Duration, now: Moment) {
         let inner = &mut *self.lock();
-        entry(&mut inner.tails, version, hedge::LatencyHistogram::default).record(took, now);
+        entry(
+            &mut inner.latencies,
+            version,
+            hedge::LatencyHistogram::default,
+        )
+        .record(latency, now);
     }
 }
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -1,7 +1,7 @@
-//! The session token: which versions a caller's session uses.
+//! The session token, which lists the versions that a caller's session uses.
 //!
-//! The caller carries it, so that any entry VM in any zone honours it without shared state. It is
-//! sealed with a keyed MAC and bound to the customer, so that nobody can make up a pin.
+//! The caller sends the token with each request, so that any entry VM in any zone can apply it without
+//! shared state. A keyed MAC over the token, which includes the customer, prevents forged pins.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -15,40 +15,40 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Pins that one token holds. A contract has a handful of classes; the token must stay well below
-/// the usual 8 KiB limit of a header.
+/// Maximum number of pins in a token. A contract has a handful of classes, and the token must stay well
+/// below the usual header limit of 8 KiB.
 pub const MAX_PINS: usize = 16;
 
-/// Bytes of the MAC: 128 bits can't be guessed online.
-const MAC: usize = 16;
+/// Length of the MAC. 128 bits can't be guessed in an online attack.
+const MAC_BYTES: usize = 16;
 
-/// The longest token taken, in characters.
-const MAX_TEXT: usize = 4_096;
+/// Maximum length of an accepted token, in characters.
+const MAX_TOKEN_CHARS: usize = 4_096;
 
-/// The key that all entry VMs of a deployment share.
+/// The MAC key that all entry VMs of a deployment share.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
-/// What a token says.
+/// Content of a token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Session {
-    /// The session.
+    /// Id of the session.
     pub id: id::Session,
-    /// Whose session.
+    /// The customer that owns the session.
     pub customer: id::Customer,
-    /// Versions that the session uses, sorted; for each class at most one of each model.
+    /// Versions that the session uses, sorted; at most one of each model per class.
     pub pins: Vec<id::Version>,
-    /// The configuration under which it was issued.
+    /// Offset of the configuration under which the token was issued.
     pub offset: Offset,
-    /// When it was issued.
+    /// When the token was issued.
     pub at: Wall,
 }
 
-/// Why a token is not taken.
+/// Why a token is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Not a token at all, or its MAC is wrong.
-    #[snafu(display("the session token is not one of ours"))]
+    /// Malformed, or with a wrong MAC.
+    #[snafu(display("the session token is invalid"))]
     Forged,
     /// Issued to another customer.
     #[snafu(display("the session token belongs to another customer"))]
@@ -56,7 +56,7 @@
 }
 
 impl Key {
-    /// A key derived from the deployment's secret.
+    /// Derives the key from the deployment's secret.
     #[must_use]
     pub fn derive(secret: &str) -> Self {
         Self(blake3::derive_key(
@@ -65,10 +65,10 @@
         ))
     }
 
-    /// The token for a session.
+    /// Encodes a session as a token.
     #[must_use]
     pub fn seal(&self, session: &Session) -> CompactString {
-        // Plain structures of bounded size always encode.
+        // Encoding a plain structure of bounded size can't fail.
         let body = postcard::to_stdvec(session).unwrap_or_default();
         let mut text = CompactString::default();
         for byte in self.mac(&body).iter().chain(&body) {
@@ -78,21 +78,20 @@
         text
     }
 
-    /// Reads a token back.
+    /// Verifies and decodes a token.
     ///
     /// # Errors
     ///
-    /// [`Error`] if it was not sealed with this key for this customer.
+    /// An [`Error`] if the token was not issued with this key for this customer.
     pub fn open(&self, text: &str, customer: &id::Customer) -> Result<Session, Error> {
-        let bytes = unhex(text).ok_or(Error::Forged)?;
-        let (mac, body) = bytes.split_at_checked(MAC).ok_or(Error::Forged)?;
-        // The comparison of hashes takes the same time for any input, so that a MAC can't be
-        // found byte by byte.
+        let bytes = decode_hex(text).ok_or(Error::Forged)?;
+        let (mac, body) = bytes.split_at_checked(MAC_BYTES).ok_or(Error::Forged)?;
+        // Hashes are compared in constant time, so that a MAC can't be guessed byte by byte.
         let mut found = [0; 32];
-        found[..MAC].copy_from_slice(mac);
-        let mut wanted = [0; 32];
-        wanted[..MAC].copy_from_slice(&self.mac(body));
-        if blake3::Hash::from(found) != blake3::Hash::from(wanted) {
+        found[..MAC_BYTES].copy_from_slice(mac);
+        let mut expected = [0; 32];
+        expected[..MAC_BYTES].copy_from_slice(&self.mac(body));
+        if blake3::Hash::from(found) != blake3::Hash::from(expected) {
             return Err(Error::Forged);
         }
         let session: Session = postcard::from_bytes(body).map_err(|_| Error::Forged)?;
@@ -102,10 +101,10 @@
         Ok(session)
     }
 
-    fn mac(&self, body: &[u8]) -> [u8; MAC] {
+    fn mac(&self, body: &[u8]) -> [u8; MAC_BYTES] {
         let hash = blake3::keyed_hash(&self.0, body);
-        let mut mac = [0; MAC];
-        mac.copy_from_slice(&hash.as_bytes()[..MAC]);
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(&hash.as_bytes()[..MAC_BYTES]);
         mac
     }
 }
@@ -117,8 +116,8 @@
 }
 
 impl Session {
-    /// Replaces the pins of a class by the versions it uses now; those of other classes stay. Past
-    /// [`MAX_PINS`] the session has no further pins.
+    /// Replaces the pins of a class with the versions in `used`; pins of other classes stay. Pins in excess
+    /// of [`MAX_PINS`] are dropped.
     pub fn pin<'a>(&mut self, class: &Class, used: impl IntoIterator<Item = &'a id::Version>) {
         self.pins.retain(|version| !class.allows(version));
         self.pins.extend(used.into_iter().cloned());
@@ -127,17 +126,17 @@
         self.pins.truncate(MAX_PINS);
     }
 
-    /// Whether the token is too old for its pins to count. The session goes on under its id.
+    /// Whether the token is too old for its pins to apply. The session continues under its id.
     #[must_use]
-    pub fn expired(&self, now: Wall, life: Duration) -> bool {
-        now.since(self.at) > life
+    pub fn expired(&self, now: Wall, max_age: Duration) -> bool {
+        now.since(self.at) > max_age
     }
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
-    // Only what we write ourselves: other spellings of the same bytes would be other tokens.
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
+    // Accepts only lower-case digits, as written by `seal`, so that each token has a single encoding.
     let digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
-    if text.len() > MAX_TEXT || !text.len().is_multiple_of(2) || !text.bytes().all(digit) {
+    if text.len() > MAX_TOKEN_CHARS || !text.len().is_multiple_of(2) || !text.bytes().all(digit) {
         return None;
     }
     let byte = |at: usize| u8::from_str_radix(text.get(at..at + 2)?, 16).ok();
