--- a/crates/entry/src/chain.rs
+++ b/crates/entry/src/chain.rs
@@ -1,4 +1,4 @@
-//! The chain of filters for each kind of request.
+//! The filter chain of each kind of request.
 
 pub mod model;
 pub mod service;
@@ -27,31 +27,31 @@
 /// The path of the list of models.
 const MODELS: &str = "/v1/models";
 
-/// The beginning of the paths of plain services.
+/// Prefix of the paths of plain services.
 const SERVICES: &str = "/services/";
 
-/// Answers one request of a caller. `gone` is cancelled if the caller goes away before the head of
-/// the response.
+/// Answers one request of a caller. `caller_gone` is cancelled if the caller disconnects before the head
+/// of the response is sent.
 pub async fn serve(
     node: &Arc<Node>,
     request: Request<Incoming>,
-    gone: CancellationToken,
+    caller_gone: CancellationToken,
 ) -> Response<Reply> {
     let (head, body) = request.into_parts();
     let path = head.uri.path();
-    let answer = if path == CHAT && head.method == Method::POST {
-        model::serve(node, &head, body, gone).await
+    let result = if path == CHAT && head.method == Method::POST {
+        model::serve(node, &head, body, caller_gone).await
     } else if path == MODELS && head.method == Method::GET {
         models(node, &head).await
     } else if path.starts_with(SERVICES) {
-        service::serve(node, &head, body, gone).await
+        service::serve(node, &head, body, caller_gone).await
     } else if path == CHAT || path == MODELS {
-        let message = format!("{} is not a method of {path}", head.method);
+        let message = format!("{path} does not support the method {}", head.method);
         Err(Refusal::not_run(Code::WrongMethod, message))
     } else {
-        Err(Refusal::not_run(Code::UnknownPath, "there is nothing here"))
+        Err(Refusal::not_run(Code::UnknownPath, "unknown path"))
     };
-    answer.unwrap_or_else(|refusal| {
+    result.unwrap_or_else(|refusal| {
         node.metrics.refused(refusal.code, refusal.run);
         log::info!("reply: Refused, {}: {}.", refusal.code, refusal.message);
         refusal.response()
--- a/crates/entry/src/chain/model.rs
+++ b/crates/entry/src/chain/model.rs
@@ -1,4 +1,4 @@
-//! Model requests, whole and streamed.
+//! Model requests, answered as a whole or as a stream.
 
 use std::sync::Arc;
 
@@ -36,12 +36,12 @@
 ///
 /// # Errors
 ///
-/// A [`Refusal`], if nothing was sent to the caller yet.
+/// A [`Refusal`], if nothing has been sent to the caller yet.
 pub async fn serve(
     node: &Arc<Node>,
     head: &Parts,
     body: Incoming,
-    gone: CancellationToken,
+    caller_gone: CancellationToken,
 ) -> Result<Response<Reply>, Refusal> {
     let caller = Authenticate(node).apply(&head.headers).await?;
     let body = identify::body(node, body).await?;
@@ -49,12 +49,12 @@
         caller,
         headers: &head.headers,
         body,
-        gone,
+        caller_gone,
     };
     let request = Identify(node).apply(raw).await?;
-    let bound = Contract(node).apply(request).await?;
-    let funded = Budget(node).apply(bound).await?;
-    if funded.bound.request.chat.stream {
+    let resolved = Contract(node).apply(request).await?;
+    let funded = Budget(node).apply(resolved).await?;
+    if funded.resolved.request.chat.stream {
         stream(node, funded).await
     } else {
         whole(node, funded).await
@@ -62,33 +62,38 @@
 }
 
 async fn whole(node: &Arc<Node>, funded: Funded) -> Result<Response<Reply>, Refusal> {
-    let identity = &funded.bound.request.identity;
+    let identity = &funded.resolved.request.identity;
     let request = identity.id;
     let mut delivery = Delivery::whole(node.clock, request, identity.deadline);
     let served = run(node, funded, &mut delivery).await?;
     Ok(served.head.whole(request, node.clock.wall(), served.answer))
 }
 
-/// Runs on as a task of its own, since the response's head goes out before its body is complete.
+/// Runs the request in a separate task, because the head of the response is sent before its body is
+/// complete.
 async fn stream(node: &Arc<Node>, funded: Funded) -> Result<Response<Reply>, Refusal> {
     let (head, response) = oneshot::channel();
-    let identity = &funded.bound.request.identity;
+    let identity = &funded.resolved.request.identity;
     let mut delivery = Delivery::stream(node.clock, identity.id, identity.deadline, head);
-    let task = Arc::clone(node);
+    let task_node = Arc::clone(node);
     node.tasks.spawn(async move {
-        if let Err(refusal) = run(&task, funded, &mut delivery).await {
-            task.metrics.refused(refusal.code, refusal.run);
+        if let Err(refusal) = run(&task_node, funded, &mut delivery).await {
+            task_node.metrics.refused(refusal.code, refusal.run);
             log::info!(
-                "reply: Stream ended, {}: {}.",
+                "reply: Stream failed, {}: {}.",
                 refusal.code,
                 refusal.message
             );
             delivery.fail(&refusal).await;
         }
     });
-    response
-        .await
-        .map_err(|_| Refusal::new(Code::Internal, "the answer broke off", Run::Unknown))
+    response.await.map_err(|_| {
+        Refusal::new(
+            Code::Internal,
+            "the answer ended unexpectedly",
+            Run::Unknown,
+        )
+    })
 }
 
 async fn run(node: &Node, funded: Funded, delivery: &mut Delivery) -> Result<Served, Refusal> {
@@ -99,7 +104,7 @@
         trace: &mut trace,
     };
     let served = Cascade(node).apply(work).await?;
-    let request = funded.bound.request;
+    let request = funded.resolved.request;
     let version = &served.version;
     let input = served.answer.input();
     let output = served.answer.output();
@@ -112,16 +117,16 @@
         cost: trace.cost,
         input,
         output,
-        fund: funded.fund,
+        reservation: funded.reservation,
     };
     Billing(node).apply(answered).await?;
     let finished = delivery.finish().await;
     finished.map_err(|fault| trace.refusal(&fault))?;
     let now = node.clock.now();
     let arrived = request.identity.arrived;
-    let first = delivery.first_sent_at().unwrap_or(now);
+    let first_sent_at = delivery.first_sent_at().unwrap_or(now);
     let sample = Sample {
-        first: first.since(arrived),
+        first: first_sent_at.since(arrived),
         last: now.since(arrived),
         waited: trace.waited,
         cost: trace.cost,
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, passed through.
+//! Calls of plain services, which are passed through.
 
 mod call;
 
@@ -29,13 +29,13 @@
 use self::call::read;
 use crate::filter::Filter;
 use crate::filter::admission::Admission;
-use crate::filter::admission::Want;
+use crate::filter::admission::SlotRequest;
 use crate::filter::attempt;
 use crate::filter::bill;
 use crate::filter::bill::Answered;
 use crate::filter::bill::Billing;
 use crate::filter::budget::Budget;
-use crate::filter::budget::Fund;
+use crate::filter::budget::Reservation;
 use crate::filter::claim::Claim;
 use crate::filter::claim::Claimed;
 use crate::filter::claim::Subject;
@@ -49,14 +49,14 @@
 use crate::refusal::Refusal;
 use crate::trace::Trace;
 
-/// Work of a call, in tokens: calls of plain services are taken for equal.
-const WORK: Tokens = Tokens(100);
+/// Cost of a call in tokens. All calls of plain services count the same.
+const CALL_TOKENS: Tokens = Tokens(100);
 
-/// Replicas that refuse a call before its caller is told so. A service has a few, and unlike an
-/// engine it does not report its load, so that waiting for long would be a guess.
-const REFUSALS: u32 = 6;
+/// Number of refusals by full replicas after which the caller gets an error. A service has few replicas
+/// and, unlike an engine, does not report its load, so that it is unknown whether a longer wait helps.
+const MAX_REFUSALS: u32 = 6;
 
-/// Priority of plain calls in their own pool, where nothing else waits.
+/// Priority of plain calls in their pool, which holds no other requests.
 const PRIORITY: u8 = 0;
 
 /// Answers a call of a plain service.
@@ -68,76 +68,76 @@
     node: &Arc<Node>,
     head: &Parts,
     body: Incoming,
-    gone: CancellationToken,
+    caller_gone: CancellationToken,
 ) -> Result<Response<Reply>, Refusal> {
-    let call = read(node, head, body, gone).await?;
+    let call = read(node, head, body, caller_gone).await?;
     if let Some(subject) = call.claim
-        && let Some(answer) = Claim(node).kept(subject)?
+        && let Some(answer) = Claim(node).retained(subject)?
     {
-        return Ok(again(&answer));
+        return Ok(replay(&answer));
     }
     let deadline = call.identity.deadline;
-    let fund = Budget(node)
+    let reservation = Budget(node)
         .reserve(&call.customer, call.service.price, deadline)
         .await?;
     let mut trace = Trace::default();
-    let done = run(node, &call, &mut trace).await?;
-    match done {
-        Done::Answered(answer) => finish(node, call, fund, &trace, answer).await,
-        Done::Again(answer) => Ok(again(&answer)),
+    let outcome = run(node, &call, &mut trace).await?;
+    match outcome {
+        Outcome::Answered(answer) => finish(node, call, reservation, &trace, answer).await,
+        Outcome::Replayed(answer) => Ok(replay(&answer)),
     }
 }
 
-/// How a call ended.
-enum Done {
+/// Result of a call.
+enum Outcome {
     /// The service answered.
     Answered(service::Answer),
-    /// It was made before; this is its answer.
-    Again(kept::Answer),
+    /// The call was made before; this is the answer that was retained.
+    Replayed(kept::Answer),
 }
 
-/// Makes the call. A claim that was made is always followed by its outcome.
-async fn run(node: &Node, call: &Call, trace: &mut Trace) -> Result<Done, Refusal> {
+/// Makes the call. If it was claimed, always reports how it ended.
+async fn run(node: &Node, call: &Call, trace: &mut Trace) -> Result<Outcome, Refusal> {
     let mut ticket = None;
-    let result = attempts(node, call, trace, &mut ticket).await;
+    let result = attempt_until_done(node, call, trace, &mut ticket).await;
     if let Some(ticket) = ticket {
         match &result {
-            Ok(Done::Answered(answer)) => {
+            Ok(Outcome::Answered(answer)) => {
                 let status = Some(answer.status.as_u16());
                 node.claimer.report(ticket, record::Run::Ran, status);
             }
-            _ => node.claimer.report(ticket, trace.record(), None),
+            _ => node.claimer.report(ticket, trace.logged_run(), None),
         }
     }
     result
 }
 
-async fn attempts(
+async fn attempt_until_done(
     node: &Node,
     call: &Call,
     trace: &mut Trace,
     ticket: &mut Option<Ticket>,
-) -> Result<Done, Refusal> {
+) -> Result<Outcome, Refusal> {
     loop {
-        unbarred(node, call, trace)?;
+        check_blocked(node, call, trace)?;
         let permit = admit(node, call, trace).await?;
         if let (Some(subject), None) = (call.claim, *ticket) {
             match Claim(node).apply(subject).await? {
                 Claimed::Owned(owned) => *ticket = Some(owned),
-                Claimed::Answered(answer) => return Ok(Done::Again(answer)),
+                Claimed::Answered(answer) => return Ok(Outcome::Replayed(answer)),
             }
         }
-        dispatch(node, call, *ticket, trace)?;
+        check_dispatch(node, call, *ticket, trace)?;
         let endpoint = permit.endpoint().clone();
         trace.attempts += 1;
-        match once(node, call, *ticket, permit).await {
+        match attempt_once(node, call, *ticket, permit).await {
             Ok(answer) => {
-                node.record_complete_answer(call.content);
-                trace.begun();
+                node.record_complete_answer(call.block_digest);
+                trace.record_start();
                 let now = node.clock.now();
                 let pool = &call.service.pool;
                 node.retries.record_success(&call.customer, pool, now);
-                return Ok(Done::Answered(answer));
+                return Ok(Outcome::Answered(answer));
             }
             Err(fault) => {
                 log::info!(
@@ -145,9 +145,9 @@
                     call.identity.id
                 );
                 node.metrics
-                    .attempt(&call.service.pool, attempt::name(&fault));
-                trace.failed(&endpoint, &fault);
-                if !again_after(node, call, trace, &fault) {
+                    .attempt(&call.service.pool, attempt::label(&fault));
+                trace.record_failure(&endpoint, &fault);
+                if !should_retry(node, call, trace, &fault) {
                     return Err(trace.refusal(&fault));
                 }
             }
@@ -155,49 +155,49 @@
     }
 }
 
-fn unbarred(node: &Node, call: &Call, trace: &Trace) -> Result<(), Refusal> {
-    let unbarred = node.ensure_not_blocked(call.content);
-    unbarred.map_err(|refusal| trace.amend(refusal))
+fn check_blocked(node: &Node, call: &Call, trace: &Trace) -> Result<(), Refusal> {
+    let result = node.ensure_not_blocked(call.block_digest);
+    result.map_err(|refusal| trace.amend(refusal))
 }
 
 async fn admit(node: &Node, call: &Call, trace: &mut Trace) -> Result<Permit, Refusal> {
-    let want = Want {
+    let slot_request = SlotRequest {
         pool: &call.service.pool,
         job: Job {
             customer: call.customer.clone(),
             weight: call.weight,
             priority: PRIORITY,
-            tokens: WORK,
+            tokens: CALL_TOKENS,
             deadline: call.identity.deadline,
             version: None,
             prefix: None,
             prompt: None,
             tried: trace.tried.clone(),
-            previously_refused: call.identity.returning,
+            previously_refused: call.identity.is_retry,
             repeatable: call.repeatable,
         },
-        gone: &call.identity.gone,
+        caller_gone: &call.identity.caller_gone,
     };
-    let admitted = Admission(node).apply(want).await;
+    let admitted = Admission(node).apply(slot_request).await;
     let admitted = admitted.map_err(|refusal| trace.amend(refusal))?;
     trace.waited += admitted.waited;
     Ok(admitted.permit)
 }
 
-/// Whether the call may still be sent: the contract may have changed while it waited, and the
+/// Checks whether the call may still be sent. The contract may have changed while the call waited, and the
 /// process may have been paused past the deadline after it claimed the call.
-fn dispatch(
+fn check_dispatch(
     node: &Node,
     call: &Call,
     ticket: Option<Ticket>,
     trace: &Trace,
 ) -> Result<(), Refusal> {
-    unbarred(node, call, trace)?;
+    check_blocked(node, call, trace)?;
     if Contract(node)
         .service(&call.customer, &call.service.name)
         .is_none()
     {
-        let message = "the contract no longer has this service";
+        let message = "the contract no longer includes this service";
         let refusal = Refusal::not_run(Code::UnknownService, message);
         return Err(trace.amend(refusal));
     }
@@ -209,51 +209,51 @@
     Ok(())
 }
 
-async fn once(
+async fn attempt_once(
     node: &Node,
     call: &Call,
     ticket: Option<Ticket>,
     permit: Permit,
 ) -> Result<service::Answer, Fault> {
-    let mut sent = call.sent.clone();
+    let mut outgoing = call.outgoing.clone();
     if let Some(ticket) = ticket {
-        sent.attempt = ticket.attempt;
+        outgoing.attempt = ticket.attempt;
     }
-    sent.timeout = call.identity.deadline.since(node.clock.now());
+    outgoing.timeout = call.identity.deadline.since(node.clock.now());
     let remote = service::Remote::new(node.connections.clone(), permit.address());
     let result = tokio::select! {
-        result = remote.call(sent) => result,
-        () = call.identity.gone.cancelled() => Err(Fault::Cancelled),
+        result = remote.call(outgoing) => result,
+        () = call.identity.caller_gone.cancelled() => Err(Fault::Cancelled),
     };
     match &result {
         Ok(answer) if answer.status.is_server_error() => permit.failed(&Fault::Failed {
             status: answer.status.as_u16(),
         }),
-        Ok(_) => permit.served(WORK),
+        Ok(_) => permit.served(CALL_TOKENS),
         Err(fault) => {
-            node.record_broken_run(call.content, permit.endpoint(), fault);
+            node.record_broken_run(call.block_digest, permit.endpoint(), fault);
             permit.failed(fault);
         }
     }
     result
 }
 
-/// Whether the call is sent again, at another endpoint: always only if no byte of it was sent, or
-/// the endpoint said that it did not start it; else only if it may be repeated.
-fn again_after(node: &Node, call: &Call, trace: &mut Trace, fault: &Fault) -> bool {
+/// Whether to send the call again to another endpoint. A call that is not repeatable is sent again only if
+/// no byte of it was sent or the endpoint reported that it did not start it.
+fn should_retry(node: &Node, call: &Call, trace: &mut Trace, fault: &Fault) -> bool {
     if *fault == Fault::Cancelled {
         return false;
     }
     if matches!(fault, Fault::Refused { .. }) {
-        trace.refused();
-        return trace.refusals < REFUSALS;
+        trace.record_refusal();
+        return trace.refusals < MAX_REFUSALS;
     }
     let now = node.clock.now();
     let pool = node.scheduler.pool(&call.service.pool);
     let failure = retry::Failure {
         repeatable: call.repeatable || fault.not_run(),
         attempts: trace.attempts,
-        run_time: pool.expected_run_time(None, WORK),
+        run_time: pool.expected_run_time(None, CALL_TOKENS),
         deadline: call.identity.deadline,
     };
     if matches!(fault, Fault::Unreachable { .. }) {
@@ -263,19 +263,19 @@
         .try_retry(&call.customer, &call.service.pool, failure, now)
 }
 
-/// Bills the call, keeps its answer and passes it on.
+/// Bills the call, retains its answer if it was claimed, and returns the answer.
 async fn finish(
     node: &Node,
     call: Call,
-    fund: Fund,
+    reservation: Reservation,
     trace: &Trace,
     answer: service::Answer,
 ) -> Result<Response<Reply>, Refusal> {
-    // Only what the service carried out is charged.
+    // Only calls that the service carried out are charged; error responses are not.
     let charged = !answer.status.is_client_error() && !answer.status.is_server_error();
     if charged {
         let answered = Answered {
-            // A claimed call's id stands for one call; no other can be made under it.
+            // A claimed request id belongs to one call; no other call can be made under it.
             request: match call.claim {
                 Some(subject) => subject.request,
                 None => bill::billing_id(call.identity.id, call.digest),
@@ -287,18 +287,19 @@
             cost: Money::ZERO,
             input: Tokens::ZERO,
             output: Tokens::ZERO,
-            fund,
+            reservation,
         };
         Billing(node).apply(answered).await?;
     }
     let now = node.clock.now();
     if let Some(subject) = call.claim {
-        node.kept.put(subject.request, keep(subject, &answer), now);
+        node.kept
+            .put(subject.request, retained_answer(subject, &answer), now);
     }
-    let took = now.since(call.identity.arrived);
+    let elapsed = now.since(call.identity.arrived);
     let sample = Sample {
-        first: took,
-        last: took,
+        first: elapsed,
+        last: elapsed,
         waited: trace.waited,
         cost: Money::ZERO,
     };
@@ -306,7 +307,7 @@
     node.metrics.served(&call.customer, NO_CLASS, name, sample);
     log::info!(
         request:% = call.identity.id, customer:% = call.customer;
-        "reply: Served {name} with {} in {took:?}.", answer.status
+        "reply: Served {name} with {} in {elapsed:?}.", answer.status
     );
     let mut response = Response::new(Reply::whole(answer.body));
     *response.status_mut() = answer.status;
@@ -314,21 +315,21 @@
     Ok(response)
 }
 
-fn keep(subject: Subject, answer: &service::Answer) -> kept::Answer {
-    let content = answer.headers.get(CONTENT_TYPE);
-    let content = content.and_then(|value| value.to_str().ok());
+fn retained_answer(subject: Subject, answer: &service::Answer) -> kept::Answer {
+    let content_type = answer.headers.get(CONTENT_TYPE);
+    let content_type = content_type.and_then(|value| value.to_str().ok());
     kept::Answer {
         digest: subject.digest,
         status: answer.status.as_u16(),
-        content: content.unwrap_or_default().into(),
+        content: content_type.unwrap_or_default().into(),
         body: answer.body.clone(),
     }
 }
 
-fn again(answer: &kept::Answer) -> Response<Reply> {
+fn replay(answer: &kept::Answer) -> Response<Reply> {
     let status = hyper::StatusCode::from_u16(answer.status).unwrap_or(hyper::StatusCode::OK);
     let mut response = reply::raw(status, &answer.content, answer.body.clone());
-    let ran = hyper::header::HeaderValue::from_static(Run::Ran.as_str());
-    response.headers_mut().insert(header::RUN, ran);
+    let run = hyper::header::HeaderValue::from_static(Run::Ran.as_str());
+    response.headers_mut().insert(header::RUN, run);
     response
 }
--- a/crates/entry/src/chain/service/call.rs
+++ b/crates/entry/src/chain/service/call.rs
@@ -1,4 +1,4 @@
-//! A call of a plain service as it came, read and checked.
+//! Reads and checks a call of a plain service.
 
 use hyper::HeaderMap;
 use hyper::body::Incoming;
@@ -24,29 +24,33 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// A call that was understood and may be made.
+/// A valid call that the contract allows.
 pub(super) struct Call {
     pub(super) identity: Identity,
     pub(super) customer: id::Customer,
     pub(super) weight: u32,
     pub(super) service: Service,
-    pub(super) sent: service::Call,
-    /// Whether it may be sent twice.
+    pub(super) outgoing: service::Call,
+    /// Whether it may be sent more than once.
     pub(super) repeatable: bool,
     /// Hash of customer, method, path and body.
     pub(super) digest: u64,
-    /// The same for telling requests under which endpoints end.
-    pub(super) content: Digest,
-    /// What it is claimed by; none if it needs no claim.
+    /// Digest of the same parts, by which calls that crash endpoints are blocked.
+    pub(super) block_digest: Digest,
+    /// What to claim before it is sent; none if it needs no claim.
     pub(super) claim: Option<Subject>,
 }
 
-/// Authenticates, identifies and checks the contract.
+/// Authenticates the caller, checks the contract and reads the call.
+///
+/// # Errors
+///
+/// A [`Refusal`] if the call is invalid or not allowed.
 pub(super) async fn read(
     node: &Node,
     head: &Parts,
     body: Incoming,
-    gone: CancellationToken,
+    caller_gone: CancellationToken,
 ) -> Result<Call, Refusal> {
     let caller = Authenticate(node).apply(&head.headers).await?;
     let (name, path) = split(head);
@@ -62,30 +66,34 @@
     let contract = caller.state.contract(&customer);
     let weight = contract.map_or(1, |contract| contract.weight);
     let repeatable = service.repeats(head.method.as_str());
-    // A call that may not be repeated runs to its end whether or not its caller stays.
-    let gone = if repeatable {
-        gone
+    // A call that is not repeatable is completed even if its caller disconnects.
+    let caller_gone = if repeatable {
+        caller_gone
     } else {
         CancellationToken::new()
     };
     let timeout = service.timeout.duration();
-    let identify::Content { bytes: body, room } = identify::body(node, body).await?;
-    let identity = identify::identity(node, &head.headers, timeout, gone, room)?;
+    let identify::Content {
+        bytes: body,
+        memory,
+    } = identify::body(node, body).await?;
+    let identity = identify::identity(node, &head.headers, timeout, caller_gone, memory)?;
     let digest = digest(&customer, head, &body);
-    let content = content(&customer, head, &body);
-    // Without an id of the caller's own nobody can ask twice, and one attempt is made.
-    let claimed = !repeatable && identity.given && service.claims == Claims::Log;
+    let block_digest = block_digest(&customer, head, &body);
+    // A claim serves calls that are sent again under the same id. Without an id chosen by the caller there
+    // are none, and no claim is made.
+    let claimed = !repeatable && identity.caller_chosen && service.claims == Claims::Log;
     let claim = claimed.then_some(Subject {
         request: identity.id,
         digest,
         deadline: identity.deadline,
     });
-    let sent = service::Call {
+    let outgoing = service::Call {
         attempt: id::Attempt(Uuid::now_v7()),
         request: identity.id,
         method: head.method.clone(),
         path,
-        headers: passed(&head.headers),
+        headers: forwarded_headers(&head.headers),
         body,
         timeout,
     };
@@ -94,42 +102,42 @@
         customer,
         weight,
         service,
-        sent,
+        outgoing,
         repeatable,
         digest,
-        content,
+        block_digest,
         claim,
     })
 }
 
-/// The service's name and the path below it, with the query.
+/// The service's name and the remaining path with the query.
 fn split(head: &Parts) -> (&str, String) {
     let path = head.uri.path();
     let rest = path
         .strip_prefix(crate::chain::SERVICES)
         .unwrap_or_default();
-    let (name, below) = rest.split_once('/').unwrap_or((rest, ""));
+    let (name, subpath) = rest.split_once('/').unwrap_or((rest, ""));
     let query = head.uri.query().map_or(String::new(), |q| format!("?{q}"));
-    (name, format!("/{below}{query}"))
+    (name, format!("/{subpath}{query}"))
 }
 
-/// The headers that the service gets. The API key is between the caller and us.
-fn passed(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = end_to_end(headers);
-    passed.remove(AUTHORIZATION);
-    let own = [
+/// The headers to forward to the service. The API key must not reach it.
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = end_to_end(headers);
+    forwarded.remove(AUTHORIZATION);
+    let router_headers = [
         header::SESSION_TOKEN,
         header::IDEMPOTENCY_KEY,
         header::REQUEST_TIMEOUT,
         header::ATTEMPT,
     ];
-    for name in own {
-        passed.remove(name);
+    for name in router_headers {
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
 
-/// Two calls with one digest are the same call.
+/// Hash of customer, method, path and body. Two calls with the same hash count as the same call.
 fn digest(customer: &id::Customer, head: &Parts, body: &[u8]) -> u64 {
     let mut hash = xxhash_rust::xxh3::Xxh3::new();
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
@@ -142,7 +150,7 @@
 }
 
 /// The digest of customer, method, path and body.
-fn content(customer: &id::Customer, head: &Parts, body: &[u8]) -> Digest {
+fn block_digest(customer: &id::Customer, head: &Parts, body: &[u8]) -> Digest {
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
     let texts = [customer.as_str(), head.method.as_str(), path];
     Digest::of(texts.into_iter().map(str::as_bytes).chain([body]))
--- a/crates/entry/src/filter.rs
+++ b/crates/entry/src/filter.rs
@@ -1,8 +1,8 @@
-//! The filters that a request passes, one file each.
+//! The filters that a request passes through, one per file.
 //!
-//! A filter takes the request in one state and gives it in the next, or refuses it. The types of
-//! the states make it impossible to leave one out: what has not been through the contract has no
-//! versions to choose from, and what has no permit can't be sent.
+//! A filter takes a request in one state and returns it in the next, or refuses it. The types of the states
+//! prevent skipping a filter: a request that has not passed the contract filter has no versions to choose
+//! from, and a request without a permit can't be sent.
 
 pub mod admission;
 pub mod assemble;
@@ -21,11 +21,15 @@
 
 use crate::refusal::Refusal;
 
-/// One step of a request.
+/// One step in the processing of a request.
 pub trait Filter<Input> {
     /// The request after this step.
     type Output;
 
-    /// Does the step.
+    /// Performs the step.
+    ///
+    /// # Errors
+    ///
+    /// A [`Refusal`] if the request can't proceed.
     fn apply(&self, input: Input) -> impl Future<Output = Result<Self::Output, Refusal>> + Send;
 }
--- a/crates/entry/src/filter/admission.rs
+++ b/crates/entry/src/filter/admission.rs
@@ -1,4 +1,5 @@
-//! Admission and queue: a slot at an endpoint, or a refusal in good time.
+//! Admission and queueing: a request gets a slot at an endpoint, or a refusal if it can't start by its
+//! deadline.
 
 use std::time::Duration;
 
@@ -15,34 +16,36 @@
 #[derive(Debug, Clone)]
 pub struct Admission<'a>(pub &'a Node);
 
-/// Work that wants a slot in a pool.
+/// Request for a slot in a pool.
 #[derive(Debug)]
-pub struct Want<'a> {
+pub struct SlotRequest<'a> {
     /// The pool.
     pub pool: &'a id::Pool,
     /// The work.
     pub job: Job,
-    /// Cancelled when nobody waits any more.
-    pub gone: &'a CancellationToken,
+    /// Cancelled when the caller disconnects.
+    pub caller_gone: &'a CancellationToken,
 }
 
-/// A slot, and how long it was waited for.
+/// A slot and the time spent waiting for it.
 #[derive(Debug)]
 pub struct Admitted {
     /// The slot.
     pub permit: Permit,
-    /// Time in the queue.
+    /// Time spent in the queue.
     pub waited: Duration,
 }
 
-impl<'a> Filter<Want<'a>> for Admission<'_> {
+impl<'a> Filter<SlotRequest<'a>> for Admission<'_> {
     type Output = Admitted;
 
-    async fn apply(&self, want: Want<'a>) -> Result<Admitted, Refusal> {
-        let begun = self.0.clock.now();
-        let pool = self.0.scheduler.pool(want.pool);
-        let permit = pool.acquire(want.job, want.gone).await?;
-        let waited = self.0.clock.now().since(begun);
+    async fn apply(&self, slot_request: SlotRequest<'a>) -> Result<Admitted, Refusal> {
+        let started = self.0.clock.now();
+        let pool = self.0.scheduler.pool(slot_request.pool);
+        let permit = pool
+            .acquire(slot_request.job, slot_request.caller_gone)
+            .await?;
+        let waited = self.0.clock.now().since(started);
         Ok(Admitted { permit, waited })
     }
 }
--- a/crates/entry/src/filter/assemble.rs
+++ b/crates/entry/src/filter/assemble.rs
@@ -1,7 +1,7 @@
-//! What reaches the caller: pieces as they come, or an answer that is held until it is accepted.
+//! Delivery to the caller: chunks are passed on as they arrive, or buffered until the answer is accepted.
 //!
-//! The last piece is held in any case, until the bill is safe. A stream that can't be finished ends
-//! with an error event and without the end mark.
+//! The last chunk is always held back until the bill is stored. A stream that can't be completed ends with an
+//! error event and without the end mark.
 
 use std::time::Duration;
 
@@ -25,47 +25,49 @@
 use crate::filter::reply;
 use crate::refusal::Refusal;
 
-/// The caller's end of an answer.
+/// Delivers an answer to the caller.
 #[derive(Debug)]
 pub struct Delivery {
     clock: Clock,
     id: CompactString,
     created: u64,
     deadline: Moment,
-    outlet: Outlet,
+    sink: Sink,
+    /// Whether chunks are sent as they arrive.
     live: bool,
-    held: Vec<Chunk>,
+    /// Chunks that wait for the release.
+    buffered: Vec<Chunk>,
     text: String,
-    /// Bytes of the text that a restarted attempt has repeated; none if it is not one.
+    /// Bytes of the text that a restarted attempt has repeated; none if there is nothing to repeat.
     repeated: Option<usize>,
     last: Option<Chunk>,
-    pieces: u64,
-    first: Option<Moment>,
+    chunks: u64,
+    first_sent_at: Option<Moment>,
     head: reply::Head,
 }
 
 #[derive(Debug)]
-enum Outlet {
-    /// The caller wants the answer as a whole.
+enum Sink {
+    /// The caller requested the answer as a whole.
     Whole,
-    /// The caller wants a stream, and nothing was sent yet.
+    /// The caller requested a stream, and nothing has been sent yet.
     Closed(oneshot::Sender<Response<Reply>>),
-    /// The stream has begun.
+    /// The stream has started.
     Open(Writer),
     /// The stream has ended.
     Ended,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
     /// The text.
     pub text: String,
-    /// Why it ended.
+    /// The finish reason.
     pub finish: CompactString,
     /// Tokens used.
     pub usage: Usage,
-    pieces: Vec<Chunk>,
+    chunks: Vec<Chunk>,
     last: Option<Chunk>,
 }
 
@@ -84,14 +86,14 @@
 }
 
 impl Delivery {
-    /// For a caller that wants the answer as a whole.
+    /// Creates the delivery for a caller that requested the answer as a whole.
     #[must_use]
     pub fn whole(clock: Clock, request: id::Request, deadline: Moment) -> Self {
-        Self::new(clock, request, deadline, Outlet::Whole)
+        Self::new(clock, request, deadline, Sink::Whole)
     }
 
-    /// For a caller that wants a stream; `head` takes the response once the first piece is
-    /// released, or the refusal.
+    /// Creates the delivery for a caller that requested a stream. `head` receives the response when the first
+    /// chunk is released, or the refusal.
     #[must_use]
     pub fn stream(
         clock: Clock,
@@ -99,106 +101,106 @@
         deadline: Moment,
         head: oneshot::Sender<Response<Reply>>,
     ) -> Self {
-        Self::new(clock, request, deadline, Outlet::Closed(head))
+        Self::new(clock, request, deadline, Sink::Closed(head))
     }
 
-    fn new(clock: Clock, request: id::Request, deadline: Moment, outlet: Outlet) -> Self {
+    fn new(clock: Clock, request: id::Request, deadline: Moment, sink: Sink) -> Self {
         Self {
             clock,
             id: format_compact!("chatcmpl-{request}"),
             created: clock.wall().millis() / 1_000,
             deadline,
-            outlet,
+            sink,
             live: false,
-            held: Vec::new(),
+            buffered: Vec::new(),
             text: String::new(),
             repeated: None,
             last: None,
-            pieces: 0,
-            first: None,
+            chunks: 0,
+            first_sent_at: None,
             head: reply::Head::default(),
         }
     }
 
-    /// Begins the answer of a version; pieces are passed on as they come if `live`.
+    /// Begins the answer of a version. If `live`, chunks are sent as they arrive.
     pub fn begin(&mut self, head: reply::Head, live: bool) {
-        self.live = live && !matches!(self.outlet, Outlet::Whole);
+        self.live = live && !matches!(self.sink, Sink::Whole);
         self.head = head;
         self.clear();
     }
 
     fn clear(&mut self) {
-        self.held.clear();
+        self.buffered.clear();
         self.text.clear();
         self.last = None;
-        self.pieces = 0;
+        self.chunks = 0;
         self.repeated = None;
     }
 
-    /// Whether the caller has a part of the answer already.
+    /// Whether a part of the answer has been sent.
     #[must_use]
     pub const fn has_started(&self) -> bool {
-        matches!(self.outlet, Outlet::Open(_))
+        matches!(self.sink, Sink::Open(_))
     }
 
-    /// Prepares for another attempt of the same version. If the caller has a part already, the new
-    /// attempt must repeat it word for word, and only what follows is passed on.
+    /// Prepares for another attempt at the same version. If a part of the answer has been sent, the new attempt
+    /// must repeat that part exactly, and only what follows is sent.
     pub fn restart(&mut self) {
         if self.has_started() {
-            // The last piece was held, so that the caller does not have it.
-            let held = self.last.take();
-            let held = held.as_ref().map_or(0, |chunk| content(chunk).len());
-            self.text.truncate(self.text.len() - held);
+            // The last chunk was held back, so the caller does not have it.
+            let unsent = self.last.take();
+            let unsent = unsent.as_ref().map_or(0, |chunk| content(chunk).len());
+            self.text.truncate(self.text.len() - unsent);
             self.repeated = Some(0);
         } else {
             self.clear();
         }
     }
 
-    /// Takes the next piece.
+    /// Accepts the next chunk.
     ///
     /// # Errors
     ///
-    /// [`Fault::Nonsense`] if a restarted attempt does not repeat what the caller has,
-    /// [`Fault::Cancelled`] if the caller went away, [`Fault::Timeout`] if it does not read.
+    /// [`Fault::Nonsense`] if a restarted attempt does not repeat what was sent, [`Fault::Cancelled`] if the
+    /// caller disconnected, [`Fault::Timeout`] if it does not read.
     pub async fn push(&mut self, mut chunk: Chunk) -> Result<(), Fault> {
         chunk.id = self.id.clone();
         chunk.created = self.created;
-        let Some(chunk) = self.fresh(chunk)? else {
+        let Some(chunk) = self.skip_repeated(chunk)? else {
             return Ok(());
         };
-        self.pieces += 1;
+        self.chunks += 1;
         self.text.push_str(content(&chunk));
-        if finish(&chunk).is_some() {
+        if finish_reason(&chunk).is_some() {
             self.last = Some(chunk);
             return Ok(());
         }
         if !self.live {
-            self.held.push(chunk);
+            self.buffered.push(chunk);
             return Ok(());
         }
         self.send(&chunk).await
     }
 
-    /// The part of a piece that the caller does not have; none if it has all of it.
-    fn fresh(&mut self, mut chunk: Chunk) -> Result<Option<Chunk>, Fault> {
+    /// The part of a chunk that has not been sent yet; none if all of it has been sent.
+    fn skip_repeated(&mut self, mut chunk: Chunk) -> Result<Option<Chunk>, Fault> {
         let Some(repeated) = self.repeated else {
             return Ok(Some(chunk));
         };
-        let known = &self.text[repeated..];
-        let piece = content(&chunk);
-        if let Some(rest) = piece.strip_prefix(known) {
-            let rest = rest.to_owned();
-            if rest.is_empty() && finish(&chunk).is_none() {
+        let sent = &self.text[repeated..];
+        let text = content(&chunk);
+        if let Some(unsent) = text.strip_prefix(sent) {
+            let unsent = unsent.to_owned();
+            if unsent.is_empty() && finish_reason(&chunk).is_none() {
                 self.repeated = Some(self.text.len());
                 return Ok(None);
             }
             self.repeated = None;
-            set(&mut chunk, rest);
+            set_content(&mut chunk, unsent);
             return Ok(Some(chunk));
         }
-        if known.starts_with(piece) && finish(&chunk).is_none() {
-            self.repeated = Some(repeated + piece.len());
+        if sent.starts_with(text) && finish_reason(&chunk).is_none() {
+            self.repeated = Some(repeated + text.len());
             return Ok(None);
         }
         Err(Fault::Nonsense {
@@ -206,58 +208,58 @@
         })
     }
 
-    /// Releases an answer that was held, up to its last piece.
+    /// Sends a buffered answer except for its last chunk.
     ///
     /// # Errors
     ///
     /// [`Fault::Cancelled`] or [`Fault::Timeout`].
     pub async fn release(&mut self) -> Result<(), Fault> {
-        if matches!(self.outlet, Outlet::Whole) {
-            self.first.get_or_insert(self.clock.now());
+        if matches!(self.sink, Sink::Whole) {
+            self.first_sent_at.get_or_insert(self.clock.now());
             return Ok(());
         }
         self.live = true;
-        for chunk in std::mem::take(&mut self.held) {
+        for chunk in std::mem::take(&mut self.buffered) {
             self.send(&chunk).await?;
         }
         Ok(())
     }
 
-    /// The answer, once all of its pieces were pushed. `prompt` stands for the prompt's tokens if
-    /// the engine did not count them.
+    /// The answer, after all of its chunks were pushed. `prompt` is used as the number of prompt tokens if the
+    /// engine reports no usage.
     #[must_use]
     pub fn answer(&mut self, prompt: Tokens) -> Answer {
         let last = self.last.clone();
         let usage = last.as_ref().and_then(|chunk| chunk.usage);
         let usage = usage.unwrap_or(Usage {
             prompt_tokens: prompt.0,
-            completion_tokens: self.pieces,
-            total_tokens: prompt.0 + self.pieces,
+            completion_tokens: self.chunks,
+            total_tokens: prompt.0 + self.chunks,
         });
         Answer {
             text: self.text.clone(),
-            finish: last.as_ref().and_then(finish).unwrap_or_default(),
+            finish: last.as_ref().and_then(finish_reason).unwrap_or_default(),
             usage,
-            pieces: self.held.clone(),
+            chunks: self.buffered.clone(),
             last,
         }
     }
 
-    /// Takes back an answer that was set aside for a better one which did not come.
+    /// Restores an answer that was set aside while a better one was sought without success.
     pub fn restore(&mut self, head: reply::Head, answer: &Answer) {
         self.head = head;
-        self.held.clone_from(&answer.pieces);
+        self.buffered.clone_from(&answer.chunks);
         self.last.clone_from(&answer.last);
         self.text.clone_from(&answer.text);
     }
 
-    /// Sends the last piece and the end mark.
+    /// Sends the last chunk and the end mark.
     ///
     /// # Errors
     ///
     /// [`Fault::Cancelled`] or [`Fault::Timeout`].
     pub async fn finish(&mut self) -> Result<(), Fault> {
-        if matches!(self.outlet, Outlet::Whole) {
+        if matches!(self.sink, Sink::Whole) {
             return Ok(());
         }
         if let Some(last) = self.last.take() {
@@ -268,34 +270,34 @@
         Ok(())
     }
 
-    /// Ends with an error: as the response, or as an event if the stream has begun.
+    /// Ends with an error: as the response, or as an event if the stream has started.
     pub async fn fail(&mut self, refusal: &Refusal) {
-        match std::mem::replace(&mut self.outlet, Outlet::Ended) {
-            Outlet::Closed(head) => {
-                // A caller that is gone needs no refusal.
+        match std::mem::replace(&mut self.sink, Sink::Ended) {
+            Sink::Closed(head) => {
+                // Sending fails only if the caller has disconnected.
                 let _ = head.send(refusal.response());
             }
-            Outlet::Open(writer) => {
-                self.outlet = Outlet::Open(writer);
+            Sink::Open(writer) => {
+                self.sink = Sink::Open(writer);
                 let text = String::from_utf8_lossy(&refusal.json()).into_owned();
                 if self.write(event(&text)).await.is_ok() {
                     self.end().await;
                 }
             }
-            Outlet::Whole | Outlet::Ended => {}
+            Sink::Whole | Sink::Ended => {}
         }
     }
 
-    /// When the first byte was released.
+    /// When the first byte was sent or, for an answer sent as a whole, when the answer was accepted.
     #[must_use]
     pub const fn first_sent_at(&self) -> Option<Moment> {
-        self.first
+        self.first_sent_at
     }
 
-    /// Pieces of the present answer.
+    /// Number of chunks in the present answer.
     #[must_use]
     pub const fn chunks(&self) -> u64 {
-        self.pieces
+        self.chunks
     }
 
     async fn send(&mut self, chunk: &Chunk) -> Result<(), Fault> {
@@ -304,11 +306,11 @@
 
     async fn write(&mut self, data: Bytes) -> Result<(), Fault> {
         self.open()?;
-        let Outlet::Open(writer) = &self.outlet else {
+        let Sink::Open(writer) = &self.sink else {
             return Err(Fault::Cancelled);
         };
-        // A caller that stops reading must not hold an endpoint's slot past its own deadline.
-        let deadline = self.clock.instant(self.deadline + LATE);
+        // A caller that stops reading must not occupy an endpoint's slot long past its deadline.
+        let deadline = self.clock.instant(self.deadline + WRITE_GRACE);
         match tokio::time::timeout_at(deadline, writer.send(data)).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(Fault::Cancelled),
@@ -317,31 +319,31 @@
     }
 
     fn open(&mut self) -> Result<(), Fault> {
-        let outlet = std::mem::replace(&mut self.outlet, Outlet::Ended);
-        self.outlet = match outlet {
-            Outlet::Closed(head) => {
+        let sink = std::mem::replace(&mut self.sink, Sink::Ended);
+        self.sink = match sink {
+            Sink::Closed(head) => {
                 let (writer, body) = Reply::stream();
-                self.first = Some(self.clock.now());
+                self.first_sent_at = Some(self.clock.now());
                 head.send(self.head.stream(body))
                     .map_err(|_| Fault::Cancelled)?;
-                Outlet::Open(writer)
+                Sink::Open(writer)
             }
-            outlet => outlet,
+            sink => sink,
         };
         Ok(())
     }
 
     async fn end(&mut self) {
-        let outlet = std::mem::replace(&mut self.outlet, Outlet::Ended);
-        if let Outlet::Open(writer) = outlet {
-            // A caller that is gone has all the bytes that it will ever get.
+        let sink = std::mem::replace(&mut self.sink, Sink::Ended);
+        if let Sink::Open(writer) = sink {
+            // Ending the body fails only if the caller has disconnected.
             let _ = writer.end().await;
         }
     }
 }
 
-/// Time past the deadline in which an error event or the last piece may still be written.
-const LATE: Duration = Duration::from_secs(5);
+/// Time after the deadline during which an error event or the last chunk may still be written.
+const WRITE_GRACE: Duration = Duration::from_secs(5);
 
 fn content(chunk: &Chunk) -> &str {
     let choice = chunk.choices.first();
@@ -349,19 +351,19 @@
     content.unwrap_or_default()
 }
 
-fn set(chunk: &mut Chunk, text: String) {
+fn set_content(chunk: &mut Chunk, text: String) {
     if let Some(choice) = chunk.choices.first_mut() {
         choice.delta.role = None;
         choice.delta.content = Some(text);
     }
 }
 
-fn finish(chunk: &Chunk) -> Option<CompactString> {
+fn finish_reason(chunk: &Chunk) -> Option<CompactString> {
     chunk.choices.first()?.finish_reason.clone()
 }
 
 fn json(value: &impl Serialize) -> String {
-    // Plain structures with string keys always encode.
+    // Encoding a plain structure with string keys can't fail.
     serde_json::to_string(value).unwrap_or_default()
 }
 
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts of a model request at engines of one version: choice, hedge, resume, retry.
+//! Attempts of a model request at engines of one version, with hedging, resuming and retries.
 
 mod opened;
 
@@ -22,11 +22,11 @@
 
 use self::opened::Abort;
 use self::opened::Opened;
-use self::opened::begin;
+use self::opened::open_stream;
 use crate::estimate;
 use crate::filter::Filter;
 use crate::filter::admission::Admission;
-use crate::filter::admission::Want;
+use crate::filter::admission::SlotRequest;
 use crate::filter::assemble::Answer;
 use crate::filter::assemble::Delivery;
 use crate::filter::contract::Contract;
@@ -35,178 +35,184 @@
 use crate::refusal::Refusal;
 use crate::trace::Trace;
 
-/// Tokens from which a job is long, as in the queue.
-const LONG: Tokens = Tokens(6_000);
+/// Tokens from which a job counts as long, as in the queue.
+const LONG_JOB: Tokens = Tokens(6_000);
 
-/// Asks engines of one version.
+/// Sends a request to engines of one version.
 #[derive(Debug, Clone)]
 pub struct Attempt<'a>(pub &'a Node);
 
-/// What to ask, and where the answer goes.
+/// A request, the version to send it to, and where its answer goes.
 #[derive(Debug)]
-pub struct Ask<'a> {
+pub struct Context<'a> {
     /// The request.
     pub request: &'a Request,
-    /// The version to ask.
+    /// The version to send it to.
     pub version: &'a id::Version,
-    /// Its pool.
+    /// The version's pool.
     pub pool: &'a id::Pool,
-    /// The most tokens of an answer.
-    pub output: Tokens,
+    /// Maximum number of tokens in an answer.
+    pub max_output: Tokens,
     /// Where the answer goes.
     pub delivery: &'a mut Delivery,
-    /// What was done so far.
+    /// The attempts made so far.
     pub trace: &'a mut Trace,
-    /// Whether the next attempt is paid for already, by one that was given up for its silence.
-    pub paid: Arc<AtomicBool>,
+    /// Whether the next attempt was already withdrawn from the retry budgets, when an attempt without a first
+    /// token was abandoned.
+    pub prepaid: Arc<AtomicBool>,
 }
 
-/// Why a version gave no answer.
+/// Why there is no answer from a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Stop {
-    /// It may no longer be used.
+pub enum Error {
+    /// The version may no longer be used.
     Withdrawn,
-    /// No slot could be had.
+    /// No slot was available, or the request is blocked.
     Refused(Refusal),
     /// The attempts failed.
     Failed(Fault),
 }
 
 impl<'a> Attempt<'a> {
-    /// Asks until there is a whole answer, or no further attempt is allowed.
+    /// Makes attempts until there is a complete answer or no further attempt is allowed.
     ///
     /// # Errors
     ///
-    /// A [`Stop`].
-    pub async fn answer(&self, ask: &mut Ask<'_>) -> Result<Answer, Stop> {
-        let digest = ask.request.digest;
+    /// An [`Error`].
+    pub async fn answer(&self, context: &mut Context<'_>) -> Result<Answer, Error> {
+        let digest = context.request.digest;
         loop {
-            self.0.ensure_not_blocked(digest).map_err(Stop::Refused)?;
-            let want = Want {
-                pool: ask.pool,
-                job: self.job(ask),
-                gone: &ask.request.identity.gone,
+            self.0.ensure_not_blocked(digest).map_err(Error::Refused)?;
+            let slot_request = SlotRequest {
+                pool: context.pool,
+                job: self.job(context),
+                caller_gone: &context.request.identity.caller_gone,
             };
-            let admitted = Admission(self.0).apply(want).await.map_err(Stop::Refused)?;
-            ask.trace.waited += admitted.waited;
-            let version = self.dispatch(ask).ok_or(Stop::Withdrawn)?;
-            self.0.ensure_not_blocked(digest).map_err(Stop::Refused)?;
+            let admitted = Admission(self.0)
+                .apply(slot_request)
+                .await
+                .map_err(Error::Refused)?;
+            context.trace.waited += admitted.waited;
+            let version = self.usable_version(context).ok_or(Error::Withdrawn)?;
+            self.0.ensure_not_blocked(digest).map_err(Error::Refused)?;
             let endpoint = admitted.permit.endpoint().clone();
-            match self.once(admitted.permit, &version, ask).await {
+            match self.attempt_once(admitted.permit, &version, context).await {
                 Ok(answer) => {
                     self.0.record_complete_answer(digest);
                     let now = self.0.clock.now();
-                    let customer = &ask.request.customer;
-                    self.0.retries.record_success(customer, ask.pool, now);
+                    let customer = &context.request.customer;
+                    self.0.retries.record_success(customer, context.pool, now);
                     return Ok(answer);
                 }
                 Err(fault) => {
-                    self.note(ask, &endpoint, &fault);
-                    if !self.again(ask, &fault) {
-                        return Err(Stop::Failed(fault));
+                    self.record_failure(context, &endpoint, &fault);
+                    if !self.should_retry(context, &fault) {
+                        return Err(Error::Failed(fault));
                     }
-                    ask.delivery.restart();
+                    context.delivery.restart();
                 }
             }
         }
     }
 
-    fn dispatch(&self, ask: &Ask<'_>) -> Option<Version> {
-        let request = ask.request;
-        Contract(self.0).dispatch(&request.customer, &request.class.name, ask.version)
+    fn usable_version(&self, context: &Context<'_>) -> Option<Version> {
+        let request = context.request;
+        Contract(self.0).usable_version(&request.customer, &request.class.name, context.version)
     }
 
-    fn tokens(&self, ask: &Ask<'_>) -> Tokens {
-        let request = ask.request;
+    fn expected_tokens(&self, context: &Context<'_>) -> Tokens {
+        let request = context.request;
         let class = &request.class.name;
         let answer = self
             .0
             .estimates
-            .answer_tokens(&request.customer, class, ask.output);
+            .answer_tokens(&request.customer, class, context.max_output);
         estimate::prompt_tokens(&request.chat) + answer
     }
 
-    fn job(&self, ask: &Ask<'_>) -> Job {
-        let request = ask.request;
-        let beginning = request.chat.messages.first();
+    fn job(&self, context: &Context<'_>) -> Job {
+        let request = context.request;
+        let first_message = request.chat.messages.first();
         Job {
             customer: request.customer.clone(),
             weight: request.weight,
             priority: request.class.priority,
-            tokens: self.tokens(ask),
+            tokens: self.expected_tokens(context),
             deadline: request.identity.deadline,
-            version: Some(ask.version.clone()),
-            prefix: beginning.map(|m| xxhash_rust::xxh3::xxh3_64(m.content.as_bytes())),
+            version: Some(context.version.clone()),
+            prefix: first_message.map(|m| xxhash_rust::xxh3::xxh3_64(m.content.as_bytes())),
             prompt: None,
-            tried: ask.trace.tried.clone(),
-            previously_refused: request.identity.returning,
+            tried: context.trace.tried.clone(),
+            previously_refused: request.identity.is_retry,
             repeatable: true,
         }
     }
 
-    fn note(&self, ask: &mut Ask<'_>, endpoint: &id::Endpoint, fault: &Fault) {
+    fn record_failure(&self, context: &mut Context<'_>, endpoint: &id::Endpoint, fault: &Fault) {
         let node = self.0;
-        let id = ask.request.identity.id;
-        // Under overload there is a refusal for each slot that is looked for.
+        let id = context.request.identity.id;
+        // Under overload, refusals are too frequent for the info level.
         let level = match fault {
             Fault::Refused { .. } => log::Level::Debug,
             _ => log::Level::Info,
         };
         log::log!(level, "attempt: {endpoint} failed for {id}: {fault}.");
-        node.metrics.attempt(ask.pool, name(fault));
-        ask.trace.failed(endpoint, fault);
-        let harmless = fault.not_run() || *fault == Fault::Cancelled;
-        if !harmless {
-            node.evidence.record_failure(ask.version, node.clock.now());
+        node.metrics.attempt(context.pool, label(fault));
+        context.trace.record_failure(endpoint, fault);
+        let is_neutral = fault.not_run() || *fault == Fault::Cancelled;
+        if !is_neutral {
+            node.evidence
+                .record_failure(context.version, node.clock.now());
         }
     }
 
-    /// Whether another attempt is made. Once the caller has a part of the answer, only a
-    /// deterministic answer can be told again from its start.
-    fn again(&self, ask: &mut Ask<'_>, fault: &Fault) -> bool {
+    /// Whether to make another attempt. Once a part of the answer has been sent to the caller, only a
+    /// deterministic answer can be generated again from its start.
+    fn should_retry(&self, context: &mut Context<'_>, fault: &Fault) -> bool {
         let node = self.0;
         let now = node.clock.now();
-        let request = ask.request;
-        // An engine that is full and says so has cost a round trip and no work: the request goes
-        // back to the queue. Half of its time is left for the answer then, and for the caller to
-        // ask elsewhere if even that was in vain.
+        let request = context.request;
+        // A refusal by a full engine costs a round trip but no work, so the request returns to the queue.
+        // It does so only in the first half of its time. The rest is left for the answer, or for the caller
+        // to try elsewhere.
         if matches!(fault, Fault::Refused { .. }) {
             let identity = &request.identity;
-            let half = identity.arrived + identity.deadline.since(identity.arrived) / 2;
-            ask.trace.refused();
-            return now < half;
+            let half_time = identity.arrived + identity.deadline.since(identity.arrived) / 2;
+            context.trace.record_refusal();
+            return now < half_time;
         }
-        let repeats = !ask.delivery.has_started() || request.chat.temperature == Some(0.0);
-        if *fault == Fault::Cancelled || !repeats || now >= request.identity.deadline {
+        let is_repeatable =
+            !context.delivery.has_started() || request.chat.temperature == Some(0.0);
+        if *fault == Fault::Cancelled || !is_repeatable || now >= request.identity.deadline {
             return false;
         }
-        let pool = node.scheduler.pool(ask.pool);
+        let pool = node.scheduler.pool(context.pool);
         let failure = retry::Failure {
             repeatable: true,
-            attempts: ask.trace.attempts,
-            run_time: pool.expected_run_time(Some(ask.version), self.tokens(ask)),
+            attempts: context.trace.attempts,
+            run_time: pool.expected_run_time(Some(context.version), self.expected_tokens(context)),
             deadline: request.identity.deadline,
         };
-        if ask.paid.swap(false, Ordering::Relaxed) {
-            return ask.trace.attempts < retry::MAX_ATTEMPTS;
+        if context.prepaid.swap(false, Ordering::Relaxed) {
+            return context.trace.attempts < retry::MAX_ATTEMPTS;
         }
         if matches!(fault, Fault::Unreachable { .. }) {
             return retry::can_retry_unsent(failure, now);
         }
         node.retries
-            .try_retry(&request.customer, ask.pool, failure, now)
+            .try_retry(&request.customer, context.pool, failure, now)
     }
 
-    async fn once(
+    async fn attempt_once(
         &self,
         permit: Permit,
         version: &Version,
-        ask: &mut Ask<'_>,
+        context: &mut Context<'_>,
     ) -> Result<Answer, Fault> {
-        let gone = ask.request.identity.gone.clone();
+        let caller_gone = context.request.identity.caller_gone.clone();
         tokio::select! {
-            answer = self.run(permit, version, ask) => answer,
-            () = gone.cancelled() => Err(Fault::Cancelled),
+            answer = self.run(permit, version, context) => answer,
+            () = caller_gone.cancelled() => Err(Fault::Cancelled),
         }
     }
 
@@ -214,66 +220,72 @@
         &self,
         permit: Permit,
         version: &Version,
-        ask: &mut Ask<'_>,
+        context: &mut Context<'_>,
     ) -> Result<Answer, Fault> {
         let node = self.0;
-        let prompt = estimate::prompt_tokens(&ask.request.chat);
-        let mut opened = self.race(permit, ask).await?;
-        // From here on an engine has begun, whatever becomes of the answer.
-        ask.trace.begun();
-        let first = node.clock.now().since(opened.begun);
+        let prompt = estimate::prompt_tokens(&context.request.chat);
+        let mut opened = self.open_hedged(permit, context).await?;
+        // From here on the request counts as started, even if the answer fails.
+        context.trace.record_start();
+        let first_token = node.clock.now().since(opened.started);
         node.retries
-            .record_first_token(ask.version, first, node.clock.now());
-        let deadline = node.clock.instant(ask.request.identity.deadline);
-        let drained = opened.drain(ask.delivery, deadline, node.config.stall_timeout);
+            .record_first_token(context.version, first_token, node.clock.now());
+        let deadline = node.clock.instant(context.request.identity.deadline);
+        let drained = opened.drain(context.delivery, deadline, node.config.stall_timeout);
         match drained.await {
             Ok(()) => {
-                let answer = ask.delivery.answer(prompt);
-                ask.trace.cost += version.price.of(answer.input(), answer.output());
-                self.learn(opened, ask, &answer);
+                let answer = context.delivery.answer(prompt);
+                context.trace.cost += version.price.of(answer.input(), answer.output());
+                self.record_answer(opened, context, &answer);
                 Ok(answer)
             }
             Err(fault) => {
-                let output = Tokens(ask.delivery.chunks());
-                ask.trace.cost += version.price.of(prompt, output);
-                node.record_broken_run(ask.request.digest, opened.permit.endpoint(), &fault);
+                let output = Tokens(context.delivery.chunks());
+                context.trace.cost += version.price.of(prompt, output);
+                node.record_broken_run(context.request.digest, opened.permit.endpoint(), &fault);
                 opened.permit.failed(&fault);
                 Err(fault)
             }
         }
     }
 
-    fn learn(&self, opened: Opened, ask: &Ask<'_>, answer: &Answer) {
+    fn record_answer(&self, opened: Opened, context: &Context<'_>, answer: &Answer) {
         let node = self.0;
         let now = node.clock.now();
-        let took = now.since(opened.begun);
+        let elapsed = now.since(opened.started);
         let tokens = answer.input() + answer.output();
-        let request = ask.request;
+        let request = context.request;
         #[expect(clippy::cast_precision_loss, reason = "token counts are small")]
-        let pace = took.as_secs_f64() / answer.output().0.max(1) as f64;
-        node.evidence.record_answer(ask.version, took, pace, now);
+        let seconds_per_token = elapsed.as_secs_f64() / answer.output().0.max(1) as f64;
+        node.evidence
+            .record_answer(context.version, elapsed, seconds_per_token, now);
         let class = &request.class.name;
         node.estimates
             .record_answer(&request.customer, class, answer.output());
-        node.metrics.attempt(ask.pool, "served");
+        node.metrics.attempt(context.pool, "served");
         opened.permit.served(tokens);
         opened.abort.disarm();
     }
 
-    /// Begins an answer; for a short one that takes unusually long, at a second engine too.
-    async fn race(&self, permit: Permit, ask: &mut Ask<'_>) -> Result<Opened, Fault> {
+    /// Starts an answer. If a short request waits unusually long for its first chunk, starts it at a second
+    /// engine too and uses the answer that starts first.
+    async fn open_hedged(
+        &self,
+        permit: Permit,
+        context: &mut Context<'_>,
+    ) -> Result<Opened, Fault> {
         let node = self.0;
-        let left = ask.request.identity.deadline.since(node.clock.now());
-        let long = self.tokens(ask) >= LONG;
+        let time_left = context.request.identity.deadline.since(node.clock.now());
+        let long = self.expected_tokens(context) >= LONG_JOB;
         let attempt = hedge::Attempt {
             repeatable: true,
             long,
-            time_left: left,
+            time_left,
         };
-        let delay = node.retries.hedge_delay(ask.version, attempt);
-        ask.trace.attempts += 1;
+        let delay = node.retries.hedge_delay(context.version, attempt);
+        context.trace.attempts += 1;
         let endpoint = permit.endpoint().clone();
-        let first = self.open(permit, ask);
+        let first = self.open(permit, context);
         tokio::pin!(first);
         let Some(delay) = delay else {
             return first.await;
@@ -283,55 +295,67 @@
             opened = &mut first => return opened,
             () = tokio::time::sleep(delay) => {}
         }
-        let Some(permit) = self.second(ask, &endpoint) else {
+        let Some(permit) = self.acquire_hedge(context, &endpoint) else {
             return first.await;
         };
-        node.metrics.attempt(ask.pool, "hedged");
-        let second = self.open(permit, ask);
+        node.metrics.attempt(context.pool, "hedged");
+        let second = self.open(permit, context);
         tokio::pin!(second);
         match futures::future::select(first, second).await {
             Either::Left((Ok(opened), _)) | Either::Right((Ok(opened), _)) => Ok(opened),
-            Either::Left((Err(fault), rest)) => rest.await.map_err(|other| worse(fault, other)),
-            Either::Right((Err(fault), rest)) => rest.await.map_err(|other| worse(fault, other)),
+            Either::Left((Err(fault), remaining)) => {
+                remaining.await.map_err(|other| less_certain(fault, other))
+            }
+            Either::Right((Err(fault), remaining)) => {
+                remaining.await.map_err(|other| less_certain(fault, other))
+            }
         }
     }
 
-    /// A free slot at another engine, if the retry budgets pay for it.
-    fn second(&self, ask: &Ask<'_>, first: &id::Endpoint) -> Option<Permit> {
+    /// Acquires a free slot at another engine, if the retry budgets allow a hedge.
+    fn acquire_hedge(&self, context: &Context<'_>, first: &id::Endpoint) -> Option<Permit> {
         let node = self.0;
-        self.dispatch(ask)?;
-        node.ensure_not_blocked(ask.request.digest).ok()?;
-        let mut job = self.job(ask);
+        self.usable_version(context)?;
+        node.ensure_not_blocked(context.request.digest).ok()?;
+        let mut job = self.job(context);
         job.tried.push(first.clone());
-        let permit = node.scheduler.pool(ask.pool).try_acquire(&job)?;
-        let customer = &ask.request.customer;
-        let paid = permit.endpoint() != first
-            && node.retries.try_hedge(customer, ask.pool, node.clock.now());
-        paid.then_some(permit)
+        let permit = node.scheduler.pool(context.pool).try_acquire(&job)?;
+        let customer = &context.request.customer;
+        let allowed = permit.endpoint() != first
+            && node
+                .retries
+                .try_hedge(customer, context.pool, node.clock.now());
+        allowed.then_some(permit)
     }
 
-    /// Waits until an attempt without a first piece is to be given up. An engine that hangs would
-    /// hold a request for half of its caller's time. But a full pool in a burst is silent, too, and
-    /// giving up for nothing is an error to a caller who would have been served: so before the last
-    /// moment only if the retry budgets pay for another attempt.
-    fn patience(&self, ask: &Ask<'_>) -> impl Future<Output = ()> + use<'a> {
+    /// Waits until an attempt without a first chunk is to be abandoned.
+    ///
+    /// An engine that hangs would otherwise hold a request for half of its time. But first chunks are also
+    /// late while a pool is full in a burst, and abandoning such an attempt would turn an answer into an error.
+    /// Before the final timeout, an attempt is therefore abandoned only if the retry budgets allow another
+    /// one.
+    fn first_chunk_timeout(&self, context: &Context<'_>) -> impl Future<Output = ()> + use<'a> {
         let node = self.0;
         let now = node.clock.now();
-        let left = ask.request.identity.deadline.since(now);
-        // Half of the time is left for another engine if this one never begins.
-        let longest = (left / 2).max(node.config.stall_timeout).min(left);
-        let silence = node.retries.first_token_timeout(ask.version);
-        let silence = silence.filter(|silence| *silence < longest && ask.trace.attempts <= 1);
-        let last = node.clock.instant(now + longest);
-        let early = silence.map(|silence| node.clock.instant(now + silence));
-        let customer = ask.request.customer.clone();
-        let pool = ask.pool.clone();
-        let paid = Arc::clone(&ask.paid);
+        let time_left = context.request.identity.deadline.since(now);
+        // Half of the remaining time is left for another engine in case this one sends no first chunk, unless
+        // the stall timeout is longer.
+        let max_timeout = (time_left / 2)
+            .max(node.config.stall_timeout)
+            .min(time_left);
+        let early_timeout = node.retries.first_token_timeout(context.version);
+        let early_timeout =
+            early_timeout.filter(|timeout| *timeout < max_timeout && context.trace.attempts <= 1);
+        let last = node.clock.instant(now + max_timeout);
+        let early = early_timeout.map(|timeout| node.clock.instant(now + timeout));
+        let customer = context.request.customer.clone();
+        let pool = context.pool.clone();
+        let prepaid = Arc::clone(&context.prepaid);
         async move {
             if let Some(early) = early {
                 tokio::time::sleep_until(early).await;
                 if node.retries.try_hedge(&customer, &pool, node.clock.now()) {
-                    paid.store(true, Ordering::Relaxed);
+                    prepaid.store(true, Ordering::Relaxed);
                     return;
                 }
             }
@@ -339,36 +363,36 @@
         }
     }
 
-    /// Sends the call and waits for the first piece. Borrows nothing of the delivery, so that two
-    /// of these can run side by side.
+    /// Sends the call and waits for the first chunk. Does not borrow the delivery, so that two of these
+    /// futures can run concurrently.
     fn open(
         &self,
         permit: Permit,
-        ask: &Ask<'_>,
+        context: &Context<'_>,
     ) -> impl Future<Output = Result<Opened, Fault>> + use<'a> {
         let node = self.0;
         let now = node.clock.now();
-        let deadline = ask.request.identity.deadline;
-        let digest = ask.request.digest;
-        let left = deadline.since(now);
-        let patience = self.patience(ask);
-        let mut chat = ask.request.chat.clone();
-        chat.model = ask.version.as_str().into();
+        let deadline = context.request.identity.deadline;
+        let digest = context.request.digest;
+        let time_left = deadline.since(now);
+        let timed_out = self.first_chunk_timeout(context);
+        let mut chat = context.request.chat.clone();
+        chat.model = context.version.as_str().into();
         chat.stream = true;
-        chat.max_tokens = Some(ask.output.0);
+        chat.max_tokens = Some(context.max_output.0);
         let call = Call {
             attempt: id::Attempt(Uuid::now_v7()),
             chat,
-            priority: ask.request.class.priority,
-            timeout: left,
+            priority: context.request.class.priority,
+            timeout: time_left,
         };
         let engine = Remote::new(node.connections.clone(), permit.address());
         let abort = Abort::new(engine.clone(), call.attempt, node.tasks.clone());
         async move {
             let attempt = call.attempt;
             let result = tokio::select! {
-                result = begin(&engine, call) => result,
-                () = patience => Err(Fault::Timeout),
+                result = open_stream(&engine, call) => result,
+                () = timed_out => Err(Fault::Timeout),
             };
             match result {
                 Ok((events, assembler, first)) => Ok(Opened {
@@ -378,7 +402,7 @@
                     events,
                     assembler,
                     first,
-                    begun: now,
+                    started: now,
                     abort,
                 }),
                 Err(fault) => {
@@ -394,14 +418,14 @@
     }
 }
 
-/// Of two faults the one after which less can be said.
-fn worse(one: Fault, other: Fault) -> Fault {
+/// Of two faults, the one that leaves it less certain that the request did not run.
+fn less_certain(one: Fault, other: Fault) -> Fault {
     if one.not_run() { other } else { one }
 }
 
-/// The label of a fault in metrics.
+/// The label for a fault in metrics.
 #[must_use]
-pub const fn name(fault: &Fault) -> &'static str {
+pub const fn label(fault: &Fault) -> &'static str {
     match fault {
         Fault::Unreachable { .. } => "unreachable",
         Fault::Refused { .. } => "refused",
--- a/crates/entry/src/filter/attempt/opened.rs
+++ b/crates/entry/src/filter/attempt/opened.rs
@@ -1,4 +1,4 @@
-//! An answer that has begun at one engine: its pieces, resuming after a break, and cancelling.
+//! An answer that one engine has started: reads its chunks, resumes it after a broken connection and cancels it.
 
 use std::time::Duration;
 
@@ -18,13 +18,13 @@
 
 use crate::filter::assemble::Delivery;
 
-/// Resumes in a row without a new piece. An engine that cuts each time is broken.
-const RESUMES: u32 = 3;
+/// Maximum number of resumes in a row without a new chunk. An engine that breaks every connection is faulty.
+const MAX_RESUMES: u32 = 3;
 
-/// Wait before a resume, times its number: the engine may be restarting its listener.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Backoff before a resume, multiplied by its number. The engine may be restarting its listener.
+const RESUME_BACKOFF: Duration = Duration::from_millis(50);
 
-/// An answer that has begun.
+/// An answer that an engine has started.
 pub(super) struct Opened {
     pub(super) permit: Permit,
     pub(super) engine: Remote,
@@ -32,11 +32,12 @@
     pub(super) events: Events,
     pub(super) assembler: Assembler,
     pub(super) first: Chunk,
-    pub(super) begun: Moment,
+    pub(super) started: Moment,
     pub(super) abort: Abort,
 }
 
-pub(super) async fn begin(
+/// Sends a call and waits for the first chunk of its answer.
+pub(super) async fn open_stream(
     engine: &Remote,
     call: Call,
 ) -> Result<(Events, Assembler, Chunk), Fault> {
@@ -46,7 +47,7 @@
         match events.next().await {
             Some(Ok(event)) => assembler.accept(event)?,
             Some(Err(fault)) => return Err(fault),
-            None => return Err(cut()),
+            None => return Err(cut_off()),
         }
         if let Some(first) = assembler.next() {
             return Ok((events, assembler, first));
@@ -54,19 +55,19 @@
     }
 }
 
-fn cut() -> Fault {
+fn cut_off() -> Fault {
     Fault::Cut {
         reason: "the stream ended before its end mark".into(),
     }
 }
 
 impl Opened {
-    /// Passes all pieces on; resumes at the same engine where the connection breaks.
+    /// Passes all chunks to the delivery. If the connection breaks, resumes at the same engine.
     pub(super) async fn drain(
         &mut self,
         delivery: &mut Delivery,
         deadline: Instant,
-        stall: Duration,
+        stall_timeout: Duration,
     ) -> Result<(), Fault> {
         delivery.push(self.first.clone()).await?;
         let mut resumes = 0;
@@ -78,8 +79,8 @@
             if self.assembler.whole() {
                 return Ok(());
             }
-            let by = deadline.min(Instant::now() + stall);
-            let event = tokio::time::timeout_at(by, self.events.next()).await;
+            let read_deadline = deadline.min(Instant::now() + stall_timeout);
+            let event = tokio::time::timeout_at(read_deadline, self.events.next()).await;
             let broken = match event {
                 Ok(Some(Ok(event))) => {
                     self.assembler.accept(event)?;
@@ -87,11 +88,11 @@
                 }
                 Ok(Some(Err(fault @ Fault::Nonsense { .. }))) => return Err(fault),
                 Ok(Some(Err(fault))) => fault,
-                Ok(None) => cut(),
+                Ok(None) => cut_off(),
                 Err(_) => Fault::Timeout,
             };
             resumes += 1;
-            if resumes > RESUMES || Instant::now() >= deadline {
+            if resumes > MAX_RESUMES || Instant::now() >= deadline {
                 return Err(broken);
             }
             self.resume(resumes, broken, deadline).await?;
@@ -103,22 +104,22 @@
             return Err(broken);
         };
         let endpoint = self.permit.endpoint();
-        log::info!("attempt: Resuming at {endpoint} after piece {last}: {broken}.");
-        tokio::time::sleep(PAUSE * number).await;
+        log::info!("attempt: Resuming at {endpoint} after chunk {last}: {broken}.");
+        tokio::time::sleep(RESUME_BACKOFF * number).await;
         let resumed = self.engine.resume(self.attempt, last);
         match tokio::time::timeout_at(deadline, resumed).await {
             Ok(Ok(events)) => {
                 self.events = events;
                 Ok(())
             }
-            // The engine no longer has the attempt; what broke first is what counts.
+            // The engine no longer has the attempt or does not respond; the original fault is reported.
             Ok(Err(_)) | Err(_) => Err(broken),
         }
     }
 }
 
-/// Cancels an attempt at its engine when it is dropped before its end, so that the engine does not
-/// go on generating for nobody.
+/// Guard that cancels an attempt at its engine when it is dropped before the answer is complete, so that the
+/// engine stops generating.
 pub(super) struct Abort {
     engine: Remote,
     attempt: id::Attempt,
@@ -150,7 +151,7 @@
         let attempt = self.attempt;
         self.tasks.spawn(async move {
             if let Err(fault) = engine.cancel(attempt).await {
-                log::debug!("attempt: {attempt} not cancelled: {fault}.");
+                log::debug!("attempt: Could not cancel {attempt}: {fault}.");
             }
         });
     }
--- a/crates/entry/src/filter/authenticate.rs
+++ b/crates/entry/src/filter/authenticate.rs
@@ -1,4 +1,4 @@
-//! Who calls: the customer of an API key.
+//! Authentication: finds the customer of an API key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// When to ask again: a new node has read the log, or asked a peer, by then.
-const AGAIN: Duration = Duration::from_secs(1);
+/// Retry delay while the node has no configuration. A new node has read the log or asked a peer within it.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Finds the customer.
 #[derive(Debug, Clone)]
 pub struct Authenticate<'a>(pub &'a Node);
 
-/// A caller whose key is known.
+/// An authenticated caller.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// Whose key it is.
+    /// The customer that the API key belongs to.
     pub customer: id::Customer,
-    /// The configuration that says so.
+    /// The configuration in which the key was found.
     pub state: Arc<State>,
 }
 
@@ -37,7 +37,7 @@
         let state = self.0.state.current();
         if !self.0.state.ready() {
             let message = "this entry VM has no configuration yet";
-            return Err(Refusal::not_run(Code::NotReady, message).retry_after(AGAIN));
+            return Err(Refusal::not_run(Code::NotReady, message).retry_after(RETRY_AFTER));
         }
         let secret = bearer(headers)?;
         let contract = state
--- a/crates/entry/src/filter/bill.rs
+++ b/crates/entry/src/filter/bill.rs
@@ -1,4 +1,4 @@
-//! The bill: held by a second VM, or by the log, before the caller gets the last byte.
+//! Billing: a second VM or the log must hold the bill before the caller gets the last byte.
 
 use pimento_contract::contract::Period;
 use pimento_ledger::Bill;
@@ -13,14 +13,15 @@
 use xxhash_rust::xxh3::xxh3_128_with_seed;
 
 use super::Filter;
-use super::budget::Fund;
+use super::budget::Reservation;
 use crate::node::Node;
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// What a repeatable request is billed under: the caller's id and the call together. A caller who
-/// sends many calls under one id gets an answer to each, and would else pay for the first alone; the
-/// same call sent again is still one bill.
+/// The id under which a repeatable request is billed, derived from the caller's id and the call's hash.
+///
+/// A caller that sends different calls under one id gets an answer to each, and must pay for each. The same
+/// call sent again is billed once.
 #[must_use]
 pub fn billing_id(request: id::Request, call: u64) -> id::Request {
     id::Request(Uuid::from_u128(xxh3_128_with_seed(
@@ -29,7 +30,7 @@
     )))
 }
 
-/// What a model request is billed under. Whole or streamed, it is the same call.
+/// The id under which a model request is billed. Streaming or not makes no difference.
 #[must_use]
 pub fn chat_billing_id(request: id::Request, chat: &Chat) -> id::Request {
     let mut hash = Xxh3::new();
@@ -43,31 +44,31 @@
     billing_id(request, hash.digest())
 }
 
-/// Makes the bill safe.
+/// Has the bill stored by a second VM or the log.
 #[derive(Debug, Clone)]
 pub struct Billing<'a>(pub &'a Node);
 
-/// An answer that is to be billed.
+/// An answer to bill.
 #[derive(Debug)]
 pub struct Answered {
-    /// The request.
+    /// The id under which the request is billed.
     pub request: id::Request,
-    /// Who pays.
+    /// The customer that pays.
     pub customer: id::Customer,
     /// The class of a model request.
     pub class: Option<id::Class>,
-    /// What answered.
+    /// The version or service that answered.
     pub item: Item,
     /// The price of the answer.
     pub price: Money,
-    /// What all attempts and steps cost us.
+    /// Cost of all attempts and steps to the operator.
     pub cost: Money,
     /// Prompt tokens.
     pub input: Tokens,
     /// Generated tokens.
     pub output: Tokens,
-    /// What pays for it.
-    pub fund: Fund,
+    /// The reservation that pays for it.
+    pub reservation: Reservation,
 }
 
 impl Filter<Answered> for Billing<'_> {
@@ -75,8 +76,8 @@
 
     async fn apply(&self, answered: Answered) -> Result<(), Refusal> {
         let node = self.0;
-        let period = Period(answered.fund.hold.period());
-        let charge = answered.price.min(answered.fund.most);
+        let period = Period(answered.reservation.hold.period());
+        let charge = answered.price.min(answered.reservation.max_charge);
         let bill = Bill {
             request: answered.request,
             customer: answered.customer,
@@ -91,17 +92,18 @@
             at: node.clock.wall(),
         };
         let deadline = tokio::time::Instant::now() + node.config.bill_timeout;
-        let held = answered.fund.slot.hold(&bill, deadline).await;
-        // Settled only now: an answer that is withheld is not charged, and its money is free again.
-        if held.is_ok() {
-            let _ = answered.fund.hold.settle(charge);
+        let stored = answered.reservation.slot.hold(&bill, deadline).await;
+        // The reservation is settled only once the bill is stored. An answer that is withheld is not charged,
+        // and its money is released.
+        if stored.is_ok() {
+            let _ = answered.reservation.hold.settle(charge);
         }
-        held.map_err(|error| {
+        stored.map_err(|error| {
             log::error!(
                 "bills: The answer of {} is withheld: {error}.",
                 bill.request
             );
-            let message = "the answer was made, but its bill could not be made safe";
+            let message = "the request ran, but its bill could not be stored";
             Refusal::new(Code::BillsUnavailable, message, Run::Ran)
                 .retry_after(node.config.bill_timeout)
         })
--- a/crates/entry/src/filter/budget.rs
+++ b/crates/entry/src/filter/budget.rs
@@ -1,7 +1,7 @@
-//! Sets aside the most that the request can cost, and room for its bill.
+//! Reserves the maximum charge of a request, and a slot for its bill.
 //!
-//! Both are taken before anything is sent: money that is not there afterwards can't be had back
-//! from an endpoint, and a bill that finds no room would be lost.
+//! Both are reserved before anything is sent. Otherwise, a request that has run might turn out not to be
+//! covered by the customer's money, or its bill might find no slot and be lost.
 
 use pimento_contract::Contract;
 use pimento_contract::Subject;
@@ -17,64 +17,66 @@
 use pimento_wire::border::Chat;
 
 use super::Filter;
-use super::contract::Bound;
+use super::contract::Resolved;
 use crate::estimate;
 use crate::node::Node;
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// Reserves money and a bill's place.
+/// Reserves money and a slot for the bill.
 #[derive(Debug, Clone)]
 pub struct Budget<'a>(pub &'a Node);
 
-/// Money and a bill's place for one request.
+/// Money and a slot for the bill of one request.
 #[derive(Debug)]
-pub struct Fund {
-    /// The money.
+pub struct Reservation {
+    /// The reserved money.
     pub hold: Hold,
-    /// The place.
+    /// The slot for the bill.
     pub slot: bills::Slot,
-    /// How much was set aside.
-    pub most: Money,
+    /// The amount reserved, which the charge never exceeds.
+    pub max_charge: Money,
 }
 
-/// A request that can be paid for.
+/// A request with its reservation.
 #[derive(Debug)]
 pub struct Funded {
     /// The request with its versions.
-    pub bound: Bound,
-    /// What pays for it.
-    pub fund: Fund,
-    /// The most tokens that an answer may have.
-    pub output: Tokens,
+    pub resolved: Resolved,
+    /// The reservation that pays for it.
+    pub reservation: Reservation,
+    /// Maximum number of tokens in an answer.
+    pub max_output: Tokens,
 }
 
-impl Filter<Bound> for Budget<'_> {
+impl Filter<Resolved> for Budget<'_> {
     type Output = Funded;
 
-    async fn apply(&self, bound: Bound) -> Result<Funded, Refusal> {
-        let request = &bound.request;
-        let output = limit(&request.chat, &request.class);
-        let most = self.most(&request.chat, &request.class, output);
+    async fn apply(&self, resolved: Resolved) -> Result<Funded, Refusal> {
+        let request = &resolved.request;
+        let max_output = max_output(&request.chat, &request.class);
+        let max_charge = self.max_charge(&request.chat, &request.class, max_output);
         let deadline = request.identity.deadline;
-        let fund = self.reserve(&request.customer, most, deadline).await?;
+        let reservation = self
+            .reserve(&request.customer, max_charge, deadline)
+            .await?;
         Ok(Funded {
-            bound,
-            fund,
-            output,
+            resolved,
+            reservation,
+            max_output,
         })
     }
 }
 
-/// The most tokens that an answer may have.
-fn limit(chat: &Chat, class: &Class) -> Tokens {
-    let asked = chat.max_tokens.map_or(class.output, Tokens);
-    asked.min(class.output)
+/// Maximum number of tokens in an answer.
+fn max_output(chat: &Chat, class: &Class) -> Tokens {
+    let requested = chat.max_tokens.map_or(class.output, Tokens);
+    requested.min(class.output)
 }
 
 impl Budget<'_> {
-    /// The most that any version of the class would charge.
-    fn most(&self, chat: &Chat, class: &Class, output: Tokens) -> Money {
+    /// Highest charge of any version of the class.
+    fn max_charge(&self, chat: &Chat, class: &Class, output: Tokens) -> Money {
         let state = self.0.state.current();
         let input = estimate::max_prompt_tokens(chat);
         let versions = class.versions.iter().filter_map(|id| state.version(id));
@@ -82,23 +84,23 @@
         charges.max().unwrap_or_default()
     }
 
-    /// Sets aside money and a bill's place.
+    /// Reserves money and a slot for the bill.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if there is neither.
+    /// A [`Refusal`] if either is not available.
     pub async fn reserve(
         &self,
         customer: &id::Customer,
-        most: Money,
+        max_charge: Money,
         deadline: Moment,
-    ) -> Result<Fund, Refusal> {
+    ) -> Result<Reservation, Refusal> {
         let slot = self.0.outbox.reserve().map_err(|error| {
             let after = self.0.config.platform_timeout;
             Refusal::not_run(Code::BillsUnavailable, error.to_string()).retry_after(after)
         })?;
         let state = self.0.state.current();
-        let contract = state.contract(customer).ok_or_else(gone)?;
+        let contract = state.contract(customer).ok_or_else(contract_ended)?;
         let account = Account {
             contract,
             revision: state.revision(&subject(contract)),
@@ -107,14 +109,18 @@
         let nodes = self.0.nodes();
         let deadline = self.0.clock.instant(deadline);
         let wallet = &self.0.wallet;
-        let mut hold = wallet.reserve(account, most, nodes, deadline).await;
+        let mut hold = wallet.reserve(account, max_charge, nodes, deadline).await;
         if matches!(hold, Err(grants::Error::Out { .. }))
-            && wallet.borrow(account, most, &self.0.mesh).await
+            && wallet.borrow(account, max_charge, &self.0.mesh).await
         {
-            hold = wallet.reserve(account, most, nodes, deadline).await;
+            hold = wallet.reserve(account, max_charge, nodes, deadline).await;
         }
         let hold = hold.map_err(|error| refusal(&error))?;
-        Ok(Fund { hold, slot, most })
+        Ok(Reservation {
+            hold,
+            slot,
+            max_charge,
+        })
     }
 }
 
@@ -122,7 +128,7 @@
     Subject::Contract(contract.customer.clone())
 }
 
-fn gone() -> Refusal {
+fn contract_ended() -> Refusal {
     Refusal::not_run(Code::UnknownKey, "the contract has ended")
 }
 
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -1,4 +1,4 @@
-//! The cascade: which version is asked, and whether its answer is good enough.
+//! The cascade: chooses the version to send a request to, and decides whether its answer is good enough.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,9 +17,8 @@
 use crate::filter::Filter;
 use crate::filter::assemble::Answer;
 use crate::filter::assemble::Delivery;
-use crate::filter::attempt::Ask;
+use crate::filter::attempt;
 use crate::filter::attempt::Attempt;
-use crate::filter::attempt::Stop;
 use crate::filter::budget::Funded;
 use crate::filter::contract;
 use crate::filter::contract::Contract;
@@ -30,14 +29,14 @@
 use crate::refusal::Refusal;
 use crate::trace::Trace;
 
-/// The most steps of one request. Versions that are withdrawn one after the other while it waits
-/// must not keep it going round.
-const STEPS: usize = 8;
+/// Maximum number of steps for one request, so that the cascade ends even if versions are withdrawn one after
+/// the other while the request waits.
+const MAX_STEPS: usize = 8;
 
-/// Time after which a rating of an answer that was released already is given up.
-const AFTERWARDS: Duration = Duration::from_secs(10);
+/// Timeout of the rating of an answer that was already released.
+const SAMPLE_RATING_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Finds an answer of the contracted quality for the least cost.
+/// Finds an answer of the contracted quality at the lowest cost.
 #[derive(Debug, Clone)]
 pub struct Cascade<'a>(pub &'a Node);
 
@@ -48,7 +47,7 @@
     pub funded: &'a Funded,
     /// Where the answer goes.
     pub delivery: &'a mut Delivery,
-    /// What was done so far.
+    /// The attempts made so far.
     pub trace: &'a mut Trace,
 }
 
@@ -63,20 +62,21 @@
     pub head: Head,
 }
 
-/// What came of the steps so far.
+/// Progress of the cascade.
 #[derive(Default)]
-struct Course {
-    /// Versions asked, sorted.
+struct Progress {
+    /// Versions tried, sorted.
     tried: Vec<id::Version>,
-    /// Expected quality of the best version whose answer fell short.
-    short: f64,
-    /// The best answer that fell short.
+    /// Highest expected quality of a version whose answer was not accepted.
+    best_rejected: f64,
+    /// The best answer that was not accepted, with the expected quality of its version.
     fallback: Option<(f64, Served)>,
+    /// Why the last version gave no answer.
     refusal: Option<Refusal>,
 }
 
-/// What a step led to.
-enum Step {
+/// Result of a step.
+enum Outcome {
     Served(Box<Served>),
     Next,
 }
@@ -85,22 +85,22 @@
     type Output = Served;
 
     async fn apply(&self, mut work: Work<'a>) -> Result<Served, Refusal> {
-        let mut course = Course::default();
-        for _ in 0..STEPS {
-            let pins = Contract(self.0).pins(&work.funded.bound.request);
+        let mut progress = Progress::default();
+        for _ in 0..MAX_STEPS {
+            let pins = Contract(self.0).pins(&work.funded.resolved.request);
             let versions = self.versions(&pins);
-            let candidates = self.candidates(&work, &versions, &course);
+            let candidates = self.candidates(&work, &versions, &progress);
             let terms = self.terms(&work);
             let Some(plan) = cascade::plan(&candidates, &terms) else {
                 if versions.is_empty() {
-                    course.refusal.get_or_insert(contract::none());
+                    progress.refusal.get_or_insert(contract::no_version());
                 }
                 break;
             };
             let version = &versions[plan.step];
             let mean = candidates[plan.step].mean;
             let head = self.head(&work, &pins, version);
-            let step = Chosen {
+            let chosen = Chosen {
                 version,
                 plan,
                 mean,
@@ -108,16 +108,16 @@
                 candidates: &candidates,
                 terms,
             };
-            match self.step(&mut work, step, &mut course).await? {
-                Step::Served(served) => return Ok(*served),
-                Step::Next => {}
+            match self.step(&mut work, chosen, &mut progress).await? {
+                Outcome::Served(served) => return Ok(*served),
+                Outcome::Next => {}
             }
         }
-        self.settle(work, course).await
+        self.finish_with_fallback(work, progress).await
     }
 }
 
-/// The step chosen.
+/// The version chosen for a step.
 struct Chosen<'a> {
     version: &'a Version,
     plan: Plan,
@@ -134,27 +134,32 @@
         versions.cloned().collect()
     }
 
-    fn candidates(&self, work: &Work<'_>, versions: &[Version], course: &Course) -> Vec<Candidate> {
+    fn candidates(
+        &self,
+        work: &Work<'_>,
+        versions: &[Version],
+        progress: &Progress,
+    ) -> Vec<Candidate> {
         let node = self.0;
         let now = node.clock.now();
-        let request = &work.funded.bound.request;
+        let request = &work.funded.resolved.request;
         let class = &request.class.name;
         let input = estimate::prompt_tokens(&request.chat);
         let output = node
             .estimates
-            .answer_tokens(&request.customer, class, work.funded.output);
+            .answer_tokens(&request.customer, class, work.funded.max_output);
         let candidate = |version: &Version| {
-            let (mean, lower) = node
-                .estimates
-                .quality(&request.customer, class, version, now);
+            let (mean, lower_bound) =
+                node.estimates
+                    .quality(&request.customer, class, version, now);
             let pool = node.scheduler.pool(&version.pool);
-            let untried = course.tried.binary_search(&version.id).is_err();
+            let untried = progress.tried.binary_search(&version.id).is_err();
             Candidate {
                 cost: version.price.of(input, output),
                 run_time: pool.expected_run_time(Some(&version.id), input + output),
                 mean,
-                lower_bound: lower,
-                usable: untried && mean > course.short && pool.holds(Some(&version.id)),
+                lower_bound,
+                usable: untried && mean > progress.best_rejected && pool.holds(Some(&version.id)),
             }
         };
         versions.iter().map(candidate).collect()
@@ -163,14 +168,14 @@
     fn terms(&self, work: &Work<'_>) -> Terms {
         let node = self.0;
         let now = node.clock.now();
-        let request = &work.funded.bound.request;
+        let request = &work.funded.resolved.request;
         let rating = node
             .rater
             .as_ref()
             .and_then(|_| node.rating.expected_time(now));
         Terms {
             target: request.class.quality,
-            budget: work.funded.fund.most,
+            budget: work.funded.reservation.max_charge,
             time_left: request.identity.deadline.since(now),
             rating_time: rating,
             cost_per_second: node.config.second_worth,
@@ -178,10 +183,10 @@
     }
 
     fn head(&self, work: &Work<'_>, pins: &[Pin], version: &Version) -> Head {
-        let request = &work.funded.bound.request;
-        let kept = pins.iter().all(|pin| pin.was_pinned);
+        let request = &work.funded.resolved.request;
+        let unchanged = pins.iter().all(|pin| pin.was_pinned);
         let token = match &request.token {
-            Some(token) if kept => token.clone(),
+            Some(token) if unchanged => token.clone(),
             _ => {
                 let mut session = request.session.clone();
                 session.pin(&request.class, pins.iter().map(|pin| &pin.version));
@@ -200,63 +205,64 @@
         &self,
         work: &mut Work<'_>,
         chosen: Chosen<'_>,
-        course: &mut Course,
-    ) -> Result<Step, Refusal> {
+        progress: &mut Progress,
+    ) -> Result<Outcome, Refusal> {
         let live = chosen.plan.release == Release::Unrated;
         work.delivery.begin(chosen.head.clone(), live);
-        let mut ask = Ask {
-            paid: Arc::default(),
-            request: &work.funded.bound.request,
+        let mut context = attempt::Context {
+            prepaid: Arc::default(),
+            request: &work.funded.resolved.request,
             version: &chosen.version.id,
             pool: &chosen.version.pool,
-            output: work.funded.output,
+            max_output: work.funded.max_output,
             delivery: work.delivery,
             trace: work.trace,
         };
-        match Attempt(self.0).answer(&mut ask).await {
-            Ok(answer) => self.judge(work, chosen, answer, course).await,
-            Err(stop) => self.stopped(work, &chosen, stop, course),
+        match Attempt(self.0).answer(&mut context).await {
+            Ok(answer) => self.evaluate(work, chosen, answer, progress).await,
+            Err(error) => self.handle_error(work, &chosen, error, progress),
         }
     }
 
-    /// Goes on with another version, unless the caller has a part of this one's answer.
-    fn stopped(
+    /// Continues with another version, unless a part of this one's answer was sent to the caller or the caller
+    /// disconnected.
+    fn handle_error(
         &self,
         work: &Work<'_>,
         chosen: &Chosen<'_>,
-        stop: Stop,
-        course: &mut Course,
-    ) -> Result<Step, Refusal> {
+        error: attempt::Error,
+        progress: &mut Progress,
+    ) -> Result<Outcome, Refusal> {
         let version = &chosen.version.id;
-        let (refusal, last) = match stop {
-            Stop::Withdrawn => {
-                log::info!("cascade: {version} may no longer be used, asking another.");
-                (work.trace.amend(contract::none()), false)
+        let (refusal, is_final) = match error {
+            attempt::Error::Withdrawn => {
+                log::info!("cascade: {version} may no longer be used, trying another version.");
+                (work.trace.amend(contract::no_version()), false)
             }
-            Stop::Refused(refusal) => (work.trace.amend(refusal), false),
-            Stop::Failed(fault) => {
-                let gone = fault == pimento_endpoint::Fault::Cancelled;
-                (work.trace.refusal(&fault), gone)
+            attempt::Error::Refused(refusal) => (work.trace.amend(refusal), false),
+            attempt::Error::Failed(fault) => {
+                let caller_gone = fault == pimento_endpoint::Fault::Cancelled;
+                (work.trace.refusal(&fault), caller_gone)
             }
         };
         self.0.metrics.step(version, "none");
-        if last || work.delivery.has_started() {
+        if is_final || work.delivery.has_started() {
             return Err(refusal);
         }
-        course.refusal = Some(refusal);
-        course.exclude(version);
-        Ok(Step::Next)
+        progress.refusal = Some(refusal);
+        progress.exclude(version);
+        Ok(Outcome::Next)
     }
 
-    async fn judge(
+    async fn evaluate(
         &self,
         work: &mut Work<'_>,
         chosen: Chosen<'_>,
         answer: Answer,
-        course: &mut Course,
-    ) -> Result<Step, Refusal> {
+        progress: &mut Progress,
+    ) -> Result<Outcome, Refusal> {
         let node = self.0;
-        let request = &work.funded.bound.request;
+        let request = &work.funded.resolved.request;
         let class = &request.class.name;
         let subject = Subject::new(
             &request.customer,
@@ -267,12 +273,12 @@
         );
         let pass = match chosen.plan.release {
             Release::Unrated => {
-                self.sample(subject);
+                self.sample_rating(subject);
                 Some(true)
             }
             Release::Rated => rate::rate(node, subject, request.identity.deadline).await,
         };
-        let accepted = pass.unwrap_or_else(|| chosen.enough());
+        let accepted = pass.unwrap_or_else(|| chosen.acceptable_unrated());
         let result = match pass {
             Some(true) => "accepted",
             Some(false) => "short",
@@ -286,11 +292,11 @@
         };
         if accepted {
             self.release(work).await?;
-            return Ok(Step::Served(Box::new(served)));
+            return Ok(Outcome::Served(Box::new(served)));
         }
-        course.exclude(&served.version.id);
-        course.keep(chosen.mean, served);
-        Ok(Step::Next)
+        progress.exclude(&served.version.id);
+        progress.offer_fallback(chosen.mean, served);
+        Ok(Outcome::Next)
     }
 
     async fn release(&self, work: &mut Work<'_>) -> Result<(), Refusal> {
@@ -298,31 +304,35 @@
         released.map_err(|fault| work.trace.refusal(&fault))
     }
 
-    /// Rates some of the answers that were released unrated, so that the estimate stays true.
-    fn sample(&self, subject: Subject) {
+    /// Rates a sample of the answers that were released unrated, so that the estimates stay accurate.
+    fn sample_rating(&self, subject: Subject) {
         if self.0.rater.is_none() || !cascade::should_sample(rand::random()) {
             return;
         }
         let Some(node) = self.0.shared() else {
             return;
         };
-        let deadline = node.clock.now() + AFTERWARDS;
+        let deadline = node.clock.now() + SAMPLE_RATING_TIMEOUT;
         self.0
             .tasks
             .spawn(async move { rate::rate(&node, subject, deadline).await });
     }
 
-    /// Gives the best answer there is: the contracted quality is a share of answers, and one that
-    /// fell short is more use than none.
-    async fn settle(&self, mut work: Work<'_>, course: Course) -> Result<Served, Refusal> {
-        if let Some((_, served)) = course.fallback {
+    /// Returns the best answer available. The contracted quality applies to a share of the answers, and an
+    /// answer that was not accepted is more useful than none.
+    async fn finish_with_fallback(
+        &self,
+        mut work: Work<'_>,
+        progress: Progress,
+    ) -> Result<Served, Refusal> {
+        if let Some((_, served)) = progress.fallback {
             work.delivery.restore(served.head.clone(), &served.answer);
             self.release(&mut work).await?;
             return Ok(served);
         }
-        Err(course.refusal.unwrap_or_else(|| {
+        Err(progress.refusal.unwrap_or_else(|| {
             let fault = pimento_endpoint::Fault::Unreachable {
-                reason: "no endpoint holds a version that may answer".into(),
+                reason: "no endpoint serves a version that may answer".into(),
             };
             work.trace.refusal(&fault)
         }))
@@ -330,8 +340,8 @@
 }
 
 impl Chosen<'_> {
-    /// Whether the answer would be released without a rating, now that none can be had.
-    fn enough(&self) -> bool {
+    /// Whether the answer would be released without a rating, given that none is available.
+    fn acceptable_unrated(&self) -> bool {
         let terms = Terms {
             rating_time: None,
             budget: Money::MAX,
@@ -342,17 +352,17 @@
     }
 }
 
-impl Course {
+impl Progress {
     fn exclude(&mut self, version: &id::Version) {
-        if let Err(place) = self.tried.binary_search(version) {
-            self.tried.insert(place, version.clone());
+        if let Err(index) = self.tried.binary_search(version) {
+            self.tried.insert(index, version.clone());
         }
     }
 
-    fn keep(&mut self, mean: f64, served: Served) {
-        self.short = self.short.max(mean);
-        let better = self.fallback.as_ref().is_none_or(|(best, _)| mean > *best);
-        if better {
+    fn offer_fallback(&mut self, mean: f64, served: Served) {
+        self.best_rejected = self.best_rejected.max(mean);
+        let is_better = self.fallback.as_ref().is_none_or(|(best, _)| mean > *best);
+        if is_better {
             self.fallback = Some((mean, served));
         }
     }
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -1,5 +1,5 @@
-//! The claim of a call that may not be repeated: made in the platform's log before any byte is
-//! sent, and read back as the first.
+//! Claims of calls that are not repeatable. The claim is appended to the platform's log before any byte of
+//! the call is sent, and the call is sent only if reading the log back shows the claim as the first.
 
 use pimento_coordination::claims;
 use pimento_coordination::claims::Ticket;
@@ -21,23 +21,23 @@
 #[derive(Debug, Clone)]
 pub struct Claim<'a>(pub &'a Node);
 
-/// The call to be claimed.
+/// The call to claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Subject {
     /// The request id.
     pub request: id::Request,
     /// Hash of customer, method, path and body.
     pub digest: u64,
-    /// When the whole answer must be there.
+    /// Deadline of the complete answer.
     pub deadline: Moment,
 }
 
-/// What came of it.
+/// Result of a claim.
 #[derive(Debug)]
 pub enum Claimed {
-    /// The call may be sent, by the ticket.
+    /// This node may send the call with the ticket.
     Owned(Ticket),
-    /// It was made before; this is its answer.
+    /// The call was made before; this is its answer.
     Answered(Answer),
 }
 
@@ -54,44 +54,45 @@
             .await;
         match verdict.map_err(|error| refusal(&error))? {
             Verdict::Owned(ticket) => Ok(Claimed::Owned(ticket)),
-            Verdict::Taken(owner) => self.taken(subject, owner).await,
+            Verdict::Taken(owner) => self.resolve_taken(subject, owner).await,
         }
     }
 }
 
 impl Claim<'_> {
-    /// The kept answer, if this node has it. Needs no log.
+    /// The answer, if this node has retained it. Does not use the log.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if the id stands for another call.
-    pub fn kept(&self, subject: Subject) -> Result<Option<Answer>, Refusal> {
+    /// A [`Refusal`] if the request id was used for another call.
+    pub fn retained(&self, subject: Subject) -> Result<Option<Answer>, Refusal> {
         match self.0.kept.get(subject.request) {
-            Some(answer) if answer.digest != subject.digest => Err(reused()),
+            Some(answer) if answer.digest != subject.digest => Err(reused_id()),
             answer => Ok(answer),
         }
     }
 
-    async fn taken(&self, subject: Subject, owner: Owner) -> Result<Claimed, Refusal> {
+    async fn resolve_taken(&self, subject: Subject, owner: Owner) -> Result<Claimed, Refusal> {
         if owner.digest != subject.digest {
-            return Err(reused());
+            return Err(reused_id());
         }
-        if let Some(answer) = self.kept(subject)? {
+        if let Some(answer) = self.retained(subject)? {
             return Ok(Claimed::Answered(answer));
         }
-        if let Some(answer) = self.fetch(subject, &owner).await {
+        if let Some(answer) = self.fetch_answer(subject, &owner).await {
             return Ok(Claimed::Answered(answer));
         }
         let run = match owner.run {
             Some(record::Run::Ran) => Run::Ran,
             Some(record::Run::NotRun | record::Run::Unknown) | None => Run::Unknown,
         };
-        let message = "the call was made before under this request id, and its answer is not here";
+        let message =
+            "the call was made before under this request id, and its answer is not available";
         Err(Refusal::new(Code::AlreadyClaimed, message, run))
     }
 
-    /// Asks the node that made the call for the answer that it kept.
-    async fn fetch(&self, subject: Subject, owner: &Owner) -> Option<Answer> {
+    /// Fetches the answer from the node that made the call.
+    async fn fetch_answer(&self, subject: Subject, owner: &Owner) -> Option<Answer> {
         let node = self.0;
         let peers = node.mesh.peers();
         let peer = peers.iter().find(|peer| peer.node == owner.node)?;
@@ -112,7 +113,7 @@
             Ok(_) => None,
             Err(error) => {
                 log::info!(
-                    "claims: Answer of {} not fetched: {error}.",
+                    "claims: Could not fetch the answer of {}: {error}.",
                     subject.request
                 );
                 None
@@ -121,8 +122,8 @@
     }
 }
 
-fn reused() -> Refusal {
-    let message = "the request id stands for another call";
+fn reused_id() -> Refusal {
+    let message = "the request id was used for another call";
     Refusal::not_run(Code::ReusedRequestId, message)
 }
 
--- a/crates/entry/src/filter/identify.rs
+++ b/crates/entry/src/filter/identify.rs
@@ -1,4 +1,4 @@
-//! Which request it is: id, deadline, session, class and body.
+//! Identifies a request: id, deadline, session, class and body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,80 +28,81 @@
 use crate::refusal::Refusal;
 use crate::session::Session;
 
-/// How long to wait for a configuration that the caller's token was issued under, but which this
-/// node has not read yet: a few times what a change takes to spread in a zone.
-const BEHIND: Duration = Duration::from_millis(500);
+/// How long to wait until this node has read the configuration under which the caller's token was issued: a
+/// few times as long as a change takes to spread in a zone.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a request in flight costs beside its body: its task, buffers of its connections and the
-/// pieces that wait for a slow reader.
-const OVERHEAD: usize = 16 << 10;
+/// Memory of a request in flight in addition to its body: its task, the buffers of its connections and the
+/// chunks that wait for a slow reader.
+const REQUEST_OVERHEAD_BYTES: usize = 16 << 10;
 
-/// The unit in which memory of requests is counted, since a semaphore counts in 32 bits.
+/// The unit in which the memory of requests is counted. A semaphore's 32-bit count is too small for bytes.
 pub const MEMORY_UNIT_BYTES: usize = 1 << 10;
 
-/// Reads what a model request says of itself.
+/// Parses and identifies a model request.
 #[derive(Debug, Clone)]
 pub struct Identify<'a>(pub &'a Node);
 
-/// What every request says of itself.
+/// Properties that every request has.
 #[derive(Debug, Clone)]
 pub struct Identity {
     /// The request id.
     pub id: id::Request,
-    /// Whether the caller chose it, so that it may ask again under it.
-    pub given: bool,
-    /// Whether it was made a while ago: the caller comes back with a request that was refused.
-    pub returning: bool,
+    /// Whether the caller chose the id, so that it may send the request again under it.
+    pub caller_chosen: bool,
+    /// Whether the age of the id shows that the caller sends the request again, after a refusal.
+    pub is_retry: bool,
     /// When it arrived.
     pub arrived: Moment,
     /// When the whole answer must be there.
     pub deadline: Moment,
     /// Cancelled when the caller went away.
-    pub gone: CancellationToken,
-    /// The request's part of the memory for requests in flight.
-    pub room: Arc<OwnedSemaphorePermit>,
+    pub caller_gone: CancellationToken,
+    /// The request's share of the memory for requests in flight.
+    pub memory: Arc<OwnedSemaphorePermit>,
 }
 
-/// A body and its part of the memory for requests in flight.
+/// A body and its share of the memory for requests in flight.
 #[derive(Debug, Clone)]
 pub struct Content {
     /// The bytes.
     pub bytes: Bytes,
-    /// The memory.
-    pub room: Arc<OwnedSemaphorePermit>,
+    /// The share.
+    pub memory: Arc<OwnedSemaphorePermit>,
 }
 
-/// A model request as it came.
+/// A model request before it is parsed.
 #[derive(Debug)]
 pub struct Raw<'a> {
     /// Its caller.
     pub caller: Caller,
     /// Its headers.
     pub headers: &'a HeaderMap,
-    /// Its body, whole.
+    /// Its complete body.
     pub body: Content,
     /// Cancelled when the caller went away.
-    pub gone: CancellationToken,
+    pub caller_gone: CancellationToken,
 }
 
-/// A model request that was understood.
+/// A valid model request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What it says of itself.
+    /// Id, deadline and other common properties.
     pub identity: Identity,
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: id::Customer,
     /// The customer's weight.
     pub weight: u32,
-    /// The class asked for.
+    /// The requested class.
     pub class: Class,
     /// The conversation.
     pub chat: Chat,
-    /// What it shares with its caller's later tries.
+    /// Digest of customer and body, by which requests that crash endpoints are blocked. It is the same when
+    /// the caller sends the request again.
     pub digest: Digest,
-    /// The session, new if the caller has none.
+    /// The session; a new one if the caller sent no token.
     pub session: Session,
-    /// The token that the caller sent, if it still counts as it is.
+    /// The token that the caller sent, if it has not expired.
     pub token: Option<String>,
 }
 
@@ -120,8 +121,14 @@
         let contract = raw.caller.state.contract(&customer).ok_or_else(unknown)?;
         let class = contract.class(&chat.model).ok_or_else(unknown)?.clone();
         let weight = contract.weight;
-        let default = class.timeout.duration();
-        let identity = identity(node, raw.headers, default, raw.gone, raw.body.room)?;
+        let default_timeout = class.timeout.duration();
+        let identity = identity(
+            node,
+            raw.headers,
+            default_timeout,
+            raw.caller_gone,
+            raw.body.memory,
+        )?;
         let (session, token) = self.session(raw.headers, &customer).await?;
         Ok(Request {
             identity,
@@ -144,7 +151,7 @@
     ) -> Result<(Session, Option<String>), Refusal> {
         let node = self.0;
         let now = node.clock.wall();
-        let Some(text) = text(headers, header::SESSION_TOKEN)? else {
+        let Some(text) = header_text(headers, header::SESSION_TOKEN)? else {
             let session = Session {
                 id: id::Session(Uuid::now_v7()),
                 customer: customer.clone(),
@@ -161,7 +168,7 @@
             session.pins.clear();
             return Ok((session, None));
         }
-        node.state.reach(session.offset, BEHIND).await;
+        node.state.reach(session.offset, CATCH_UP_TIMEOUT).await;
         Ok((session, Some(text.into())))
     }
 }
@@ -170,36 +177,39 @@
 ///
 /// # Errors
 ///
-/// A [`Refusal`] if it is too large or breaks off, or if requests in flight fill the memory meant
-/// for them.
+/// A [`Refusal`] if the body is too large or incomplete, or if requests in flight use all of the memory
+/// reserved for them.
 pub async fn body(node: &Node, body: Incoming) -> Result<Content, Refusal> {
     let limit = node.config.max_body;
-    let announced = body.size_hint().exact();
-    let size = announced.and_then(|size| usize::try_from(size).ok());
-    let size = size.unwrap_or(limit).min(limit) + OVERHEAD;
+    let declared_size = body.size_hint().exact();
+    let size = declared_size.and_then(|size| usize::try_from(size).ok());
+    let size = size.unwrap_or(limit).min(limit) + REQUEST_OVERHEAD_BYTES;
     let units = u32::try_from(size.div_ceil(MEMORY_UNIT_BYTES)).unwrap_or(u32::MAX);
-    let room = Arc::clone(&node.room).try_acquire_many_owned(units);
-    let room = room.map_err(|_| {
-        /// The queues drain meanwhile; how fast is not known here.
-        const AGAIN: Duration = Duration::from_secs(1);
-        let message = "requests in flight fill the memory meant for them";
-        Refusal::not_run(Code::Overloaded, message).retry_after(AGAIN)
+    let memory = Arc::clone(&node.room).try_acquire_many_owned(units);
+    let memory = memory.map_err(|_| {
+        /// Time for the queues to drain; how long that takes is not known here.
+        const RETRY_AFTER: Duration = Duration::from_secs(1);
+        let message = "requests in flight use all of the memory reserved for them";
+        Refusal::not_run(Code::Overloaded, message).retry_after(RETRY_AFTER)
     })?;
-    let bytes = read(body, limit).await?;
+    let bytes = read_body(body, limit).await?;
     Ok(Content {
         bytes,
-        room: Arc::new(room),
+        memory: Arc::new(memory),
     })
 }
 
-async fn read(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
     match Limited::new(body, limit).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             let message = format!("the body is over {limit} bytes");
             Err(Refusal::not_run(Code::LargeBody, message))
         }
-        Err(_) => Err(Refusal::not_run(Code::MalformedBody, "the body broke off")),
+        Err(_) => Err(Refusal::not_run(
+            Code::MalformedBody,
+            "the body is incomplete",
+        )),
     }
 }
 
@@ -216,69 +226,72 @@
     Ok(chat)
 }
 
-/// Age from which a request id tells of a second call. A first one takes less from its caller to us,
-/// and nobody is told to come back sooner.
-const RETURNS: Duration = Duration::from_secs(1);
+/// Age of a request id above which the request counts as a retry. A first attempt takes less time to arrive,
+/// and no refusal asks for an earlier retry.
+const RETRY_AGE: Duration = Duration::from_secs(1);
 
-fn returns(id: id::Request, now: Wall) -> bool {
+fn is_retry(id: id::Request, now: Wall) -> bool {
     id.created()
-        .is_some_and(|created| now.since(created) > RETURNS)
+        .is_some_and(|created| now.since(created) > RETRY_AGE)
 }
 
-/// Reads request id and deadline; `default` is the wait if the caller names none.
+/// Reads the request id and the deadline; `default_timeout` is the timeout if the caller sends none.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] if a header can't be read.
+/// A [`Refusal`] if a header is invalid.
 pub fn identity(
     node: &Node,
     headers: &HeaderMap,
-    default: Duration,
-    gone: CancellationToken,
-    room: Arc<OwnedSemaphorePermit>,
+    default_timeout: Duration,
+    caller_gone: CancellationToken,
+    memory: Arc<OwnedSemaphorePermit>,
 ) -> Result<Identity, Refusal> {
-    let given = text(headers, header::IDEMPOTENCY_KEY)?;
+    let given = header_text(headers, header::IDEMPOTENCY_KEY)?;
     let id = match given {
         None => id::Request(Uuid::now_v7()),
         Some(text) => text
             .parse()
-            .map_err(|error| bad(header::IDEMPOTENCY_KEY, error))?,
+            .map_err(|error| bad_header(header::IDEMPOTENCY_KEY, error))?,
     };
-    let wait = match text(headers, header::REQUEST_TIMEOUT)? {
-        None => default,
-        Some(text) => seconds(text)
-            .ok_or_else(|| bad(header::REQUEST_TIMEOUT, "not a positive number of seconds"))?,
+    let timeout = match header_text(headers, header::REQUEST_TIMEOUT)? {
+        None => default_timeout,
+        Some(text) => parse_seconds(text).ok_or_else(|| {
+            bad_header(header::REQUEST_TIMEOUT, "not a positive number of seconds")
+        })?,
     };
     let arrived = node.clock.now();
     Ok(Identity {
         id,
-        given: given.is_some(),
-        returning: given.is_some() && returns(id, node.clock.wall()),
+        caller_chosen: given.is_some(),
+        is_retry: given.is_some() && is_retry(id, node.clock.wall()),
         arrived,
-        deadline: arrived + wait.min(node.config.max_timeout),
-        gone,
-        room,
+        deadline: arrived + timeout.min(node.config.max_timeout),
+        caller_gone,
+        memory,
     })
 }
 
-fn seconds(text: &str) -> Option<Duration> {
+fn parse_seconds(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok()?;
-    let span = Duration::try_from_secs_f64(seconds).ok()?;
-    (!span.is_zero()).then_some(span)
+    let duration = Duration::try_from_secs_f64(seconds).ok()?;
+    (!duration.is_zero()).then_some(duration)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad(name, "given more than once"));
+        return Err(bad_header(name, "given more than once"));
     }
-    let text = value.to_str().map_err(|_| bad(name, "not plain text"))?;
+    let text = value
+        .to_str()
+        .map_err(|_| bad_header(name, "not plain text"))?;
     Ok(Some(text.trim()))
 }
 
-fn bad(name: &str, problem: impl std::fmt::Display) -> Refusal {
+fn bad_header(name: &str, problem: impl std::fmt::Display) -> Refusal {
     Refusal::not_run(Code::BadHeader, format!("header `{name}`: {problem}"))
 }
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -1,4 +1,4 @@
-//! The rating of whole answers, and what is learnt from it.
+//! Rates complete answers and records the results.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -14,24 +14,24 @@
 
 use crate::node::Node;
 
-/// How long the rating service is left alone once it failed twice in a row, doubled with each further
-/// failure: calls meanwhile would each wait for nothing while a caller waits for them.
-const REST: Duration = Duration::from_millis(500);
+/// How long the rating service is not called after two failures in a row; doubled with each further failure.
+/// Calls during an outage would delay callers without a result.
+const MIN_BACKOFF: Duration = Duration::from_millis(500);
 
-/// The longest rest, so that a service that is back is used again within seconds.
-const LONGEST: Duration = Duration::from_secs(8);
+/// Maximum backoff, so that a service that has recovered is used again within seconds.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Failures in a row that are taken for chance. While the service rests, requests go to versions that
-/// need no rating, at several times the cost: one failed call in ten must not bring that about.
-const CHANCE: u32 = 1;
+/// Failures in a row that do not start a backoff. During a backoff, requests go to versions that need no
+/// rating, at several times the cost, which occasional failures, such as of one call in ten, must not cause.
+const TOLERATED_FAILURES: u32 = 1;
 
-/// How long a rating is expected to take before any was seen.
-const FIRST: Duration = Duration::from_millis(50);
+/// Expected time of a rating before any was observed.
+const DEFAULT_TIME: Duration = Duration::from_millis(50);
 
-/// Weight of a new rating in the mean time.
-const WEIGHT: f64 = 0.2;
+/// Weight of a new rating in the exponentially weighted mean time.
+const MEAN_WEIGHT: f64 = 0.2;
 
-/// Whether the rating service answers, and how fast.
+/// Availability and response time of the rating service.
 #[derive(Debug, Default)]
 pub struct Health {
     inner: Mutex<Inner>,
@@ -39,8 +39,11 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    mean: Option<Duration>,
-    rest: Option<Moment>,
+    /// Mean time of a rating.
+    mean_time: Option<Duration>,
+    /// When the present backoff ends.
+    backoff_until: Option<Moment>,
+    /// Failures in a row.
     failures: u32,
 }
 
@@ -49,39 +52,39 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How long a rating takes; none while the service is out.
+    /// Expected time of a rating; none during a backoff.
     #[must_use]
     pub fn expected_time(&self, now: Moment) -> Option<Duration> {
         let inner = self.lock();
-        let resting = inner.rest.is_some_and(|until| now < until);
-        (!resting).then(|| inner.mean.unwrap_or(FIRST))
+        let backing_off = inner.backoff_until.is_some_and(|until| now < until);
+        (!backing_off).then(|| inner.mean_time.unwrap_or(DEFAULT_TIME))
     }
 
-    /// Learns of a rating.
-    pub fn record_success(&self, took: Duration) {
+    /// Records a rating.
+    pub fn record_success(&self, elapsed: Duration) {
         let mut inner = self.lock();
-        let mean = inner.mean.unwrap_or(took);
-        inner.mean = Some(mean.mul_f64(1.0 - WEIGHT) + took.mul_f64(WEIGHT));
-        inner.rest = None;
+        let mean = inner.mean_time.unwrap_or(elapsed);
+        inner.mean_time = Some(mean.mul_f64(1.0 - MEAN_WEIGHT) + elapsed.mul_f64(MEAN_WEIGHT));
+        inner.backoff_until = None;
         inner.failures = 0;
     }
 
-    /// Learns that a rating could not be had.
+    /// Records a failed rating.
     pub fn record_failure(&self, now: Moment) {
         let mut inner = self.lock();
         inner.failures = inner.failures.saturating_add(1);
-        let Some(further) = inner.failures.checked_sub(CHANCE + 1) else {
+        let Some(doublings) = inner.failures.checked_sub(TOLERATED_FAILURES + 1) else {
             return;
         };
-        let rest = REST.saturating_mul(1 << further.min(u32::BITS - 1));
-        inner.rest = Some(now + rest.min(LONGEST));
+        let backoff = MIN_BACKOFF.saturating_mul(1 << doublings.min(u32::BITS - 1));
+        inner.backoff_until = Some(now + backoff.min(MAX_BACKOFF));
     }
 }
 
-/// An answer to be rated.
+/// An answer to rate.
 #[derive(Debug, Clone)]
 pub struct Subject {
-    /// Whose request it answers.
+    /// The customer whose request it answers.
     pub customer: id::Customer,
     /// The request's class.
     pub class: id::Class,
@@ -115,11 +118,11 @@
     }
 }
 
-/// Rates an answer and learns from it; none if the rating could not be had by `deadline`.
+/// Rates an answer and records the result. Returns none if there is no rating by `deadline`.
 pub async fn rate(node: &Node, subject: Subject, deadline: Moment) -> Option<bool> {
     let rater = node.rater.as_ref()?;
-    let begun = node.clock.now();
-    node.rating.expected_time(begun)?;
+    let started = node.clock.now();
+    node.rating.expected_time(started)?;
     let call = rater.rate(platform::Rate {
         version: subject.version.id.clone(),
         class: subject.class.clone(),
@@ -130,7 +133,7 @@
     let now = node.clock.now();
     match result {
         Ok(Ok(rating)) => {
-            node.rating.record_success(now.since(begun));
+            node.rating.record_success(now.since(started));
             let Subject {
                 customer,
                 class,
--- a/crates/entry/src/filter/reply.rs
+++ b/crates/entry/src/filter/reply.rs
@@ -1,4 +1,4 @@
-//! The response that a caller gets.
+//! Responses to callers.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -19,28 +19,28 @@
 
 use crate::filter::assemble::Answer;
 
-/// Headers of a model answer.
+/// Values of the headers of a model answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The version that answers.
+    /// The version that answered.
     pub version: CompactString,
     /// The session token.
     pub token: String,
 }
 
 impl Head {
-    /// A streamed response.
+    /// Builds a streamed response.
     #[must_use]
     pub fn stream(&self, body: Reply) -> Response<Reply> {
         let mut response = Response::new(body);
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
         headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-cache"));
-        self.put(headers);
+        self.insert_headers(headers);
         response
     }
 
-    /// A whole response.
+    /// Builds a complete, non-streamed response.
     #[must_use]
     pub fn whole(&self, request: id::Request, now: Wall, answer: Answer) -> Response<Reply> {
         let completion = Completion {
@@ -59,17 +59,17 @@
             usage: answer.usage,
         };
         let mut response = json(&completion);
-        self.put(response.headers_mut());
+        self.insert_headers(response.headers_mut());
         response
     }
 
-    fn put(&self, headers: &mut HeaderMap) {
-        put(headers, header::MODEL_VERSION, &self.version);
-        put(headers, header::SESSION_TOKEN, &self.token);
+    fn insert_headers(&self, headers: &mut HeaderMap) {
+        insert_header(headers, header::MODEL_VERSION, &self.version);
+        insert_header(headers, header::SESSION_TOKEN, &self.token);
     }
 }
 
-fn put(headers: &mut HeaderMap, name: &'static str, value: &str) {
+fn insert_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
@@ -78,18 +78,18 @@
 /// A JSON response with status 200.
 #[must_use]
 pub fn json(body: &impl Serialize) -> Response<Reply> {
-    // Our own response types have string keys only, so that encoding can't fail.
+    // All keys of the response types are strings, so encoding can't fail.
     let body = serde_json::to_vec(body).unwrap_or_default();
     raw(StatusCode::OK, "application/json", body)
 }
 
-/// A response of any type.
+/// A response with any status and content type.
 #[must_use]
-pub fn raw(status: StatusCode, content: &str, body: impl Into<Bytes>) -> Response<Reply> {
+pub fn raw(status: StatusCode, content_type: &str, body: impl Into<Bytes>) -> Response<Reply> {
     let mut response = Response::new(Reply::whole(body));
     *response.status_mut() = status;
-    if let Ok(content) = HeaderValue::from_str(content) {
-        response.headers_mut().insert(CONTENT_TYPE, content);
+    if let Ok(value) = HeaderValue::from_str(content_type) {
+        response.headers_mut().insert(CONTENT_TYPE, value);
     }
     response
 }
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -1,4 +1,4 @@
-//! What was done so far for one request, from which follows what may be said of it.
+//! The attempts made so far for one request, which determine what the caller can be told about whether it ran.
 
 use std::time::Duration;
 
@@ -11,46 +11,47 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// When to ask again after endpoints could not take the call: a load report or a probe later.
-const AGAIN: Duration = Duration::from_secs(1);
+/// Retry delay after no endpoint could accept the call. The next load report or probe arrives within it.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The attempts of one request.
 #[derive(Debug, Clone, Default)]
 pub struct Trace {
+    /// Whether an endpoint may have started the request.
     started: bool,
-    /// Attempts made, without those that a full endpoint refused.
+    /// Attempts made, not counting those that a full endpoint refused.
     pub attempts: u32,
     /// Attempts that a full endpoint refused.
     pub refusals: u32,
-    /// Time in queues.
+    /// Time spent in queues.
     pub waited: Duration,
-    /// What the attempts cost us.
+    /// Cost of the attempts to the operator.
     pub cost: Money,
-    /// Endpoints that failed.
+    /// Endpoints at which attempts failed, not counting refusals by full endpoints.
     pub tried: Vec<id::Endpoint>,
 }
 
 impl Trace {
-    /// Notes that an endpoint answered, or may have begun to.
-    pub const fn begun(&mut self) {
+    /// Records that an endpoint answered or may have started the request.
+    pub const fn record_start(&mut self) {
         self.started = true;
     }
 
-    /// Notes a failed attempt. An endpoint that was full may be asked again.
-    pub fn failed(&mut self, endpoint: &id::Endpoint, fault: &Fault) {
+    /// Records a failed attempt. An endpoint that refused because it was full may be tried again.
+    pub fn record_failure(&mut self, endpoint: &id::Endpoint, fault: &Fault) {
         self.started |= !fault.not_run();
         if !matches!(fault, Fault::Refused { .. }) {
             self.tried.push(endpoint.clone());
         }
     }
 
-    /// Notes that the last attempt was refused by a full endpoint, which is no failure to retry.
-    pub const fn refused(&mut self) {
+    /// Records that a full endpoint refused the last attempt. It does not count as an attempt.
+    pub const fn record_refusal(&mut self) {
         self.refusals += 1;
         self.attempts = self.attempts.saturating_sub(1);
     }
 
-    /// What may be said to the caller.
+    /// Whether the request ran, as told to the caller.
     #[must_use]
     pub const fn run(&self) -> Run {
         if self.started {
@@ -60,9 +61,9 @@
         }
     }
 
-    /// What is written to the log.
+    /// Whether the request ran, as written to the replicated log.
     #[must_use]
-    pub const fn record(&self) -> record::Run {
+    pub const fn logged_run(&self) -> record::Run {
         if self.started {
             record::Run::Unknown
         } else {
@@ -70,26 +71,26 @@
         }
     }
 
-    /// The refusal after a last fault.
+    /// The refusal to return after the last attempt failed.
     #[must_use]
     pub fn refusal(&self, fault: &Fault) -> Refusal {
         let run = self.run();
         match fault {
-            Fault::Cancelled => Refusal::new(Code::CallerGone, "the caller went away", run),
-            Fault::Timeout => Refusal::new(Code::Timeout, "no whole answer in time", run),
+            Fault::Cancelled => Refusal::new(Code::CallerGone, "the caller disconnected", run),
+            Fault::Timeout => Refusal::new(Code::Timeout, "no complete answer in time", run),
             Fault::Refused { after, .. } if !self.started => {
                 Refusal::not_run(Code::NoEndpoint, fault.to_string())
-                    .retry_after(after.unwrap_or(AGAIN))
+                    .retry_after(after.unwrap_or(RETRY_AFTER))
             }
             _ if !self.started => {
-                Refusal::not_run(Code::NoEndpoint, fault.to_string()).retry_after(AGAIN)
+                Refusal::not_run(Code::NoEndpoint, fault.to_string()).retry_after(RETRY_AFTER)
             }
             _ => Refusal::new(Code::EndpointFailed, fault.to_string(), run),
         }
     }
 
-    /// A refusal that came while the request was under way: `not_run` holds only if no earlier
-    /// attempt may have begun.
+    /// Corrects a refusal that occurred between attempts: `not_run` holds only if no earlier attempt may
+    /// have started.
     #[must_use]
     pub fn amend(&self, mut refusal: Refusal) -> Refusal {
         if self.started && refusal.run == Run::NotRun {
