--- a/crates/entry/src/filter/identify.rs
+++ b/crates/entry/src/filter/identify.rs
@@ -56,7 +56,7 @@
     pub arrived: Moment,
     /// When the whole answer must be there.
     pub deadline: Moment,
-    /// Cancelled when the caller went away.
+    /// Cancelled when the caller disconnects.
     pub caller_gone: CancellationToken,
     /// The request's share of the memory for requests in flight.
     pub memory: Arc<OwnedSemaphorePermit>,
@@ -80,7 +80,7 @@
     pub headers: &'a HeaderMap,
     /// Its complete body.
     pub body: Content,
-    /// Cancelled when the caller went away.
+    /// Cancelled when the caller disconnects.
     pub caller_gone: CancellationToken,
 }
 
