--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -72,10 +72,10 @@
     pub connections: pimento_endpoint::Pool,
     pub scheduler: Scheduler,
     pub registry: Registry,
-    pub estimates: estimate::Book,
-    pub evidence: evidence::Book,
-    pub retries: retries::Book,
-    pub poison: poison::Book,
+    pub estimates: estimate::Estimator,
+    pub evidence: evidence::Tracker,
+    pub retries: retries::Tracker,
+    pub poison: poison::Tracker,
     pub rater: Option<rating::Remote>,
     pub rating: rate::Health,
     pub session_key: session::Key,
@@ -84,7 +84,7 @@
     pub wallet: Wallet,
     pub kept: Kept,
     pub mesh: Mesh,
-    /// Memory for requests in flight, in units of [`identify::UNIT`].
+    /// Memory for requests in flight, in units of [`identify::MEMORY_UNIT_BYTES`].
     pub room: Arc<Semaphore>,
     pub metrics: Metrics,
     /// Requests in flight and what they left behind to do.
@@ -157,10 +157,10 @@
             connections,
             scheduler,
             registry,
-            estimates: estimate::Book::default(),
-            evidence: evidence::Book::default(),
-            retries: retries::Book::default(),
-            poison: poison::Book::default(),
+            estimates: estimate::Estimator::default(),
+            evidence: evidence::Tracker::default(),
+            retries: retries::Tracker::default(),
+            poison: poison::Tracker::default(),
             rater,
             rating: rate::Health::default(),
             session_key: session::Key::derive(config.session_key.reveal()),
@@ -169,7 +169,9 @@
             wallet,
             kept: Kept::new(config.kept_bytes, config.claims_window),
             mesh,
-            room: Arc::new(Semaphore::new(config.request_memory / identify::UNIT)),
+            room: Arc::new(Semaphore::new(
+                config.request_memory / identify::MEMORY_UNIT_BYTES,
+            )),
             metrics: Metrics::new(config.metric_customers),
             tasks: TaskTracker::new(),
             leaving: CancellationToken::new(),
@@ -248,7 +250,7 @@
                 self.state.confirm(self.source.age());
             }
             self.spread();
-            self.hear_suspicions();
+            self.receive_suspicions();
             self.review();
             tokio::select! {
                 _ = changed.changed() => {}
