--- a/crates/entry/src/kept.rs
+++ b/crates/entry/src/answers.rs
@@ -32,7 +32,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    most: usize,
+    max_bytes: usize,
     window: Duration,
     bytes: usize,
     /// Sorted by request.
@@ -43,16 +43,16 @@
 
 /// The kept answers of a node; clones share them.
 #[derive(Debug, Clone)]
-pub struct Kept {
+pub struct Cache {
     inner: Arc<Mutex<Inner>>,
 }
 
-impl Kept {
-    /// Keeps at most `most` bytes, each answer for `window`.
+impl Cache {
+    /// Keeps at max_bytes `max_bytes` bytes, each answer for `window`.
     #[must_use]
-    pub fn new(most: usize, window: Duration) -> Self {
+    pub fn new(max_bytes: usize, window: Duration) -> Self {
         let inner = Inner {
-            most,
+            max_bytes,
             window,
             bytes: 0,
             answers: Vec::new(),
@@ -64,10 +64,10 @@
     }
 
     /// Keeps an answer. One that alone is over the bound is not kept.
-    pub fn put(&self, request: id::Request, answer: Answer, now: Moment) {
+    pub fn insert(&self, request: id::Request, answer: Answer, now: Moment) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let size = size(&answer);
-        if size > inner.most {
+        if size > inner.max_bytes {
             return;
         }
         inner.expire(now, size);
@@ -101,7 +101,7 @@
     /// Makes room for `size` bytes and drops what is past its window.
     fn expire(&mut self, now: Moment, size: usize) {
         while let Some((at, request)) = self.order.front().copied() {
-            let full = self.bytes + size > self.most;
+            let full = self.bytes + size > self.max_bytes;
             if !full && now.since(at) <= self.window {
                 return;
             }
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -27,6 +27,7 @@
 
 use self::call::Call;
 use self::call::read;
+use crate::answers;
 use crate::filter::Filter;
 use crate::filter::admission::Admission;
 use crate::filter::admission::Want;
@@ -41,7 +42,6 @@
 use crate::filter::claim::Subject;
 use crate::filter::contract::Contract;
 use crate::filter::reply;
-use crate::kept;
 use crate::metrics::NO_CLASS;
 use crate::metrics::Sample;
 use crate::node::Node;
@@ -93,7 +93,7 @@
     /// The service answered.
     Answered(service::Answer),
     /// It was made before; this is its answer.
-    Again(kept::Answer),
+    Again(answers::Answer),
 }
 
 /// Makes the call. A claim that was made is always followed by its outcome.
@@ -293,7 +293,8 @@
     }
     let now = node.clock.now();
     if let Some(subject) = call.claim {
-        node.kept.put(subject.request, keep(subject, &answer), now);
+        node.answers
+            .insert(subject.request, keep(subject, &answer), now);
     }
     let took = now.since(call.identity.arrived);
     let sample = Sample {
@@ -314,10 +315,10 @@
     Ok(response)
 }
 
-fn keep(subject: Subject, answer: &service::Answer) -> kept::Answer {
+fn keep(subject: Subject, answer: &service::Answer) -> answers::Answer {
     let content = answer.headers.get(CONTENT_TYPE);
     let content = content.and_then(|value| value.to_str().ok());
-    kept::Answer {
+    answers::Answer {
         digest: subject.digest,
         status: answer.status.as_u16(),
         content: content.unwrap_or_default().into(),
@@ -325,7 +326,7 @@
     }
 }
 
-fn again(answer: &kept::Answer) -> Response<Reply> {
+fn again(answer: &answers::Answer) -> Response<Reply> {
     let status = hyper::StatusCode::from_u16(answer.status).unwrap_or(hyper::StatusCode::OK);
     let mut response = reply::raw(status, &answer.content, answer.body.clone());
     let ran = hyper::header::HeaderValue::from_static(Run::Ran.as_str());
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -12,7 +12,7 @@
 use pimento_wire::peer;
 
 use super::Filter;
-use crate::kept::Answer;
+use crate::answers::Answer;
 use crate::node::Node;
 use crate::refusal::Code;
 use crate::refusal::Refusal;
@@ -66,7 +66,7 @@
     ///
     /// A [`Refusal`] if the id stands for another call.
     pub fn kept(&self, subject: Subject) -> Result<Option<Answer>, Refusal> {
-        match self.0.kept.get(subject.request) {
+        match self.0.answers.get(subject.request) {
             Some(answer) if answer.digest != subject.digest => Err(reused()),
             answer => Ok(answer),
         }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -5,13 +5,13 @@
 //! `pimento_scheduler` joins the decisions of `pimento_policy` into slots at endpoints. [`run::Running`]
 //! binds the listeners and ends without cutting a request; [`cli`] is the command line.
 
+pub mod answers;
 pub mod chain;
 pub mod cli;
 pub mod config;
 pub mod estimate;
 pub mod evidence;
 pub mod filter;
-pub mod kept;
 pub mod logs;
 pub mod metrics;
 pub mod node;
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -36,14 +36,14 @@
 use tokio_util::task::TaskTracker;
 use uuid::Uuid;
 
+use crate::answers::Cache;
 use crate::config::Config;
 use crate::estimate;
 use crate::evidence;
 use crate::filter::identify;
 use crate::filter::rate;
-use crate::kept::Kept;
 use crate::metrics::Metrics;
-use crate::peers::Answers;
+use crate::peers::CallHandler;
 use crate::poison;
 use crate::registry::poll;
 use crate::registry::poll::Registry;
@@ -82,7 +82,7 @@
     pub claimer: Claimer,
     pub outbox: Outbox,
     pub wallet: Wallet,
-    pub kept: Kept,
+    pub answers: Cache,
     pub mesh: Mesh,
     /// Memory for requests in flight, in units of [`identify::UNIT`].
     pub room: Arc<Semaphore>,
@@ -167,7 +167,7 @@
             claimer,
             outbox,
             wallet,
-            kept: Kept::new(config.kept_bytes, config.claims_window),
+            answers: Cache::new(config.kept_bytes, config.claims_window),
             mesh,
             room: Arc::new(Semaphore::new(config.request_memory / identify::UNIT)),
             metrics: Metrics::new(config.metric_customers),
@@ -178,7 +178,7 @@
             own: own.clone(),
             config,
         });
-        listener.serve(Answers::new(&node));
+        listener.serve(CallHandler::new(&node));
         node.spawn(token);
         Ok(node)
     }
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -85,7 +85,7 @@
     node.metrics.gauge(
         node.state.age(),
         waiting,
-        node.kept.bytes(),
+        node.answers.bytes(),
         &node.scheduler,
     );
     let state = node.state.current();
@@ -125,7 +125,7 @@
         list_doubted: table.doubted(),
         bills_waiting: node.outbox.waiting(),
         bill_copies: node.outbox.copies(),
-        kept_bytes: node.kept.bytes(),
+        kept_bytes: node.answers.bytes(),
         wrong_checkpoints: node.source().wrong_checkpoints(),
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Answers to other entry VMs.
+//! CallHandler to other entry VMs.
 
 use std::sync::Weak;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 /// How long records of a peer may take to reach the log. A peer's call does not wait longer.
 const APPEND: Duration = Duration::from_secs(2);
 
-/// Answers for one node. Holds no part of it alive: a node that has ended answers nothing.
+/// CallHandler for one node. Holds no part of it alive: a node that has ended answers nothing.
 #[derive(Debug)]
-pub struct Answers {
+pub struct CallHandler {
     node: Weak<Node>,
 }
 
-impl Answers {
-    /// Answers for `node`.
+impl CallHandler {
+    /// CallHandler for `node`.
     #[must_use]
     pub fn new(node: &std::sync::Arc<Node>) -> Self {
         Self {
@@ -30,7 +30,7 @@
     }
 }
 
-impl Handler for Answers {
+impl Handler for CallHandler {
     async fn handle(&self, call: Call) -> Answer {
         let Some(node) = self.node.upgrade() else {
             return Answer::Nothing;
@@ -71,7 +71,7 @@
 }
 
 fn fetch(node: &Node, request: pimento_units::id::Request) -> Answer {
-    node.kept
+    node.answers
         .get(request)
         .map_or(Answer::Nothing, |answer| Answer::Kept {
             status: answer.status,
