--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -143,9 +143,9 @@
         let scheduler = Scheduler::new(clock);
         let polling = poll::Config {
             zone: config.zone.clone(),
-            distance: config.zone_delay,
+            zone_delay: config.zone_delay,
             interval: config.poll_interval,
-            far: config.far_interval,
+            remote_interval: config.far_interval,
         };
         let registry = Registry::new(clock, polling, connections.clone(), scheduler.clone());
         let rater = config
@@ -259,7 +259,7 @@
 
     /// Tells the registry what peers know of departures, and peers what it knows.
     fn spread(&self) {
-        self.registry.depart(self.mesh.departures());
+        self.registry.record_departures(self.mesh.departures());
         for departure in self.registry.departures() {
             self.mesh.announce(departure);
         }
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -108,7 +108,7 @@
         name: endpoint.name.clone(),
         pool: endpoint.pool.clone(),
         zone: endpoint.zone.clone(),
-        usable: table.usable(endpoint),
+        usable: table.is_usable(endpoint),
         versions: endpoint
             .load
             .as_ref()
@@ -122,7 +122,7 @@
         pools: pools(node),
         departures: table.departures().to_vec(),
         quarantined: node.evidence.quarantined(),
-        list_doubted: table.doubted(),
+        list_doubted: table.distrusts_list(),
         bills_waiting: node.outbox.waiting(),
         bill_copies: node.outbox.copies(),
         kept_bytes: node.answers.bytes(),
--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -156,7 +156,7 @@
             return;
         }
         // One that leaves ends what runs there in its own time.
-        let Some(endpoint) = self.registry.staying(endpoint) else {
+        let Some(endpoint) = self.registry.get_active(endpoint) else {
             return;
         };
         let crash = end(&endpoint);
@@ -190,7 +190,7 @@
     async fn gone(&self, endpoint: &Endpoint) -> bool {
         let looks = UNNOTICED.as_millis() / LOOK.as_millis();
         for _ in 0..looks {
-            let known = self.registry.staying(&endpoint.name);
+            let known = self.registry.get_active(&endpoint.name);
             if known.is_none_or(|known| known.incarnation() != endpoint.incarnation()) {
                 return true;
             }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -21,14 +21,14 @@
 
 /// A list that misses more than one in so many of the endpoints known is doubted. Replacing VMs
 /// one by one, or losing a rack of a zone, stays below half.
-const DOUBT: usize = 2;
+const MAX_MISSING_DIVISOR: usize = 2;
 
 /// Load reports in a row that must fail before an engine gets no new work. One lost packet costs
 /// one report; a dead engine fails all.
-const SILENT: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 
 /// Departures remembered. An ordinary day has 120 VMs replaced.
-const DEPARTURES: usize = 1_024;
+const MAX_DEPARTURES: usize = 1_024;
 
 /// What an endpoint is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,15 +69,15 @@
 
     /// How old the engine's own load figures are.
     #[must_use]
-    pub fn age(&self, now: Moment) -> Duration {
+    pub fn load_age(&self, now: Moment) -> Duration {
         self.load.as_ref().map_or(Duration::MAX, |(load, at)| {
             now.since(*at) + Duration::from_millis(load.age_ms)
         })
     }
 
-    fn answers(&self) -> bool {
+    fn is_responsive(&self) -> bool {
         match self.kind {
-            Kind::Engine => self.load.is_some() && self.failures < SILENT,
+            Kind::Engine => self.load.is_some() && self.failures < MAX_FAILURES,
             Kind::Service => true,
         }
     }
@@ -88,72 +88,75 @@
 pub struct Table {
     endpoints: Vec<Endpoint>,
     /// Sorted.
-    departed: Vec<Departure>,
+    sorted_departures: Vec<Departure>,
     /// The same, oldest first.
     departures: Vec<Departure>,
-    doubted: bool,
+    list_distrusted: bool,
 }
 
 impl Table {
     /// Takes a list from the platform.
-    pub fn list(&mut self, vms: &Vms) {
+    pub fn update_list(&mut self, vms: &Vms) {
         let mut listed: Vec<Endpoint> = vms.vms.iter().filter_map(endpoint).collect();
         listed.sort_by(|one, other| one.name.cmp(&other.name));
         listed.dedup_by(|one, other| one.name == other.name);
         let missing = self.endpoints.iter().filter(|e| e.listed);
-        let missing = missing.filter(|e| find(&listed, &e.name).is_none()).count();
+        let missing = missing
+            .filter(|e| position(&listed, &e.name).is_none())
+            .count();
         let known = self.endpoints.iter().filter(|e| e.listed).count();
-        self.doubted = missing * DOUBT > known || (self.doubted && listed.is_empty());
-        if self.doubted {
+        self.list_distrusted =
+            missing * MAX_MISSING_DIVISOR > known || (self.list_distrusted && listed.is_empty());
+        if self.list_distrusted {
             log::warn!(
                 "registry: The VM list misses {missing} of {known} endpoints, not believed."
             );
         }
         for endpoint in &mut self.endpoints {
-            endpoint.listed &= self.doubted;
+            endpoint.listed &= self.list_distrusted;
         }
         for endpoint in listed {
-            self.admit(endpoint);
+            self.upsert(endpoint);
         }
         self.endpoints.retain(|e| e.listed);
     }
 
-    fn admit(&mut self, fresh: Endpoint) {
-        if fresh.leaving {
-            let incarnation = self.get(&fresh.name).map_or(0, Endpoint::incarnation);
-            self.depart(Departure {
-                endpoint: fresh.name.clone(),
+    fn upsert(&mut self, new: Endpoint) {
+        if new.leaving {
+            let incarnation = self.get(&new.name).map_or(0, Endpoint::incarnation);
+            self.record_departure(Departure {
+                endpoint: new.name.clone(),
                 incarnation,
             });
         }
-        let Some(place) = find(&self.endpoints, &fresh.name) else {
-            let place = self.endpoints.partition_point(|e| e.name < fresh.name);
-            self.endpoints.insert(place, fresh);
+        let Some(place) = position(&self.endpoints, &new.name) else {
+            let place = self.endpoints.partition_point(|e| e.name < new.name);
+            self.endpoints.insert(place, new);
             return;
         };
         let known = &mut self.endpoints[place];
         known.listed = true;
-        known.leaving = fresh.leaving;
-        if known.address != fresh.address {
-            known.address = fresh.address;
+        known.leaving = new.leaving;
+        if known.address != new.address {
+            known.address = new.address;
             known.load = None;
         }
-        known.pool = fresh.pool;
-        known.zone = fresh.zone;
+        known.pool = new.pool;
+        known.zone = new.zone;
     }
 
     /// Takes an engine's load report. A report of another endpoint is ignored: its address was
     /// given to a new VM.
-    pub fn report(&mut self, name: &id::Endpoint, load: Load, now: Moment) {
-        let Some(place) = find(&self.endpoints, name) else {
+    pub fn record_load(&mut self, name: &id::Endpoint, load: Load, now: Moment) {
+        let Some(place) = position(&self.endpoints, name) else {
             return;
         };
         if load.endpoint != *name {
-            self.fail(name);
+            self.record_failure(name);
             return;
         }
         if load.leaving {
-            self.depart(Departure {
+            self.record_departure(Departure {
                 endpoint: name.clone(),
                 incarnation: load.incarnation,
             });
@@ -164,28 +167,30 @@
     }
 
     /// Notes that an engine's load report could not be had.
-    pub fn fail(&mut self, name: &id::Endpoint) {
-        if let Some(place) = find(&self.endpoints, name) {
+    pub fn record_failure(&mut self, name: &id::Endpoint) {
+        if let Some(place) = position(&self.endpoints, name) {
             let endpoint = &mut self.endpoints[place];
             endpoint.failures = endpoint.failures.saturating_add(1);
         }
     }
 
     /// Takes anybody's word that an endpoint is leaving. True if it was news.
-    pub fn depart(&mut self, departure: Departure) -> bool {
-        if self.departed.binary_search(&departure).is_ok() {
+    pub fn record_departure(&mut self, departure: Departure) -> bool {
+        if self.sorted_departures.binary_search(&departure).is_ok() {
             return false;
         }
         log::info!(
             "registry: {} is leaving, no new work for it.",
             departure.endpoint
         );
-        if self.departures.len() == DEPARTURES {
+        if self.departures.len() == MAX_DEPARTURES {
             let oldest = self.departures.remove(0);
-            self.departed.retain(|known| *known != oldest);
+            self.sorted_departures.retain(|known| *known != oldest);
         }
-        let place = self.departed.partition_point(|known| *known < departure);
-        self.departed.insert(place, departure.clone());
+        let place = self
+            .sorted_departures
+            .partition_point(|known| *known < departure);
+        self.sorted_departures.insert(place, departure.clone());
         self.departures.push(departure);
         true
     }
@@ -198,18 +203,18 @@
 
     /// Whether an endpoint may take new work.
     #[must_use]
-    pub fn usable(&self, endpoint: &Endpoint) -> bool {
-        !self.leaves(endpoint) && endpoint.answers()
+    pub fn is_usable(&self, endpoint: &Endpoint) -> bool {
+        !self.is_leaving(endpoint) && endpoint.is_responsive()
     }
 
     /// Whether an endpoint is known to be leaving.
     #[must_use]
-    pub fn leaves(&self, endpoint: &Endpoint) -> bool {
+    pub fn is_leaving(&self, endpoint: &Endpoint) -> bool {
         let departure = Departure {
             endpoint: endpoint.name.clone(),
             incarnation: endpoint.incarnation(),
         };
-        endpoint.leaving || self.departed.binary_search(&departure).is_ok()
+        endpoint.leaving || self.sorted_departures.binary_search(&departure).is_ok()
     }
 
     /// All endpoints known, sorted by name.
@@ -220,18 +225,18 @@
 
     /// Whether the last list was not believed.
     #[must_use]
-    pub const fn doubted(&self) -> bool {
-        self.doubted
+    pub const fn distrusts_list(&self) -> bool {
+        self.list_distrusted
     }
 
     /// One endpoint.
     #[must_use]
     pub fn get(&self, name: &id::Endpoint) -> Option<&Endpoint> {
-        find(&self.endpoints, name).map(|place| &self.endpoints[place])
+        position(&self.endpoints, name).map(|place| &self.endpoints[place])
     }
 }
 
-fn find(endpoints: &[Endpoint], name: &id::Endpoint) -> Option<usize> {
+fn position(endpoints: &[Endpoint], name: &id::Endpoint) -> Option<usize> {
     endpoints.binary_search_by(|e| e.name.cmp(name)).ok()
 }
 
--- a/crates/entry/src/registry/poll.rs
+++ b/crates/entry/src/registry/poll.rs
@@ -26,8 +26,8 @@
 use super::Kind;
 use super::Table;
 
-/// Load reports asked for at once. Bounds the sockets that polling holds.
-const AT_ONCE: usize = 32;
+/// Load reports requested concurrently. Bounds the sockets that polling holds.
+const MAX_CONCURRENT_POLLS: usize = 32;
 
 /// Times and places of polling.
 #[derive(Debug, Clone)]
@@ -35,13 +35,13 @@
     /// The node's own zone.
     pub zone: id::Zone,
     /// Delay to other zones beyond the own one's, there and back.
-    pub distance: Duration,
+    pub zone_delay: Duration,
     /// Time between two polls of the list and of the own zone's engines.
     pub interval: Duration,
     /// Time between two polls of an engine in another zone, if longer. Such engines get what the own
     /// zone can't carry; asking each of hundreds every second from every node would load them more
     /// than it helps.
-    pub far: Duration,
+    pub remote_interval: Duration,
 }
 
 /// The endpoint registry of a node; clones share it.
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Polls until cancelled; `seen` gets each list.
-    pub async fn run(&self, list: impl List, seen: impl Fn(&Vms), token: CancellationToken) {
+    /// Polls until cancelled; `on_list` gets each list.
+    pub async fn run(&self, list: impl List, on_list: impl Fn(&Vms), token: CancellationToken) {
         let mut ticks = tokio::time::interval(self.config.interval);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -78,58 +78,59 @@
             }
             match list.list().await {
                 Ok(vms) => {
-                    seen(&vms);
-                    self.lock().list(&vms);
+                    on_list(&vms);
+                    self.lock().update_list(&vms);
                 }
                 Err(error) => log::warn!("registry: The last list goes on to count: {error}."),
             }
-            self.reports().await;
+            self.poll_loads().await;
         }
     }
 
     /// Asks all engines for their load at once.
-    pub async fn reports(&self) {
+    pub async fn poll_loads(&self) {
         let engines: Vec<Endpoint> = {
             let table = self.lock();
             let engines = table.endpoints().iter();
-            engines.filter(|e| self.due(e)).cloned().collect()
+            engines.filter(|e| self.is_due(e)).cloned().collect()
         };
         stream::iter(engines)
-            .for_each_concurrent(AT_ONCE, |endpoint| self.report(endpoint))
+            .for_each_concurrent(MAX_CONCURRENT_POLLS, |endpoint| self.poll_load(endpoint))
             .await;
-        self.publish();
+        self.update_pools();
     }
 
-    fn due(&self, endpoint: &Endpoint) -> bool {
-        let near = endpoint.zone == self.config.zone;
-        let asked = endpoint.load.as_ref().map(|(_, at)| *at);
-        let fresh = asked.is_some_and(|at| self.clock.now().since(at) < self.config.far);
-        endpoint.kind == Kind::Engine && (near || !fresh)
+    fn is_due(&self, endpoint: &Endpoint) -> bool {
+        let local = endpoint.zone == self.config.zone;
+        let last_report = endpoint.load.as_ref().map(|(_, at)| *at);
+        let is_recent =
+            last_report.is_some_and(|at| self.clock.now().since(at) < self.config.remote_interval);
+        endpoint.kind == Kind::Engine && (local || !is_recent)
     }
 
-    async fn report(&self, endpoint: Endpoint) {
+    async fn poll_load(&self, endpoint: Endpoint) {
         let engine = Remote::new(self.connections.clone(), endpoint.address);
         let load = engine.load().await;
         let now = self.clock.now();
         let mut table = self.lock();
         match load {
-            Ok(load) => table.report(&endpoint.name, load, now),
+            Ok(load) => table.record_load(&endpoint.name, load, now),
             Err(fault) => {
                 log::debug!("registry: No load report of {}: {fault}.", endpoint.name);
-                table.fail(&endpoint.name);
+                table.record_failure(&endpoint.name);
             }
         }
     }
 
     /// Takes anybody's word that an endpoint is leaving.
-    pub fn depart(&self, departures: impl IntoIterator<Item = Departure>) {
-        let news = {
+    pub fn record_departures(&self, departures: impl IntoIterator<Item = Departure>) {
+        let any_new = {
             let mut table = self.lock();
-            let told = departures.into_iter().map(|d| table.depart(d));
-            told.fold(false, |news, one| news | one)
+            let new = departures.into_iter().map(|d| table.record_departure(d));
+            new.fold(false, |any_new, is_new| any_new | is_new)
         };
-        if news {
-            self.publish();
+        if any_new {
+            self.update_pools();
         }
     }
 
@@ -141,10 +142,10 @@
 
     /// An endpoint that is not leaving.
     #[must_use]
-    pub fn staying(&self, name: &id::Endpoint) -> Option<Endpoint> {
+    pub fn get_active(&self, name: &id::Endpoint) -> Option<Endpoint> {
         let table = self.lock();
         let endpoint = table.get(name)?;
-        (!table.leaves(endpoint)).then(|| endpoint.clone())
+        (!table.is_leaving(endpoint)).then(|| endpoint.clone())
     }
 
     /// A copy of the table, for operators.
@@ -154,7 +155,7 @@
     }
 
     /// Tells the pools which endpoints are in use.
-    pub fn publish(&self) {
+    pub fn update_pools(&self) {
         let now = self.clock.now();
         let table = self.table();
         let mut pools: Vec<(id::Pool, Vec<Member>)> = self
@@ -164,7 +165,7 @@
             .map(|(name, _)| (name, Vec::new()))
             .collect();
         for endpoint in table.endpoints() {
-            let member = self.member(endpoint, table.usable(endpoint), now);
+            let member = self.member(endpoint, table.is_usable(endpoint), now);
             match pools.binary_search_by(|(name, _)| name.cmp(&endpoint.pool)) {
                 Ok(place) => pools[place].1.push(member),
                 Err(place) => pools.insert(place, (endpoint.pool.clone(), vec![member])),
@@ -176,9 +177,9 @@
     }
 
     fn member(&self, endpoint: &Endpoint, usable: bool, now: Moment) -> Member {
-        let near = endpoint.zone == self.config.zone;
+        let local = endpoint.zone == self.config.zone;
         let load = endpoint.load.as_ref().map(|(load, _)| load);
-        let age = endpoint.age(now);
+        let age = endpoint.load_age(now);
         let measured = now.before(age);
         let report = load.map(|load| {
             let report = limit::Report {
@@ -197,10 +198,10 @@
             zone: endpoint.zone.clone(),
             address: endpoint.address,
             usable,
-            distance: if near {
+            distance: if local {
                 Duration::ZERO
             } else {
-                self.config.distance
+                self.config.zone_delay
             },
             versions,
             report,
--- a/crates/entry/tests/all/leaving.rs
+++ b/crates/entry/tests/all/leaving.rs
@@ -11,7 +11,7 @@
 fn usable(entry: &Entry, endpoint: &str) -> bool {
     let table = entry.running.node.registry.table();
     let known = table.get(&name(endpoint));
-    known.is_some_and(|known| table.usable(known))
+    known.is_some_and(|known| table.is_usable(known))
 }
 
 /// An engine says that it is about to go. One entry VM reads that, the other one asks engines and
@@ -46,7 +46,7 @@
     let entry = world.entry("entry-1").await;
     world.vms.site.change(Vec::clear);
     until("the list is doubted", || {
-        entry.running.node.registry.table().doubted()
+        entry.running.node.registry.table().distrusts_list()
     })
     .await;
     let answer = entry.chat("answer in 3 tokens", false).send().await;
--- a/crates/entry/tests/all/registry.rs
+++ b/crates/entry/tests/all/registry.rs
@@ -41,16 +41,16 @@
 
 fn table(names: &[&str]) -> Table {
     let mut table = Table::default();
-    table.list(&vms(names));
+    table.update_list(&vms(names));
     for label in names {
-        table.report(&name(label), load(label, 1), NOW);
+        table.record_load(&name(label), load(label, 1), NOW);
     }
     table
 }
 
 fn usable(table: &Table) -> Vec<String> {
     let endpoints = table.endpoints().iter();
-    let usable = endpoints.filter(|endpoint| table.usable(endpoint));
+    let usable = endpoints.filter(|endpoint| table.is_usable(endpoint));
     usable.map(|endpoint| endpoint.name.to_string()).collect()
 }
 
@@ -67,11 +67,11 @@
 fn a_list_that_suddenly_shrinks_is_doubted() {
     for short in [&[][..], &["a"][..]] {
         let mut table = table(&["a", "b", "c", "d"]);
-        table.list(&vms(short));
-        assert!(table.doubted());
+        table.update_list(&vms(short));
+        assert!(table.distrusts_list());
         assert_eq!(usable(&table), ["a", "b", "c", "d"]);
-        table.list(&vms(&["a", "b", "c", "d"]));
-        assert!(!table.doubted());
+        table.update_list(&vms(&["a", "b", "c", "d"]));
+        assert!(!table.distrusts_list());
     }
 }
 
@@ -79,9 +79,9 @@
 #[test]
 fn a_doubted_endpoint_that_is_silent_gets_no_work() {
     let mut table = table(&["a", "b"]);
-    table.list(&vms(&[]));
+    table.update_list(&vms(&[]));
     for _ in 0..3 {
-        table.fail(&name("b"));
+        table.record_failure(&name("b"));
     }
     assert_eq!(usable(&table), ["a"]);
 }
@@ -89,7 +89,7 @@
 #[test]
 fn an_endpoint_that_leaves_the_list_among_others_gets_no_work() {
     let mut table = table(&["a", "b", "c"]);
-    table.list(&vms(&["a", "c"]));
+    table.update_list(&vms(&["a", "c"]));
     assert_eq!(usable(&table), ["a", "c"]);
 }
 
@@ -101,27 +101,27 @@
         ("the list", |table| {
             let mut leaving = vms(&["a", "b"]);
             leaving.vms[0].leaving = true;
-            table.list(&leaving);
+            table.update_list(&leaving);
         }),
         ("its own word", |table| {
             let mut own = load("a", 1);
             own.leaving = true;
-            table.report(&name("a"), own, NOW);
+            table.record_load(&name("a"), own, NOW);
         }),
         ("a peer's word", |table| {
-            assert!(table.depart(departure("a", 1)));
-            assert!(!table.depart(departure("a", 1)));
+            assert!(table.record_departure(departure("a", 1)));
+            assert!(!table.record_departure(departure("a", 1)));
         }),
     ];
     for (what, leave) in ways {
         let mut table = table(&["a", "b"]);
         leave(&mut table);
         assert_eq!(usable(&table), ["b"], "{what}");
-        table.list(&vms(&["a", "b"]));
-        table.report(&name("a"), load("a", 1), NOW);
+        table.update_list(&vms(&["a", "b"]));
+        table.record_load(&name("a"), load("a", 1), NOW);
         assert_eq!(usable(&table), ["b"], "{what}, and the sources disagree");
         assert_eq!(table.departures(), [departure("a", 1)], "{what}");
-        table.report(&name("a"), load("a", 2), NOW);
+        table.record_load(&name("a"), load("a", 2), NOW);
         assert_eq!(usable(&table), ["a", "b"], "{what}, and it came back anew");
     }
 }
@@ -129,8 +129,8 @@
 #[test]
 fn a_report_from_an_address_that_was_given_to_another_vm_does_not_count() {
     let mut table = Table::default();
-    table.list(&vms(&["a"]));
-    table.report(&name("a"), load("z", 1), NOW);
+    table.update_list(&vms(&["a"]));
+    table.record_load(&name("a"), load("z", 1), NOW);
     assert!(usable(&table).is_empty());
 }
 
@@ -138,7 +138,7 @@
 fn departures_are_bounded() {
     let mut table = Table::default();
     for incarnation in 0..5_000 {
-        table.depart(departure("a", incarnation));
+        table.record_departure(departure("a", incarnation));
     }
     assert_eq!(table.departures().len(), 1_024);
     assert_eq!(table.departures().last(), Some(&departure("a", 4_999)));
