--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -21,13 +21,13 @@
 /// Exit code if the program could not start, or could not end in order.
 pub const EXIT_FAILED: u8 = 1;
 
-const PRINT: &str = "print-config";
+const PRINT_CONFIG: &str = "print-config";
 
 /// The command with all flags.
 #[must_use]
 pub fn command() -> Command {
-    let print = Arg::new(PRINT)
-        .long(PRINT)
+    let print = Arg::new(PRINT_CONFIG)
+        .long(PRINT_CONFIG)
         .env("PIMENTO_PRINT_CONFIG")
         .action(ArgAction::SetTrue)
         .help("Print the settings in force, without secrets, and exit");
@@ -44,7 +44,7 @@
 pub fn main() -> ExitCode {
     let matches = command().get_matches();
     let raw = Raw::new(&matches);
-    if matches.get_flag(PRINT) {
+    if matches.get_flag(PRINT_CONFIG) {
         print!("{}", config::print(&raw));
     }
     let config = match Config::try_from(&raw) {
@@ -54,10 +54,10 @@
             return ExitCode::from(EXIT_USAGE);
         }
     };
-    if matches.get_flag(PRINT) {
+    if matches.get_flag(PRINT_CONFIG) {
         return ExitCode::SUCCESS;
     }
-    logs::start(config.log_format, config.log_level);
+    logs::init(config.log_format, config.log_level);
     match serve(config) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(EXIT_FAILED),
@@ -83,6 +83,6 @@
             _ = interrupt.recv() => {}
         }
         // Both handlers stay in place, so that a further signal does not end the process early.
-        Ok(running.end().await)
+        Ok(running.shut_down().await)
     })
 }
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -45,14 +45,14 @@
 
 /// How log lines look.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Format {
+pub enum LogFormat {
     /// For people.
     Text,
     /// One JSON object a line.
     Json,
 }
 
-impl FromStr for Format {
+impl FromStr for LogFormat {
     type Err = &'static str;
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text {
@@ -68,7 +68,7 @@
 pub struct Secret(String);
 
 /// The shortest secret taken: 16 random characters can't be guessed.
-const SECRET: usize = 16;
+const SECRET_MIN_CHARS: usize = 16;
 
 impl Secret {
     /// The secret itself.
@@ -81,8 +81,8 @@
 impl FromStr for Secret {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
-        if text.len() < SECRET {
-            return Err(format!("must have at least {SECRET} characters"));
+        if text.len() < SECRET_MIN_CHARS {
+            return Err(format!("must have at least {SECRET_MIN_CHARS} characters"));
         }
         Ok(Self(text.into()))
     }
@@ -129,18 +129,18 @@
     pub second_worth: pimento_units::Money,
     pub metric_customers: usize,
     pub threads: usize,
-    pub log_format: Format,
+    pub log_format: LogFormat,
     pub log_level: log::LevelFilter,
 }
 
 /// Reads settings one by one and gathers what is wrong.
-struct Check<'a> {
+struct Reader<'a> {
     raw: &'a Raw,
     findings: Vec<Finding>,
 }
 
-impl Check<'_> {
-    fn find(&mut self, flag: &'static str, problem: impl Display) {
+impl Reader<'_> {
+    fn report(&mut self, flag: &'static str, problem: impl Display) {
         let setting = SETTINGS.iter().find(|s| s.flag == flag);
         self.findings.push(Finding {
             flag,
@@ -154,7 +154,7 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
-                self.find(flag, error);
+                self.report(flag, error);
                 None
             }
         }
@@ -162,29 +162,29 @@
 
     fn required<T: FromStr<Err: Display>>(&mut self, flag: &'static str) -> Option<T> {
         if self.raw.get(flag).is_none_or(str::is_empty) {
-            self.find(flag, "must be set");
+            self.report(flag, "must be set");
             return None;
         }
         self.optional(flag)
     }
 
-    fn span(&mut self, flag: &'static str) -> Option<Duration> {
+    fn duration(&mut self, flag: &'static str) -> Option<Duration> {
         self.required::<Span>(flag).map(Span::duration)
     }
 
-    fn positive(&mut self, flag: &'static str) -> Option<Duration> {
-        let span = self.span(flag)?;
+    fn positive_duration(&mut self, flag: &'static str) -> Option<Duration> {
+        let span = self.duration(flag)?;
         if span.is_zero() {
-            self.find(flag, "must be longer than zero");
+            self.report(flag, "must be longer than zero");
             return None;
         }
         Some(span)
     }
 
-    fn size(&mut self, flag: &'static str) -> Option<usize> {
+    fn positive_size(&mut self, flag: &'static str) -> Option<usize> {
         let size = self.required(flag)?;
         if size == 0 {
-            self.find(flag, "must be more than zero");
+            self.report(flag, "must be more than zero");
             return None;
         }
         Some(size)
@@ -196,7 +196,7 @@
         for part in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
             match part.parse() {
                 Ok(value) => values.push(value),
-                Err(error) => self.find(flag, format_args!("{part:?}: {error}")),
+                Err(error) => self.report(flag, format_args!("{part:?}: {error}")),
             }
         }
         values
@@ -207,54 +207,54 @@
     type Error = Findings;
 
     fn try_from(raw: &Raw) -> Result<Self, Findings> {
-        let mut check = Check {
+        let mut reader = Reader {
             raw,
             findings: Vec::new(),
         };
-        let config = read(&mut check);
+        let config = read_config(&mut reader);
         match config {
-            Some(config) if check.findings.is_empty() => Ok(config),
-            _ => Err(Findings(check.findings)),
+            Some(config) if reader.findings.is_empty() => Ok(config),
+            _ => Err(Findings(reader.findings)),
         }
     }
 }
 
 /// Reads all settings. Each one is read before any is found missing, so that all findings are
 /// reported together.
-fn read(check: &mut Check<'_>) -> Option<Config> {
-    let node = check.required("node");
-    let zone = check.required("zone");
-    let listen = check.required("listen");
-    let operators_listen = check.required("operators-listen");
-    let peer_listen = check.required("peer-listen");
-    let peer_advertise = check.optional("peer-advertise");
-    let peers = check.list("peers");
-    let log_address = check.required("log-address");
-    let vms_address = check.required("vms-address");
-    let rater_address = check.optional("rater-address");
-    let peer_key = check.required("peer-key");
-    let session_key = check.required("session-key");
-    let session_life = check.positive("session-life");
-    let grace = check.span("grace");
-    let last_bound = check.span("last-bound");
-    let max_body = check.size("max-body");
-    let request_memory = check.size("request-memory");
-    let max_timeout = check.positive("max-timeout");
-    let platform_timeout = check.positive("platform-timeout");
-    let stall_timeout = check.positive("stall-timeout");
-    let poll_interval = check.positive("poll-interval");
-    let far_interval = check.span("far-interval");
-    let zone_delay = check.span("zone-delay");
-    let stale_bound = check.positive("stale-bound");
-    let claims_window = check.positive("claims-window");
-    let claim_timeout = check.positive("claim-timeout");
-    let bill_timeout = check.positive("bill-timeout");
-    let kept_bytes = check.size("kept-bytes");
-    let second_worth = check.required("second-worth");
-    let metric_customers = check.required("metric-customers");
-    let threads = check.required("threads");
-    let log_format = check.required("log-format");
-    let log_level = check.required("log-level");
+fn read_config(reader: &mut Reader<'_>) -> Option<Config> {
+    let node = reader.required("node");
+    let zone = reader.required("zone");
+    let listen = reader.required("listen");
+    let operators_listen = reader.required("operators-listen");
+    let peer_listen = reader.required("peer-listen");
+    let peer_advertise = reader.optional("peer-advertise");
+    let peers = reader.list("peers");
+    let log_address = reader.required("log-address");
+    let vms_address = reader.required("vms-address");
+    let rater_address = reader.optional("rater-address");
+    let peer_key = reader.required("peer-key");
+    let session_key = reader.required("session-key");
+    let session_life = reader.positive_duration("session-life");
+    let grace = reader.duration("grace");
+    let last_bound = reader.duration("last-bound");
+    let max_body = reader.positive_size("max-body");
+    let request_memory = reader.positive_size("request-memory");
+    let max_timeout = reader.positive_duration("max-timeout");
+    let platform_timeout = reader.positive_duration("platform-timeout");
+    let stall_timeout = reader.positive_duration("stall-timeout");
+    let poll_interval = reader.positive_duration("poll-interval");
+    let far_interval = reader.duration("far-interval");
+    let zone_delay = reader.duration("zone-delay");
+    let stale_bound = reader.positive_duration("stale-bound");
+    let claims_window = reader.positive_duration("claims-window");
+    let claim_timeout = reader.positive_duration("claim-timeout");
+    let bill_timeout = reader.positive_duration("bill-timeout");
+    let kept_bytes = reader.positive_size("kept-bytes");
+    let second_worth = reader.required("second-worth");
+    let metric_customers = reader.required("metric-customers");
+    let threads = reader.required("threads");
+    let log_format = reader.required("log-format");
+    let log_level = reader.required("log-level");
     Some(Config {
         node: node?,
         zone: zone?,
--- a/crates/entry/src/config/settings.rs
+++ b/crates/entry/src/config/settings.rs
@@ -12,7 +12,7 @@
     pub(super) secret: bool,
 }
 
-const fn given(flag: &'static str, env: &'static str, help: &'static str) -> Setting {
+const fn without_default(flag: &'static str, env: &'static str, help: &'static str) -> Setting {
     Setting {
         flag,
         env,
@@ -22,7 +22,7 @@
     }
 }
 
-const fn preset(
+const fn with_default(
     flag: &'static str,
     env: &'static str,
     help: &'static str,
@@ -49,53 +49,53 @@
 
 /// All settings, in the order of the help text.
 pub(super) const SETTINGS: &[Setting] = &[
-    given(
+    without_default(
         "node",
         "PIMENTO_NODE",
         "This entry VM's name, unique for one life of the VM",
     ),
-    given("zone", "PIMENTO_ZONE", "This entry VM's zone"),
-    preset(
+    without_default("zone", "PIMENTO_ZONE", "This entry VM's zone"),
+    with_default(
         "listen",
         "PIMENTO_LISTEN",
         "Where callers reach it",
         "127.0.0.1:8080",
     ),
-    preset(
+    with_default(
         "operators-listen",
         "PIMENTO_OPERATORS_LISTEN",
         "Where operators reach it: /ready /live /metrics /state",
         "127.0.0.1:9090",
     ),
-    preset(
+    with_default(
         "peer-listen",
         "PIMENTO_PEER_LISTEN",
         "Where other entry VMs reach it, by UDP and TCP",
         "127.0.0.1:7070",
     ),
-    preset(
+    with_default(
         "peer-advertise",
         "PIMENTO_PEER_ADVERTISE",
         "Where other entry VMs reach it, if that is not where it listens",
         "",
     ),
-    preset(
+    with_default(
         "peers",
         "PIMENTO_PEERS",
         "Other entry VMs to begin with, as IP:PORT, separated by commas",
         "",
     ),
-    given(
+    without_default(
         "log-address",
         "PIMENTO_LOG_ADDRESS",
         "The platform's log, as IP:PORT",
     ),
-    given(
+    without_default(
         "vms-address",
         "PIMENTO_VMS_ADDRESS",
         "The platform's VM list, as IP:PORT",
     ),
-    given(
+    without_default(
         "rater-address",
         "PIMENTO_RATER_ADDRESS",
         "The rating service, as IP:PORT",
@@ -110,127 +110,127 @@
         "PIMENTO_SESSION_KEY",
         "Secret that all entry VMs share, for session tokens",
     ),
-    preset(
+    with_default(
         "session-life",
         "PIMENTO_SESSION_LIFE",
         "Age from which a session token's pins no longer count",
         "7d",
     ),
-    preset(
+    with_default(
         "grace",
         "PIMENTO_GRACE",
         "How long to go on accepting after SIGTERM, since the balancer lags",
         "5s",
     ),
-    preset(
+    with_default(
         "last-bound",
         "PIMENTO_LAST_BOUND",
         "When to cut requests that are still in flight after SIGTERM",
         "1h",
     ),
-    preset(
+    with_default(
         "max-body",
         "PIMENTO_MAX_BODY",
         "The largest request body, in bytes",
         "4194304",
     ),
-    preset(
+    with_default(
         "request-memory",
         "PIMENTO_REQUEST_MEMORY",
         "Memory for requests in flight, in bytes; at the bound further ones are refused",
         "268435456",
     ),
-    preset(
+    with_default(
         "max-timeout",
         "PIMENTO_MAX_TIMEOUT",
         "The longest time that a caller may ask to wait",
         "1h",
     ),
-    preset(
+    with_default(
         "platform-timeout",
         "PIMENTO_PLATFORM_TIMEOUT",
         "How long an answer of the platform may take to begin, and to go on",
         "2s",
     ),
-    preset(
+    with_default(
         "stall-timeout",
         "PIMENTO_STALL_TIMEOUT",
         "How long an engine may be silent in the middle of an answer",
         "10s",
     ),
-    preset(
+    with_default(
         "poll-interval",
         "PIMENTO_POLL_INTERVAL",
         "Time between two reads of the VM list and of the engines' load",
         "1s",
     ),
-    preset(
+    with_default(
         "far-interval",
         "PIMENTO_FAR_INTERVAL",
         "Time between two reads of the load of an engine in another zone, if longer",
         "1s",
     ),
-    preset(
+    with_default(
         "zone-delay",
         "PIMENTO_ZONE_DELAY",
         "Delay to other zones beyond the own one's, there and back",
         "10ms",
     ),
-    preset(
+    with_default(
         "stale-bound",
         "PIMENTO_STALE_BOUND",
         "Age of the configuration from which versions in roll-out are not used",
         "1m",
     ),
-    preset(
+    with_default(
         "claims-window",
         "PIMENTO_CLAIMS_WINDOW",
         "Age up to which a request id may be claimed; less than the log's retention",
         "30m",
     ),
-    preset(
+    with_default(
         "claim-timeout",
         "PIMENTO_CLAIM_TIMEOUT",
         "How long a claim on the log may take before the call is refused",
         "3s",
     ),
-    preset(
+    with_default(
         "bill-timeout",
         "PIMENTO_BILL_TIMEOUT",
         "How long securing a bill may take before the answer is withheld",
         "10s",
     ),
-    preset(
+    with_default(
         "kept-bytes",
         "PIMENTO_KEPT_BYTES",
         "Memory for answers of calls that may not be repeated, in bytes",
         "16777216",
     ),
-    preset(
+    with_default(
         "second-worth",
         "PIMENTO_SECOND_WORTH",
         "What a second of a caller's waiting is worth in the choice of versions, as an amount",
         "0",
     ),
-    preset(
+    with_default(
         "metric-customers",
         "PIMENTO_METRIC_CUSTOMERS",
         "Customers with metrics of their own; all further ones share one label",
         "100",
     ),
-    preset(
+    with_default(
         "threads",
         "PIMENTO_THREADS",
         "Worker threads; 0 for one for each processor",
         "0",
     ),
-    preset(
+    with_default(
         "log-format",
         "PIMENTO_LOG_FORMAT",
         "How log lines look: text or json",
         "text",
     ),
-    preset(
+    with_default(
         "log-level",
         "PIMENTO_LOG_LEVEL",
         "The least severe lines shown: error, warn, info, debug or trace",
@@ -272,10 +272,10 @@
     }
 
     pub(super) fn get(&self, flag: &str) -> Option<&str> {
-        let place = self
+        let index = self
             .values
             .binary_search_by(|(known, _)| (*known).cmp(flag));
-        Some(self.values[place.ok()?].1.as_str())
+        Some(self.values[index.ok()?].1.as_str())
     }
 }
 
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -5,16 +5,16 @@
 use logforth::layout::JsonLayout;
 use logforth::layout::TextLayout;
 
-use crate::config::Format;
+use crate::config::LogFormat;
 
 /// Starts to write log lines to the standard error stream. A second start changes nothing.
-pub fn start(format: Format, level: LevelFilter) {
+pub fn init(format: LogFormat, level: LevelFilter) {
     let builder = logforth::starter_log::builder();
     let builder = builder.dispatch(|dispatch| match format {
-        Format::Text => {
+        LogFormat::Text => {
             dispatch.append(append::Stderr::default().with_layout(TextLayout::default()))
         }
-        Format::Json => {
+        LogFormat::Json => {
             dispatch.append(append::Stderr::default().with_layout(JsonLayout::default()))
         }
     });
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -24,7 +24,7 @@
 
 /// Time for the last records to reach the log. It may be out for long just then, and a VM that goes
 /// must not wait for it: a peer holds what does not reach it.
-const FLUSH: Duration = Duration::from_secs(30);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why the program could not start.
 #[derive(Debug, Snafu)]
@@ -94,23 +94,23 @@
 
     /// Ends in order; returns once all is done. False if requests were cut or records did not
     /// reach the log.
-    pub async fn end(mut self) -> bool {
+    pub async fn shut_down(mut self) -> bool {
         let grace = self.node.config.grace;
         let bound = Instant::now() + grace + self.node.config.last_bound;
         log::info!("server: Leaving; accepting for another {grace:?}.");
         self.node.leave();
         tokio::time::sleep(grace).await;
-        let finished = self.finish(bound).await;
-        let flushed = self.flush(Instant::now() + FLUSH).await;
+        let drained = self.drain(bound).await;
+        let flushed = self.flush(Instant::now() + FLUSH_TIMEOUT).await;
         self.operators_stop.closing.cancel();
         self.operators_stop.cut.cancel();
         self.background.cancel();
         log::info!("server: Ended.");
-        finished && flushed
+        drained && flushed
     }
 
     /// Finishes all requests in flight, until `bound`.
-    async fn finish(&mut self, bound: Instant) -> bool {
+    async fn drain(&mut self, bound: Instant) -> bool {
         self.stop.closing.cancel();
         self.node.tasks.close();
         let tasks = self.node.tasks.clone();
@@ -142,7 +142,7 @@
         }
         // Unspent grants come back by themselves at the period's end, so that a log that is out is
         // not waited for on their account.
-        let soon = deadline.min(Instant::now() + FLUSH);
+        let soon = deadline.min(Instant::now() + FLUSH_TIMEOUT);
         node.wallet.close(soon).await;
         outcomes.is_ok() && left == 0
     }
--- a/crates/entry/tests/all/shutdown.rs
+++ b/crates/entry/tests/all/shutdown.rs
@@ -21,7 +21,7 @@
     assert_eq!(ready.status, StatusCode::OK);
     let client = entry.ask(hyper::Method::GET, "/v1/models");
     let node = entry.running.node.clone();
-    let ending = tokio::spawn(entry.running.end());
+    let ending = tokio::spawn(entry.running.shut_down());
     until("it is not ready", || !node.ready()).await;
     // Within the grace it still answers, and asks for the connection to be closed.
     let answer = client.send().await;
@@ -49,7 +49,7 @@
     let ask = ask.header("request-timeout", "600").send();
     let asked = tokio::spawn(ask);
     until("the stream has begun", || world.started() == 1).await;
-    assert!(!entry.running.end().await);
+    assert!(!entry.running.shut_down().await);
     // The caller's client reports a body that broke off, on which the helper panics.
     assert!(asked.await.is_err());
     assert!(world.bills().is_empty());
