--- a/crates/entry/src/chain.rs
+++ b/crates/entry/src/chain.rs
@@ -52,7 +52,7 @@
         Err(Refusal::not_run(Code::UnknownPath, "there is nothing here"))
     };
     answer.unwrap_or_else(|refusal| {
-        node.metrics.refused(refusal.code, refusal.run);
+        node.metrics.record_refusal(refusal.code, refusal.run);
         log::info!("reply: Refused, {}: {}.", refusal.code, refusal.message);
         refusal.response()
     })
--- a/crates/entry/src/chain/model.rs
+++ b/crates/entry/src/chain/model.rs
@@ -77,7 +77,7 @@
     let task = Arc::clone(node);
     node.tasks.spawn(async move {
         if let Err(refusal) = run(&task, funded, &mut delivery).await {
-            task.metrics.refused(refusal.code, refusal.run);
+            task.metrics.record_refusal(refusal.code, refusal.run);
             log::info!(
                 "reply: Stream ended, {}: {}.",
                 refusal.code,
@@ -121,17 +121,17 @@
     let arrived = request.identity.arrived;
     let first = delivery.first().unwrap_or(now);
     let sample = Sample {
-        first: first.since(arrived),
-        last: now.since(arrived),
-        waited: trace.waited,
+        first_byte: first.since(arrived),
+        last_byte: now.since(arrived),
+        queue_wait: trace.waited,
         cost: trace.cost,
     };
     let class = request.class.name.as_str();
     node.metrics
-        .served(&request.customer, class, version.id.as_str(), sample);
+        .record_served(&request.customer, class, version.id.as_str(), sample);
     log::info!(
         request:% = request.identity.id, customer:% = request.customer;
-        "reply: Served {class} by {} in {:?}.", version.id, sample.last
+        "reply: Served {class} by {} in {:?}.", version.id, sample.last_byte
     );
     Ok(served)
 }
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -145,7 +145,7 @@
                     call.identity.id
                 );
                 node.metrics
-                    .attempt(&call.service.pool, attempt::name(&fault));
+                    .record_attempt(&call.service.pool, attempt::name(&fault));
                 trace.failed(&endpoint, &fault);
                 if !again_after(node, call, trace, &fault) {
                     return Err(trace.refusal(&fault));
@@ -298,13 +298,14 @@
     }
     let took = now.since(call.identity.arrived);
     let sample = Sample {
-        first: took,
-        last: took,
-        waited: trace.waited,
+        first_byte: took,
+        last_byte: took,
+        queue_wait: trace.waited,
         cost: Money::ZERO,
     };
     let name = call.service.name.as_str();
-    node.metrics.served(&call.customer, NO_CLASS, name, sample);
+    node.metrics
+        .record_served(&call.customer, NO_CLASS, name, sample);
     log::info!(
         request:% = call.identity.id, customer:% = call.customer;
         "reply: Served {name} with {} in {took:?}.", answer.status
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -153,7 +153,7 @@
             _ => log::Level::Info,
         };
         log::log!(level, "attempt: {endpoint} failed for {id}: {fault}.");
-        node.metrics.attempt(ask.pool, name(fault));
+        node.metrics.record_attempt(ask.pool, name(fault));
         ask.trace.failed(endpoint, fault);
         let harmless = fault.not_run() || *fault == Fault::Cancelled;
         if !harmless {
@@ -254,7 +254,7 @@
         let class = &request.class.name;
         node.estimates
             .answered(&request.customer, class, answer.output());
-        node.metrics.attempt(ask.pool, "served");
+        node.metrics.record_attempt(ask.pool, "served");
         opened.permit.served(tokens);
         opened.abort.disarm();
     }
@@ -285,7 +285,7 @@
         let Some(permit) = self.second(ask, &endpoint) else {
             return first.await;
         };
-        node.metrics.attempt(ask.pool, "hedged");
+        node.metrics.record_attempt(ask.pool, "hedged");
         let second = self.open(permit, ask);
         tokio::pin!(second);
         match futures::future::select(first, second).await {
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -236,7 +236,7 @@
                 (work.trace.refusal(&fault), gone)
             }
         };
-        self.0.metrics.step(version, "none");
+        self.0.metrics.record_step(version, "none");
         if last || work.delivery.begun() {
             return Err(refusal);
         }
@@ -275,7 +275,7 @@
             Some(false) => "short",
             None => "unrated",
         };
-        node.metrics.step(&chosen.version.id, result);
+        node.metrics.record_step(&chosen.version.id, result);
         let served = Served {
             version: chosen.version.clone(),
             answer,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -21,17 +21,17 @@
 
 /// Bounds of latency histograms in seconds: the target for a first token is 0.41 s, so that the
 /// steps are finest around it; reviews take minutes.
-const LATENCY: [f64; 16] = [
+const LATENCY_BOUNDS: [f64; 16] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.41, 0.6, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0,
 ];
 
 /// Bounds of the cost histogram, in currency units.
-const COST: [f64; 10] = [
+const COST_BOUNDS: [f64; 10] = [
     0.000_01, 0.000_1, 0.000_5, 0.001, 0.005, 0.01, 0.05, 0.1, 0.5, 5.0,
 ];
 
 /// Labels of the histograms.
-const LABELS: [&str; 2] = ["customer", "class"];
+const HISTOGRAM_LABELS: [&str; 2] = ["customer", "class"];
 
 /// Label of requests that have no class: plain services.
 pub const NO_CLASS: &str = "service";
@@ -54,18 +54,18 @@
     state_age: Gauge,
     bills_waiting: Gauge,
     spend_granted: GaugeVec,
-    kept_bytes: Gauge,
+    answer_bytes: Gauge,
 }
 
 /// How long a request took and what it cost.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Sample {
     /// To the first byte of the answer.
-    pub first: Duration,
+    pub first_byte: Duration,
     /// To the last byte.
-    pub last: Duration,
+    pub last_byte: Duration,
     /// In queues.
-    pub waited: Duration,
+    pub queue_wait: Duration,
     /// Cost to us of all attempts.
     pub cost: Money,
 }
@@ -85,29 +85,29 @@
                 r,
                 "pimento_first_byte_seconds",
                 "Time to the first byte of an answer",
-                &LATENCY,
-                &LABELS,
+                &LATENCY_BOUNDS,
+                &HISTOGRAM_LABELS,
             ),
             last_byte: histogram(
                 r,
                 "pimento_last_byte_seconds",
                 "Time to the last byte of an answer",
-                &LATENCY,
-                &LABELS,
+                &LATENCY_BOUNDS,
+                &HISTOGRAM_LABELS,
             ),
             queue_wait: histogram(
                 r,
                 "pimento_queue_wait_seconds",
                 "Time in queues",
-                &LATENCY,
-                &LABELS,
+                &LATENCY_BOUNDS,
+                &HISTOGRAM_LABELS,
             ),
             cost: histogram(
                 r,
                 "pimento_cost",
                 "Cost to us of a request, all attempts and steps, in currency units",
-                &COST,
-                &LABELS,
+                &COST_BOUNDS,
+                &HISTOGRAM_LABELS,
             ),
             served: counter(
                 r,
@@ -155,64 +155,70 @@
                 "Money granted to this node in the present spend period, in currency units",
                 &["customer"],
             ),
-            kept_bytes: gauge(r, "pimento_kept_bytes", "Memory of kept answers, in bytes"),
+            answer_bytes: gauge(r, "pimento_kept_bytes", "Memory of kept answers, in bytes"),
             customers: Names::new(customers),
             registry,
         }
     }
 
     /// Counts an answer.
-    pub fn served(&self, customer: &id::Customer, class: &str, by: &str, sample: Sample) {
+    pub fn record_served(&self, customer: &id::Customer, class: &str, by: &str, sample: Sample) {
         let customer = self.customers.label(customer.as_str());
         let labels = [customer.as_str(), class];
         let observe = |vec: &HistogramVec, time: Duration| {
             vec.with_label_values(&labels).observe(time.as_secs_f64());
         };
-        observe(&self.first_byte, sample.first);
-        observe(&self.last_byte, sample.last);
-        observe(&self.queue_wait, sample.waited);
+        observe(&self.first_byte, sample.first_byte);
+        observe(&self.last_byte, sample.last_byte);
+        observe(&self.queue_wait, sample.queue_wait);
         self.cost
             .with_label_values(&labels)
-            .observe(amount(sample.cost));
+            .observe(currency_units(sample.cost));
         self.served
             .with_label_values(&[customer.as_str(), class, by])
             .inc();
     }
 
     /// Counts an error.
-    pub fn refused(&self, code: Code, run: pimento_wire::border::Run) {
+    pub fn record_refusal(&self, code: Code, run: pimento_wire::border::Run) {
         self.refusals
             .with_label_values(&[code.as_str(), run.as_str()])
             .inc();
     }
 
     /// Counts an attempt.
-    pub fn attempt(&self, pool: &id::Pool, result: &str) {
+    pub fn record_attempt(&self, pool: &id::Pool, result: &str) {
         self.attempts
             .with_label_values(&[pool.as_str(), result])
             .inc();
     }
 
     /// Counts a cascade step.
-    pub fn step(&self, version: &id::Version, result: &str) {
+    pub fn record_step(&self, version: &id::Version, result: &str) {
         self.steps
             .with_label_values(&[version.as_str(), result])
             .inc();
     }
 
     /// Sets what was granted to this node for a customer.
-    pub fn granted(&self, customer: &id::Customer, granted: Money) {
+    pub fn set_granted(&self, customer: &id::Customer, granted: Money) {
         let customer = self.customers.label(customer.as_str());
         self.spend_granted
             .with_label_values(&[customer.as_str()])
-            .set(amount(granted));
+            .set(currency_units(granted));
     }
 
     /// Sets the gauges that are read when asked for.
-    pub fn gauge(&self, age: Duration, bills: usize, kept: usize, scheduler: &Scheduler) {
+    pub fn update_gauges(
+        &self,
+        age: Duration,
+        bills: usize,
+        answer_bytes: usize,
+        scheduler: &Scheduler,
+    ) {
         self.state_age.set(age.as_secs_f64());
         self.bills_waiting.set(figure(bills));
-        self.kept_bytes.set(figure(kept));
+        self.answer_bytes.set(figure(answer_bytes));
         for (name, pool) in scheduler.pools() {
             for (which, count) in pool.depth().figures() {
                 self.pools
@@ -230,6 +236,6 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a figure for a chart")]
-fn amount(money: Money) -> f64 {
+fn currency_units(money: Money) -> f64 {
     money.micros() as f64 / pimento_units::money::MICROS as f64
 }
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -82,7 +82,7 @@
 
 fn metrics(node: &Node) -> Response<Reply> {
     let waiting = node.outbox.waiting();
-    node.metrics.gauge(
+    node.metrics.update_gauges(
         node.state.age(),
         waiting,
         node.answers.bytes(),
@@ -97,7 +97,7 @@
             .wallet
             .follower()
             .view(|view| view.fold().granted(&contract.customer, period, holder));
-        node.metrics.granted(&contract.customer, granted);
+        node.metrics.set_granted(&contract.customer, granted);
     }
     reply::raw(StatusCode::OK, pimento_metrics::TYPE, node.metrics.text())
 }
