--- a/crates/entry/src/filter/budget.rs
+++ b/crates/entry/src/filter/budget.rs
@@ -104,7 +104,7 @@
             revision: state.revision(&subject(contract)),
             now: self.0.clock.wall(),
         };
-        let nodes = self.0.nodes();
+        let nodes = self.0.live_vms();
         let deadline = self.0.clock.instant(deadline);
         let wallet = &self.0.wallet;
         let mut hold = wallet.reserve(account, most, nodes, deadline).await;
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -164,7 +164,10 @@
         let node = self.0;
         let now = node.clock.now();
         let request = &work.funded.bound.request;
-        let rating = node.rater.as_ref().and_then(|_| node.rating.time(now));
+        let rating = node
+            .rater
+            .as_ref()
+            .and_then(|_| node.rater_health.time(now));
         Terms {
             target: request.class.quality,
             budget: work.funded.fund.most,
@@ -300,7 +303,7 @@
         if self.0.rater.is_none() || !cascade::should_sample(rand::random()) {
             return;
         }
-        let Some(node) = self.0.shared() else {
+        let Some(node) = self.0.to_arc() else {
             return;
         };
         let deadline = node.clock.now() + AFTERWARDS;
--- a/crates/entry/src/filter/identify.rs
+++ b/crates/entry/src/filter/identify.rs
@@ -161,7 +161,7 @@
             session.pins.clear();
             return Ok((session, None));
         }
-        node.state.reach(session.offset, BEHIND).await;
+        node.state.wait_for_offset(session.offset, BEHIND).await;
         Ok((session, Some(text.into())))
     }
 }
@@ -178,7 +178,7 @@
     let size = announced.and_then(|size| usize::try_from(size).ok());
     let size = size.unwrap_or(limit).min(limit) + OVERHEAD;
     let units = u32::try_from(size.div_ceil(UNIT)).unwrap_or(u32::MAX);
-    let room = Arc::clone(&node.room).try_acquire_many_owned(units);
+    let room = Arc::clone(&node.request_memory).try_acquire_many_owned(units);
     let room = room.map_err(|_| {
         /// The queues drain meanwhile; how fast is not known here.
         const AGAIN: Duration = Duration::from_secs(1);
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -119,7 +119,7 @@
 pub async fn rate(node: &Node, subject: Subject, deadline: Moment) -> Option<bool> {
     let rater = node.rater.as_ref()?;
     let begun = node.clock.now();
-    node.rating.time(begun)?;
+    node.rater_health.time(begun)?;
     let call = rater.rate(platform::Rate {
         version: subject.version.id.clone(),
         class: subject.class.clone(),
@@ -130,7 +130,7 @@
     let now = node.clock.now();
     match result {
         Ok(Ok(rating)) => {
-            node.rating.answered(now.since(begun));
+            node.rater_health.answered(now.since(begun));
             let Subject {
                 customer,
                 class,
@@ -144,11 +144,11 @@
         }
         Ok(Err(error)) => {
             log::warn!("rating: {error}.");
-            node.rating.failed(now);
+            node.rater_health.failed(now);
             None
         }
         Err(_) => {
-            node.rating.failed(now);
+            node.rater_health.failed(now);
             None
         }
     }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -53,14 +53,14 @@
 
 /// Time between two looks at the configuration's age, peers and evidence. Changes of the
 /// configuration itself wake at once.
-const TICK: Duration = Duration::from_millis(200);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a new node waits to have read the claims stream before it takes requests without: an
 /// empty stream answers its first read after a second.
-const SETTLE: Duration = Duration::from_secs(5);
+const CLAIMS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long a proposed withdrawal is tried to be written. Later evidence proposes it again.
-const PROPOSAL: Duration = Duration::from_secs(30);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What the filters of one entry VM share.
 #[derive(Debug)]
@@ -77,7 +77,7 @@
     pub retries: retries::Book,
     pub poison: poison::Book,
     pub rater: Option<rating::Remote>,
-    pub rating: rate::Health,
+    pub rater_health: rate::Health,
     pub session_key: session::Key,
     pub claimer: Claimer,
     pub outbox: Outbox,
@@ -85,7 +85,7 @@
     pub answers: Cache,
     pub mesh: Mesh,
     /// Memory for requests in flight, in units of [`identify::UNIT`].
-    pub room: Arc<Semaphore>,
+    pub request_memory: Arc<Semaphore>,
     pub metrics: Metrics,
     /// Requests in flight and what they left behind to do.
     pub tasks: TaskTracker,
@@ -94,7 +94,7 @@
     pub leaving: CancellationToken,
     appender: Appender,
     source: configuration::Source,
-    own: Weak<Node>,
+    weak: Weak<Node>,
 }
 
 impl Node {
@@ -110,7 +110,7 @@
         let clock = Clock::default();
         let log = Remote::new(config.log_address, config.platform_timeout);
         let appender = Appender::start(log.clone(), appender::Config::default(), token.clone());
-        let (mesh, listener) = Mesh::bind(peers(&config)?, token.clone()).await?;
+        let (mesh, listener) = Mesh::bind(mesh_config(&config)?, token.clone()).await?;
         let source = configuration::Source::start(
             log.clone(),
             appender.clone(),
@@ -151,7 +151,7 @@
         let rater = config
             .rater_address
             .map(|address| rating::Remote::new(address, config.platform_timeout));
-        let node = Arc::new_cyclic(|own| Self {
+        let node = Arc::new_cyclic(|weak| Self {
             clock,
             state: Handle::new(clock),
             connections,
@@ -162,62 +162,62 @@
             retries: retries::Book::default(),
             poison: poison::Book::default(),
             rater,
-            rating: rate::Health::default(),
+            rater_health: rate::Health::default(),
             session_key: session::Key::derive(config.session_key.reveal()),
             claimer,
             outbox,
             wallet,
             answers: Cache::new(config.kept_bytes, config.claims_window),
             mesh,
-            room: Arc::new(Semaphore::new(config.request_memory / identify::UNIT)),
+            request_memory: Arc::new(Semaphore::new(config.request_memory / identify::UNIT)),
             metrics: Metrics::new(config.metric_customers),
             tasks: TaskTracker::new(),
             leaving: CancellationToken::new(),
             appender,
             source,
-            own: own.clone(),
+            weak: weak.clone(),
             config,
         });
         listener.serve(CallHandler::new(&node));
-        node.spawn(token);
+        node.spawn_tasks(token);
         Ok(node)
     }
 
-    fn spawn(self: &Arc<Self>, token: &CancellationToken) {
+    fn spawn_tasks(self: &Arc<Self>, token: &CancellationToken) {
         let node = Arc::clone(self);
-        let ends = token.clone();
-        tokio::spawn(async move { ends.run_until_cancelled(node.keep()).await });
+        let cancel = token.clone();
+        tokio::spawn(async move { cancel.run_until_cancelled(node.run_updates()).await });
         let node = Arc::clone(self);
-        let ends = token.clone();
+        let cancel = token.clone();
         tokio::spawn(async move {
             let list = vms::Remote::new(node.config.vms_address, node.config.platform_timeout);
-            let learn = |vms: &Vms| node.mesh.learn(entries(vms));
-            node.registry.run(list, learn, ends).await;
+            let on_list = |vms: &Vms| node.mesh.learn(entry_addresses(vms));
+            node.registry.run(list, on_list, cancel).await;
         });
     }
 
     /// A handle to this node for a task that outlives a request.
     #[must_use]
-    pub fn shared(&self) -> Option<Arc<Self>> {
-        self.own.upgrade()
+    pub fn to_arc(&self) -> Option<Arc<Self>> {
+        self.weak.upgrade()
     }
 
     /// Whether requests are taken.
     #[must_use]
     pub fn ready(&self) -> bool {
-        self.state.ready() && self.settled() && !self.leaving.is_cancelled()
+        self.state.ready() && self.claims_ready() && !self.leaving.is_cancelled()
     }
 
     /// Whether the claims stream was read, without which orders would be refused. A log that is
     /// out must not keep a new node from serving all else.
-    fn settled(&self) -> bool {
+    fn claims_ready(&self) -> bool {
         let read = self.claimer.follower().caught_up();
-        read || self.clock.now() > Moment::ZERO + SETTLE
+        read || self.clock.now() > Moment::ZERO + CLAIMS_TIMEOUT
     }
 
     /// Live entry VMs, this one included.
     #[must_use]
-    pub fn nodes(&self) -> u32 {
+    pub fn live_vms(&self) -> u32 {
         u32::try_from(self.mesh.peers().len() + 1).unwrap_or(u32::MAX)
     }
 
@@ -240,25 +240,25 @@
     }
 
     /// Keeps configuration, departures and quarantine current.
-    async fn keep(&self) {
+    async fn run_updates(&self) {
         let mut changed = self.source.changed();
         loop {
             if self.source.ready() {
                 self.state.replace(&self.source.current());
                 self.state.confirm(self.source.age());
             }
-            self.spread();
+            self.exchange_departures();
             self.hear_suspicions();
-            self.review();
+            self.review_evidence();
             tokio::select! {
                 _ = changed.changed() => {}
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(UPDATE_INTERVAL) => {}
             }
         }
     }
 
     /// Tells the registry what peers know of departures, and peers what it knows.
-    fn spread(&self) {
+    fn exchange_departures(&self) {
         self.registry.record_departures(self.mesh.departures());
         for departure in self.registry.departures() {
             self.mesh.announce(departure);
@@ -266,11 +266,11 @@
     }
 
     /// Quarantines versions that the evidence speaks against, and proposes to withdraw them.
-    fn review(&self) {
+    fn review_evidence(&self) {
         let state = self.state.current();
         for (version, cause) in self.evidence.review(&state) {
             log::warn!("evidence: {version} is not used here any more: {cause:?}.");
-            self.propose(&version);
+            self.propose_withdrawal(&version);
         }
         let quarantined = self.evidence.quarantined();
         self.mesh.report(|own| own.quarantined = quarantined);
@@ -278,7 +278,7 @@
 
     /// Proposes a withdrawal. Of several nodes the first in the log wins; if an operator changed
     /// the version meanwhile, his word stands.
-    fn propose(&self, version: &id::Version) {
+    fn propose_withdrawal(&self, version: &id::Version) {
         let state = self.state.current();
         let Some(known) = state.version(version) else {
             return;
@@ -299,7 +299,7 @@
         };
         let appender = self.appender.clone();
         self.tasks.spawn(async move {
-            let deadline = Instant::now() + PROPOSAL;
+            let deadline = Instant::now() + PROPOSAL_TIMEOUT;
             let stream = Stream::Configuration;
             if let Err(error) = appender.append(stream, record, deadline).await {
                 log::warn!("evidence: Withdrawal not proposed: {error}.");
@@ -309,12 +309,12 @@
 }
 
 /// Addresses of entry VMs in the platform's list.
-fn entries(vms: &Vms) -> impl Iterator<Item = std::net::SocketAddr> {
+fn entry_addresses(vms: &Vms) -> impl Iterator<Item = std::net::SocketAddr> {
     let entries = vms.vms.iter().filter(|vm| vm.role == Role::Entry);
     entries.filter_map(|vm| vm.address.parse().ok())
 }
 
-fn peers(config: &Config) -> Result<mesh::Config, mesh::Error> {
+fn mesh_config(config: &Config) -> Result<mesh::Config, mesh::Error> {
     let key = frame::Key::derive(config.peer_key.reveal());
     let node = config.node.clone();
     let mut settings = mesh::Settings::new(node, config.zone.clone(), config.peer_listen, key);
--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -165,7 +165,7 @@
             Action::Count => self.ended(crash, &[digest]),
             Action::Wait => {}
             Action::Probe => {
-                let Some(node) = self.shared() else { return };
+                let Some(node) = self.to_arc() else { return };
                 // Bounded in time, and of no use to a node that ends.
                 tokio::spawn(async move { node.watch(&endpoint, crash).await });
             }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -27,7 +27,7 @@
     state: ArcSwap<State>,
     ready: AtomicBool,
     /// When the state was last known to be current, in nanoseconds of the clock.
-    heard: AtomicU64,
+    confirmed_at: AtomicU64,
     offset: watch::Sender<Offset>,
 }
 
@@ -39,7 +39,7 @@
             clock,
             state: ArcSwap::from_pointee(State::default()),
             ready: AtomicBool::new(false),
-            heard: AtomicU64::new(0),
+            confirmed_at: AtomicU64::new(0),
             offset: watch::Sender::new(Offset(0)),
         };
         Self {
@@ -70,15 +70,17 @@
     /// Notes that the state was current `age` ago.
     pub fn confirm(&self, age: Duration) {
         let age = u64::try_from(age.as_nanos()).unwrap_or(u64::MAX);
-        let heard = self.inner.clock.now().nanos().saturating_sub(age);
-        self.inner.heard.fetch_max(heard, Ordering::AcqRel);
+        let confirmed_at = self.inner.clock.now().nanos().saturating_sub(age);
+        self.inner
+            .confirmed_at
+            .fetch_max(confirmed_at, Ordering::AcqRel);
     }
 
     /// Time since the state was last known to be current.
     #[must_use]
     pub fn age(&self) -> Duration {
-        let heard = self.inner.heard.load(Ordering::Acquire);
-        Duration::from_nanos(self.inner.clock.now().nanos().saturating_sub(heard))
+        let confirmed_at = self.inner.confirmed_at.load(Ordering::Acquire);
+        Duration::from_nanos(self.inner.clock.now().nanos().saturating_sub(confirmed_at))
     }
 
     /// Whether there is a state at all.
@@ -88,10 +90,10 @@
     }
 
     /// Waits until the state has read up to `offset`, at most `wait`.
-    pub async fn reach(&self, offset: Offset, wait: Duration) {
+    pub async fn wait_for_offset(&self, offset: Offset, timeout: Duration) {
         let mut offsets = self.inner.offset.subscribe();
         let reached = offsets.wait_for(|current| *current >= offset);
         // Whoever is behind after the wait decides on what it has.
-        let _ = tokio::time::timeout(wait, reached).await;
+        let _ = tokio::time::timeout(timeout, reached).await;
     }
 }
--- a/crates/entry/tests/all/refusals.rs
+++ b/crates/entry/tests/all/refusals.rs
@@ -198,7 +198,7 @@
 async fn requests_beyond_the_memory_for_them_are_refused() {
     let world = World::start(1).await;
     let entry = world.entry("entry-1").await;
-    let room = std::sync::Arc::clone(&entry.running.node.room);
+    let room = std::sync::Arc::clone(&entry.running.node.request_memory);
     let all = u32::try_from(room.available_permits()).unwrap();
     let taken = room.try_acquire_many_owned(all).unwrap();
     let answer = chat(&entry).send().await;
