--- a/crates/entry/src/answers.rs
+++ b/crates/entry/src/answers.rs
@@ -1,7 +1,7 @@
-//! Answers kept for callers that ask again for a call that may not be repeated.
+//! Cache of answers to calls that may not be repeated, for callers that retry such a call.
 //!
-//! Bounded in bytes: when full, the oldest answers go first. Whoever asks for one that is gone
-//! hears that the call ran, which stays true.
+//! The cache is bounded in bytes and evicts the oldest answers first. A retry whose answer was
+//! evicted is refused with the information that the call ran.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 use pimento_units::Moment;
 use pimento_units::id;
 
-/// Bytes that an entry costs beside its body.
+/// Estimated bytes of an entry beside its body and content type.
 const OVERHEAD: usize = 256;
 
-/// A kept answer.
+/// A cached answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The digest of the call.
+    /// Digest of the call.
     pub digest: u64,
     /// HTTP status.
     pub status: u16,
@@ -41,14 +41,14 @@
     order: VecDeque<(Moment, id::Request)>,
 }
 
-/// The kept answers of a node; clones share them.
+/// The answer cache of a node. Clones share it.
 #[derive(Debug, Clone)]
 pub struct Cache {
     inner: Arc<Mutex<Inner>>,
 }
 
 impl Cache {
-    /// Keeps at max_bytes `max_bytes` bytes, each answer for `window`.
+    /// A cache of at most `max_bytes` bytes that expires answers after `window`.
     #[must_use]
     pub fn new(max_bytes: usize, window: Duration) -> Self {
         let inner = Inner {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Keeps an answer. One that alone is over the bound is not kept.
+    /// Caches an answer, unless it alone exceeds the size limit or the request has one already.
     pub fn insert(&self, request: id::Request, answer: Answer, now: Moment) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let size = size(&answer);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A kept answer.
+    /// The cached answer to a request.
     #[must_use]
     pub fn get(&self, request: id::Request) -> Option<Answer> {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -89,7 +89,7 @@
         place.ok().map(|place| inner.answers[place].1.clone())
     }
 
-    /// Bytes held.
+    /// Bytes in use.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -98,7 +98,7 @@
 }
 
 impl Inner {
-    /// Makes room for `size` bytes and drops what is past its window.
+    /// Evicts expired answers, and older ones until `size` bytes are free.
     fn expire(&mut self, now: Moment, size: usize) {
         while let Some((at, request)) = self.order.front().copied() {
             let full = self.bytes + size > self.max_bytes;
@@ -107,8 +107,8 @@
             }
             self.order.pop_front();
             if let Ok(place) = self.answers.binary_search_by_key(&request, |(r, _)| *r) {
-                let (_, gone) = self.answers.remove(place);
-                self.bytes -= self::size(&gone);
+                let (_, evicted) = self.answers.remove(place);
+                self.bytes -= self::size(&evicted);
             }
         }
     }
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -18,7 +18,7 @@
 /// Exit code for bad settings, bad files and bad usage.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Exit code if the program could not start, or could not end in order.
+/// Exit code if the program could not start or did not shut down cleanly.
 pub const EXIT_FAILED: u8 = 1;
 
 const PRINT_CONFIG: &str = "print-config";
@@ -26,17 +26,17 @@
 /// The command with all flags.
 #[must_use]
 pub fn command() -> Command {
-    let print = Arg::new(PRINT_CONFIG)
+    let print_config = Arg::new(PRINT_CONFIG)
         .long(PRINT_CONFIG)
         .env("PIMENTO_PRINT_CONFIG")
         .action(ArgAction::SetTrue)
-        .help("Print the settings in force, without secrets, and exit");
+        .help("Print the effective settings, without secrets, and exit");
     Command::new("pimento-entry")
         .version(env!("CARGO_PKG_VERSION"))
         .about("Routes callers' requests to model versions and plain services by their contract")
-        .after_help("Every flag can be set by its environment variable. Exit codes: 0 ended in order, 1 could not start or cut requests, 2 bad settings.")
+        .after_help("Every flag can be set by its environment variable. Exit codes: 0 clean shutdown, 1 could not start, aborted requests or lost records, 2 bad settings.")
         .args(config::arguments())
-        .arg(print)
+        .arg(print_config)
 }
 
 /// Runs the program.
@@ -82,7 +82,7 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        // Both handlers stay in place, so that a further signal does not end the process early.
+        // Both signal handlers stay installed: a second signal does not end the process early.
         Ok(running.shut_down().await)
     })
 }
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings: raw texts from flags and environment, and the checked [`Config`] made of them.
+//! Settings: unparsed values from flags and environment, and the validated [`Config`].
 
 mod settings;
 
@@ -16,7 +16,7 @@
 use self::settings::SETTINGS;
 pub use self::settings::arguments;
 
-/// Something wrong with one setting.
+/// A problem with one setting.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("--{flag} ({env}): {problem}"))]
 pub struct Finding {
@@ -28,7 +28,7 @@
     pub problem: String,
 }
 
-/// All that is wrong with the settings.
+/// All problems with the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Findings(pub Vec<Finding>);
 
@@ -43,12 +43,12 @@
 
 impl std::error::Error for Findings {}
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable lines.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -63,15 +63,15 @@
     }
 }
 
-/// A secret that no log line or page shows.
+/// A secret. `Debug` does not print it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(String);
 
-/// The shortest secret taken: 16 random characters can't be guessed.
+/// Minimum length of a secret: 16 random characters can't be guessed.
 const SECRET_MIN_CHARS: usize = 16;
 
 impl Secret {
-    /// The secret itself.
+    /// The secret in clear text.
     #[must_use]
     pub fn reveal(&self) -> &str {
         &self.0
@@ -94,7 +94,7 @@
     }
 }
 
-/// The checked settings of an entry VM.
+/// The validated settings of an entry VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[expect(missing_docs, reason = "each field is described by its flag's help")]
 pub struct Config {
@@ -133,7 +133,7 @@
     pub log_level: log::LevelFilter,
 }
 
-/// Reads settings one by one and gathers what is wrong.
+/// Parses settings one by one and collects the problems.
 struct Reader<'a> {
     raw: &'a Raw,
     findings: Vec<Finding>,
@@ -219,8 +219,8 @@
     }
 }
 
-/// Reads all settings. Each one is read before any is found missing, so that all findings are
-/// reported together.
+/// Reads all settings before it fails for a missing one, so that all findings are reported
+/// together.
 fn read_config(reader: &mut Reader<'_>) -> Option<Config> {
     let node = reader.required("node");
     let zone = reader.required("zone");
@@ -292,7 +292,7 @@
     })
 }
 
-/// The settings in force as `flag = value` lines, secrets hidden.
+/// The effective settings as `flag = value` lines, secrets hidden.
 #[must_use]
 pub fn print(raw: &Raw) -> String {
     let mut text = String::new();
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: text for people, JSON for machines.
+//! Set-up of the log output: text or JSON lines.
 
 use log::LevelFilter;
 use logforth::append;
@@ -7,7 +7,7 @@
 
 use crate::config::LogFormat;
 
-/// Starts to write log lines to the standard error stream. A second start changes nothing.
+/// Sends log lines to the standard error stream. A second call has no effect.
 pub fn init(format: LogFormat, level: LevelFilter) {
     let builder = logforth::starter_log::builder();
     let builder = builder.dispatch(|dispatch| match format {
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -19,13 +19,13 @@
 
 use crate::refusal::Code;
 
-/// Bounds of latency histograms in seconds: the target for a first token is 0.41 s, so that the
-/// steps are finest around it; reviews take minutes.
+/// Bucket bounds of the latency histograms, in seconds. They are finest around 0.41 s, the target
+/// for the first token; reviews take minutes.
 const LATENCY_BOUNDS: [f64; 16] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.41, 0.6, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0,
 ];
 
-/// Bounds of the cost histogram, in currency units.
+/// Bucket bounds of the cost histogram, in currency units.
 const COST_BOUNDS: [f64; 10] = [
     0.000_01, 0.000_1, 0.000_5, 0.001, 0.005, 0.01, 0.05, 0.1, 0.5, 5.0,
 ];
@@ -33,14 +33,14 @@
 /// Labels of the histograms.
 const HISTOGRAM_LABELS: [&str; 2] = ["customer", "class"];
 
-/// Label of requests that have no class: plain services.
+/// Class label of requests without a class, which are calls of plain services.
 pub const NO_CLASS: &str = "service";
 
-/// All metrics.
+/// The metrics of an entry VM.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Customers with series of their own.
+    /// Customers with their own series.
     customers: Names,
     first_byte: HistogramVec,
     last_byte: HistogramVec,
@@ -57,25 +57,25 @@
     answer_bytes: Gauge,
 }
 
-/// How long a request took and what it cost.
+/// Latency and cost of one request.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Sample {
-    /// To the first byte of the answer.
+    /// Time to the first byte of the answer.
     pub first_byte: Duration,
-    /// To the last byte.
+    /// Time to the last byte of the answer.
     pub last_byte: Duration,
-    /// In queues.
+    /// Time in queues.
     pub queue_wait: Duration,
-    /// Cost to us of all attempts.
+    /// Our cost of all attempts.
     pub cost: Money,
 }
 
 impl Metrics {
-    /// Metrics with series of their own for at most `customers` customers.
+    /// Creates the metrics, with separate series for at most `customers` customers.
     ///
     /// # Panics
     ///
-    /// Never: the names are constants that are each registered once.
+    /// Never: each name is a constant that is registered once.
     #[must_use]
     pub fn new(customers: usize) -> Self {
         let registry = Registry::new();
@@ -112,25 +112,25 @@
             served: counter(
                 r,
                 "pimento_served_total",
-                "Requests answered whole",
+                "Requests answered in full",
                 &["customer", "class", "answered_by"],
             ),
             refusals: counter(
                 r,
                 "pimento_refusals_total",
-                "Requests that got an error, by its code",
+                "Requests answered with an error, by its code",
                 &["code", "run"],
             ),
             attempts: counter(
                 r,
                 "pimento_attempts_total",
-                "Attempts at endpoints, by pool and how they ended",
+                "Attempts at endpoints, by pool and result",
                 &["pool", "result"],
             ),
             steps: counter(
                 r,
                 "pimento_cascade_steps_total",
-                "Cascade steps, by version and what became of the answer",
+                "Cascade steps, by version and result",
                 &["version", "result"],
             ),
             pools: gauges(
@@ -142,26 +142,30 @@
             state_age: gauge(
                 r,
                 "pimento_state_age_seconds",
-                "Time since the configuration was last known to be current",
+                "Time since the configuration was last confirmed to be current",
             ),
             bills_waiting: gauge(
                 r,
                 "pimento_bills_waiting",
-                "Bills that were not yet read back from the log",
+                "Bills not yet read back from the log",
             ),
             spend_granted: gauges(
                 r,
                 "pimento_spend_granted",
-                "Money granted to this node in the present spend period, in currency units",
+                "Money granted to this node in the current spend period, in currency units",
                 &["customer"],
             ),
-            answer_bytes: gauge(r, "pimento_kept_bytes", "Memory of kept answers, in bytes"),
+            answer_bytes: gauge(
+                r,
+                "pimento_kept_bytes",
+                "Memory of cached answers, in bytes",
+            ),
             customers: Names::new(customers),
             registry,
         }
     }
 
-    /// Counts an answer.
+    /// Records a complete answer.
     pub fn record_served(&self, customer: &id::Customer, class: &str, by: &str, sample: Sample) {
         let customer = self.customers.label(customer.as_str());
         let labels = [customer.as_str(), class];
@@ -200,7 +204,7 @@
             .inc();
     }
 
-    /// Sets what was granted to this node for a customer.
+    /// Sets the amount granted to this node for a customer.
     pub fn set_granted(&self, customer: &id::Customer, granted: Money) {
         let customer = self.customers.label(customer.as_str());
         self.spend_granted
@@ -208,7 +212,7 @@
             .set(currency_units(granted));
     }
 
-    /// Sets the gauges that are read when asked for.
+    /// Updates the gauges whose values are taken when the metrics are scraped.
     pub fn update_gauges(
         &self,
         age: Duration,
@@ -228,7 +232,7 @@
         }
     }
 
-    /// All metrics in the text format.
+    /// All metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> Vec<u8> {
         pimento_metrics::text(&self.registry)
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,4 +1,4 @@
-//! One entry VM: everything that the filters share, and the tasks that keep it current.
+//! One entry VM: the state that all filters share, and the background tasks that update it.
 
 use std::sync::Arc;
 use std::sync::Weak;
@@ -51,18 +51,18 @@
 use crate::session;
 use crate::state::Handle;
 
-/// Time between two looks at the configuration's age, peers and evidence. Changes of the
-/// configuration itself wake at once.
+/// Interval at which the age of the configuration, departures and evidence are processed. A change
+/// of the configuration is processed immediately.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a new node waits to have read the claims stream before it takes requests without: an
-/// empty stream answers its first read after a second.
+/// How long a new node waits for the claims stream before it accepts requests without it. An empty
+/// stream answers its first read after a second.
 const CLAIMS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a proposed withdrawal is tried to be written. Later evidence proposes it again.
+/// Timeout for appending a proposed withdrawal to the log. Later evidence proposes it again.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the filters of one entry VM share.
+/// The state that the filters of one entry VM share.
 #[derive(Debug)]
 #[expect(missing_docs, reason = "each field is described by its type")]
 pub struct Node {
@@ -84,13 +84,13 @@
     pub wallet: Wallet,
     pub answers: Cache,
     pub mesh: Mesh,
-    /// Memory for requests in flight, in units of [`identify::UNIT`].
+    /// Permits for memory of requests in flight, in units of [`identify::UNIT`].
     pub request_memory: Arc<Semaphore>,
     pub metrics: Metrics,
-    /// Requests in flight and what they left behind to do.
+    /// Tasks of requests in flight, and the work that remains after their responses.
     pub tasks: TaskTracker,
-    /// Cancelled once the node is about to go: it is no longer ready, and connections are closed
-    /// after their next response.
+    /// Cancelled when shutdown begins: the node is no longer ready, and closes each connection
+    /// after its next response.
     pub leaving: CancellationToken,
     appender: Appender,
     source: configuration::Source,
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     ///
-    /// [`mesh::Error`] if the address for peers can't be had.
+    /// [`mesh::Error`] if the listener for peers can't be bound.
     pub async fn start(
         config: Config,
         token: &CancellationToken,
@@ -196,32 +196,33 @@
         });
     }
 
-    /// A handle to this node for a task that outlives a request.
+    /// A shared pointer to this node, for a task that outlives its request.
     #[must_use]
     pub fn to_arc(&self) -> Option<Arc<Self>> {
         self.weak.upgrade()
     }
 
-    /// Whether requests are taken.
+    /// Whether the node accepts requests.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.state.ready() && self.claims_ready() && !self.leaving.is_cancelled()
     }
 
-    /// Whether the claims stream was read, without which orders would be refused. A log that is
-    /// out must not keep a new node from serving all else.
+    /// Whether the claims stream has been read, or [`CLAIMS_TIMEOUT`] has passed since the start.
+    /// Without the claims, calls that may not be repeated are refused. A log outage must not keep a
+    /// new node from serving all other requests.
     fn claims_ready(&self) -> bool {
         let read = self.claimer.follower().caught_up();
         read || self.clock.now() > Moment::ZERO + CLAIMS_TIMEOUT
     }
 
-    /// Live entry VMs, this one included.
+    /// Number of live entry VMs, including this one.
     #[must_use]
     pub fn live_vms(&self) -> u32 {
         u32::try_from(self.mesh.peers().len() + 1).unwrap_or(u32::MAX)
     }
 
-    /// The zone's hand to the log, for records that peers pass on.
+    /// The appender of this node, also for records that peers forward.
     #[must_use]
     pub const fn appender(&self) -> &Appender {
         &self.appender
@@ -233,13 +234,13 @@
         &self.source
     }
 
-    /// Says to peers that this node is about to go, and stops being ready.
+    /// Begins to leave: announces it to peers and stops being ready.
     pub fn leave(&self) {
         self.leaving.cancel();
         self.mesh.report(|own| own.leaving = true);
     }
 
-    /// Keeps configuration, departures and quarantine current.
+    /// Updates configuration, departures and quarantine in a loop.
     async fn run_updates(&self) {
         let mut changed = self.source.changed();
         loop {
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Tells the registry what peers know of departures, and peers what it knows.
+    /// Merges departures announced by peers into the registry, and announces those of the registry.
     fn exchange_departures(&self) {
         self.registry.record_departures(self.mesh.departures());
         for departure in self.registry.departures() {
@@ -265,19 +266,19 @@
         }
     }
 
-    /// Quarantines versions that the evidence speaks against, and proposes to withdraw them.
+    /// Quarantines versions that fail on the evidence, and proposes their withdrawal.
     fn review_evidence(&self) {
         let state = self.state.current();
         for (version, cause) in self.evidence.review(&state) {
-            log::warn!("evidence: {version} is not used here any more: {cause:?}.");
+            log::warn!("evidence: Quarantined {version} at this node: {cause:?}.");
             self.propose_withdrawal(&version);
         }
         let quarantined = self.evidence.quarantined();
         self.mesh.report(|own| own.quarantined = quarantined);
     }
 
-    /// Proposes a withdrawal. Of several nodes the first in the log wins; if an operator changed
-    /// the version meanwhile, his word stands.
+    /// Proposes the withdrawal of a version through the log. If several nodes propose it, the first
+    /// record wins. The proposal has no effect if an operator has changed the version meanwhile.
     fn propose_withdrawal(&self, version: &id::Version) {
         let state = self.state.current();
         let Some(known) = state.version(version) else {
@@ -302,13 +303,13 @@
             let deadline = Instant::now() + PROPOSAL_TIMEOUT;
             let stream = Stream::Configuration;
             if let Err(error) = appender.append(stream, record, deadline).await {
-                log::warn!("evidence: Withdrawal not proposed: {error}.");
+                log::warn!("evidence: Can't propose a withdrawal: {error}.");
             }
         });
     }
 }
 
-/// Addresses of entry VMs in the platform's list.
+/// The addresses of the entry VMs in the platform's list.
 fn entry_addresses(vms: &Vms) -> impl Iterator<Item = std::net::SocketAddr> {
     let entries = vms.vms.iter().filter(|vm| vm.role == Role::Entry);
     entries.filter_map(|vm| vm.address.parse().ok())
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' side: `/ready`, `/live`, `/metrics` and `/state`.
+//! HTTP interface for operators: `/ready`, `/live`, `/metrics` and `/state`.
 
 use std::sync::Arc;
 
@@ -19,11 +19,11 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// The operators' side.
+/// The HTTP service for operators.
 #[derive(Debug, Clone)]
 pub struct Operators(pub Arc<Node>);
 
-/// Answer of `/state`: what other programs read, and figures for people.
+/// Body of `/state`: the part that other programs read, and additional fields for people.
 #[derive(Debug, Serialize)]
 struct State {
     #[serde(flatten)]
@@ -62,7 +62,7 @@
 impl Serve for Operators {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         if request.method() != Method::GET {
-            let message = "only GET is taken here";
+            let message = "only GET is allowed here";
             return Refusal::not_run(Code::WrongMethod, message).response();
         }
         match request.uri().path() {
@@ -71,7 +71,7 @@
             "/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/metrics" => metrics(&self.0),
             "/state" => reply::json(&state(&self.0)),
-            _ => Refusal::not_run(Code::UnknownPath, "there is nothing here").response(),
+            _ => Refusal::not_run(Code::UnknownPath, "unknown path").response(),
         }
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! CallHandler to other entry VMs.
+//! Handles calls from other entry VMs.
 
 use std::sync::Weak;
 use std::time::Duration;
@@ -11,17 +11,18 @@
 
 use crate::node::Node;
 
-/// How long records of a peer may take to reach the log. A peer's call does not wait longer.
-const APPEND: Duration = Duration::from_secs(2);
+/// Timeout for appending a peer's records to the log. The peer's call does not wait longer.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// CallHandler for one node. Holds no part of it alive: a node that has ended answers nothing.
+/// Handles the calls to one node. It holds a weak reference: a call to a node that has shut down
+/// gets [`Answer::Nothing`].
 #[derive(Debug)]
 pub struct CallHandler {
     node: Weak<Node>,
 }
 
 impl CallHandler {
-    /// CallHandler for `node`.
+    /// A handler of the calls to `node`.
     #[must_use]
     pub fn new(node: &std::sync::Arc<Node>) -> Self {
         Self {
@@ -39,7 +40,7 @@
             return answer;
         }
         match call {
-            Call::Hold { node: owner, bills } => held(node.outbox.keep(&owner, bills)),
+            Call::Hold { node: owner, bills } => hold_answer(node.outbox.keep(&owner, bills)),
             Call::Drop {
                 node: owner,
                 requests,
@@ -61,8 +62,8 @@
     }
 }
 
-fn held(kept: bool) -> Answer {
-    if kept {
+fn hold_answer(is_held: bool) -> Answer {
+    if is_held {
         return Answer::Done;
     }
     Answer::Refused {
@@ -84,16 +85,16 @@
     let refused = |reason: String| Answer::Refused {
         reason: reason.into(),
     };
-    let Some(stream) = find(stream) else {
-        return refused(format!("there is no stream {stream:?}"));
+    let Some(stream) = stream_by_name(stream) else {
+        return refused(format!("unknown stream {stream:?}"));
     };
-    let deadline = Instant::now() + APPEND;
+    let deadline = Instant::now() + APPEND_TIMEOUT;
     match node.appender().append_all(stream, records, deadline).await {
         Ok(first) => Answer::Appended { first },
         Err(error) => refused(error.to_string()),
     }
 }
 
-fn find(name: &str) -> Option<Stream> {
+fn stream_by_name(name: &str) -> Option<Stream> {
     Stream::ALL.into_iter().find(|stream| stream.name() == name)
 }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -1,11 +1,11 @@
-//! Which endpoints may take new work.
+//! Decides which endpoints may take new work.
 //!
-//! Three sources are joined: the platform's list, which lags; the endpoint's own word in its load
-//! report; and the word of other entry VMs. An endpoint that any of them called leaving gets no new
-//! work for the rest of that incarnation. A list that is suddenly empty or much shorter is doubted:
-//! endpoints that it misses stay in use as long as they answer.
+//! Three sources are merged: the platform's list, which lags; the endpoints' load reports; and
+//! announcements of other entry VMs. An endpoint that any of them reports as leaving gets no new
+//! work for the rest of that incarnation. A list that is suddenly empty or much shorter is
+//! distrusted: endpoints that it lacks stay in use as long as they answer.
 //!
-//! [`Table`] decides without clock or connection; [`poll`] feeds it.
+//! [`Table`] decides without a clock or connections; [`poll`] updates it.
 
 pub mod poll;
 
@@ -19,55 +19,55 @@
 use pimento_wire::platform::Role;
 use pimento_wire::platform::Vms;
 
-/// A list that misses more than one in so many of the endpoints known is doubted. Replacing VMs
-/// one by one, or losing a rack of a zone, stays below half.
+/// A list is distrusted if more than one in this many of the known endpoints are missing from it.
+/// Replacing VMs one by one, or losing a rack of a zone, affects less than half.
 const MAX_MISSING_DIVISOR: usize = 2;
 
-/// Load reports in a row that must fail before an engine gets no new work. One lost packet costs
-/// one report; a dead engine fails all.
+/// Consecutive failed load reports from which an engine gets no new work. One lost packet fails one
+/// report; a dead engine fails all.
 const MAX_FAILURES: u32 = 3;
 
-/// Departures remembered. An ordinary day has 120 VMs replaced.
+/// Maximum number of stored departures. About 120 VMs are replaced on an ordinary day.
 const MAX_DEPARTURES: usize = 1_024;
 
-/// What an endpoint is for.
+/// Kind of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// A model engine, which reports its load.
     Engine,
-    /// A replica of a plain service, which doesn't.
+    /// A replica of a plain service, which reports no load.
     Service,
 }
 
-/// One endpoint as known at this node.
+/// One endpoint as this node knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name.
     pub name: id::Endpoint,
-    /// Its pool.
+    /// Pool.
     pub pool: id::Pool,
-    /// Its zone.
+    /// Zone.
     pub zone: id::Zone,
-    /// Where it is.
+    /// Address.
     pub address: SocketAddr,
-    /// What it is for.
+    /// Engine or service.
     pub kind: Kind,
-    /// The newest load report and when it came.
+    /// The latest load report and when it was received.
     pub load: Option<(Load, Moment)>,
-    /// Load reports that failed in a row.
+    /// Consecutive failed load reports.
     failures: u32,
     listed: bool,
     leaving: bool,
 }
 
 impl Endpoint {
-    /// The incarnation; zero while unknown and for services.
+    /// The incarnation; zero for services, and for engines while unknown.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.load.as_ref().map_or(0, |(load, _)| load.incarnation)
     }
 
-    /// How old the engine's own load figures are.
+    /// Age of the engine's load figures; the maximum if there are none.
     #[must_use]
     pub fn load_age(&self, now: Moment) -> Duration {
         self.load.as_ref().map_or(Duration::MAX, |(load, at)| {
@@ -83,19 +83,19 @@
     }
 }
 
-/// The endpoints known, sorted by name, and the departures heard of.
+/// The known endpoints, sorted by name, and the recorded departures.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     endpoints: Vec<Endpoint>,
-    /// Sorted.
+    /// The recorded departures, sorted for lookup.
     sorted_departures: Vec<Departure>,
-    /// The same, oldest first.
+    /// The same departures, oldest first.
     departures: Vec<Departure>,
     list_distrusted: bool,
 }
 
 impl Table {
-    /// Takes a list from the platform.
+    /// Merges a list of the platform.
     pub fn update_list(&mut self, vms: &Vms) {
         let mut listed: Vec<Endpoint> = vms.vms.iter().filter_map(endpoint).collect();
         listed.sort_by(|one, other| one.name.cmp(&other.name));
@@ -109,7 +109,7 @@
             missing * MAX_MISSING_DIVISOR > known || (self.list_distrusted && listed.is_empty());
         if self.list_distrusted {
             log::warn!(
-                "registry: The VM list misses {missing} of {known} endpoints, not believed."
+                "registry: The VM list lacks {missing} of {known} endpoints; removing none."
             );
         }
         for endpoint in &mut self.endpoints {
@@ -145,8 +145,8 @@
         known.zone = new.zone;
     }
 
-    /// Takes an engine's load report. A report of another endpoint is ignored: its address was
-    /// given to a new VM.
+    /// Records the load report read at an engine's address. A report that names another endpoint
+    /// counts as failed: the address was reassigned to a new VM.
     pub fn record_load(&mut self, name: &id::Endpoint, load: Load, now: Moment) {
         let Some(place) = position(&self.endpoints, name) else {
             return;
@@ -166,7 +166,7 @@
         endpoint.load = Some((load, now));
     }
 
-    /// Notes that an engine's load report could not be had.
+    /// Records that the load report of an engine could not be read.
     pub fn record_failure(&mut self, name: &id::Endpoint) {
         if let Some(place) = position(&self.endpoints, name) {
             let endpoint = &mut self.endpoints[place];
@@ -174,13 +174,13 @@
         }
     }
 
-    /// Takes anybody's word that an endpoint is leaving. True if it was news.
+    /// Records from any source that an endpoint is leaving. True if that was not known.
     pub fn record_departure(&mut self, departure: Departure) -> bool {
         if self.sorted_departures.binary_search(&departure).is_ok() {
             return false;
         }
         log::info!(
-            "registry: {} is leaving, no new work for it.",
+            "registry: {} is leaving and gets no new work.",
             departure.endpoint
         );
         if self.departures.len() == MAX_DEPARTURES {
@@ -195,7 +195,7 @@
         true
     }
 
-    /// Departures heard of, oldest first.
+    /// The recorded departures, oldest first.
     #[must_use]
     pub fn departures(&self) -> &[Departure] {
         &self.departures
@@ -217,19 +217,19 @@
         endpoint.leaving || self.sorted_departures.binary_search(&departure).is_ok()
     }
 
-    /// All endpoints known, sorted by name.
+    /// All known endpoints, sorted by name.
     #[must_use]
     pub fn endpoints(&self) -> &[Endpoint] {
         &self.endpoints
     }
 
-    /// Whether the last list was not believed.
+    /// Whether the last list was distrusted.
     #[must_use]
     pub const fn distrusts_list(&self) -> bool {
         self.list_distrusted
     }
 
-    /// One endpoint.
+    /// The endpoint of this name.
     #[must_use]
     pub fn get(&self, name: &id::Endpoint) -> Option<&Endpoint> {
         position(&self.endpoints, name).map(|place| &self.endpoints[place])
@@ -240,7 +240,7 @@
     endpoints.binary_search_by(|e| e.name.cmp(name)).ok()
 }
 
-/// An endpoint from a line of the list; lines that make no sense are left out.
+/// An endpoint from an entry of the list; `None` for entry VMs and invalid entries.
 fn endpoint(vm: &pimento_wire::platform::Vm) -> Option<Endpoint> {
     let (pool, kind) = match &vm.role {
         Role::Engine(pool) => (pool.clone(), Kind::Engine),
--- a/crates/entry/src/registry/poll.rs
+++ b/crates/entry/src/registry/poll.rs
@@ -1,4 +1,4 @@
-//! Feeds the table from the platform's list, the engines' load reports and the peers.
+//! Updates the table from the platform's list, the engines' load reports and the peers.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -29,22 +29,22 @@
 /// Load reports requested concurrently. Bounds the sockets that polling holds.
 const MAX_CONCURRENT_POLLS: usize = 32;
 
-/// Times and places of polling.
+/// Settings of polling.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// The node's own zone.
     pub zone: id::Zone,
-    /// Delay to other zones beyond the own one's, there and back.
+    /// Additional round-trip time to other zones.
     pub zone_delay: Duration,
-    /// Time between two polls of the list and of the own zone's engines.
+    /// Polling interval of the list and of engines in the local zone.
     pub interval: Duration,
-    /// Time between two polls of an engine in another zone, if longer. Such engines get what the own
-    /// zone can't carry; asking each of hundreds every second from every node would load them more
-    /// than it helps.
+    /// Minimum time between two polls of an engine in another zone. Such engines get only the work
+    /// that the local zone can't carry; polling each of hundreds every second from every node would
+    /// load them more than it helps.
     pub remote_interval: Duration,
 }
 
-/// The endpoint registry of a node; clones share it.
+/// The endpoint registry of a node. Clones share it.
 #[derive(Debug, Clone)]
 pub struct Registry {
     clock: Clock,
@@ -55,7 +55,7 @@
 }
 
 impl Registry {
-    /// Knows no endpoint yet.
+    /// A registry without endpoints.
     #[must_use]
     pub fn new(clock: Clock, config: Config, connections: Pool, scheduler: Scheduler) -> Self {
         Self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Polls until cancelled; `on_list` gets each list.
+    /// Polls until cancelled, and calls `on_list` with each list.
     pub async fn run(&self, list: impl List, on_list: impl Fn(&Vms), token: CancellationToken) {
         let mut ticks = tokio::time::interval(self.config.interval);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -81,13 +81,13 @@
                     on_list(&vms);
                     self.lock().update_list(&vms);
                 }
-                Err(error) => log::warn!("registry: The last list goes on to count: {error}."),
+                Err(error) => log::warn!("registry: Keeping the last VM list: {error}."),
             }
             self.poll_loads().await;
         }
     }
 
-    /// Asks all engines for their load at once.
+    /// Polls the load of all engines that are due, concurrently, and updates the pools.
     pub async fn poll_loads(&self) {
         let engines: Vec<Endpoint> = {
             let table = self.lock();
@@ -116,13 +116,16 @@
         match load {
             Ok(load) => table.record_load(&endpoint.name, load, now),
             Err(fault) => {
-                log::debug!("registry: No load report of {}: {fault}.", endpoint.name);
+                log::debug!(
+                    "registry: Can't read the load of {}: {fault}.",
+                    endpoint.name
+                );
                 table.record_failure(&endpoint.name);
             }
         }
     }
 
-    /// Takes anybody's word that an endpoint is leaving.
+    /// Records from any source that endpoints are leaving.
     pub fn record_departures(&self, departures: impl IntoIterator<Item = Departure>) {
         let any_new = {
             let mut table = self.lock();
@@ -134,13 +137,13 @@
         }
     }
 
-    /// Departures heard of, oldest first.
+    /// The recorded departures, oldest first.
     #[must_use]
     pub fn departures(&self) -> Vec<Departure> {
         self.lock().departures().to_vec()
     }
 
-    /// An endpoint that is not leaving.
+    /// The endpoint of this name, unless it is leaving.
     #[must_use]
     pub fn get_active(&self, name: &id::Endpoint) -> Option<Endpoint> {
         let table = self.lock();
@@ -154,7 +157,7 @@
         self.lock().clone()
     }
 
-    /// Tells the pools which endpoints are in use.
+    /// Updates the members of all pools from the table.
     pub fn update_pools(&self) {
         let now = self.clock.now();
         let table = self.table();
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,9 +1,10 @@
-//! The running program: binds its listeners, serves, and ends without cutting a request.
+//! The running program: binds its listeners, serves, and shuts down without aborting requests.
 //!
-//! On the first signal `/ready` fails at once, and callers go on being accepted for the grace, as
-//! the balancer lags. Then no connection is accepted, idle ones are closed, and every request in
-//! flight is finished, streams included; bills, outcomes and grants go to the log. A second signal
-//! changes nothing. The last bound cuts what is still in flight, and says so.
+//! On the first signal `/ready` fails immediately. Connections are still accepted for the grace
+//! period, as the load balancer lags. Then no connection is accepted, idle ones are closed, and
+//! every request in flight is finished, streams included. Bills, outcomes and grants are flushed to
+//! the log. A second signal has no effect. Requests that are still in flight at the last bound are
+//! aborted, with an error in the log lines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,37 +23,37 @@
 use crate::operators::Operators;
 use crate::server::Callers;
 
-/// Time for the last records to reach the log. It may be out for long just then, and a VM that goes
-/// must not wait for it: a peer holds what does not reach it.
+/// Timeout for flushing the last records to the log. A VM that shuts down must not wait for a long
+/// log outage: a peer holds copies of the bills that do not reach the log.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why the program could not start.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address can't be listened on.
+    /// Can't listen on an address.
     #[snafu(display("can't listen on {address}: {source}"))]
     Bind {
-        /// Where.
+        /// The address.
         address: SocketAddr,
         /// Why.
         source: std::io::Error,
     },
-    /// The peers' side can't be had.
-    #[snafu(display("the peers' side can't be had: {source}"))]
+    /// Can't start the connections to peers.
+    #[snafu(display("can't start the peer mesh: {source}"))]
     Mesh {
         /// Why.
         source: mesh::Error,
     },
 }
 
-/// An entry VM that serves.
+/// A serving entry VM.
 #[derive(Debug)]
 pub struct Running {
-    /// What the filters share.
+    /// The state that the filters share.
     pub node: Arc<Node>,
-    /// Where callers reach it.
+    /// Bound address for callers.
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// Bound address for operators.
     pub operators: SocketAddr,
     stop: Stop,
     operators_stop: Stop,
@@ -65,20 +66,26 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] if an address can't be had.
+    /// [`Error`] if an address can't be bound.
     pub async fn start(config: Config) -> Result<Self, Error> {
         let (callers, callers_at) = bind(config.listen).await?;
         let (operators, operators_at) = bind(config.operators_listen).await?;
         let background = CancellationToken::new();
         let node = Node::start(config, &background).await.context(MeshSnafu)?;
-        log::info!("server: Callers at {callers_at}, operators at {operators_at}.");
+        log::info!(
+            "server: Listening for callers on {callers_at}, for operators on {operators_at}."
+        );
         let stop = Stop {
             leaving: node.leaving.clone(),
             ..Stop::default()
         };
         let operators_stop = Stop::default();
-        let page = Operators(Arc::clone(&node));
-        tokio::spawn(pimento_serve::run(operators, page, operators_stop.clone()));
+        let service = Operators(Arc::clone(&node));
+        tokio::spawn(pimento_serve::run(
+            operators,
+            service,
+            operators_stop.clone(),
+        ));
         let service = Callers(Arc::clone(&node));
         let serving = tokio::spawn(pimento_serve::run(callers, service, stop.clone()));
         Ok(Self {
@@ -92,12 +99,12 @@
         })
     }
 
-    /// Ends in order; returns once all is done. False if requests were cut or records did not
-    /// reach the log.
+    /// Shuts down and returns when that is done. False if requests were aborted, or if bills or
+    /// outcomes did not reach the log.
     pub async fn shut_down(mut self) -> bool {
         let grace = self.node.config.grace;
         let bound = Instant::now() + grace + self.node.config.last_bound;
-        log::info!("server: Leaving; accepting for another {grace:?}.");
+        log::info!("server: Shutting down; still accepting connections for {grace:?}.");
         self.node.leave();
         tokio::time::sleep(grace).await;
         let drained = self.drain(bound).await;
@@ -105,11 +112,11 @@
         self.operators_stop.closing.cancel();
         self.operators_stop.cut.cancel();
         self.background.cancel();
-        log::info!("server: Ended.");
+        log::info!("server: Shut down.");
         drained && flushed
     }
 
-    /// Finishes all requests in flight, until `bound`.
+    /// Waits until all requests in flight are finished, and aborts the rest at `bound`.
     async fn drain(&mut self, bound: Instant) -> bool {
         self.stop.closing.cancel();
         self.node.tasks.close();
@@ -122,29 +129,32 @@
             return true;
         }
         log::error!(
-            "server: The last bound has passed, cutting {} tasks.",
+            "server: The last bound has passed; aborting {} tasks.",
             self.node.tasks.len()
         );
         self.stop.cut.cancel();
         false
     }
 
-    /// Brings bills, outcomes and unspent grants to the log.
+    /// Writes bills, outcomes and unspent grants to the log. False if bills or outcomes did not
+    /// reach it.
     async fn flush(&self, deadline: Instant) -> bool {
         let node = &self.node;
         let outcomes = tokio::time::timeout_at(deadline, node.claimer.flush()).await;
         if outcomes.is_err() {
-            log::warn!("claims: Not all outcomes reached the log.");
+            log::warn!("claims: Some outcomes did not reach the log.");
         }
-        let left = node.outbox.flush(deadline).await;
-        if left > 0 {
-            log::warn!("bills: {left} did not reach the log; their copies will.");
+        let unflushed = node.outbox.flush(deadline).await;
+        if unflushed > 0 {
+            log::warn!(
+                "bills: {unflushed} bills did not reach the log; peers that hold copies append them."
+            );
         }
-        // Unspent grants come back by themselves at the period's end, so that a log that is out is
-        // not waited for on their account.
-        let soon = deadline.min(Instant::now() + FLUSH_TIMEOUT);
-        node.wallet.close(soon).await;
-        outcomes.is_ok() && left == 0
+        // Unspent grants are returned automatically at the end of the period, so that returning
+        // them now gets no time beyond the deadline.
+        let wallet_deadline = deadline.min(Instant::now() + FLUSH_TIMEOUT);
+        node.wallet.close(wallet_deadline).await;
+        outcomes.is_ok() && unflushed == 0
     }
 }
 
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! The callers' side of the program.
+//! HTTP interface for callers.
 
 use std::sync::Arc;
 
@@ -15,26 +15,26 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// The callers' side.
+/// The HTTP service for callers.
 #[derive(Debug, Clone)]
 pub struct Callers(pub Arc<Node>);
 
 impl Serve for Callers {
-    /// Runs the chain as a task of its own. The server drops a response's future when its caller
-    /// goes away, and a call that may not be repeated must not be left half way.
+    /// Runs the filter chain in a separate task. The server drops a response's future when the
+    /// caller disconnects, and a call that may not be repeated must not stop halfway.
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         let gone = CancellationToken::new();
-        let watch = gone.clone().drop_guard();
+        let guard = gone.clone().drop_guard();
         let node = Arc::clone(&self.0);
         let task = self
             .0
             .tasks
             .spawn(async move { chain::serve(&node, request, gone).await });
         let response = task.await;
-        watch.disarm();
+        guard.disarm();
         response.unwrap_or_else(|error| {
-            log::error!("server: A request's task broke off: {error}.");
-            let message = "the request broke off";
+            log::error!("server: The task of a request failed: {error}.");
+            let message = "the request failed unexpectedly";
             Refusal::new(Code::Internal, message, Run::Unknown).response()
         })
     }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -1,7 +1,7 @@
-//! The configuration in force at this entry VM, as the filters read it.
+//! The current configuration of this entry VM, as the filters read it.
 //!
-//! One task copies it from the platform's stream; filters take the current value at each decision
-//! and again at each dispatch, so that a change takes hold for work that already waits.
+//! One task copies it from the platform's stream. Filters read it at each decision and again at
+//! each dispatch, so that a change also applies to requests that already wait.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -15,7 +15,7 @@
 use pimento_units::Offset;
 use tokio::sync::watch;
 
-/// The configuration in force; clones share it.
+/// The current configuration. Clones share it.
 #[derive(Debug, Clone)]
 pub struct Handle {
     inner: Arc<Inner>,
@@ -26,13 +26,13 @@
     clock: Clock,
     state: ArcSwap<State>,
     ready: AtomicBool,
-    /// When the state was last known to be current, in nanoseconds of the clock.
+    /// When the state was last confirmed to be current, in nanoseconds of the clock.
     confirmed_at: AtomicU64,
     offset: watch::Sender<Offset>,
 }
 
 impl Handle {
-    /// Without a state: not ready.
+    /// A handle without a state, which is not ready.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
         let inner = Inner {
@@ -47,14 +47,14 @@
         }
     }
 
-    /// What is in force now.
+    /// The current state.
     #[must_use]
     pub fn current(&self) -> Arc<State> {
         self.inner.state.load_full()
     }
 
-    /// Puts a state in force, unless its offset is lower than the current one's: whoever brings
-    /// it, what was accepted never reverts.
+    /// Replaces the state, unless the new one has a lower offset: an accepted configuration never
+    /// reverts, whatever its source.
     pub fn replace(&self, state: &Arc<State>) {
         self.inner.state.rcu(|current| {
             if state.offset < current.offset {
@@ -67,7 +67,7 @@
         self.inner.offset.send_replace(self.current().offset);
     }
 
-    /// Notes that the state was current `age` ago.
+    /// Records that the state was current `age` ago.
     pub fn confirm(&self, age: Duration) {
         let age = u64::try_from(age.as_nanos()).unwrap_or(u64::MAX);
         let confirmed_at = self.inner.clock.now().nanos().saturating_sub(age);
@@ -76,24 +76,24 @@
             .fetch_max(confirmed_at, Ordering::AcqRel);
     }
 
-    /// Time since the state was last known to be current.
+    /// Time since the state was last confirmed to be current.
     #[must_use]
     pub fn age(&self) -> Duration {
         let confirmed_at = self.inner.confirmed_at.load(Ordering::Acquire);
         Duration::from_nanos(self.inner.clock.now().nanos().saturating_sub(confirmed_at))
     }
 
-    /// Whether there is a state at all.
+    /// Whether a state has been set.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.inner.ready.load(Ordering::Acquire)
     }
 
-    /// Waits until the state has read up to `offset`, at most `wait`.
+    /// Waits until the state includes all records below `offset`, at most for `timeout`.
     pub async fn wait_for_offset(&self, offset: Offset, timeout: Duration) {
         let mut offsets = self.inner.offset.subscribe();
         let reached = offsets.wait_for(|current| *current >= offset);
-        // Whoever is behind after the wait decides on what it has.
+        // After the timeout the caller decides on the state that is there.
         let _ = tokio::time::timeout(timeout, reached).await;
     }
 }
