--- a/crates/entry/examples/session.rs
+++ b/crates/entry/examples/session.rs
@@ -1,5 +1,5 @@
-//! Session tokens in somebody's own proxy: sealed by one process, honoured by any other that has the
-//! key, worth nothing to another customer.
+//! Session tokens in another proxy: one process seals a token, and any process with the same key
+//! opens it, for the same customer only.
 //!
 //! `cargo run -p pimento-entry --example session`
 
@@ -23,9 +23,12 @@
     };
     let token = Key::derive("a secret of entry VMs").seal(&session);
     println!("token: {token}");
-    let elsewhere = Key::derive("a secret of entry VMs");
-    println!("pins: {:?}", elsewhere.open(&token, &customer)?.pins);
+    let other_process = Key::derive("a secret of entry VMs");
+    println!("pins: {:?}", other_process.open(&token, &customer)?.pins);
     let other: id::Customer = "mine-gatumba".parse()?;
-    println!("for another customer: {:?}", elsewhere.open(&token, &other));
+    println!(
+        "for another customer: {:?}",
+        other_process.open(&token, &other)
+    );
     Ok(())
 }
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -33,10 +33,12 @@
     pools: Vec<Pool>,
     departures: Vec<Departure>,
     quarantined: Vec<id::Version>,
-    list_doubted: bool,
+    #[serde(rename = "list_doubted")]
+    list_distrusted: bool,
     bills_waiting: usize,
     bill_copies: usize,
-    kept_bytes: usize,
+    #[serde(rename = "kept_bytes")]
+    answer_bytes: usize,
     wrong_checkpoints: u64,
 }
 
@@ -53,7 +55,8 @@
 struct Pool {
     name: id::Pool,
     waiting: usize,
-    flying: u32,
+    #[serde(rename = "flying")]
+    in_flight: u32,
     slots: u32,
     usable: usize,
     ejected: usize,
@@ -122,10 +125,10 @@
         pools: pools(node),
         departures: table.departures().to_vec(),
         quarantined: node.evidence.quarantined(),
-        list_doubted: table.distrusts_list(),
+        list_distrusted: table.distrusts_list(),
         bills_waiting: node.outbox.waiting(),
         bill_copies: node.outbox.copies(),
-        kept_bytes: node.answers.bytes(),
+        answer_bytes: node.answers.bytes(),
         wrong_checkpoints: node.source().wrong_checkpoints(),
     }
 }
@@ -149,7 +152,7 @@
         Pool {
             name,
             waiting: depth.waiting,
-            flying: depth.in_flight,
+            in_flight: depth.in_flight,
             slots: depth.slots,
             usable: depth.usable,
             ejected: depth.ejected,
--- a/crates/entry/tests/all/config.rs
+++ b/crates/entry/tests/all/config.rs
@@ -1,4 +1,4 @@
-//! Settings.
+//! Settings from the command line.
 
 use pimento_entry::Config;
 use pimento_entry::cli;
@@ -11,7 +11,7 @@
     Raw::new(&matches)
 }
 
-const GOOD: [&str; 6] = [
+const VALID: [&str; 6] = [
     "--node=entry-1",
     "--zone=kig-remera",
     "--log-address=127.0.0.1:1",
@@ -22,7 +22,7 @@
 
 #[test]
 fn the_defaults_are_enough_beside_names_addresses_and_keys() {
-    let config = Config::try_from(&parse(&GOOD)).unwrap();
+    let config = Config::try_from(&parse(&VALID)).unwrap();
     assert_eq!(config.node.as_str(), "entry-1");
     assert_eq!(config.rater_address, None);
     assert!(!format!("{config:?}").contains("secret"));
@@ -43,7 +43,7 @@
     ]);
     let findings = Config::try_from(&raw).unwrap_err();
     let flags: Vec<_> = findings.0.iter().map(|finding| finding.flag).collect();
-    let wanted = [
+    let expected = [
         "node",
         "zone",
         "peers",
@@ -52,13 +52,13 @@
         "grace",
         "max-body",
     ];
-    assert_eq!(flags, wanted);
+    assert_eq!(flags, expected);
     assert!(findings.to_string().contains("PIMENTO_LOG_ADDRESS"));
 }
 
 #[test]
 fn printed_settings_hide_secrets() {
-    let text = config::print(&parse(&GOOD));
+    let text = config::print(&parse(&VALID));
     assert!(text.contains("zone = kig-remera"), "{text}");
     assert!(text.contains("peer-key = (set)"), "{text}");
     assert!(!text.contains("secret that"), "{text}");
--- a/crates/entry/tests/all/delivery.rs
+++ b/crates/entry/tests/all/delivery.rs
@@ -1,4 +1,4 @@
-//! What reaches a caller over several attempts at one answer.
+//! What a caller receives when an answer takes several attempts.
 
 use http_body_util::BodyExt;
 use pimento_endpoint::Fault;
@@ -17,7 +17,7 @@
 use uuid::Uuid;
 
 use crate::support::Answer;
-use crate::support::PATIENCE;
+use crate::support::TIMEOUT;
 
 const TEXT: &str = "Keep away from heat. Wear gloves. Příručka k čerpadlu.";
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// The text in pieces that end at these places; the last one says that it is.
+/// The text as chunks that end at these places. The last chunk has the finish reason.
 fn pieces(cuts: &[usize]) -> Vec<Chunk> {
     let starts: Vec<usize> = TEXT.char_indices().map(|(at, _)| at).collect();
     let mut ends: Vec<usize> = cuts.iter().map(|cut| starts[cut % starts.len()]).collect();
@@ -54,11 +54,11 @@
     pieces
 }
 
-/// A streamed delivery, and what its caller has received once it is over.
+/// A streamed delivery, and a task that returns what its caller has received at the end.
 fn stream() -> (Delivery, tokio::task::JoinHandle<Answer>) {
     let clock = Clock::default();
     let (head, response) = oneshot::channel();
-    let deadline = Moment::ZERO + PATIENCE;
+    let deadline = Moment::ZERO + TIMEOUT;
     let mut delivery = Delivery::stream(clock, id::Request(Uuid::now_v7()), deadline, head);
     delivery.begin(Head::default(), true);
     let caller = tokio::spawn(async move {
@@ -72,10 +72,10 @@
     (delivery, caller)
 }
 
-/// Gives some pieces of a first attempt, then a whole second one cut into other pieces.
-async fn two_attempts(first: &[usize], given: usize, second: &[usize]) -> Answer {
+/// Pushes `count` chunks of a first attempt, then all of a second one that is split differently.
+async fn two_attempts(first: &[usize], count: usize, second: &[usize]) -> Answer {
     let (mut delivery, caller) = stream();
-    for piece in pieces(first).into_iter().take(given) {
+    for piece in pieces(first).into_iter().take(count) {
         delivery.push(piece).await.unwrap();
     }
     delivery.restart();
@@ -87,22 +87,22 @@
 }
 
 proptest! {
-    /// The second attempt cuts the same text into other pieces, and the first may have ended
-    /// anywhere, even with its last piece. The caller gets each character once.
+    /// The second attempt splits the same text differently, and the first may have stopped at any
+    /// chunk, even at the last one. The caller gets each character once.
     #[test]
     fn a_restarted_answer_is_delivered_once(
         first in vec(0usize..100, 0..8),
-        given in 0usize..10,
+        count in 0usize..10,
         second in vec(0usize..100, 0..8),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        let answer = runtime.block_on(two_attempts(&first, given, &second));
+        let answer = runtime.block_on(two_attempts(&first, count, &second));
         prop_assert_eq!(answer.streamed(), TEXT);
         prop_assert_eq!(answer.whole_stream(), true);
     }
 }
 
-/// Another replica tells the answer differently. Going on with it would join two answers.
+/// The second attempt gives another text. Continuing with it would join two different answers.
 #[tokio::test]
 async fn a_restarted_answer_that_differs_is_refused() {
     let (mut delivery, caller) = stream();
@@ -111,11 +111,11 @@
     let fault = delivery.push(chunk("Keep out ", false)).await.unwrap_err();
     assert!(matches!(fault, Fault::Nonsense { .. }), "{fault}");
     drop(delivery);
-    // The body breaks off without its end, which the client reports as an error.
+    // The body ends without its last chunk, which the client reports as an error.
     assert!(caller.await.is_err());
 }
 
-/// An answer that is held for its rating reaches nobody before it is released.
+/// An answer that is held back for its rating is not sent before it is released.
 #[tokio::test]
 async fn a_held_answer_is_sent_when_it_is_released() {
     let (mut delivery, caller) = stream();
@@ -124,7 +124,7 @@
         delivery.push(piece).await.unwrap();
     }
     assert!(!delivery.begun());
-    // A better version is asked instead, and the first answer is gone.
+    // A better version is called instead, and the first answer is discarded.
     delivery.begin(Head::default(), false);
     for piece in pieces(&[12]) {
         delivery.push(piece).await.unwrap();
--- a/crates/entry/tests/all/faults.rs
+++ b/crates/entry/tests/all/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of engines, and what callers receive.
+//! Faults of engines and of the log, and what callers receive.
 
 use hyper::StatusCode;
 use pimento_standin::Site;
@@ -6,31 +6,28 @@
 use pimento_standin::fault::Rule;
 use pimento_wire::border::Run;
 
-use crate::support::PATIENCE;
-use crate::support::World;
-use crate::support::until;
+use crate::support::Fixture;
+use crate::support::TIMEOUT;
+use crate::support::wait_until;
 
 const PROMPT: &str = "tell me all. answer in 30 tokens";
 const CHAT: &str = "/v1/chat/completions";
 const ATTEMPTS: &str = "/v1/attempts/";
 
-fn first(action: Action) -> Vec<Rule> {
+fn once(action: Action) -> Vec<Rule> {
     vec![Rule::new(action).on("POST", CHAT).times(1)]
 }
 
-/// Faults that the caller must not notice: the answer is whole, in order, and billed once.
-fn mended() -> Vec<(&'static str, Vec<Rule>)> {
+/// Faults that must not affect the caller: the answer is complete, in order, and billed once.
+fn recoverable_faults() -> Vec<(&'static str, Vec<Rule>)> {
     let cut = || {
         Rule::new(Action::Cut { after: 7 })
             .on("POST", CHAT)
             .times(1)
     };
     vec![
-        ("cut once", first(Action::Cut { after: 7 })),
-        (
-            "cut before the first event",
-            first(Action::Cut { after: 0 }),
-        ),
+        ("cut once", once(Action::Cut { after: 7 })),
+        ("cut before the first event", once(Action::Cut { after: 0 })),
         (
             "cut, and cut again on resuming",
             vec![
@@ -41,7 +38,7 @@
             ],
         ),
         (
-            "cut, and the engine forgot the attempt",
+            "cut, and the engine no longer knows the attempt",
             vec![
                 cut(),
                 Rule::new(Action::Refuse {
@@ -53,7 +50,7 @@
             ],
         ),
         (
-            "the end mark lost, and the engine forgot the attempt",
+            "the end mark lost, and no answer about the attempt",
             vec![
                 Rule::new(Action::Skip { event: 30 })
                     .on("POST", CHAT)
@@ -61,38 +58,38 @@
                 Rule::new(Action::Drop).on("GET", ATTEMPTS),
             ],
         ),
-        ("a piece twice", first(Action::Duplicate { event: 4 })),
+        ("a piece twice", once(Action::Duplicate { event: 4 })),
         (
             "two pieces in the wrong order",
-            first(Action::Reorder { event: 4 }),
+            once(Action::Reorder { event: 4 }),
         ),
         (
             "the last two in the wrong order",
-            first(Action::Reorder { event: 28 }),
+            once(Action::Reorder { event: 28 }),
         ),
         (
             "the end mark before the last piece",
-            first(Action::Reorder { event: 29 }),
+            once(Action::Reorder { event: 29 }),
         ),
-        ("a piece lost", first(Action::Skip { event: 9 })),
-        ("the last piece lost", first(Action::Skip { event: 29 })),
-        ("the end mark lost", first(Action::Skip { event: 30 })),
-        ("silence in the middle", first(Action::Stall { event: 11 })),
-        ("nonsense", first(Action::Garbage)),
-        ("no answer", first(Action::LoseAnswer)),
-        ("closed without a word", first(Action::Drop)),
-        ("late by a little", first(Action::Late { ms: 200 })),
+        ("a piece lost", once(Action::Skip { event: 9 })),
+        ("the last piece lost", once(Action::Skip { event: 29 })),
+        ("the end mark lost", once(Action::Skip { event: 30 })),
+        ("stalled in the middle", once(Action::Stall { event: 11 })),
+        ("invalid data", once(Action::Garbage)),
+        ("no answer", once(Action::LoseAnswer)),
+        ("closed without an answer", once(Action::Drop)),
+        ("a little late", once(Action::Late { ms: 200 })),
         (
-            "an error that does not say whether it ran",
-            first(Action::Refuse {
+            "an error without the run state",
+            once(Action::Refuse {
                 status: 500,
                 retry_after: None,
                 run: None,
             }),
         ),
         (
-            "refused as not started",
-            first(Action::Refuse {
+            "refused as not run",
+            once(Action::Refuse {
                 status: 503,
                 retry_after: Some(1),
                 run: Some(Run::NotRun),
@@ -104,7 +101,7 @@
 #[tokio::test]
 async fn callers_get_the_whole_answer_through_each_fault_and_one_bill() {
     let cases = [true, false].into_iter().flat_map(|stream| {
-        let cases = mended().into_iter();
+        let cases = recoverable_faults().into_iter();
         cases.map(move |(what, rules)| tokio::spawn(case(what, rules, stream)))
     });
     for case in cases.collect::<Vec<_>>() {
@@ -112,15 +109,15 @@
     }
 }
 
-/// Each case has a platform of its own, so that its retries are not paid for by another's.
+/// Each case has its own platform, so that the cases don't share a retry budget.
 async fn case(what: &'static str, rules: Vec<Rule>, stream: bool) {
-    let world = World::start(2).await;
-    let entry = world.entry("entry-1").await;
-    let wanted = entry.chat(PROMPT, false).send().await.completion();
-    let wanted = wanted.choices[0].message.content.clone();
-    // The same prompt goes to the same engine first, for its prefix cache.
-    let asked = world.engines.iter().find(|e| e.site.stats().started == 1);
-    asked.unwrap().faults.rules(rules);
+    let fixture = Fixture::start(2).await;
+    let entry = fixture.entry("entry-1").await;
+    let expected = entry.chat(PROMPT, false).send().await.completion();
+    let expected = expected.choices[0].message.content.clone();
+    // The same prompt is sent to the same engine first, for its prefix cache.
+    let engine = fixture.engines.iter().find(|e| e.site.stats().started == 1);
+    engine.unwrap().faults.rules(rules);
     let answer = entry.chat(PROMPT, stream).send().await;
     assert_eq!(
         answer.status,
@@ -129,22 +126,23 @@
     );
     if stream {
         assert!(answer.whole_stream(), "{what}: {:?}", answer.events());
-        assert_eq!(answer.streamed(), wanted, "{what}");
+        assert_eq!(answer.streamed(), expected, "{what}");
     } else {
         let text = answer.completion().choices[0].message.content.clone();
-        assert_eq!(text, wanted, "{what}");
+        assert_eq!(text, expected, "{what}");
     }
-    until("both bills are on the log", || world.bills().len() >= 2).await;
-    assert_eq!(world.bills().len(), 2, "{what}, {stream}");
+    wait_until("both bills are on the log", || fixture.bills().len() >= 2).await;
+    assert_eq!(fixture.bills().len(), 2, "{what}, {stream}");
 }
 
-/// Every engine cuts each stream, and every resume too. The caller has a part of the answer; it
-/// gets an error event and no end mark, so that it can't take the part for the whole, and no bill.
+/// Every engine cuts each stream and refuses to resume it. The caller has received a part of the
+/// answer. It gets an error event and no end mark, so that it can't take the part for the whole,
+/// and no bill.
 #[tokio::test]
 async fn a_stream_that_cannot_be_finished_ends_with_an_error_and_without_the_end_mark() {
-    let world = World::start(2).await;
-    let entry = world.entry("entry-1").await;
-    for engine in &world.engines {
+    let fixture = Fixture::start(2).await;
+    let entry = fixture.entry("entry-1").await;
+    for engine in &fixture.engines {
         engine.faults.rules([
             Rule::new(Action::Cut { after: 3 }).on("POST", CHAT),
             Rule::new(Action::Drop).on("GET", ATTEMPTS),
@@ -158,11 +156,11 @@
         serde_json::from_str(events.last().unwrap()).expect("the last event is the error");
     assert_eq!(last.error.run, Run::Unknown);
     assert!(!events.iter().any(|event| event.contains("[DONE]")));
-    assert!(world.bills().is_empty());
+    assert!(fixture.bills().is_empty());
 }
 
-/// All engines refuse and say that they did not start the call: the caller may be told the same.
-/// As soon as one of them leaves it open, the truth is that nobody knows.
+/// If all engines refuse a call as not run, the caller gets `not_run`. If engines refuse without a
+/// run state, the caller gets `unknown`.
 #[tokio::test]
 async fn not_run_is_said_only_if_every_engine_said_so() {
     let refuse = |run| {
@@ -173,35 +171,35 @@
         })
         .on("POST", CHAT)
     };
-    let world = World::start(2).await;
-    let entry = world.entry("entry-1").await;
-    for engine in &world.engines {
+    let fixture = Fixture::start(2).await;
+    let entry = fixture.entry("entry-1").await;
+    for engine in &fixture.engines {
         engine.faults.rules([refuse(Some(Run::NotRun))]);
     }
-    // It waits for a slot that an engine does give, until its time is short. The last word is the
-    // gate's or the engines'.
-    let ask = entry.chat(PROMPT, false).header("request-timeout", "2");
-    let answer = ask.send().await;
+    // The request waits for an engine that accepts it, until its time is short. The refusal comes
+    // from the queue or from the engines.
+    let request = entry.chat(PROMPT, false).header("request-timeout", "2");
+    let answer = request.send().await;
     let code = answer.failure().error.code;
     assert!(code == "overloaded" || code == "no_endpoint", "{answer:?}");
     assert_eq!(answer.failure().error.run, Run::NotRun);
     assert_ne!(answer.header("retry-after"), "");
-    assert_eq!(world.started(), 0);
-    for engine in &world.engines {
+    assert_eq!(fixture.started(), 0);
+    for engine in &fixture.engines {
         engine.faults.rules([refuse(None)]);
     }
     let answer = entry.chat(PROMPT, false).send().await;
     assert_eq!(answer.failure().error.run, Run::Unknown, "{answer:?}");
 }
 
-/// All engines refuse and say to come back in an hour; the caller waits for ten minutes at most. It hears
-/// at once, with when to come back, and is not held while the engines are asked again and again: the
-/// wait for this answer is bounded far below the caller's time.
+/// All engines refuse with `retry-after` of an hour, and the caller's timeout is ten minutes. The
+/// caller is refused immediately with this `retry-after`, rather than held while the engines are
+/// called again and again: the test waits far less than the caller's timeout.
 #[tokio::test]
 async fn who_cannot_be_served_in_time_hears_at_once() {
-    let world = World::start(2).await;
-    let entry = world.entry("entry-1").await;
-    for engine in &world.engines {
+    let fixture = Fixture::start(2).await;
+    let entry = fixture.entry("entry-1").await;
+    for engine in &fixture.engines {
         let refuse = Action::Refuse {
             status: 503,
             retry_after: Some(3_600),
@@ -209,100 +207,100 @@
         };
         engine.faults.rules([Rule::new(refuse).on("POST", CHAT)]);
     }
-    let ask = entry.chat(PROMPT, false).header("request-timeout", "600");
-    let answer = tokio::time::timeout(PATIENCE, ask.send()).await.unwrap();
+    let request = entry.chat(PROMPT, false).header("request-timeout", "600");
+    let answer = tokio::time::timeout(TIMEOUT, request.send()).await.unwrap();
     assert_eq!(answer.failure().error.run, Run::NotRun);
     let after: u64 = answer.header("retry-after").parse().unwrap();
-    assert!(after > 3_000, "come back in {after} s");
-    assert_eq!(world.started(), 0);
+    assert!(after > 3_000, "retry after {after} s");
+    assert_eq!(fixture.started(), 0);
 }
 
-/// The caller hangs up in the middle of a stream. The engine is told to stop, so that it does not
-/// generate for nobody, and there is no bill for an answer that nobody got.
+/// The caller disconnects in the middle of a stream. The attempt at the engine is cancelled, so
+/// that it does not generate unused tokens, and the unfinished answer is not billed.
 #[tokio::test]
 async fn a_caller_that_goes_away_has_its_attempt_cancelled() {
-    let world = World::start(1).await;
-    world.engines[0].site.change(|settings| {
+    let fixture = Fixture::start(1).await;
+    fixture.engines[0].site.change(|settings| {
         settings.token_us = 20_000;
         settings.linger_ms = 600_000;
     });
-    let entry = world.entry("entry-1").await;
-    let ask = entry.chat("answer in 200 tokens", true);
-    let asked = tokio::spawn(ask.send());
-    until("the engine has begun", || world.started() == 1).await;
-    asked.abort();
-    until("the engine was told to stop", || {
-        world.engines[0].site.stats().cancelled == 1
+    let entry = fixture.entry("entry-1").await;
+    let request = entry.chat("answer in 200 tokens", true);
+    let pending = tokio::spawn(request.send());
+    wait_until("the engine has started", || fixture.started() == 1).await;
+    pending.abort();
+    wait_until("the attempt is cancelled", || {
+        fixture.engines[0].site.stats().cancelled == 1
     })
     .await;
-    assert!(world.bills().is_empty());
+    assert!(fixture.bills().is_empty());
 }
 
-/// One engine hangs. A short request that has had no first piece for longer than its version usually
-/// takes is sent to a second engine, and the caller gets that one's answer long before the time at
-/// which the first would be given up.
+/// One engine hangs. A short request without a first chunk for longer than is usual for its version
+/// is sent to a second engine too. The caller gets the second answer long before the stall timeout
+/// of the first attempt.
 #[tokio::test]
 async fn a_short_request_at_a_hung_engine_is_hedged() {
-    let world = World::start(2).await;
+    let fixture = Fixture::start(2).await;
     let settings = [("stall-timeout", "1h")];
-    let entry = world.entry_with("entry-1", &settings).await;
+    let entry = fixture.entry_with("entry-1", &settings).await;
     for number in 0..30 {
         let prompt = format!("warm up {number}: answer in 3 tokens");
         let answer = entry.chat(&prompt, false).send().await;
         assert_eq!(answer.status, StatusCode::OK);
     }
-    world.engines[0]
+    fixture.engines[0]
         .faults
         .rules([Rule::new(Action::Hang).on("POST", CHAT)]);
-    let before = world.engines[1].site.stats().started;
-    let mut asked = 0;
-    // Each prompt has an engine of its own by its prefix; some are the hung one's.
-    while world.engines[0].faults.table().rules[0].hits == 0 {
-        let prompt = format!("question {asked}: answer in 3 tokens");
-        let ask = entry.chat(&prompt, false);
-        let answer = ask.header("request-timeout", "3600").send().await;
+    let before = fixture.engines[1].site.stats().started;
+    let mut count = 0;
+    // The prefix of a prompt selects its engine; some prompts select the hung one.
+    while fixture.engines[0].faults.table().rules[0].hits == 0 {
+        let prompt = format!("question {count}: answer in 3 tokens");
+        let request = entry.chat(&prompt, false);
+        let answer = request.header("request-timeout", "3600").send().await;
         assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
-        asked += 1;
+        count += 1;
     }
-    assert_eq!(world.engines[1].site.stats().started, before + asked);
+    assert_eq!(fixture.engines[1].site.stats().started, before + count);
 }
 
-/// One engine hangs. A long request is not hedged; without a first piece for much longer than usual it
-/// is given up and made again at the other engine, if the retry budgets pay for that. Its caller
-/// would else wait for half of an hour, the time that it gave.
+/// One engine hangs. A long request is not hedged. Without a first chunk for much longer than
+/// usual, the attempt is given up and repeated at the other engine, if the retry budgets allow it.
+/// Otherwise the caller would wait for half of its timeout of an hour.
 #[tokio::test]
 async fn a_long_request_at_a_hung_engine_is_made_again() {
-    let world = World::start(2).await;
+    let fixture = Fixture::start(2).await;
     let settings = [("stall-timeout", "1h")];
-    let entry = world.entry_with("entry-1", &settings).await;
+    let entry = fixture.entry_with("entry-1", &settings).await;
     for number in 0..30 {
         let prompt = format!("warm up {number}: answer in 3 tokens");
         let answer = entry.chat(&prompt, false).send().await;
         assert_eq!(answer.status, StatusCode::OK);
     }
-    world.engines[0]
+    fixture.engines[0]
         .faults
         .rules([Rule::new(Action::Hang).on("POST", CHAT)]);
-    let mut asked = 0;
-    while world.engines[0].faults.table().rules[0].hits == 0 {
+    let mut count = 0;
+    while fixture.engines[0].faults.table().rules[0].hits == 0 {
         let long = "drum ".repeat(6_000);
-        let prompt = format!("review {asked}: answer in 3 tokens. {long}");
-        let ask = entry.chat(&prompt, false);
-        let answer = ask.header("request-timeout", "3600").send().await;
+        let prompt = format!("review {count}: answer in 3 tokens. {long}");
+        let request = entry.chat(&prompt, false);
+        let answer = request.header("request-timeout", "3600").send().await;
         assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
-        asked += 1;
+        count += 1;
     }
-    until("one bill for each", || world.bills().len() == 30 + asked).await;
+    wait_until("one bill for each", || fixture.bills().len() == 30 + count).await;
 }
 
-/// The answer is drawn at random, so that another attempt would tell it differently. After a cut the
-/// same attempt is resumed at the same engine, and no second one is begun.
+/// The answer is sampled, so that another attempt would give another text. After a cut the same
+/// attempt is resumed at the same engine, and no second attempt is started.
 #[tokio::test]
 async fn an_answer_that_is_not_deterministic_is_resumed_and_not_told_again() {
-    let world = World::start(2).await;
-    let entry = world.entry("entry-1").await;
-    for engine in &world.engines {
-        engine.faults.rules(first(Action::Cut { after: 7 }));
+    let fixture = Fixture::start(2).await;
+    let entry = fixture.entry("entry-1").await;
+    for engine in &fixture.engines {
+        engine.faults.rules(once(Action::Cut { after: 7 }));
     }
     let body = serde_json::json!({
         "model": "stock",
@@ -312,24 +310,24 @@
     });
     let answer = entry.chat(PROMPT, true).body(body.to_string()).send().await;
     assert!(answer.whole_stream(), "{:?}", answer.events());
-    assert_eq!(world.started(), 1);
-    let stats = world.engines.iter().map(|engine| engine.site.stats());
+    assert_eq!(fixture.started(), 1);
+    let stats = fixture.engines.iter().map(|engine| engine.site.stats());
     assert_eq!(stats.map(|stats| stats.resumed).sum::<u64>(), 1);
 }
 
-/// No peer and no log can take a copy of the bill. The last piece and the end mark are withheld: had
-/// the caller got them and this VM been lost, the answer would never be billed.
+/// Neither a peer nor the log can store a copy of the bill. The last chunk and the end mark are
+/// withheld: if the caller got them and this VM were lost, the answer would never be billed.
 #[tokio::test]
 async fn without_a_second_holder_of_the_bill_the_last_byte_is_withheld() {
-    let world = World::start(1).await;
+    let fixture = Fixture::start(1).await;
     let settings = [("bill-timeout", "500ms")];
-    let entry = world.entry_with("entry-1", &settings).await;
+    let entry = fixture.entry_with("entry-1", &settings).await;
     let refused = Action::Refuse {
         status: 503,
         retry_after: Some(1),
         run: None,
     };
-    world
+    fixture
         .log
         .faults
         .rules([Rule::new(refused).on("POST", "/streams/usage")]);
@@ -344,5 +342,5 @@
         assert_eq!(failure.error.code, "bills_unavailable", "{answer:?}");
         assert_eq!(failure.error.run, Run::Ran);
     }
-    assert!(world.bills().is_empty());
+    assert!(fixture.bills().is_empty());
 }
--- a/crates/entry/tests/all/leaving.rs
+++ b/crates/entry/tests/all/leaving.rs
@@ -1,12 +1,12 @@
-//! Endpoints that leave.
+//! Endpoints that leave, and a VM list that is suddenly empty.
 
 use hyper::StatusCode;
 use pimento_standin::Site;
 
 use crate::support::Entry;
-use crate::support::World;
+use crate::support::Fixture;
 use crate::support::name;
-use crate::support::until;
+use crate::support::wait_until;
 
 fn usable(entry: &Entry, endpoint: &str) -> bool {
     let table = entry.running.node.registry.table();
@@ -14,38 +14,39 @@
     known.is_some_and(|known| table.is_usable(known))
 }
 
-/// An engine says that it is about to go. One entry VM reads that, the other one asks engines and
-/// the list once an hour; it hears of it from its peer, and sends the engine nothing more.
+/// An engine reports that it is leaving. One entry VM reads the report. The other polls engines and
+/// the list once an hour; it receives the departure from its peer and sends the engine no more
+/// requests.
 #[tokio::test]
 async fn a_leaving_engine_is_known_from_a_peer() {
-    let world = World::start(2).await;
-    let first = world.entry("entry-1").await;
+    let fixture = Fixture::start(2).await;
+    let first = fixture.entry("entry-1").await;
     let seed = first.running.node.mesh.address().to_string();
-    // The engine's first load report is read at the start.
+    // The second VM still reads the first load reports at its start.
     let settings = [("peers", seed.as_str()), ("poll-interval", "1h")];
-    let second = world.entry_with("entry-2", &settings).await;
-    world.engines[0]
+    let second = fixture.entry_with("entry-2", &settings).await;
+    fixture.engines[0]
         .site
         .change(|settings| settings.leaving = true);
-    until("the first reads it", || !usable(&first, "engine-0")).await;
-    until("the second hears of it", || !usable(&second, "engine-0")).await;
+    wait_until("the first VM knows", || !usable(&first, "engine-0")).await;
+    wait_until("the second VM knows", || !usable(&second, "engine-0")).await;
     assert!(usable(&second, "engine-1"));
-    let before = world.engines[0].site.stats().started;
+    let before = fixture.engines[0].site.stats().started;
     for number in 0..10 {
         let prompt = format!("question {number}: answer in 3 tokens");
         let answer = second.chat(&prompt, false).send().await;
         assert_eq!(answer.status, StatusCode::OK);
     }
-    assert_eq!(world.engines[0].site.stats().started, before);
+    assert_eq!(fixture.engines[0].site.stats().started, before);
 }
 
-/// The list is empty for a while, as a store in trouble may show. Callers notice nothing.
+/// The list is empty for a while, as a faulty store may return it. Requests are still served.
 #[tokio::test]
 async fn an_empty_list_does_not_stop_the_service() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
-    world.vms.site.change(Vec::clear);
-    until("the list is doubted", || {
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
+    fixture.vms.site.change(Vec::clear);
+    wait_until("the list is distrusted", || {
         entry.running.node.registry.table().distrusts_list()
     })
     .await;
--- a/crates/entry/tests/all/main.rs
+++ b/crates/entry/tests/all/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the entry crate against the stand-ins of the platform and the endpoints, in one
-//! process and over loopback.
+//! Tests of the entry crate with stand-ins for the platform and the endpoints, in one process over
+//! loopback.
 
 mod config;
 mod delivery;
--- a/crates/entry/tests/all/model.rs
+++ b/crates/entry/tests/all/model.rs
@@ -1,4 +1,4 @@
-//! Model requests that go well.
+//! Model requests that succeed.
 
 use hyper::Method;
 use hyper::StatusCode;
@@ -10,21 +10,21 @@
 use pimento_wire::border::Chat;
 use pimento_wire::border::Models;
 
+use crate::support::Fixture;
 use crate::support::LARGE;
 use crate::support::SMALL;
-use crate::support::World;
 use crate::support::contract;
 use crate::support::name;
-use crate::support::until;
+use crate::support::wait_until;
 
 #[tokio::test]
 async fn a_whole_answer_comes_from_the_allowed_version_and_is_billed_once() {
-    let world = World::start(2).await;
-    let entry = world.entry("entry-1").await;
+    let fixture = Fixture::start(2).await;
+    let entry = fixture.entry("entry-1").await;
     let id = "01890a5d-ac96-774b-bcce-b302099a8057";
-    let ask = entry.chat("how many drums? answer in 12 tokens", false);
-    let ask_body = ask.content();
-    let answer = ask.header("idempotency-key", id).send().await;
+    let request = entry.chat("how many drums? answer in 12 tokens", false);
+    let request_body = request.content();
+    let answer = request.header("idempotency-key", id).send().await;
     assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
     let completion = answer.completion();
     assert_eq!(completion.model, SMALL);
@@ -32,35 +32,35 @@
     assert_eq!(completion.choices[0].finish_reason, "stop");
     assert_eq!(completion.usage.completion_tokens, 12);
     assert_eq!(answer.header("model-version"), SMALL);
-    until("the bill is on the log", || !world.bills().is_empty()).await;
-    let bills = world.bills();
+    wait_until("the bill is on the log", || !fixture.bills().is_empty()).await;
+    let bills = fixture.bills();
     assert_eq!(bills.len(), 1);
-    let asked: Chat = serde_json::from_slice(&ask_body).unwrap();
-    assert_eq!(bills[0].request, bill::chat(id.parse().unwrap(), &asked));
+    let chat: Chat = serde_json::from_slice(&request_body).unwrap();
+    assert_eq!(bills[0].request, bill::chat(id.parse().unwrap(), &chat));
     assert_eq!(bills[0].item, Item::Version(name(SMALL)));
     assert_eq!(bills[0].output.0, 12);
-    assert_eq!(world.started(), 1);
+    assert_eq!(fixture.started(), 1);
 }
 
-/// A caller sends two calls under one id, and one of them twice. Both calls are billed, and the
-/// repeated one once: neither does the caller pay double for a retry, nor once for everything.
+/// A caller sends two different calls under one id, and one of them twice. Both calls are billed,
+/// and the retry is not billed again.
 #[tokio::test]
 async fn one_id_for_two_calls_is_two_bills() {
-    let world = World::start(2).await;
-    let entry = world.entry("entry-1").await;
+    let fixture = Fixture::start(2).await;
+    let entry = fixture.entry("entry-1").await;
     let id = "01890a5d-ac96-774b-bcce-b302099a8057";
     for (prompt, stream) in [
         ("how many drums?", false),
         ("how many drums?", true),
         ("which?", false),
     ] {
-        let ask = entry.chat(prompt, stream);
-        let answer = ask.header("idempotency-key", id).send().await;
+        let request = entry.chat(prompt, stream);
+        let answer = request.header("idempotency-key", id).send().await;
         assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
     }
-    until("the bills are on the log", || world.bills().len() >= 3).await;
+    wait_until("the bills are on the log", || fixture.bills().len() >= 3).await;
     let mut fold = Fold::default();
-    for bill in world.bills() {
+    for bill in fixture.bills() {
         fold.apply(&bill);
     }
     assert_eq!((fold.totals()[0].bills, fold.totals()[0].repeated), (2, 1));
@@ -68,8 +68,8 @@
 
 #[tokio::test]
 async fn a_stream_ends_with_its_end_mark_and_says_the_same_as_the_whole_answer() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
     let prompt = "how many drums? answer in 20 tokens";
     let whole = entry.chat(prompt, false).send().await.completion();
     let stream = entry.chat(prompt, true).send().await;
@@ -78,27 +78,27 @@
     assert_eq!(stream.header("model-version"), SMALL);
     assert!(stream.whole_stream(), "{:?}", stream.events());
     assert_eq!(stream.streamed(), whole.choices[0].message.content);
-    until("both bills are on the log", || world.bills().len() == 2).await;
+    wait_until("both bills are on the log", || fixture.bills().len() == 2).await;
 }
 
 #[tokio::test]
 async fn the_list_of_models_names_the_classes_of_the_contract() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
-    let answer = entry.ask(Method::GET, "/v1/models").send().await;
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
+    let answer = entry.request(Method::GET, "/v1/models").send().await;
     let models: Models = serde_json::from_slice(&answer.body).unwrap();
     let names: Vec<_> = models.data.iter().map(|model| model.id.as_str()).collect();
     assert_eq!(names, ["review", "stock"]);
 }
 
-/// The caller asks for quality that the small version alone does not reach. Its answer is rated,
-/// falls short, and the large version is asked; the caller gets one answer and one bill, and what
-/// the losing step cost is on the bill as our cost, not as the customer's charge.
+/// The contract requires a quality that the small version does not reach. Its answer is rated as
+/// too low, and the large version is called. The caller gets one answer and one bill; the cost of
+/// the rejected step is on the bill as our cost, not as the customer's charge.
 #[tokio::test]
 async fn a_cascade_steps_up_and_bills_the_released_answer_only() {
-    let world = World::start(1).await;
-    world.publish(Value::Contract(contract(&[LARGE, SMALL], 0.95)));
-    world.engines[0].site.change(|settings| {
+    let fixture = Fixture::start(1).await;
+    fixture.publish(Value::Contract(contract(&[LARGE, SMALL], 0.95)));
+    fixture.engines[0].site.change(|settings| {
         settings.quality = vec![
             pimento_standin::engine::Quality {
                 version: name(SMALL),
@@ -110,24 +110,24 @@
             },
         ];
     });
-    let entry = world.entry("entry-1").await;
+    let entry = fixture.entry("entry-1").await;
     let answer = entry.chat("answer in 10 tokens", true).send().await;
     assert!(answer.whole_stream(), "{:?}", answer.events());
     assert_eq!(answer.header("model-version"), LARGE);
     assert!(answer.streamed().contains(LARGE));
     assert!(!answer.streamed().contains(SMALL));
-    until("the bill is on the log", || !world.bills().is_empty()).await;
-    let bills = world.bills();
+    wait_until("the bill is on the log", || !fixture.bills().is_empty()).await;
+    let bills = fixture.bills();
     assert_eq!(bills.len(), 1);
     assert_eq!(bills[0].item, Item::Version(name(LARGE)));
     assert!(bills[0].cost > bills[0].charge, "{:?}", bills[0]);
-    assert_eq!(world.engines[0].site.stats().versions.len(), 2);
+    assert_eq!(fixture.engines[0].site.stats().versions.len(), 2);
 }
 
 #[tokio::test]
 async fn operators_read_state_and_metrics() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
     entry.chat("answer in 5 tokens", false).send().await;
     assert_eq!(entry.operators("/live").await.status, StatusCode::OK);
     assert_eq!(entry.operators("/ready").await.status, StatusCode::OK);
--- a/crates/entry/tests/all/poison.rs
+++ b/crates/entry/tests/all/poison.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints end.
+//! Requests that crash endpoints.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,145 +12,164 @@
 
 use crate::support::Answer;
 use crate::support::Entry;
-use crate::support::PATIENCE;
-use crate::support::World;
+use crate::support::Fixture;
+use crate::support::TIMEOUT;
 
-/// In the body of a request under which endpoints end.
-const MARK: &str = "crash";
-const BAD: &str = "crash all: answer in 5 tokens";
+/// Part of the body of requests that crash endpoints.
+const MARKER: &str = "crash";
+const CRASHING_PROMPT: &str = "crash all: answer in 5 tokens";
 
-/// How long an endpoint is gone, and how long word takes to all VMs.
-const BACK_MS: u64 = 400;
-const HEARD: Duration = Duration::from_secs(3);
+/// Downtime of a crashed endpoint, and a bound on the time in which all VMs receive a block.
+const DOWNTIME_MS: u64 = 400;
+const PROPAGATION: Duration = Duration::from_secs(3);
 
-/// Ends of endpoints after which a request is known for what it is, and times that it may reach one later.
-const ENDS: u64 = 3;
-const SENT: u64 = 3;
+/// Crashes after which a request is blocked, and the crashes allowed after that.
+const CRASHES_UNTIL_BLOCKED: u64 = 3;
+const MAX_LATE_CRASHES: u64 = 3;
 
-/// Prompts at once that several engines run.
-const RUNS: usize = 120;
+/// Concurrent prompts, enough that several engines run some.
+const CONCURRENT_REQUESTS: usize = 120;
 
-fn crash() -> Rule {
-    Rule::new(Action::Crash { back_ms: BACK_MS }).holding(MARK)
+fn crash_rule() -> Rule {
+    Rule::new(Action::Crash {
+        back_ms: DOWNTIME_MS,
+    })
+    .holding(MARKER)
 }
 
-/// Three VMs that know each other, before engines and desks that end under a marked request.
-async fn fleet() -> (World, Vec<Entry>) {
-    let world = World::start(6).await;
-    for engine in &world.engines {
-        engine.faults.rules([crash()]);
+/// Three entry VMs that know each other; engines and replicas crash on a marked request.
+async fn start_fleet() -> (Fixture, Vec<Entry>) {
+    let fixture = Fixture::start(6).await;
+    for engine in &fixture.engines {
+        engine.faults.rules([crash_rule()]);
     }
-    for desk in &world.desks {
-        desk.faults.rules([crash()]);
+    for desk in &fixture.desks {
+        desk.faults.rules([crash_rule()]);
     }
-    let first = world.entry("entry-1").await;
+    let first = fixture.entry("entry-1").await;
     let seed = first.running.node.mesh.address().to_string();
     let mut entries = vec![first];
     for node in ["entry-2", "entry-3"] {
-        entries.push(world.entry_with(node, &[("peers", &seed)]).await);
+        entries.push(fixture.entry_with(node, &[("peers", &seed)]).await);
     }
-    (world, entries)
+    (fixture, entries)
 }
 
-fn ends(world: &World) -> u64 {
-    let engines = world.engines.iter().map(|e| e.faults.table().struck);
-    let desks = world.desks.iter().map(|e| e.faults.table().struck);
+fn crashes(fixture: &Fixture) -> u64 {
+    let engines = fixture.engines.iter().map(|e| e.faults.table().struck);
+    let desks = fixture.desks.iter().map(|e| e.faults.table().struck);
     engines.sum::<u64>() + desks.sum::<u64>()
 }
 
-fn barred(answer: &Answer) -> bool {
+fn is_blocked(answer: &Answer) -> bool {
     answer.status == StatusCode::SERVICE_UNAVAILABLE
         && answer.failure().error.code == "poison_request"
 }
 
-/// Guards against engines that end one after the other under one prompt, which comes again at any VM.
+/// Guards against one prompt that crashes engine after engine because callers repeat it at any VM.
 #[tokio::test]
 async fn a_prompt_under_which_engines_end_is_sent_no_more() {
-    let (world, entries) = fleet().await;
-    let began = Instant::now();
-    let mut known = None;
+    let (fixture, entries) = start_fleet().await;
+    let started = Instant::now();
+    let mut blocked = None;
     let mut last = None;
-    while known.is_none_or(|(at, _): (Instant, u64)| at.elapsed() < Duration::from_secs(3)) {
-        assert!(began.elapsed() < PATIENCE, "{} ends", ends(&world));
+    while blocked.is_none_or(|(at, _): (Instant, u64)| at.elapsed() < Duration::from_secs(3)) {
+        assert!(started.elapsed() < TIMEOUT, "{} crashes", crashes(&fixture));
         for entry in &entries {
-            last = Some(entry.chat(BAD, false).send().await);
-            let honest = entry.chat("hello: answer in 3 tokens", true).send();
-            let honest = honest.await;
-            assert!(known.is_none() || honest.whole_stream(), "{honest:?}");
+            last = Some(entry.chat(CRASHING_PROMPT, false).send().await);
+            let harmless = entry.chat("hello: answer in 3 tokens", true).send();
+            let harmless = harmless.await;
+            assert!(blocked.is_none() || harmless.whole_stream(), "{harmless:?}");
         }
-        if known.is_none() && ends(&world) >= ENDS {
-            tokio::time::sleep(HEARD).await;
-            known = Some((Instant::now(), ends(&world)));
+        if blocked.is_none() && crashes(&fixture) >= CRASHES_UNTIL_BLOCKED {
+            tokio::time::sleep(PROPAGATION).await;
+            blocked = Some((Instant::now(), crashes(&fixture)));
         }
     }
-    let before = known.map_or(0, |(_, ends)| ends);
-    let late = ends(&world) - before;
-    assert!(late <= SENT, "{late} engines ended later, {before} before");
+    let before = blocked.map_or(0, |(_, crashes)| crashes);
+    let late = crashes(&fixture) - before;
+    assert!(
+        late <= MAX_LATE_CRASHES,
+        "{late} crashes later, {before} before"
+    );
     let last = last.unwrap();
-    assert!(barred(&last), "{last:?}");
+    assert!(is_blocked(&last), "{last:?}");
     assert_eq!(last.failure().error.run, Run::NotRun);
     let after: u64 = last.header("retry-after").parse().unwrap();
     assert!((60..=600).contains(&after), "after {after} s");
 }
 
-/// Guards against the same at a plain service.
+/// Guards against a call that crashes one replica of a plain service after another.
 #[tokio::test]
 async fn a_call_under_which_replicas_end_is_sent_no_more() {
-    let (world, entries) = fleet().await;
-    let began = Instant::now();
-    let look = "/services/order-desk/drums?kind=crash";
-    // Plain services don't tell their lives apart, so that two ends at once would count as one.
+    let (fixture, entries) = start_fleet().await;
+    let started = Instant::now();
+    let path = "/services/order-desk/drums?kind=crash";
+    // Plain services report no incarnation, so that two crashes in one downtime would count as one.
     let rule = Rule::new(Action::Crash { back_ms: 1_200 }).on("GET", "/drums");
-    world
+    fixture
         .desks
         .iter()
         .for_each(|desk| desk.faults.rules([rule.clone()]));
     loop {
-        assert!(began.elapsed() < PATIENCE, "{} ends", ends(&world));
-        let answer = entries[0].ask(Method::GET, look).send().await;
-        if barred(&answer) {
+        assert!(started.elapsed() < TIMEOUT, "{} crashes", crashes(&fixture));
+        let answer = entries[0].request(Method::GET, path).send().await;
+        if is_blocked(&answer) {
             break;
         }
     }
-    assert_eq!(ends(&world), ENDS);
+    assert_eq!(crashes(&fixture), CRASHES_UNTIL_BLOCKED);
     let order = entries[0].order(&uuid::Uuid::now_v7().to_string()).send();
     assert_eq!(order.await.status, StatusCode::OK);
 }
 
-/// Guards against a popular prompt that is barred for having run at engines that were lost.
+/// Guards against blocking a popular prompt because it ran at engines that crashed for other
+/// reasons.
 #[tokio::test]
 async fn a_popular_prompt_is_served_through_losses_of_engines() {
-    let (world, entries) = fleet().await;
+    let (fixture, entries) = start_fleet().await;
     let popular = "popular: answer in 100 tokens";
-    let ask = || entries[0].chat(popular, true).send();
-    assert!(ask().await.whole_stream());
-    let back = Duration::from_millis(BACK_MS);
+    let send = || entries[0].chat(popular, true).send();
+    assert!(send().await.whole_stream());
+    let downtime = Duration::from_millis(DOWNTIME_MS);
     for round in 0..2 {
-        // Enough at once that each engine runs some when it is lost.
-        let running = join_all((0..RUNS).map(|_| ask()));
+        // Enough concurrent requests that each engine runs some when it crashes.
+        let running = join_all((0..CONCURRENT_REQUESTS).map(|_| send()));
         let lose = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            world.engines.iter().skip(1).for_each(|e| e.crash(back));
+            fixture
+                .engines
+                .iter()
+                .skip(1)
+                .for_each(|e| e.crash(downtime));
         };
         let (answers, ()) = tokio::join!(running, lose);
-        let refused = answers.iter().filter(|answer| barred(answer)).count();
+        let refused = answers.iter().filter(|answer| is_blocked(answer)).count();
         assert_eq!(refused, 0, "round {round}");
-        assert!(!barred(&ask().await), "round {round}");
-        tokio::time::sleep(2 * back).await;
+        assert!(!is_blocked(&send().await), "round {round}");
+        tokio::time::sleep(2 * downtime).await;
     }
 }
 
-/// Guards against prompts barred for answers that were lost though their engines are still there.
+/// Guards against blocking prompts for lost answers of engines that did not crash.
 #[tokio::test]
 async fn a_lost_answer_is_no_end_of_an_engine() {
-    let (world, entries) = fleet().await;
+    let (fixture, entries) = start_fleet().await;
     let lose = || Rule::new(Action::LoseAnswer).on("POST", "/v1/chat/completions");
-    world.engines.iter().for_each(|e| e.faults.rules([lose()]));
-    let struck = || world.engines.iter().filter(|e| e.faults.table().struck > 0);
+    fixture
+        .engines
+        .iter()
+        .for_each(|e| e.faults.rules([lose()]));
+    let struck = || {
+        fixture
+            .engines
+            .iter()
+            .filter(|e| e.faults.table().struck > 0)
+    };
     for _ in 0..20 {
         let answer = entries[0].chat("hello: answer in 3 tokens", false).send();
         let answer = answer.await;
-        assert!(!barred(&answer), "{answer:?}");
+        assert!(!is_blocked(&answer), "{answer:?}");
     }
     assert!(struck().count() >= 3, "{}", struck().count());
 }
--- a/crates/entry/tests/all/rating.rs
+++ b/crates/entry/tests/all/rating.rs
@@ -1,50 +1,49 @@
-//! When the rating service is taken for out.
+//! When the rating service counts as unavailable.
 
 use std::time::Duration;
 
 use pimento_entry::filter::rate::Health;
 use pimento_units::Moment;
 
-const TOOK: Duration = Duration::from_millis(20);
+const RESPONSE_TIME: Duration = Duration::from_millis(20);
 
-fn out(health: &Health, now: Moment) -> bool {
+fn is_paused(health: &Health, now: Moment) -> bool {
     health.time(now).is_none()
 }
 
-/// One rating in a few fails. The service goes on to be used: resting it after each failure would send
-/// every request meanwhile to versions that need no rating, at several times the cost.
+/// Single ratings fail. Pausing the service after each of them would send all requests of the
+/// meantime to versions that need no rating, at several times the cost.
 #[test]
-fn single_failures_do_not_rest_the_service() {
+fn single_failures_do_not_pause_the_service() {
     let health = Health::default();
     for second in 0..100 {
         let now = Moment::from_millis(second * 1_000);
         health.failed(now);
-        assert!(!out(&health, now), "after {second} s");
-        health.answered(TOOK);
+        assert!(!is_paused(&health, now), "after {second} s");
+        health.answered(RESPONSE_TIME);
     }
 }
 
-/// The service fails each time. It is left alone for longer and longer, up to a bound, and is used again
-/// at once after an answer.
+/// The service fails each time. The pauses grow up to a bound, and one answer ends them.
 #[test]
-fn failures_in_a_row_rest_the_service() {
+fn consecutive_failures_pause_the_service() {
     let health = Health::default();
     let mut now = Moment::ZERO;
-    let mut rests = Vec::new();
+    let mut pauses = Vec::new();
     for _ in 0..40 {
         health.failed(now);
         let began = now;
-        while out(&health, now) {
+        while is_paused(&health, now) {
             now = now + Duration::from_millis(100);
         }
-        rests.push(now.since(began));
+        pauses.push(now.since(began));
     }
-    assert_eq!(rests[0], Duration::ZERO);
-    assert!(rests[1] > Duration::ZERO);
-    assert!(rests.is_sorted(), "{rests:?}");
-    assert_eq!(rests.last(), Some(&Duration::from_secs(8)));
+    assert_eq!(pauses[0], Duration::ZERO);
+    assert!(pauses[1] > Duration::ZERO);
+    assert!(pauses.is_sorted(), "{pauses:?}");
+    assert_eq!(pauses.last(), Some(&Duration::from_secs(8)));
     health.failed(now);
-    assert!(out(&health, now));
-    health.answered(TOOK);
-    assert!(!out(&health, now));
+    assert!(is_paused(&health, now));
+    health.answered(RESPONSE_TIME);
+    assert!(!is_paused(&health, now));
 }
--- a/crates/entry/tests/all/refusals.rs
+++ b/crates/entry/tests/all/refusals.rs
@@ -1,24 +1,29 @@
-//! Each way in which a request is refused before it is sent on, with the engines' own count of
-//! calls as the judge of `not_run`.
+//! Requests that are refused before dispatch. The engines' own count of calls shows whether
+//! `not_run` is true.
 
 use hyper::Method;
 use hyper::StatusCode;
 use pimento_wire::border::Run;
 
-use crate::support::Ask;
 use crate::support::Entry;
-use crate::support::World;
+use crate::support::Fixture;
+use crate::support::RequestBuilder;
 use crate::support::name;
-use crate::support::until;
+use crate::support::wait_until;
 
-/// What is sent, and the status and code that must come back.
-type Case = (&'static str, fn(&Entry) -> Ask, u16, &'static str);
+/// Name of the case, the request, and the expected status and error code.
+type Case = (
+    &'static str,
+    fn(&Entry) -> RequestBuilder,
+    u16,
+    &'static str,
+);
 
-fn chat(entry: &Entry) -> Ask {
+fn chat(entry: &Entry) -> RequestBuilder {
     entry.chat("answer in 5 tokens", false)
 }
 
-fn with_body(entry: &Entry, body: &'static str) -> Ask {
+fn with_body(entry: &Entry, body: &'static str) -> RequestBuilder {
     chat(entry).body(body)
 }
 
@@ -102,19 +107,19 @@
     ),
     (
         "a wrong method",
-        |e| e.ask(Method::PUT, "/v1/chat/completions"),
+        |e| e.request(Method::PUT, "/v1/chat/completions"),
         405,
         "wrong_method",
     ),
     (
         "a wrong path",
-        |e| e.ask(Method::GET, "/v2"),
+        |e| e.request(Method::GET, "/v2"),
         404,
         "unknown_path",
     ),
     (
         "an unknown service",
-        |e| e.ask(Method::GET, "/services/bakery/x"),
+        |e| e.request(Method::GET, "/services/bakery/x"),
         404,
         "service_not_found",
     ),
@@ -134,77 +139,77 @@
 
 #[tokio::test]
 async fn bad_input_is_refused_as_not_run_and_never_sent_on() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
-    for (what, ask, status, code) in CASES {
-        let answer = ask(&entry).send().await;
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
+    for (what, request, status, code) in CASES {
+        let answer = request(&entry).send().await;
         assert_eq!(answer.status.as_u16(), *status, "{what}: {answer:?}");
         let failure = answer.failure();
         assert_eq!(failure.error.code, *code, "{what}");
         assert_eq!(failure.error.run, Run::NotRun, "{what}");
         assert_eq!(answer.header("run"), "not_run", "{what}");
     }
-    assert_eq!(world.started(), 0);
-    assert_eq!(world.runs("01890a5d-ac96-774b-bcce-b302099a8057"), 0);
-    assert!(world.bills().is_empty());
+    assert_eq!(fixture.started(), 0);
+    assert_eq!(fixture.runs("01890a5d-ac96-774b-bcce-b302099a8057"), 0);
+    assert!(fixture.bills().is_empty());
 }
 
-/// The customer's limit is below the price of one answer: the request is refused before anything
-/// is sent, and says that the limit is the reason.
+/// The customer's spend limit is below the price of one answer. The request is refused before
+/// dispatch, with the limit as the reason.
 #[tokio::test]
 async fn a_request_over_the_spend_limit_is_not_run() {
-    let world = World::start(1).await;
+    let fixture = Fixture::start(1).await;
     let mut contract = crate::support::contract(&[crate::support::SMALL], 0.5);
     contract.spend.limit = pimento_units::Money::from_micros(10);
-    world.publish(pimento_contract::Value::Contract(contract));
-    let entry = world.entry("entry-1").await;
+    fixture.publish(pimento_contract::Value::Contract(contract));
+    let entry = fixture.entry("entry-1").await;
     let answer = chat(&entry).send().await;
     assert_eq!(answer.status, StatusCode::PAYMENT_REQUIRED);
     assert_eq!(answer.failure().error.code, "spend_limit");
     assert_eq!(answer.failure().error.run, Run::NotRun);
     assert_ne!(answer.header("retry-after"), "");
-    assert_eq!(world.started(), 0);
+    assert_eq!(fixture.started(), 0);
 }
 
-/// Long answers hold all slots, and a caller gives a second. It is told at once that its request was
-/// not run and when to come back, in place of waiting for nothing.
+/// Long answers occupy all slots, and a caller's timeout is one second. The request is refused
+/// immediately as not run, with `retry-after`, rather than after a wait that can't succeed.
 #[tokio::test]
 async fn work_that_cannot_start_in_time_is_refused_at_once() {
-    let world = World::start(1).await;
-    world.engines[0]
+    let fixture = Fixture::start(1).await;
+    fixture.engines[0]
         .site
         .change(|settings| settings.token_us = 50_000);
-    let entry = world.entry("entry-1").await;
+    let entry = fixture.entry("entry-1").await;
     let pool = entry.running.node.scheduler.pool(&name("pimento-llm"));
-    let long = || {
-        let ask = entry.chat("answer in 400 tokens", false);
-        tokio::spawn(ask.header("request-timeout", "600").send())
+    let send_long = || {
+        let request = entry.chat("answer in 400 tokens", false);
+        tokio::spawn(request.header("request-timeout", "600").send())
     };
-    let asked: Vec<_> = (0..60).map(|_| long()).collect();
-    until("many wait", || pool.depth().waiting > 20).await;
+    let pending: Vec<_> = (0..60).map(|_| send_long()).collect();
+    wait_until("many requests wait", || pool.depth().waiting > 20).await;
     let answer = chat(&entry).header("request-timeout", "1").send().await;
     assert_eq!(answer.status, StatusCode::TOO_MANY_REQUESTS, "{answer:?}");
     assert_eq!(answer.failure().error.code, "overloaded");
     assert_eq!(answer.failure().error.run, Run::NotRun);
     assert_ne!(answer.header("retry-after"), "");
-    for asked in asked {
-        asked.abort();
+    for pending in pending {
+        pending.abort();
     }
 }
 
-/// Memory for requests in flight is taken. The next one is refused before its body is read, and the
-/// one after it is served once there is room again.
+/// All memory for requests in flight is in use. The next request is refused before its body is
+/// read, and a later one is served once memory is free again.
 #[tokio::test]
 async fn requests_beyond_the_memory_for_them_are_refused() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
-    let room = std::sync::Arc::clone(&entry.running.node.request_memory);
-    let all = u32::try_from(room.available_permits()).unwrap();
-    let taken = room.try_acquire_many_owned(all).unwrap();
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
+    let memory = std::sync::Arc::clone(&entry.running.node.request_memory);
+    let all = u32::try_from(memory.available_permits()).unwrap();
+    let taken = memory.try_acquire_many_owned(all).unwrap();
     let answer = chat(&entry).send().await;
     assert_eq!(answer.status, StatusCode::TOO_MANY_REQUESTS, "{answer:?}");
     assert_eq!(answer.failure().error.run, Run::NotRun);
-    assert_eq!(world.started(), 0);
+    assert_eq!(fixture.started(), 0);
     drop(taken);
     assert_eq!(chat(&entry).send().await.status, StatusCode::OK);
 }
--- a/crates/entry/tests/all/registry.rs
+++ b/crates/entry/tests/all/registry.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may take new work.
+//! Which endpoints may take new work, by list, load reports and departures.
 
 use pimento_entry::registry::Table;
 use pimento_units::Moment;
@@ -61,8 +61,8 @@
     }
 }
 
-/// The list loses all or most of its lines for a moment, as a store in trouble may show. Dropping
-/// the endpoints would refuse every caller though nothing is wrong with them.
+/// The list loses all or most of its entries for a moment, as a faulty store may return it.
+/// Dropping the endpoints would refuse every request although they are well.
 #[test]
 fn a_list_that_suddenly_shrinks_is_doubted() {
     for short in [&[][..], &["a"][..]] {
@@ -75,7 +75,7 @@
     }
 }
 
-/// In doubt, an endpoint that the list misses and that does not answer either is left out.
+/// While the list is distrusted, a missing endpoint that does not answer either gets no work.
 #[test]
 fn a_doubted_endpoint_that_is_silent_gets_no_work() {
     let mut table = table(&["a", "b"]);
@@ -93,36 +93,36 @@
     assert_eq!(usable(&table), ["a", "c"]);
 }
 
-/// Each of the three sources alone is enough, whatever the others go on saying.
+/// Each of the three sources alone is enough, even if the others contradict it.
 #[test]
 fn leaving_by_list_own_word_or_peers_word_is_sticky_for_an_incarnation() {
-    type Leave = fn(&mut Table);
-    let ways: [(&str, Leave); 3] = [
+    type Report = fn(&mut Table);
+    let sources: [(&str, Report); 3] = [
         ("the list", |table| {
             let mut leaving = vms(&["a", "b"]);
             leaving.vms[0].leaving = true;
             table.update_list(&leaving);
         }),
-        ("its own word", |table| {
+        ("its load report", |table| {
             let mut own = load("a", 1);
             own.leaving = true;
             table.record_load(&name("a"), own, NOW);
         }),
-        ("a peer's word", |table| {
+        ("a peer", |table| {
             assert!(table.record_departure(departure("a", 1)));
             assert!(!table.record_departure(departure("a", 1)));
         }),
     ];
-    for (what, leave) in ways {
+    for (what, report_leaving) in sources {
         let mut table = table(&["a", "b"]);
-        leave(&mut table);
+        report_leaving(&mut table);
         assert_eq!(usable(&table), ["b"], "{what}");
         table.update_list(&vms(&["a", "b"]));
         table.record_load(&name("a"), load("a", 1), NOW);
-        assert_eq!(usable(&table), ["b"], "{what}, and the sources disagree");
+        assert_eq!(usable(&table), ["b"], "{what}, contradicted by the others");
         assert_eq!(table.departures(), [departure("a", 1)], "{what}");
         table.record_load(&name("a"), load("a", 2), NOW);
-        assert_eq!(usable(&table), ["a", "b"], "{what}, and it came back anew");
+        assert_eq!(usable(&table), ["a", "b"], "{what}, in a new incarnation");
     }
 }
 
--- a/crates/entry/tests/all/scheduler.rs
+++ b/crates/entry/tests/all/scheduler.rs
@@ -15,10 +15,10 @@
 use pimento_wire::border::Run;
 use tokio_util::sync::CancellationToken;
 
-use crate::support::PATIENCE;
 use crate::support::SMALL;
+use crate::support::TIMEOUT;
 use crate::support::name;
-use crate::support::until;
+use crate::support::wait_until;
 
 fn member(label: &str) -> Member {
     Member {
@@ -34,13 +34,13 @@
     }
 }
 
-struct Bench {
+struct Fixture {
     clock: Clock,
     pool: Pool,
     token: CancellationToken,
 }
 
-impl Bench {
+impl Fixture {
     fn new(labels: &[&str]) -> Self {
         let clock = Clock::default();
         let pool = Scheduler::new(clock).pool(&name("pimento-llm"));
@@ -58,7 +58,7 @@
             weight: 1,
             priority: 0,
             tokens: Tokens(50),
-            deadline: self.clock.now() + PATIENCE,
+            deadline: self.clock.now() + TIMEOUT,
             version: Some(name(SMALL)),
             prefix: None,
             prompt: None,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The endpoint that a prefix belongs to while all are well and idle.
-    async fn first_for(&self, prefix: u64) -> String {
+    /// The endpoint that a prefix selects while all are healthy and idle.
+    async fn endpoint_for_prefix(&self, prefix: u64) -> String {
         let job = Job {
             prefix: Some(prefix),
             ..self.job()
@@ -91,43 +91,42 @@
 
 #[tokio::test]
 async fn a_slot_given_back_goes_to_the_job_that_waits() {
-    let bench = Bench::new(&["a"]);
-    let mut permits = bench.fill().await;
-    let waiting = bench.pool.acquire(bench.job(), &bench.token);
+    let fixture = Fixture::new(&["a"]);
+    let mut permits = fixture.fill().await;
+    let waiting = fixture.pool.acquire(fixture.job(), &fixture.token);
     tokio::pin!(waiting);
     assert!(futures::poll!(waiting.as_mut()).is_pending());
-    assert_eq!(bench.pool.depth().waiting, 1);
+    assert_eq!(fixture.pool.depth().waiting, 1);
     permits.pop().unwrap().served(Tokens(50));
     let permit = waiting.await.unwrap();
     assert_eq!(permit.endpoint().as_str(), "a");
 }
 
-/// Callers stop waiting at each point where they can: before, at and after the slot was given.
-/// Whatever they do, no slot is lost.
+/// One caller stops waiting before it is assigned a slot, another one after that. No slot is lost.
 #[tokio::test]
 async fn no_slot_is_lost_by_callers_that_go_away() {
-    let bench = Bench::new(&["a"]);
-    let permits = bench.fill().await;
-    let flying = bench.pool.depth().in_flight;
-    let waiting = bench.pool.acquire(bench.job(), &bench.token);
+    let fixture = Fixture::new(&["a"]);
+    let permits = fixture.fill().await;
+    let in_flight = fixture.pool.depth().in_flight;
+    let waiting = fixture.pool.acquire(fixture.job(), &fixture.token);
     let mut first = Box::pin(waiting);
-    let mut second = Box::pin(bench.pool.acquire(bench.job(), &bench.token));
+    let mut second = Box::pin(fixture.pool.acquire(fixture.job(), &fixture.token));
     assert!(futures::poll!(first.as_mut()).is_pending());
     assert!(futures::poll!(second.as_mut()).is_pending());
     drop(first);
     drop(permits);
-    // The second was given a slot and never looks at it.
-    assert_eq!(bench.pool.depth().waiting, 0);
+    // The second caller was assigned a slot and does not poll for it.
+    assert_eq!(fixture.pool.depth().waiting, 0);
     drop(second);
-    assert_eq!(bench.pool.depth().in_flight, 0, "of {flying}");
+    assert_eq!(fixture.pool.depth().in_flight, 0, "of {in_flight}");
 }
 
 #[tokio::test]
 async fn a_job_is_refused_at_once_if_no_endpoint_holds_its_version() {
-    let bench = Bench::new(&["a"]);
-    let mut job = bench.job();
+    let fixture = Fixture::new(&["a"]);
+    let mut job = fixture.job();
     job.version = Some(name("unknown@1"));
-    let refusal = bench.pool.acquire(job, &bench.token).await.unwrap_err();
+    let refusal = fixture.pool.acquire(job, &fixture.token).await.unwrap_err();
     let refusal = Refusal::from(refusal);
     assert_eq!(refusal.code, Code::NoEndpoint);
     assert_eq!(refusal.run, Run::NotRun);
@@ -136,51 +135,64 @@
 
 #[tokio::test]
 async fn an_endpoint_that_leaves_gets_no_slot_and_the_job_goes_elsewhere() {
-    let bench = Bench::new(&["a", "b"]);
+    let fixture = Fixture::new(&["a", "b"]);
     let mut leaving = member("a");
     leaving.usable = false;
-    bench.pool.update(vec![leaving, member("b")]);
-    for permit in bench.fill().await {
+    fixture.pool.update(vec![leaving, member("b")]);
+    for permit in fixture.fill().await {
         assert_eq!(permit.endpoint().as_str(), "b");
     }
 }
 
-/// One endpoint fails fast. Without ejection its empty queue would draw most of the calls.
+/// One endpoint fails fast. Without ejection its empty queue would attract most of the calls.
 #[tokio::test]
 async fn an_endpoint_that_fails_in_a_row_is_ejected() {
-    let bench = Bench::new(&["a", "b", "c"]);
+    let fixture = Fixture::new(&["a", "b", "c"]);
     let fault = Fault::Failed { status: 500 };
     let failed = async {
         let mut failures = 0;
         while failures < 3 {
-            let permit = bench.pool.acquire(bench.job(), &bench.token).await.unwrap();
+            let permit = fixture
+                .pool
+                .acquire(fixture.job(), &fixture.token)
+                .await
+                .unwrap();
             if permit.endpoint().as_str() == "a" {
                 permit.failed(&fault);
                 failures += 1;
             }
         }
     };
-    let ejected = tokio::time::timeout(PATIENCE, failed).await;
+    let ejected = tokio::time::timeout(TIMEOUT, failed).await;
     assert!(ejected.is_ok());
-    assert_eq!(bench.pool.depth().ejected, 1);
+    assert_eq!(fixture.pool.depth().ejected, 1);
     for _ in 0..20 {
-        let permit = bench.pool.acquire(bench.job(), &bench.token).await.unwrap();
+        let permit = fixture
+            .pool
+            .acquire(fixture.job(), &fixture.token)
+            .await
+            .unwrap();
         assert_ne!(permit.endpoint().as_str(), "a");
     }
 }
 
-/// An endpoint that was out is due for a probe. The next call that may be sent twice goes to it, though
-/// its prefix belongs to another one that is idle: by choice alone it might never be tried again.
+/// An ejected endpoint is due for a probe. The next repeatable call is sent to it, although the
+/// call's prefix selects another endpoint that is idle. Otherwise the endpoint might never be tried
+/// again.
 #[tokio::test]
 async fn an_endpoint_that_was_out_is_probed_first() {
-    let bench = Bench::new(&["a", "b", "c"]);
+    let fixture = Fixture::new(&["a", "b", "c"]);
     let mut prefix = 0;
-    while bench.first_for(prefix).await == "a" {
+    while fixture.endpoint_for_prefix(prefix).await == "a" {
         prefix += 1;
     }
     let fault = Fault::Failed { status: 500 };
-    while bench.pool.depth().ejected == 0 {
-        let permit = bench.pool.acquire(bench.job(), &bench.token).await.unwrap();
+    while fixture.pool.depth().ejected == 0 {
+        let permit = fixture
+            .pool
+            .acquire(fixture.job(), &fixture.token)
+            .await
+            .unwrap();
         if permit.endpoint().as_str() == "a" {
             permit.failed(&fault);
         }
@@ -189,9 +201,9 @@
         loop {
             let job = Job {
                 prefix: Some(prefix),
-                ..bench.job()
+                ..fixture.job()
             };
-            let permit = bench.pool.acquire(job, &bench.token).await.unwrap();
+            let permit = fixture.pool.acquire(job, &fixture.token).await.unwrap();
             let found = permit.endpoint().as_str() == "a";
             permit.served(Tokens(50));
             if found {
@@ -200,21 +212,21 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, probed).await.unwrap();
+    tokio::time::timeout(TIMEOUT, probed).await.unwrap();
 }
 
-/// A job whose caller gave up is out of the queue at once.
+/// A job whose caller has disconnected leaves the queue immediately.
 #[tokio::test]
 async fn a_cancelled_job_leaves_the_queue() {
-    let bench = Bench::new(&["a"]);
-    let _permits = bench.fill().await;
+    let fixture = Fixture::new(&["a"]);
+    let _permits = fixture.fill().await;
     let gone = CancellationToken::new();
-    let (pool, job, token) = (bench.pool.clone(), bench.job(), gone.clone());
+    let (pool, job, token) = (fixture.pool.clone(), fixture.job(), gone.clone());
     let waiting = tokio::spawn(async move { pool.acquire(job, &token).await.map(drop) });
-    until("it waits", || bench.pool.depth().waiting == 1).await;
+    wait_until("the job waits", || fixture.pool.depth().waiting == 1).await;
     gone.cancel();
     let refusal = waiting.await.unwrap().unwrap_err();
     let refusal = Refusal::from(refusal);
     assert_eq!(refusal.code, Code::Gone);
-    assert_eq!(bench.pool.depth().waiting, 0);
+    assert_eq!(fixture.pool.depth().waiting, 0);
 }
--- a/crates/entry/tests/all/service.rs
+++ b/crates/entry/tests/all/service.rs
@@ -1,4 +1,4 @@
-//! Calls of a plain service, repeatable and not.
+//! Calls of a plain service, with and without repeatable methods.
 
 use hyper::Method;
 use hyper::StatusCode;
@@ -9,8 +9,8 @@
 use uuid::Uuid;
 
 use crate::support::Answer;
-use crate::support::World;
-use crate::support::until;
+use crate::support::Fixture;
+use crate::support::wait_until;
 
 fn receipt(answer: &Answer) -> Receipt {
     serde_json::from_slice(&answer.body)
@@ -19,24 +19,25 @@
 
 #[tokio::test]
 async fn a_call_is_passed_through_and_billed() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
-    let ask = entry.ask(Method::GET, "/services/order-desk/stock/drums");
-    let answer = ask.send().await;
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
+    let request = entry.request(Method::GET, "/services/order-desk/stock/drums");
+    let answer = request.send().await;
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(receipt(&answer).path, "/stock/drums");
-    until("the bill is on the log", || world.bills().len() == 1).await;
+    wait_until("the bill is on the log", || fixture.bills().len() == 1).await;
 }
 
-/// The caller sends the same drum order twice, at two entry VMs. The second gets the first one's
-/// answer, fetched from the VM that has it; the desk ran it once and there is one bill.
+/// The caller sends the same order again, at the same and at another entry VM. Both return the
+/// first answer; the other VM fetches it from the one that cached it. The order runs once and is
+/// billed once.
 #[tokio::test]
 async fn an_order_sent_twice_runs_once_and_is_answered_twice() {
-    let world = World::start(1).await;
-    let first = world.entry("entry-1").await;
+    let fixture = Fixture::start(1).await;
+    let first = fixture.entry("entry-1").await;
     let seed = first.running.node.mesh.address().to_string();
-    let second = world.entry_with("entry-2", &[("peers", &seed)]).await;
-    until("the entry VMs know each other", || {
+    let second = fixture.entry_with("entry-2", &[("peers", &seed)]).await;
+    wait_until("the entry VMs know each other", || {
         let peers = |e: &crate::support::Entry| e.running.node.mesh.peers().len();
         peers(&first) == 1 && peers(&second) == 1
     })
@@ -49,22 +50,22 @@
     assert_eq!(again.body, one.body);
     assert_eq!(other.body, one.body);
     assert_eq!(other.status, StatusCode::OK);
-    assert_eq!(world.runs(&key), 1);
-    until("the bill is on the log", || !world.bills().is_empty()).await;
-    assert_eq!(world.bills().len(), 1);
+    assert_eq!(fixture.runs(&key), 1);
+    wait_until("the bill is on the log", || !fixture.bills().is_empty()).await;
+    assert_eq!(fixture.bills().len(), 1);
 }
 
-/// Both entry VMs get the same order at the same moment. Whoever is second in the log does not
-/// send it; one caller may hear that it is unknown, neither hears that it was not run.
+/// Two entry VMs get the same order concurrently. The VM whose claim is second in the log does not
+/// send it. It may answer `unknown`, and neither VM may answer `not_run`.
 #[tokio::test]
 async fn an_order_sent_to_two_entry_vms_at_once_runs_once() {
-    let world = World::start(1).await;
-    let first = world.entry("entry-1").await;
-    let second = world.entry("entry-2").await;
+    let fixture = Fixture::start(1).await;
+    let first = fixture.entry("entry-1").await;
+    let second = fixture.entry("entry-2").await;
     for _ in 0..10 {
         let key = Uuid::now_v7().to_string();
         let (one, other) = tokio::join!(first.order(&key).send(), second.order(&key).send());
-        assert_eq!(world.runs(&key), 1, "{one:?} {other:?}");
+        assert_eq!(fixture.runs(&key), 1, "{one:?} {other:?}");
         let served = [&one, &other].iter().filter(|a| a.status == 200).count();
         assert!(served >= 1, "{one:?} {other:?}");
         for answer in [one, other] {
@@ -76,13 +77,13 @@
     }
 }
 
-/// The desk takes the order and the connection breaks before its answer. Nobody may send it again,
-/// neither by itself nor when the caller asks again: it may have run.
+/// The service runs the order, and the connection breaks before the answer. The order is not sent
+/// again, neither by a retry of the router nor by one of the caller: it may have run.
 #[tokio::test]
 async fn an_order_whose_answer_was_lost_is_never_sent_again() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
-    for desk in &world.desks {
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
+    for desk in &fixture.desks {
         desk.faults
             .rules([Rule::new(Action::LoseAnswer).on("POST", "/")]);
     }
@@ -90,22 +91,22 @@
     let lost = entry.order(&key).send().await;
     assert_eq!(lost.status, StatusCode::BAD_GATEWAY, "{lost:?}");
     assert_eq!(lost.failure().error.run, Run::Unknown);
-    for desk in &world.desks {
+    for desk in &fixture.desks {
         desk.faults.clear();
     }
     let again = entry.order(&key).send().await;
     assert_eq!(again.status, StatusCode::CONFLICT, "{again:?}");
     assert_eq!(again.failure().error.run, Run::Unknown);
-    assert_eq!(world.runs(&key), 1);
+    assert_eq!(fixture.runs(&key), 1);
 }
 
-/// Both replicas say that they did not start the order. The caller hears `not_run`, and that is
-/// true: asking again under the same id runs it.
+/// Both replicas refuse the order as not run. The caller gets `not_run`, and a retry under the same
+/// id runs it.
 #[tokio::test]
 async fn an_order_that_was_not_started_may_be_sent_again() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
-    for desk in &world.desks {
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
+    for desk in &fixture.desks {
         desk.faults.rules([Rule::new(Action::Refuse {
             status: 503,
             retry_after: Some(1),
@@ -115,11 +116,11 @@
     let key = Uuid::now_v7().to_string();
     let refused = entry.order(&key).send().await;
     assert_eq!(refused.failure().error.run, Run::NotRun, "{refused:?}");
-    assert_eq!(world.runs(&key), 0);
-    for desk in &world.desks {
+    assert_eq!(fixture.runs(&key), 0);
+    for desk in &fixture.desks {
         desk.faults.clear();
     }
-    // The release of the claim is on its way through the log.
+    // The claim is released through the log, which takes a moment.
     let mut again = entry.order(&key).send().await;
     for _ in 0..100 {
         if again.status != StatusCode::CONFLICT {
@@ -128,19 +129,18 @@
         again = entry.order(&key).send().await;
     }
     assert_eq!(again.status, StatusCode::OK, "{again:?}");
-    assert_eq!(world.runs(&key), 1);
+    assert_eq!(fixture.runs(&key), 1);
 }
 
-/// The log is out. An order can't be claimed and is refused at once; a call that may be repeated
-/// is served.
+/// During a log outage an order can't be claimed and is refused as not run, with `retry-after`.
 #[tokio::test]
 async fn without_the_log_orders_are_refused_and_repeatable_calls_served() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
-    // Spends the first grant while the log is there.
-    let warm = entry.ask(Method::GET, "/services/order-desk/stock");
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
+    // Gets the first grant while the log is available.
+    let warm = entry.request(Method::GET, "/services/order-desk/stock");
     assert_eq!(warm.send().await.status, StatusCode::OK);
-    world.log.faults.rules([Rule::new(Action::Refuse {
+    fixture.log.faults.rules([Rule::new(Action::Refuse {
         status: 503,
         retry_after: Some(1),
         run: None,
@@ -155,17 +155,17 @@
     assert_eq!(refused.failure().error.code, "claims_unavailable");
     assert_eq!(refused.failure().error.run, Run::NotRun);
     assert_ne!(refused.header("retry-after"), "");
-    assert_eq!(world.runs(&key), 0);
+    assert_eq!(fixture.runs(&key), 0);
 }
 
 #[tokio::test]
 async fn an_id_that_stands_for_another_order_is_refused() {
-    let world = World::start(1).await;
-    let entry = world.entry("entry-1").await;
+    let fixture = Fixture::start(1).await;
+    let entry = fixture.entry("entry-1").await;
     let key = Uuid::now_v7().to_string();
     assert_eq!(entry.order(&key).send().await.status, StatusCode::OK);
     let other = entry.order(&key).body("{\"drums\":400}").send().await;
     assert_eq!(other.status, StatusCode::UNPROCESSABLE_ENTITY);
     assert_eq!(other.failure().error.run, Run::NotRun);
-    assert_eq!(world.runs(&key), 1);
+    assert_eq!(fixture.runs(&key), 1);
 }
--- a/crates/entry/tests/all/session.rs
+++ b/crates/entry/tests/all/session.rs
@@ -1,4 +1,4 @@
-//! The session token.
+//! Session tokens.
 
 use pimento_entry::session::Error;
 use pimento_entry::session::Key;
@@ -61,10 +61,10 @@
         }
     }
 
-    /// Other spellings of the same bytes are not taken either.
+    /// Another spelling of the same bytes is rejected too.
     #[test]
-    fn a_token_in_capitals_is_not_taken(lives in any::<u64>()) {
-        let key = Key::derive(&lives.to_string());
+    fn a_token_in_capitals_is_not_taken(seed in any::<u64>()) {
+        let key = Key::derive(&seed.to_string());
         let token = key.seal(&session()).to_string().to_uppercase();
         let opened = key.open(&token, &name("garage"));
         assert_eq!(opened, Err(Error::Forged));
--- a/crates/entry/tests/all/shutdown.rs
+++ b/crates/entry/tests/all/shutdown.rs
@@ -1,56 +1,56 @@
-//! An orderly end under load.
+//! Clean shutdown under load.
 
 use hyper::StatusCode;
 
-use crate::support::World;
-use crate::support::until;
+use crate::support::Fixture;
+use crate::support::wait_until;
 
-/// Long streams are in flight when the entry VM is told to end. It is no longer ready at once, no
-/// caller sees a cut, and all bills are on the log when it says that it has ended.
+/// Long streams are in flight when the entry VM shuts down. It stops being ready immediately, every
+/// stream is finished, and all bills are on the log when the shutdown returns.
 #[tokio::test]
 async fn requests_in_flight_are_finished_and_billed() {
-    let world = World::start(2).await;
-    for engine in &world.engines {
+    let fixture = Fixture::start(2).await;
+    for engine in &fixture.engines {
         engine.site.change(|settings| settings.token_us = 10_000);
     }
-    let entry = world.entry_with("entry-1", &[("grace", "300ms")]).await;
-    let ask = || entry.chat("answer in 100 tokens", true).send();
-    let asked: Vec<_> = (0..6).map(|_| tokio::spawn(ask())).collect();
-    until("all have begun", || world.started() == 6).await;
+    let entry = fixture.entry_with("entry-1", &[("grace", "300ms")]).await;
+    let send = || entry.chat("answer in 100 tokens", true).send();
+    let pending: Vec<_> = (0..6).map(|_| tokio::spawn(send())).collect();
+    wait_until("all streams have started", || fixture.started() == 6).await;
     let ready = entry.operators("/ready").await;
     assert_eq!(ready.status, StatusCode::OK);
-    let client = entry.ask(hyper::Method::GET, "/v1/models");
+    let client = entry.request(hyper::Method::GET, "/v1/models");
     let node = entry.running.node.clone();
-    let ending = tokio::spawn(entry.running.shut_down());
-    until("it is not ready", || !node.ready()).await;
-    // Within the grace it still answers, and asks for the connection to be closed.
+    let shutdown = tokio::spawn(entry.running.shut_down());
+    wait_until("the entry VM is not ready", || !node.ready()).await;
+    // Within the grace period it still answers, and closes the connection.
     let answer = client.send().await;
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(answer.header("connection"), "close");
-    for asked in asked {
-        let answer = asked.await.unwrap();
+    for pending in pending {
+        let answer = pending.await.unwrap();
         assert!(answer.whole_stream(), "{:?}", answer.events());
     }
-    assert!(ending.await.unwrap(), "it ended in order");
-    assert_eq!(world.bills().len(), 6);
+    assert!(shutdown.await.unwrap(), "clean shutdown");
+    assert_eq!(fixture.bills().len(), 6);
 }
 
-/// A stream that never ends is cut at the last bound: the caller sees an answer that broke off, not
-/// a clean end.
+/// A stream that takes too long is aborted at the last bound. The caller's body ends with an error,
+/// so that the part is not taken for the whole answer.
 #[tokio::test]
 async fn the_last_bound_cuts_without_a_clean_end() {
-    let world = World::start(1).await;
-    world.engines[0]
+    let fixture = Fixture::start(1).await;
+    fixture.engines[0]
         .site
         .change(|settings| settings.token_us = 200_000);
     let settings = [("grace", "0ms"), ("last-bound", "300ms")];
-    let entry = world.entry_with("entry-1", &settings).await;
-    let ask = entry.chat("answer in 400 tokens", true);
-    let ask = ask.header("request-timeout", "600").send();
-    let asked = tokio::spawn(ask);
-    until("the stream has begun", || world.started() == 1).await;
+    let entry = fixture.entry_with("entry-1", &settings).await;
+    let request = entry.chat("answer in 400 tokens", true);
+    let request = request.header("request-timeout", "600").send();
+    let pending = tokio::spawn(request);
+    wait_until("the stream has started", || fixture.started() == 1).await;
     assert!(!entry.running.shut_down().await);
-    // The caller's client reports a body that broke off, on which the helper panics.
-    assert!(asked.await.is_err());
-    assert!(world.bills().is_empty());
+    // The client reports an aborted body, on which the helper panics.
+    assert!(pending.await.is_err());
+    assert!(fixture.bills().is_empty());
 }
--- a/crates/entry/tests/all/support.rs
+++ b/crates/entry/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! A small platform, one pool of engines, one plain service, and entry VMs.
+//! A platform, one pool of engines, one plain service, and entry VMs, all in this process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -60,8 +60,8 @@
 use tokio_util::sync::CancellationToken;
 use uuid::Uuid;
 
-/// How long any wait for an event may take. Nothing is judged by it; it ends a test that hangs.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of any wait in a test. It only ends a test that hangs.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const KEY: &str = "demo-key-garage";
 pub const SMALL: &str = "pimento-mini@1";
@@ -69,8 +69,8 @@
 const POOL: &str = "pimento-llm";
 const DESKS: &str = "order-desk";
 
-/// The platform, the endpoints and what is needed to reach them.
-pub struct World {
+/// The stand-ins of the platform and the endpoints. They stop when it is dropped.
+pub struct Fixture {
     pub log: Standin<Log>,
     pub vms: Standin<Vms>,
     pub rater: Standin<Rater>,
@@ -79,7 +79,7 @@
     token: CancellationToken,
 }
 
-/// An answer to a caller.
+/// The response that a caller gets.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: StatusCode,
@@ -102,14 +102,14 @@
             .unwrap_or_else(|error| panic!("no completion ({error}): {:?}", self.body))
     }
 
-    /// The data of each event of a stream.
+    /// The data of each event of a streamed answer.
     pub fn events(&self) -> Vec<String> {
         let text = std::str::from_utf8(&self.body).unwrap();
         let data = text.lines().filter_map(|line| line.strip_prefix("data: "));
         data.map(str::to_owned).collect()
     }
 
-    /// The text of a stream.
+    /// The text of a streamed answer.
     pub fn streamed(&self) -> String {
         let content = |event: &String| {
             let chunk: serde_json::Value = serde_json::from_str(event).ok()?;
@@ -193,16 +193,16 @@
     }
 }
 
-impl World {
-    /// A platform with `engines` engines that hold both versions, two replicas of the service, and
-    /// a contract for one customer that allows the small version only.
+impl Fixture {
+    /// Starts a platform with `engines` engines that serve both versions, two replicas of the
+    /// service, and a contract for one customer that allows only the small version.
     pub async fn start(engines: usize) -> Self {
-        let world = Self::bare(engines).await;
-        world.publish(Value::Contract(contract(&[SMALL], 0.5)));
-        world.publish(Value::Version(version(SMALL, 1_000, 0.9)));
-        world.publish(Value::Version(version(LARGE, 10_000, 0.98)));
-        world.publish(Value::Service(desk()));
-        world
+        let fixture = Self::bare(engines).await;
+        fixture.publish(Value::Contract(contract(&[SMALL], 0.5)));
+        fixture.publish(Value::Version(version(SMALL, 1_000, 0.9)));
+        fixture.publish(Value::Version(version(LARGE, 10_000, 0.98)));
+        fixture.publish(Value::Service(desk()));
+        fixture
     }
 
     async fn bare(engines: usize) -> Self {
@@ -210,7 +210,7 @@
         let log = log::start(log::Config::default(), token.child_token());
         let rater = rating::start(rating::Config::default(), token.child_token());
         let vms = vms::start(vms::Config::default(), token.child_token());
-        let mut world = Self {
+        let mut fixture = Self {
             log: log.await.unwrap(),
             vms: vms.await.unwrap(),
             rater: rater.await.unwrap(),
@@ -219,21 +219,21 @@
             token,
         };
         for number in 0..engines {
-            world.engine(number).await;
+            fixture.engine(number).await;
         }
         for number in 0..2 {
             let config = service::Config::new(name(&format!("desk-{number}")));
-            let desk = service::start(config, world.token.child_token())
+            let desk = service::start(config, fixture.token.child_token())
                 .await
                 .unwrap();
-            world.list(
+            fixture.list(
                 &format!("desk-{number}"),
                 desk.address,
                 Role::Service(name(DESKS)),
             );
-            world.desks.push(desk);
+            fixture.desks.push(desk);
         }
-        world
+        fixture
     }
 
     async fn engine(&mut self, number: usize) {
@@ -260,7 +260,7 @@
         self.vms.site.change(|vms| vms.push(vm));
     }
 
-    /// The state that the log's records fold to.
+    /// The configuration state after all records of the log.
     pub fn state(&self) -> State {
         let mut state = State::default();
         for entry in self.log.site.records("configuration") {
@@ -304,12 +304,12 @@
         bills.collect()
     }
 
-    /// Calls that any engine started, by its own count.
+    /// Calls started at all engines, as the engines count them.
     pub fn started(&self) -> u64 {
         self.engines.iter().map(|e| e.site.stats().started).sum()
     }
 
-    /// Runs of a request id at all replicas of the service.
+    /// How often the replicas of the service ran a request id.
     pub fn runs(&self, key: &str) -> u64 {
         self.desks.iter().map(|desk| desk.site.runs(key)).sum()
     }
@@ -351,7 +351,7 @@
         .into()
     }
 
-    /// An entry VM that is ready and knows its endpoints.
+    /// Starts an entry VM, and waits until it is ready and knows all endpoints.
     pub async fn entry(&self, node: &str) -> Entry {
         self.entry_with(node, &[]).await
     }
@@ -369,7 +369,7 @@
         let config = Config::try_from(&raw).unwrap();
         let running = Running::start(config).await.unwrap();
         let entry = Entry::new(running);
-        until("the entry VM knows configuration and endpoints", || {
+        wait_until("the entry VM knows configuration and endpoints", || {
             let node = &entry.running.node;
             let pools = node.scheduler.pools();
             let usable: usize = pools.iter().map(|(_, pool)| pool.depth().usable).sum();
@@ -382,20 +382,20 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Fixture {
     fn drop(&mut self) {
         self.token.cancel();
     }
 }
 
-/// An entry VM and a caller of it.
+/// An entry VM and an HTTP client for it.
 pub struct Entry {
     pub running: Running,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// A request under construction.
-pub struct Ask {
+/// Builds and sends one request.
+pub struct RequestBuilder {
     method: Method,
     url: String,
     headers: Vec<(String, String)>,
@@ -411,8 +411,8 @@
         }
     }
 
-    pub fn ask(&self, method: Method, path: &str) -> Ask {
-        Ask {
+    pub fn request(&self, method: Method, path: &str) -> RequestBuilder {
+        RequestBuilder {
             method,
             url: format!("http://{}{path}", self.running.callers),
             headers: vec![("authorization".into(), format!("Bearer {KEY}"))],
@@ -421,19 +421,19 @@
         }
     }
 
-    pub fn chat(&self, prompt: &str, stream: bool) -> Ask {
+    pub fn chat(&self, prompt: &str, stream: bool) -> RequestBuilder {
         let body = json!({
             "model": "stock",
             "messages": [{"role": "user", "content": prompt}],
             "stream": stream,
             "temperature": 0.0,
         });
-        self.ask(Method::POST, "/v1/chat/completions")
+        self.request(Method::POST, "/v1/chat/completions")
             .body(body.to_string())
     }
 
-    pub fn order(&self, key: &str) -> Ask {
-        self.ask(Method::POST, "/services/order-desk/drums?kind=blue")
+    pub fn order(&self, key: &str) -> RequestBuilder {
+        self.request(Method::POST, "/services/order-desk/drums?kind=blue")
             .header("idempotency-key", key)
             .body("{\"drums\":4}")
     }
@@ -445,7 +445,7 @@
     }
 }
 
-impl Ask {
+impl RequestBuilder {
     pub fn header(mut self, name: &str, value: &str) -> Self {
         self.headers.retain(|(known, _)| known != name);
         self.headers.push((name.into(), value.into()));
@@ -462,7 +462,7 @@
         self
     }
 
-    /// The body.
+    /// The request body.
     pub fn content(&self) -> Bytes {
         self.body.clone()
     }
@@ -489,17 +489,17 @@
             body: body.collect().await.unwrap().to_bytes(),
         }
     };
-    let answer = tokio::time::timeout(PATIENCE, exchange).await;
-    answer.expect("the entry VM answers")
+    let answer = tokio::time::timeout(TIMEOUT, exchange).await;
+    answer.expect("an answer before the timeout")
 }
 
-/// Waits for a condition, bounded by [`PATIENCE`].
-pub async fn until(what: &str, mut condition: impl FnMut() -> bool) {
-    let waited = async {
+/// Waits for a condition, at most for [`TIMEOUT`].
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let wait = async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let met = tokio::time::timeout(PATIENCE, waited).await;
-    assert!(met.is_ok(), "never came about: {what}");
+    let result = tokio::time::timeout(TIMEOUT, wait).await;
+    assert!(result.is_ok(), "timed out waiting until {what}");
 }
--- a/crates/entry/tests/all/versions.rs
+++ b/crates/entry/tests/all/versions.rs
@@ -1,4 +1,4 @@
-//! Which versions answer: withdrawals while a request is under way, sessions, roll-outs.
+//! Which versions answer: withdrawals during a request, sessions, roll-outs.
 
 use hyper::StatusCode;
 use pimento_contract::Value;
@@ -6,55 +6,55 @@
 use pimento_standin::Site;
 use pimento_wire::border::Run;
 
+use crate::support::Fixture;
 use crate::support::LARGE;
 use crate::support::SMALL;
-use crate::support::World;
 use crate::support::contract;
 use crate::support::name;
 use crate::support::rollout;
-use crate::support::until;
+use crate::support::wait_until;
 
-fn started(world: &World, version: &str) -> u64 {
-    let stats = world.engines.iter().map(|engine| engine.site.stats());
-    let of = |stats: pimento_standin::engine::Stats| {
+fn started(fixture: &Fixture, version: &str) -> u64 {
+    let stats = fixture.engines.iter().map(|engine| engine.site.stats());
+    let started = |stats: pimento_standin::engine::Stats| {
         let found = stats
             .versions
             .into_iter()
             .find(|w| w.version == name(version));
         found.map_or(0, |work| work.started)
     };
-    stats.map(of).sum()
+    stats.map(started).sum()
 }
 
-/// Requests fill the only engine and more wait in the queue. The version is withdrawn: what runs
-/// may finish, but none of those that waited is sent, and each is refused as not run.
+/// Requests fill the only engine, and more wait in the queue, when the version is withdrawn. Those
+/// that run may finish. Those that wait are not sent, and each is refused as not run.
 #[tokio::test]
 async fn work_that_waits_is_not_sent_to_a_version_withdrawn_meanwhile() {
-    let world = World::start(1).await;
-    world.engines[0].site.change(|settings| {
+    let fixture = Fixture::start(1).await;
+    fixture.engines[0].site.change(|settings| {
         settings.token_us = 20_000;
         settings.batch = 4;
     });
-    let entry = world.entry("entry-1").await;
-    let ask = || {
-        let ask = entry.chat("answer in 50 tokens", false);
-        ask.header("request-timeout", "300").send()
+    let entry = fixture.entry("entry-1").await;
+    let send = || {
+        let request = entry.chat("answer in 50 tokens", false);
+        request.header("request-timeout", "300").send()
     };
-    let asked: Vec<_> = (0..16).map(|_| tokio::spawn(ask())).collect();
+    let pending: Vec<_> = (0..16).map(|_| tokio::spawn(send())).collect();
     let pool = entry.running.node.scheduler.pool(&name("pimento-llm"));
-    until("some run and some wait", || {
-        world.started() > 0 && pool.depth().waiting > 0
+    wait_until("some requests run and some wait", || {
+        fixture.started() > 0 && pool.depth().waiting > 0
     })
     .await;
-    world.withdraw(SMALL);
-    until("the withdrawal is in force", || {
-        entry.running.node.state.current().offset >= world.state().offset
+    fixture.withdraw(SMALL);
+    wait_until("the withdrawal is in force", || {
+        entry.running.node.state.current().offset >= fixture.state().offset
     })
     .await;
-    let begun = world.started();
+    let started = fixture.started();
     let mut refused = 0;
-    for asked in asked {
-        let answer = asked.await.unwrap();
+    for pending in pending {
+        let answer = pending.await.unwrap();
         if answer.status != StatusCode::OK {
             assert_eq!(answer.failure().error.code, "no_version", "{answer:?}");
             assert_eq!(answer.failure().error.run, Run::NotRun);
@@ -62,55 +62,55 @@
         }
     }
     assert!(refused > 0);
-    assert_eq!(world.started(), begun);
-    assert_eq!(begun + refused, 16);
+    assert_eq!(fixture.started(), started);
+    assert_eq!(started + refused, 16);
 }
 
-/// A session is pinned to the new version of a roll-out and comes back with its token, at another
-/// entry VM that never saw it, after the roll-out's weight fell to zero: it stays. Then the version
-/// is withdrawn: the pin ends and the token is issued anew.
+/// A session is pinned to the new version of a roll-out. After the roll-out is halted, the
+/// session's token is presented at another entry VM that does not know the session, and the pin
+/// still applies. Once the version is withdrawn, the pin is removed and a new token is issued.
 #[tokio::test]
 async fn a_session_keeps_its_version_over_entry_vms_until_it_is_withdrawn() {
-    let world = World::start(1).await;
-    world.publish(Value::Contract(contract(&[LARGE, SMALL], 0.5)));
-    world.publish(Value::Rollout(rollout(1.0)));
-    let first = world.entry("entry-1").await;
-    let second = world.entry("entry-2").await;
+    let fixture = Fixture::start(1).await;
+    fixture.publish(Value::Contract(contract(&[LARGE, SMALL], 0.5)));
+    fixture.publish(Value::Rollout(rollout(1.0)));
+    let first = fixture.entry("entry-1").await;
+    let second = fixture.entry("entry-2").await;
     let answer = first.chat("answer in 5 tokens", false).send().await;
     assert_eq!(answer.header("model-version"), LARGE, "{answer:?}");
     let token = answer.header("session-token").to_owned();
     let mut halted = rollout(1.0);
     halted.status = pimento_contract::rollout::Status::Halted;
-    world.publish(Value::Rollout(halted));
-    let known = || world.state().offset;
+    fixture.publish(Value::Rollout(halted));
+    let known = || fixture.state().offset;
     let reached = |e: &crate::support::Entry| e.running.node.state.current().offset >= known();
-    until("the halt is in force", || {
+    wait_until("the halt is in force", || {
         reached(&first) && reached(&second)
     })
     .await;
     let fresh = second.chat("answer in 5 tokens", false).send().await;
     assert_eq!(fresh.header("model-version"), SMALL);
-    let ask = second.chat("answer in 5 tokens", false);
-    let kept = ask.header("session-token", &token).send().await;
-    assert_eq!(kept.header("model-version"), LARGE);
-    assert_eq!(kept.header("session-token"), token);
-    world.withdraw(LARGE);
-    until("the withdrawal is in force", || reached(&second)).await;
-    let ask = second.chat("answer in 5 tokens", false);
-    let moved = ask.header("session-token", &token).send().await;
+    let request = second.chat("answer in 5 tokens", false);
+    let returning = request.header("session-token", &token).send().await;
+    assert_eq!(returning.header("model-version"), LARGE);
+    assert_eq!(returning.header("session-token"), token);
+    fixture.withdraw(LARGE);
+    wait_until("the withdrawal is in force", || reached(&second)).await;
+    let request = second.chat("answer in 5 tokens", false);
+    let moved = request.header("session-token", &token).send().await;
     assert_eq!(moved.header("model-version"), SMALL);
     assert_ne!(moved.header("session-token"), token);
-    assert_eq!(started(&world, LARGE), 2);
+    assert_eq!(started(&fixture, LARGE), 2);
 }
 
-/// The version that is brought in answers badly. The node's own evidence quarantines it at once,
-/// and the withdrawal that it proposes comes into force through the log.
+/// The new version of a roll-out gives bad answers. The node quarantines it on its own evidence,
+/// and the withdrawal that the node proposes takes effect through the log.
 #[tokio::test]
 async fn a_bad_version_in_roll_out_is_quarantined_and_withdrawn() {
-    let world = World::start(2).await;
-    world.publish(Value::Contract(contract(&[LARGE, SMALL], 0.99)));
-    world.publish(Value::Rollout(rollout(0.5)));
-    for engine in &world.engines {
+    let fixture = Fixture::start(2).await;
+    fixture.publish(Value::Contract(contract(&[LARGE, SMALL], 0.99)));
+    fixture.publish(Value::Rollout(rollout(0.5)));
+    for engine in &fixture.engines {
         engine.site.change(|settings| {
             settings.quality = vec![
                 pimento_standin::engine::Quality {
@@ -124,9 +124,9 @@
             ];
         });
     }
-    let entry = world.entry("entry-1").await;
+    let entry = fixture.entry("entry-1").await;
     let withdrawn = || {
-        let state = world.state();
+        let state = fixture.state();
         let version = state.version(&name(LARGE)).unwrap();
         version.status == pimento_contract::version::Status::Withdrawn
     };
@@ -138,38 +138,38 @@
             break;
         }
     }
-    until("the version is withdrawn", withdrawn).await;
-    until("no more work goes to it here", || {
+    wait_until("the version is withdrawn", withdrawn).await;
+    wait_until("the entry VM knows the withdrawal", || {
         let state = entry.running.node.state.current();
         let version = state.version(&name(LARGE)).unwrap();
         version.status == pimento_contract::version::Status::Withdrawn
     })
     .await;
-    let before = started(&world, LARGE);
+    let before = started(&fixture, LARGE);
     for _ in 0..5 {
         let answer = entry.chat("answer in 3 tokens", false).send().await;
         assert_eq!(answer.header("model-version"), SMALL);
     }
-    assert_eq!(started(&world, LARGE), before);
+    assert_eq!(started(&fixture, LARGE), before);
 }
 
-/// A successor is allowed and serves before it is rolled in. Sessions begin on the older version and
-/// stay there, whichever of the two is cheaper.
+/// A successor is allowed and served before its roll-out. Sessions start on the older version and
+/// stay there, although the successor is cheaper.
 #[tokio::test]
 async fn of_two_versions_of_a_model_a_session_sees_one() {
-    let world = World::start(1).await;
+    let fixture = Fixture::start(1).await;
     let successor = "pimento-mini@2";
-    world.publish(Value::Contract(contract(&[SMALL, successor], 0.5)));
-    world.publish(Value::Version(crate::support::version(successor, 1, 0.9)));
+    fixture.publish(Value::Contract(contract(&[SMALL, successor], 0.5)));
+    fixture.publish(Value::Version(crate::support::version(successor, 1, 0.9)));
     let order = pimento_wire::engine::Order::Versions(vec![name(SMALL), name(successor)]);
     let engine = pimento_endpoint::engine::Remote::new(
         pimento_endpoint::Pool::default(),
-        world.engines[0].address,
+        fixture.engines[0].address,
     );
     engine.order(order, None).await.unwrap();
-    let entry = world.entry("entry-1").await;
+    let entry = fixture.entry("entry-1").await;
     let pool = entry.running.node.scheduler.pool(&name("pimento-llm"));
-    until("the successor is held", || {
+    wait_until("the engine serves the successor", || {
         pool.holds(Some(&name(successor)))
     })
     .await;
@@ -177,8 +177,8 @@
     assert_eq!(first.header("model-version"), SMALL);
     let token = first.header("session-token").to_owned();
     for _ in 0..5 {
-        let ask = entry.chat("answer in 5 tokens", false);
-        let answer = ask.header("session-token", &token).send().await;
+        let request = entry.chat("answer in 5 tokens", false);
+        let answer = request.header("session-token", &token).send().await;
         assert_eq!(answer.header("model-version"), SMALL);
     }
 }
