--- a/crates/entry/src/answers.rs
+++ b/crates/entry/src/answers.rs
@@ -1,7 +1,7 @@
-//! Cache of answers to calls that may not be repeated, for callers that retry such a call.
+//! Cache of answers to calls that may not be repeated, for callers that send such a call again.
 //!
-//! The cache is bounded in bytes and evicts the oldest answers first. A retry whose answer was
-//! evicted is refused with the information that the call ran.
+//! The cache is bounded in bytes and evicts the oldest answers first. A repeated call whose answer
+//! was evicted is refused with the information that the call ran.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -48,7 +48,7 @@
 }
 
 impl Cache {
-    /// A cache of at most `max_bytes` bytes that expires answers after `window`.
+    /// A cache of at most `max_bytes` bytes. An insertion evicts answers older than `window`.
     #[must_use]
     pub fn new(max_bytes: usize, window: Duration) -> Self {
         let inner = Inner {
@@ -73,9 +73,9 @@
         inner.expire(now, size);
         match inner.answers.binary_search_by_key(&request, |(r, _)| *r) {
             Ok(_) => {}
-            Err(place) => {
+            Err(index) => {
                 inner.bytes += size;
-                inner.answers.insert(place, (request, answer));
+                inner.answers.insert(index, (request, answer));
                 inner.order.push_back((now, request));
             }
         }
@@ -85,8 +85,8 @@
     #[must_use]
     pub fn get(&self, request: id::Request) -> Option<Answer> {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = inner.answers.binary_search_by_key(&request, |(r, _)| *r);
-        place.ok().map(|place| inner.answers[place].1.clone())
+        let index = inner.answers.binary_search_by_key(&request, |(r, _)| *r);
+        index.ok().map(|index| inner.answers[index].1.clone())
     }
 
     /// Bytes in use.
@@ -98,7 +98,7 @@
 }
 
 impl Inner {
-    /// Evicts expired answers, and older ones until `size` bytes are free.
+    /// Evicts answers past the window, and the oldest others until `size` bytes are free.
     fn expire(&mut self, now: Moment, size: usize) {
         while let Some((at, request)) = self.order.front().copied() {
             let full = self.bytes + size > self.max_bytes;
@@ -106,8 +106,8 @@
                 return;
             }
             self.order.pop_front();
-            if let Ok(place) = self.answers.binary_search_by_key(&request, |(r, _)| *r) {
-                let (_, evicted) = self.answers.remove(place);
+            if let Ok(index) = self.answers.binary_search_by_key(&request, |(r, _)| *r) {
+                let (_, evicted) = self.answers.remove(index);
                 self.bytes -= self::size(&evicted);
             }
         }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -57,7 +57,7 @@
 
 /// How long a new node waits for the claims stream before it accepts requests without it. An empty
 /// stream answers its first read after a second.
-const CLAIMS_TIMEOUT: Duration = Duration::from_secs(5);
+const CLAIMS_STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Timeout for appending a proposed withdrawal to the log. Later evidence proposes it again.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(30);
@@ -98,7 +98,7 @@
 }
 
 impl Node {
-    /// Starts the node's background tasks; they end with `token`.
+    /// Starts the node's background tasks; they stop when `token` is cancelled.
     ///
     /// # Errors
     ///
@@ -208,12 +208,12 @@
         self.state.ready() && self.claims_ready() && !self.leaving.is_cancelled()
     }
 
-    /// Whether the claims stream has been read, or [`CLAIMS_TIMEOUT`] has passed since the start.
-    /// Without the claims, calls that may not be repeated are refused. A log outage must not keep a
-    /// new node from serving all other requests.
+    /// Whether the claims stream has been read, or [`CLAIMS_STARTUP_TIMEOUT`] has passed since the
+    /// start. Without the claims, calls that may not be repeated are refused. A log outage must not
+    /// keep a new node from serving all other requests.
     fn claims_ready(&self) -> bool {
         let read = self.claimer.follower().caught_up();
-        read || self.clock.now() > Moment::ZERO + CLAIMS_TIMEOUT
+        read || self.clock.now() > Moment::ZERO + CLAIMS_STARTUP_TIMEOUT
     }
 
     /// Number of live entry VMs, including this one.
@@ -240,7 +240,7 @@
         self.mesh.report(|own| own.leaving = true);
     }
 
-    /// Updates configuration, departures and quarantine in a loop.
+    /// Updates configuration, departures, crash suspicions and quarantine in a loop.
     async fn run_updates(&self) {
         let mut changed = self.source.changed();
         loop {
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -21,7 +21,7 @@
 
 /// The HTTP service for operators.
 #[derive(Debug, Clone)]
-pub struct Operators(pub Arc<Node>);
+pub struct OperatorService(pub Arc<Node>);
 
 /// Body of `/state`: the part that other programs read, and additional fields for people.
 #[derive(Debug, Serialize)]
@@ -62,7 +62,7 @@
     ejected: usize,
 }
 
-impl Serve for Operators {
+impl Serve for OperatorService {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         if request.method() != Method::GET {
             let message = "only GET is allowed here";
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -25,7 +25,7 @@
 
 /// Consecutive failed load reports from which an engine gets no new work. One lost packet fails one
 /// report; a dead engine fails all.
-const MAX_FAILURES: u32 = 3;
+const UNRESPONSIVE_AFTER: u32 = 3;
 
 /// Maximum number of stored departures. About 120 VMs are replaced on an ordinary day.
 const MAX_DEPARTURES: usize = 1_024;
@@ -77,7 +77,7 @@
 
     fn is_responsive(&self) -> bool {
         match self.kind {
-            Kind::Engine => self.load.is_some() && self.failures < MAX_FAILURES,
+            Kind::Engine => self.load.is_some() && self.failures < UNRESPONSIVE_AFTER,
             Kind::Service => true,
         }
     }
@@ -97,7 +97,7 @@
 impl Table {
     /// Merges a list of the platform.
     pub fn update_list(&mut self, vms: &Vms) {
-        let mut listed: Vec<Endpoint> = vms.vms.iter().filter_map(endpoint).collect();
+        let mut listed: Vec<Endpoint> = vms.vms.iter().filter_map(parse_endpoint).collect();
         listed.sort_by(|one, other| one.name.cmp(&other.name));
         listed.dedup_by(|one, other| one.name == other.name);
         let missing = self.endpoints.iter().filter(|e| e.listed);
@@ -129,12 +129,12 @@
                 incarnation,
             });
         }
-        let Some(place) = position(&self.endpoints, &new.name) else {
-            let place = self.endpoints.partition_point(|e| e.name < new.name);
-            self.endpoints.insert(place, new);
+        let Some(index) = position(&self.endpoints, &new.name) else {
+            let index = self.endpoints.partition_point(|e| e.name < new.name);
+            self.endpoints.insert(index, new);
             return;
         };
-        let known = &mut self.endpoints[place];
+        let known = &mut self.endpoints[index];
         known.listed = true;
         known.leaving = new.leaving;
         if known.address != new.address {
@@ -148,7 +148,7 @@
     /// Records the load report read at an engine's address. A report that names another endpoint
     /// counts as failed: the address was reassigned to a new VM.
     pub fn record_load(&mut self, name: &id::Endpoint, load: Load, now: Moment) {
-        let Some(place) = position(&self.endpoints, name) else {
+        let Some(index) = position(&self.endpoints, name) else {
             return;
         };
         if load.endpoint != *name {
@@ -161,15 +161,15 @@
                 incarnation: load.incarnation,
             });
         }
-        let endpoint = &mut self.endpoints[place];
+        let endpoint = &mut self.endpoints[index];
         endpoint.failures = 0;
         endpoint.load = Some((load, now));
     }
 
     /// Records that the load report of an engine could not be read.
     pub fn record_failure(&mut self, name: &id::Endpoint) {
-        if let Some(place) = position(&self.endpoints, name) {
-            let endpoint = &mut self.endpoints[place];
+        if let Some(index) = position(&self.endpoints, name) {
+            let endpoint = &mut self.endpoints[index];
             endpoint.failures = endpoint.failures.saturating_add(1);
         }
     }
@@ -187,10 +187,10 @@
             let oldest = self.departures.remove(0);
             self.sorted_departures.retain(|known| *known != oldest);
         }
-        let place = self
+        let index = self
             .sorted_departures
             .partition_point(|known| *known < departure);
-        self.sorted_departures.insert(place, departure.clone());
+        self.sorted_departures.insert(index, departure.clone());
         self.departures.push(departure);
         true
     }
@@ -232,7 +232,7 @@
     /// The endpoint of this name.
     #[must_use]
     pub fn get(&self, name: &id::Endpoint) -> Option<&Endpoint> {
-        position(&self.endpoints, name).map(|place| &self.endpoints[place])
+        position(&self.endpoints, name).map(|index| &self.endpoints[index])
     }
 }
 
@@ -241,7 +241,7 @@
 }
 
 /// An endpoint from an entry of the list; `None` for entry VMs and invalid entries.
-fn endpoint(vm: &pimento_wire::platform::Vm) -> Option<Endpoint> {
+fn parse_endpoint(vm: &pimento_wire::platform::Vm) -> Option<Endpoint> {
     let (pool, kind) = match &vm.role {
         Role::Engine(pool) => (pool.clone(), Kind::Engine),
         Role::Service(pool) => (pool.clone(), Kind::Service),
--- a/crates/entry/src/registry/poll.rs
+++ b/crates/entry/src/registry/poll.rs
@@ -129,8 +129,8 @@
     pub fn record_departures(&self, departures: impl IntoIterator<Item = Departure>) {
         let any_new = {
             let mut table = self.lock();
-            let new = departures.into_iter().map(|d| table.record_departure(d));
-            new.fold(false, |any_new, is_new| any_new | is_new)
+            let newly_recorded = departures.into_iter().map(|d| table.record_departure(d));
+            newly_recorded.fold(false, |any_new, is_new| any_new | is_new)
         };
         if any_new {
             self.update_pools();
@@ -170,8 +170,8 @@
         for endpoint in table.endpoints() {
             let member = self.member(endpoint, table.is_usable(endpoint), now);
             match pools.binary_search_by(|(name, _)| name.cmp(&endpoint.pool)) {
-                Ok(place) => pools[place].1.push(member),
-                Err(place) => pools.insert(place, (endpoint.pool.clone(), vec![member])),
+                Ok(index) => pools[index].1.push(member),
+                Err(index) => pools.insert(index, (endpoint.pool.clone(), vec![member])),
             }
         }
         for (name, members) in pools {
@@ -183,14 +183,14 @@
         let local = endpoint.zone == self.config.zone;
         let load = endpoint.load.as_ref().map(|(load, _)| load);
         let age = endpoint.load_age(now);
-        let measured = now.before(age);
+        let measured_at = now.before(age);
         let report = load.map(|load| {
             let report = limit::Report {
                 running: load.running,
                 waiting: load.waiting,
                 batch: load.batch,
             };
-            (report, measured)
+            (report, measured_at)
         });
         let versions = match endpoint.kind {
             Kind::Engine => Some(load.map_or_else(Vec::new, |load| load.versions.clone())),
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -20,8 +20,8 @@
 
 use crate::config::Config;
 use crate::node::Node;
-use crate::operators::Operators;
-use crate::server::Callers;
+use crate::operators::OperatorService;
+use crate::server::CallerService;
 
 /// Timeout for flushing the last records to the log. A VM that shuts down must not wait for a long
 /// log outage: a peer holds copies of the bills that do not reach the log.
@@ -52,9 +52,9 @@
     /// The state that the filters share.
     pub node: Arc<Node>,
     /// Bound address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Bound address for operators.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     stop: Stop,
     operators_stop: Stop,
     serving: tokio::task::JoinHandle<()>,
@@ -68,30 +68,30 @@
     ///
     /// [`Error`] if an address can't be bound.
     pub async fn start(config: Config) -> Result<Self, Error> {
-        let (callers, callers_at) = bind(config.listen).await?;
-        let (operators, operators_at) = bind(config.operators_listen).await?;
+        let (callers, caller_address) = bind(config.listen).await?;
+        let (operators, operator_address) = bind(config.operators_listen).await?;
         let background = CancellationToken::new();
         let node = Node::start(config, &background).await.context(MeshSnafu)?;
         log::info!(
-            "server: Listening for callers on {callers_at}, for operators on {operators_at}."
+            "server: Listening for callers on {caller_address}, for operators on {operator_address}."
         );
         let stop = Stop {
             leaving: node.leaving.clone(),
             ..Stop::default()
         };
         let operators_stop = Stop::default();
-        let service = Operators(Arc::clone(&node));
+        let service = OperatorService(Arc::clone(&node));
         tokio::spawn(pimento_serve::run(
             operators,
             service,
             operators_stop.clone(),
         ));
-        let service = Callers(Arc::clone(&node));
+        let service = CallerService(Arc::clone(&node));
         let serving = tokio::spawn(pimento_serve::run(callers, service, stop.clone()));
         Ok(Self {
             node,
-            callers: callers_at,
-            operators: operators_at,
+            caller_address,
+            operator_address,
             stop,
             operators_stop,
             serving,
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -17,19 +17,19 @@
 
 /// The HTTP service for callers.
 #[derive(Debug, Clone)]
-pub struct Callers(pub Arc<Node>);
+pub struct CallerService(pub Arc<Node>);
 
-impl Serve for Callers {
+impl Serve for CallerService {
     /// Runs the filter chain in a separate task. The server drops a response's future when the
     /// caller disconnects, and a call that may not be repeated must not stop halfway.
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
-        let gone = CancellationToken::new();
-        let guard = gone.clone().drop_guard();
+        let disconnected = CancellationToken::new();
+        let guard = disconnected.clone().drop_guard();
         let node = Arc::clone(&self.0);
         let task = self
             .0
             .tasks
-            .spawn(async move { chain::serve(&node, request, gone).await });
+            .spawn(async move { chain::serve(&node, request, disconnected).await });
         let response = task.await;
         guard.disarm();
         response.unwrap_or_else(|error| {
--- a/crates/entry/tests/all/rating.rs
+++ b/crates/entry/tests/all/rating.rs
@@ -32,11 +32,11 @@
     let mut pauses = Vec::new();
     for _ in 0..40 {
         health.failed(now);
-        let began = now;
+        let paused_at = now;
         while is_paused(&health, now) {
             now = now + Duration::from_millis(100);
         }
-        pauses.push(now.since(began));
+        pauses.push(now.since(paused_at));
     }
     assert_eq!(pauses[0], Duration::ZERO);
     assert!(pauses[1] > Duration::ZERO);
--- a/crates/entry/tests/all/refusals.rs
+++ b/crates/entry/tests/all/refusals.rs
@@ -205,11 +205,11 @@
     let entry = fixture.entry("entry-1").await;
     let memory = std::sync::Arc::clone(&entry.running.node.request_memory);
     let all = u32::try_from(memory.available_permits()).unwrap();
-    let taken = memory.try_acquire_many_owned(all).unwrap();
+    let reserved = memory.try_acquire_many_owned(all).unwrap();
     let answer = chat(&entry).send().await;
     assert_eq!(answer.status, StatusCode::TOO_MANY_REQUESTS, "{answer:?}");
     assert_eq!(answer.failure().error.run, Run::NotRun);
     assert_eq!(fixture.started(), 0);
-    drop(taken);
+    drop(reserved);
     assert_eq!(chat(&entry).send().await.status, StatusCode::OK);
 }
--- a/crates/entry/tests/all/scheduler.rs
+++ b/crates/entry/tests/all/scheduler.rs
@@ -220,11 +220,11 @@
 async fn a_cancelled_job_leaves_the_queue() {
     let fixture = Fixture::new(&["a"]);
     let _permits = fixture.fill().await;
-    let gone = CancellationToken::new();
-    let (pool, job, token) = (fixture.pool.clone(), fixture.job(), gone.clone());
+    let disconnected = CancellationToken::new();
+    let (pool, job, token) = (fixture.pool.clone(), fixture.job(), disconnected.clone());
     let waiting = tokio::spawn(async move { pool.acquire(job, &token).await.map(drop) });
     wait_until("the job waits", || fixture.pool.depth().waiting == 1).await;
-    gone.cancel();
+    disconnected.cancel();
     let refusal = waiting.await.unwrap().unwrap_err();
     let refusal = Refusal::from(refusal);
     assert_eq!(refusal.code, Code::Gone);
--- a/crates/entry/tests/all/support.rs
+++ b/crates/entry/tests/all/support.rs
@@ -414,7 +414,7 @@
     pub fn request(&self, method: Method, path: &str) -> RequestBuilder {
         RequestBuilder {
             method,
-            url: format!("http://{}{path}", self.running.callers),
+            url: format!("http://{}{path}", self.running.caller_address),
             headers: vec![("authorization".into(), format!("Bearer {KEY}"))],
             body: Bytes::new(),
             client: self.client.clone(),
@@ -439,7 +439,7 @@
     }
 
     pub async fn operators(&self, path: &str) -> Answer {
-        let url = format!("http://{}{path}", self.running.operators);
+        let url = format!("http://{}{path}", self.running.operator_address);
         let request = Request::get(url).body(Full::default()).unwrap();
         send(&self.client, request).await
     }
