--- a/crates/entry/tests/all/config.rs
+++ b/crates/entry/tests/all/config.rs
@@ -21,7 +21,7 @@
 ];
 
 #[test]
-fn the_defaults_are_enough_beside_names_addresses_and_keys() {
+fn only_names_addresses_and_keys_have_no_default() {
     let config = Config::try_from(&parse(&VALID)).unwrap();
     assert_eq!(config.node.as_str(), "entry-1");
     assert_eq!(config.rater_address, None);
--- a/crates/entry/tests/all/faults.rs
+++ b/crates/entry/tests/all/faults.rs
@@ -218,7 +218,7 @@
 /// The caller disconnects in the middle of a stream. The attempt at the engine is cancelled, so
 /// that it does not generate unused tokens, and the unfinished answer is not billed.
 #[tokio::test]
-async fn a_caller_that_goes_away_has_its_attempt_cancelled() {
+async fn the_attempt_of_a_disconnected_caller_is_cancelled() {
     let fixture = Fixture::start(1).await;
     fixture.engines[0].site.change(|settings| {
         settings.token_us = 20_000;
@@ -269,7 +269,7 @@
 /// usual, the attempt is given up and repeated at the other engine, if the retry budgets allow it.
 /// Otherwise the caller would wait for half of its timeout of an hour.
 #[tokio::test]
-async fn a_long_request_at_a_hung_engine_is_made_again() {
+async fn a_long_request_at_a_hung_engine_is_repeated() {
     let fixture = Fixture::start(2).await;
     let settings = [("stall-timeout", "1h")];
     let entry = fixture.entry_with("entry-1", &settings).await;
--- a/crates/entry/tests/all/model.rs
+++ b/crates/entry/tests/all/model.rs
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_ends_with_its_end_mark_and_says_the_same_as_the_whole_answer() {
+async fn a_stream_ends_with_its_end_mark_and_has_the_text_of_the_whole_answer() {
     let fixture = Fixture::start(1).await;
     let entry = fixture.entry("entry-1").await;
     let prompt = "how many drums? answer in 20 tokens";
@@ -95,7 +95,7 @@
 /// too low, and the large version is called. The caller gets one answer and one bill; the cost of
 /// the rejected step is on the bill as our cost, not as the customer's charge.
 #[tokio::test]
-async fn a_cascade_steps_up_and_bills_the_released_answer_only() {
+async fn a_cascade_steps_up_and_bills_only_the_released_answer() {
     let fixture = Fixture::start(1).await;
     fixture.publish(Value::Contract(contract(&[LARGE, SMALL], 0.95)));
     fixture.engines[0].site.change(|settings| {
--- a/crates/entry/tests/all/poison.rs
+++ b/crates/entry/tests/all/poison.rs
@@ -126,7 +126,7 @@
 /// Guards against blocking a popular prompt because it ran at engines that crashed for other
 /// reasons.
 #[tokio::test]
-async fn a_popular_prompt_is_served_through_losses_of_engines() {
+async fn a_popular_prompt_is_served_while_engines_crash() {
     let (fixture, entries) = start_fleet().await;
     let popular = "popular: answer in 100 tokens";
     let send = || entries[0].chat(popular, true).send();
@@ -153,7 +153,7 @@
 
 /// Guards against blocking prompts for lost answers of engines that did not crash.
 #[tokio::test]
-async fn a_lost_answer_is_no_end_of_an_engine() {
+async fn a_lost_answer_is_not_a_crash() {
     let (fixture, entries) = start_fleet().await;
     let lose = || Rule::new(Action::LoseAnswer).on("POST", "/v1/chat/completions");
     fixture
--- a/crates/entry/tests/all/registry.rs
+++ b/crates/entry/tests/all/registry.rs
@@ -77,7 +77,7 @@
 
 /// While the list is distrusted, a missing endpoint that does not answer either gets no work.
 #[test]
-fn a_doubted_endpoint_that_is_silent_gets_no_work() {
+fn an_unlisted_endpoint_that_does_not_answer_gets_no_work() {
     let mut table = table(&["a", "b"]);
     table.update_list(&vms(&[]));
     for _ in 0..3 {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_endpoint_that_leaves_the_list_among_others_gets_no_work() {
+fn an_endpoint_removed_from_the_list_gets_no_work() {
     let mut table = table(&["a", "b", "c"]);
     table.update_list(&vms(&["a", "c"]));
     assert_eq!(usable(&table), ["a", "c"]);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_report_from_an_address_that_was_given_to_another_vm_does_not_count() {
+fn a_report_from_a_reassigned_address_does_not_count() {
     let mut table = Table::default();
     table.update_list(&vms(&["a"]));
     table.record_load(&name("a"), load("z", 1), NOW);
--- a/crates/entry/tests/all/scheduler.rs
+++ b/crates/entry/tests/all/scheduler.rs
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn a_slot_given_back_goes_to_the_job_that_waits() {
+async fn a_released_slot_goes_to_the_waiting_job() {
     let fixture = Fixture::new(&["a"]);
     let mut permits = fixture.fill().await;
     let waiting = fixture.pool.acquire(fixture.job(), &fixture.token);
@@ -104,7 +104,7 @@
 
 /// One caller stops waiting before it is assigned a slot, another one after that. No slot is lost.
 #[tokio::test]
-async fn no_slot_is_lost_by_callers_that_go_away() {
+async fn no_slot_is_lost_by_disconnected_callers() {
     let fixture = Fixture::new(&["a"]);
     let permits = fixture.fill().await;
     let in_flight = fixture.pool.depth().in_flight;
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn a_job_is_refused_at_once_if_no_endpoint_holds_its_version() {
+async fn a_job_is_refused_at_once_if_no_endpoint_serves_its_version() {
     let fixture = Fixture::new(&["a"]);
     let mut job = fixture.job();
     job.version = Some(name("unknown@1"));
@@ -146,7 +146,7 @@
 
 /// One endpoint fails fast. Without ejection its empty queue would attract most of the calls.
 #[tokio::test]
-async fn an_endpoint_that_fails_in_a_row_is_ejected() {
+async fn an_endpoint_with_consecutive_failures_is_ejected() {
     let fixture = Fixture::new(&["a", "b", "c"]);
     let fault = Fault::Failed { status: 500 };
     let failed = async {
@@ -180,7 +180,7 @@
 /// call's prefix selects another endpoint that is idle. Otherwise the endpoint might never be tried
 /// again.
 #[tokio::test]
-async fn an_endpoint_that_was_out_is_probed_first() {
+async fn an_ejected_endpoint_is_probed_first() {
     let fixture = Fixture::new(&["a", "b", "c"]);
     let mut prefix = 0;
     while fixture.endpoint_for_prefix(prefix).await == "a" {
--- a/crates/entry/tests/all/service.rs
+++ b/crates/entry/tests/all/service.rs
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn an_id_that_stands_for_another_order_is_refused() {
+async fn an_id_of_another_order_is_refused() {
     let fixture = Fixture::start(1).await;
     let entry = fixture.entry("entry-1").await;
     let key = Uuid::now_v7().to_string();
--- a/crates/entry/tests/all/session.rs
+++ b/crates/entry/tests/all/session.rs
@@ -63,7 +63,7 @@
 
     /// Another spelling of the same bytes is rejected too.
     #[test]
-    fn a_token_in_capitals_is_not_taken(seed in any::<u64>()) {
+    fn a_token_in_upper_case_is_rejected(seed in any::<u64>()) {
         let key = Key::derive(&seed.to_string());
         let token = key.seal(&session()).to_string().to_uppercase();
         let opened = key.open(&token, &name("garage"));
