--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -27,6 +27,7 @@
 
 use self::call::Call;
 use self::call::read;
+use crate::answers;
 use crate::filter::Filter;
 use crate::filter::admission::Admission;
 use crate::filter::admission::SlotRequest;
@@ -41,7 +42,6 @@
 use crate::filter::claim::Subject;
 use crate::filter::contract::Contract;
 use crate::filter::reply;
-use crate::kept;
 use crate::metrics::NO_CLASS;
 use crate::metrics::Sample;
 use crate::node::Node;
@@ -93,7 +93,7 @@
     /// The service answered.
     Answered(service::Answer),
     /// The call was made before; this is the answer that was retained.
-    Replayed(kept::Answer),
+    Replayed(answers::Answer),
 }
 
 /// Makes the call. If it was claimed, always reports how it ended.
@@ -145,7 +145,7 @@
                     call.identity.id
                 );
                 node.metrics
-                    .attempt(&call.service.pool, attempt::label(&fault));
+                    .record_attempt(&call.service.pool, attempt::label(&fault));
                 trace.record_failure(&endpoint, &fault);
                 if !should_retry(node, call, trace, &fault) {
                     return Err(trace.refusal(&fault));
@@ -293,18 +293,19 @@
     }
     let now = node.clock.now();
     if let Some(subject) = call.claim {
-        node.kept
-            .put(subject.request, retained_answer(subject, &answer), now);
+        node.answers
+            .insert(subject.request, retained_answer(subject, &answer), now);
     }
     let elapsed = now.since(call.identity.arrived);
     let sample = Sample {
-        first: elapsed,
-        last: elapsed,
-        waited: trace.waited,
+        first_byte: elapsed,
+        last_byte: elapsed,
+        queue_wait: trace.waited,
         cost: Money::ZERO,
     };
     let name = call.service.name.as_str();
-    node.metrics.served(&call.customer, NO_CLASS, name, sample);
+    node.metrics
+        .record_served(&call.customer, NO_CLASS, name, sample);
     log::info!(
         request:% = call.identity.id, customer:% = call.customer;
         "reply: Served {name} with {} in {elapsed:?}.", answer.status
@@ -315,10 +316,10 @@
     Ok(response)
 }
 
-fn retained_answer(subject: Subject, answer: &service::Answer) -> kept::Answer {
+fn retained_answer(subject: Subject, answer: &service::Answer) -> answers::Answer {
     let content_type = answer.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
-    kept::Answer {
+    answers::Answer {
         digest: subject.digest,
         status: answer.status.as_u16(),
         content: content_type.unwrap_or_default().into(),
@@ -326,7 +327,7 @@
     }
 }
 
-fn replay(answer: &kept::Answer) -> Response<Reply> {
+fn replay(answer: &answers::Answer) -> Response<Reply> {
     let status = hyper::StatusCode::from_u16(answer.status).unwrap_or(hyper::StatusCode::OK);
     let mut response = reply::raw(status, &answer.content, answer.body.clone());
     let run = hyper::header::HeaderValue::from_static(Run::Ran.as_str());
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -18,25 +18,25 @@
 /// Exit code for bad settings, bad files and bad usage.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Exit code if the program could not start, or could not end in order.
+/// Exit code if the program could not start or did not shut down cleanly.
 pub const EXIT_FAILED: u8 = 1;
 
-const PRINT: &str = "print-config";
+const PRINT_CONFIG: &str = "print-config";
 
 /// The command with all flags.
 #[must_use]
 pub fn command() -> Command {
-    let print = Arg::new(PRINT)
-        .long(PRINT)
+    let print_config = Arg::new(PRINT_CONFIG)
+        .long(PRINT_CONFIG)
         .env("PIMENTO_PRINT_CONFIG")
         .action(ArgAction::SetTrue)
-        .help("Print the settings in force, without secrets, and exit");
+        .help("Print the effective settings, without secrets, and exit");
     Command::new("pimento-entry")
         .version(env!("CARGO_PKG_VERSION"))
         .about("Routes callers' requests to model versions and plain services by their contract")
-        .after_help("Every flag can be set by its environment variable. Exit codes: 0 ended in order, 1 could not start or cut requests, 2 bad settings.")
+        .after_help("Every flag can be set by its environment variable. Exit codes: 0 clean shutdown, 1 could not start, aborted requests or lost records, 2 bad settings.")
         .args(config::arguments())
-        .arg(print)
+        .arg(print_config)
 }
 
 /// Runs the program.
@@ -44,7 +44,7 @@
 pub fn main() -> ExitCode {
     let matches = command().get_matches();
     let raw = Raw::new(&matches);
-    if matches.get_flag(PRINT) {
+    if matches.get_flag(PRINT_CONFIG) {
         print!("{}", config::print(&raw));
     }
     let config = match Config::try_from(&raw) {
@@ -54,10 +54,10 @@
             return ExitCode::from(EXIT_USAGE);
         }
     };
-    if matches.get_flag(PRINT) {
+    if matches.get_flag(PRINT_CONFIG) {
         return ExitCode::SUCCESS;
     }
-    logs::start(config.log_format, config.log_level);
+    logs::init(config.log_format, config.log_level);
     match serve(config) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(EXIT_FAILED),
@@ -82,7 +82,7 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        // Both handlers stay in place, so that a further signal does not end the process early.
-        Ok(running.end().await)
+        // Both signal handlers stay installed: a second signal does not end the process early.
+        Ok(running.shut_down().await)
     })
 }
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -157,7 +157,7 @@
             _ => log::Level::Info,
         };
         log::log!(level, "attempt: {endpoint} failed for {id}: {fault}.");
-        node.metrics.attempt(context.pool, label(fault));
+        node.metrics.record_attempt(context.pool, label(fault));
         context.trace.record_failure(endpoint, fault);
         let is_neutral = fault.not_run() || *fault == Fault::Cancelled;
         if !is_neutral {
@@ -262,7 +262,7 @@
         let class = &request.class.name;
         node.estimates
             .record_answer(&request.customer, class, answer.output());
-        node.metrics.attempt(context.pool, "served");
+        node.metrics.record_attempt(context.pool, "served");
         opened.permit.served(tokens);
         opened.abort.disarm();
     }
@@ -298,7 +298,7 @@
         let Some(permit) = self.acquire_hedge(context, &endpoint) else {
             return first.await;
         };
-        node.metrics.attempt(context.pool, "hedged");
+        node.metrics.record_attempt(context.pool, "hedged");
         let second = self.open(permit, context);
         tokio::pin!(second);
         match futures::future::select(first, second).await {
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -172,7 +172,7 @@
         let rating = node
             .rater
             .as_ref()
-            .and_then(|_| node.rating.expected_time(now));
+            .and_then(|_| node.rater_health.expected_time(now));
         Terms {
             target: request.class.quality,
             budget: work.funded.reservation.max_charge,
@@ -245,7 +245,7 @@
                 (work.trace.refusal(&fault), caller_gone)
             }
         };
-        self.0.metrics.step(version, "none");
+        self.0.metrics.record_step(version, "none");
         if is_final || work.delivery.has_started() {
             return Err(refusal);
         }
@@ -284,7 +284,7 @@
             Some(false) => "short",
             None => "unrated",
         };
-        node.metrics.step(&chosen.version.id, result);
+        node.metrics.record_step(&chosen.version.id, result);
         let served = Served {
             version: chosen.version.clone(),
             answer,
@@ -309,7 +309,7 @@
         if self.0.rater.is_none() || !cascade::should_sample(rand::random()) {
             return;
         }
-        let Some(node) = self.0.shared() else {
+        let Some(node) = self.0.to_arc() else {
             return;
         };
         let deadline = node.clock.now() + SAMPLE_RATING_TIMEOUT;
--- a/crates/entry/src/filter/identify.rs
+++ b/crates/entry/src/filter/identify.rs
@@ -168,7 +168,9 @@
             session.pins.clear();
             return Ok((session, None));
         }
-        node.state.reach(session.offset, CATCH_UP_TIMEOUT).await;
+        node.state
+            .wait_for_offset(session.offset, CATCH_UP_TIMEOUT)
+            .await;
         Ok((session, Some(text.into())))
     }
 }
@@ -185,7 +187,7 @@
     let size = declared_size.and_then(|size| usize::try_from(size).ok());
     let size = size.unwrap_or(limit).min(limit) + REQUEST_OVERHEAD_BYTES;
     let units = u32::try_from(size.div_ceil(MEMORY_UNIT_BYTES)).unwrap_or(u32::MAX);
-    let memory = Arc::clone(&node.room).try_acquire_many_owned(units);
+    let memory = Arc::clone(&node.request_memory).try_acquire_many_owned(units);
     let memory = memory.map_err(|_| {
         /// Time for the queues to drain; how long that takes is not known here.
         const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -122,7 +122,7 @@
 pub async fn rate(node: &Node, subject: Subject, deadline: Moment) -> Option<bool> {
     let rater = node.rater.as_ref()?;
     let started = node.clock.now();
-    node.rating.expected_time(started)?;
+    node.rater_health.expected_time(started)?;
     let call = rater.rate(platform::Rate {
         version: subject.version.id.clone(),
         class: subject.class.clone(),
@@ -133,7 +133,7 @@
     let now = node.clock.now();
     match result {
         Ok(Ok(rating)) => {
-            node.rating.record_success(now.since(started));
+            node.rater_health.record_success(now.since(started));
             let Subject {
                 customer,
                 class,
@@ -147,11 +147,11 @@
         }
         Ok(Err(error)) => {
             log::warn!("rating: {error}.");
-            node.rating.record_failure(now);
+            node.rater_health.record_failure(now);
             None
         }
         Err(_) => {
-            node.rating.record_failure(now);
+            node.rater_health.record_failure(now);
             None
         }
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -5,13 +5,13 @@
 //! the decisions of `pimento_policy` and assigns slots at endpoints. [`run::Running`] binds the listeners
 //! and shuts down without interrupting requests; [`cli`] is the command line.
 
+pub mod answers;
 pub mod chain;
 pub mod cli;
 pub mod config;
 pub mod estimate;
 pub mod evidence;
 pub mod filter;
-pub mod kept;
 pub mod logs;
 pub mod metrics;
 pub mod node;
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -1,20 +1,20 @@
-//! Log lines: text for people, JSON for machines.
+//! Set-up of the log output: text or JSON lines.
 
 use log::LevelFilter;
 use logforth::append;
 use logforth::layout::JsonLayout;
 use logforth::layout::TextLayout;
 
-use crate::config::Format;
+use crate::config::LogFormat;
 
-/// Starts to write log lines to the standard error stream. A second start changes nothing.
-pub fn start(format: Format, level: LevelFilter) {
+/// Sends log lines to the standard error stream. A second call has no effect.
+pub fn init(format: LogFormat, level: LevelFilter) {
     let builder = logforth::starter_log::builder();
     let builder = builder.dispatch(|dispatch| match format {
-        Format::Text => {
+        LogFormat::Text => {
             dispatch.append(append::Stderr::default().with_layout(TextLayout::default()))
         }
-        Format::Json => {
+        LogFormat::Json => {
             dispatch.append(append::Stderr::default().with_layout(JsonLayout::default()))
         }
     });
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,4 +1,4 @@
-//! One entry VM: everything that the filters share, and the tasks that keep it current.
+//! One entry VM: the state that all filters share, and the background tasks that update it.
 
 use std::sync::Arc;
 use std::sync::Weak;
@@ -36,14 +36,14 @@
 use tokio_util::task::TaskTracker;
 use uuid::Uuid;
 
+use crate::answers::Cache;
 use crate::config::Config;
 use crate::estimate;
 use crate::evidence;
 use crate::filter::identify;
 use crate::filter::rate;
-use crate::kept::Kept;
 use crate::metrics::Metrics;
-use crate::peers::Answers;
+use crate::peers::CallHandler;
 use crate::poison;
 use crate::registry::poll;
 use crate::registry::poll::Registry;
@@ -51,18 +51,18 @@
 use crate::session;
 use crate::state::Handle;
 
-/// Time between two looks at the configuration's age, peers and evidence. Changes of the
-/// configuration itself wake at once.
-const TICK: Duration = Duration::from_millis(200);
+/// Interval at which the age of the configuration, departures and evidence are processed. A change
+/// of the configuration is processed immediately.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a new node waits to have read the claims stream before it takes requests without: an
-/// empty stream answers its first read after a second.
-const SETTLE: Duration = Duration::from_secs(5);
+/// How long a new node waits for the claims stream before it accepts requests without it. An empty
+/// stream answers its first read after a second.
+const CLAIMS_STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a proposed withdrawal is tried to be written. Later evidence proposes it again.
-const PROPOSAL: Duration = Duration::from_secs(30);
+/// Timeout for appending a proposed withdrawal to the log. Later evidence proposes it again.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the filters of one entry VM share.
+/// The state that the filters of one entry VM share.
 #[derive(Debug)]
 #[expect(missing_docs, reason = "each field is described by its type")]
 pub struct Node {
@@ -77,32 +77,33 @@
     pub retries: retries::Tracker,
     pub poison: poison::Tracker,
     pub rater: Option<rating::Remote>,
-    pub rating: rate::Health,
+    pub rater_health: rate::Health,
     pub session_key: session::Key,
     pub claimer: Claimer,
     pub outbox: Outbox,
     pub wallet: Wallet,
-    pub kept: Kept,
+    pub answers: Cache,
     pub mesh: Mesh,
-    /// Memory for requests in flight, in units of [`identify::MEMORY_UNIT_BYTES`].
-    pub room: Arc<Semaphore>,
+
+    /// Permits for memory of requests in flight, in units of [`identify::MEMORY_UNIT_BYTES`].
+    pub request_memory: Arc<Semaphore>,
     pub metrics: Metrics,
-    /// Requests in flight and what they left behind to do.
+    /// Tasks of requests in flight, and the work that remains after their responses.
     pub tasks: TaskTracker,
-    /// Cancelled once the node is about to go: it is no longer ready, and connections are closed
-    /// after their next response.
+    /// Cancelled when shutdown begins: the node is no longer ready, and closes each connection
+    /// after its next response.
     pub leaving: CancellationToken,
     appender: Appender,
     source: configuration::Source,
-    own: Weak<Node>,
+    weak: Weak<Node>,
 }
 
 impl Node {
-    /// Starts the node's background tasks; they end with `token`.
+    /// Starts the node's background tasks; they stop when `token` is cancelled.
     ///
     /// # Errors
     ///
-    /// [`mesh::Error`] if the address for peers can't be had.
+    /// [`mesh::Error`] if the listener for peers can't be bound.
     pub async fn start(
         config: Config,
         token: &CancellationToken,
@@ -110,7 +111,7 @@
         let clock = Clock::default();
         let log = Remote::new(config.log_address, config.platform_timeout);
         let appender = Appender::start(log.clone(), appender::Config::default(), token.clone());
-        let (mesh, listener) = Mesh::bind(peers(&config)?, token.clone()).await?;
+        let (mesh, listener) = Mesh::bind(mesh_config(&config)?, token.clone()).await?;
         let source = configuration::Source::start(
             log.clone(),
             appender.clone(),
@@ -143,15 +144,15 @@
         let scheduler = Scheduler::new(clock);
         let polling = poll::Config {
             zone: config.zone.clone(),
-            distance: config.zone_delay,
+            zone_delay: config.zone_delay,
             interval: config.poll_interval,
-            far: config.far_interval,
+            remote_interval: config.far_interval,
         };
         let registry = Registry::new(clock, polling, connections.clone(), scheduler.clone());
         let rater = config
             .rater_address
             .map(|address| rating::Remote::new(address, config.platform_timeout));
-        let node = Arc::new_cyclic(|own| Self {
+        let node = Arc::new_cyclic(|weak| Self {
             clock,
             state: Handle::new(clock),
             connections,
@@ -162,14 +163,14 @@
             retries: retries::Tracker::default(),
             poison: poison::Tracker::default(),
             rater,
-            rating: rate::Health::default(),
+            rater_health: rate::Health::default(),
             session_key: session::Key::derive(config.session_key.reveal()),
             claimer,
             outbox,
             wallet,
-            kept: Kept::new(config.kept_bytes, config.claims_window),
+            answers: Cache::new(config.kept_bytes, config.claims_window),
             mesh,
-            room: Arc::new(Semaphore::new(
+            request_memory: Arc::new(Semaphore::new(
                 config.request_memory / identify::MEMORY_UNIT_BYTES,
             )),
             metrics: Metrics::new(config.metric_customers),
@@ -177,53 +178,54 @@
             leaving: CancellationToken::new(),
             appender,
             source,
-            own: own.clone(),
+            weak: weak.clone(),
             config,
         });
-        listener.serve(Answers::new(&node));
-        node.spawn(token);
+        listener.serve(CallHandler::new(&node));
+        node.spawn_tasks(token);
         Ok(node)
     }
 
-    fn spawn(self: &Arc<Self>, token: &CancellationToken) {
+    fn spawn_tasks(self: &Arc<Self>, token: &CancellationToken) {
         let node = Arc::clone(self);
-        let ends = token.clone();
-        tokio::spawn(async move { ends.run_until_cancelled(node.keep()).await });
+        let cancel = token.clone();
+        tokio::spawn(async move { cancel.run_until_cancelled(node.run_updates()).await });
         let node = Arc::clone(self);
-        let ends = token.clone();
+        let cancel = token.clone();
         tokio::spawn(async move {
             let list = vms::Remote::new(node.config.vms_address, node.config.platform_timeout);
-            let learn = |vms: &Vms| node.mesh.add_addresses(entries(vms));
-            node.registry.run(list, learn, ends).await;
+            let on_list = |vms: &Vms| node.mesh.add_addresses(entry_addresses(vms));
+            node.registry.run(list, on_list, cancel).await;
         });
     }
 
-    /// A handle to this node for a task that outlives a request.
+    /// A shared pointer to this node, for a task that outlives its request.
     #[must_use]
-    pub fn shared(&self) -> Option<Arc<Self>> {
-        self.own.upgrade()
+    pub fn to_arc(&self) -> Option<Arc<Self>> {
+        self.weak.upgrade()
     }
 
-    /// Whether requests are taken.
+    /// Whether the node accepts requests.
     #[must_use]
     pub fn ready(&self) -> bool {
-        self.state.ready() && self.settled() && !self.leaving.is_cancelled()
+        self.state.ready() && self.claims_ready() && !self.leaving.is_cancelled()
     }
 
-    /// Whether the claims stream was read, without which orders would be refused. A log that is
-    /// out must not keep a new node from serving all else.
-    fn settled(&self) -> bool {
+    /// Whether the claims stream has been read, or [`CLAIMS_STARTUP_TIMEOUT`] has passed since the
+    /// start. Without the claims, calls that may not be repeated are refused. A log outage must not
+    /// keep a new node from serving all other requests.
+    fn claims_ready(&self) -> bool {
         let read = self.claimer.follower().caught_up();
-        read || self.clock.now() > Moment::ZERO + SETTLE
+        read || self.clock.now() > Moment::ZERO + CLAIMS_STARTUP_TIMEOUT
     }
 
-    /// Live entry VMs, this one included.
+    /// Number of live entry VMs, including this one.
     #[must_use]
-    pub fn nodes(&self) -> u32 {
+    pub fn live_vms(&self) -> u32 {
         u32::try_from(self.mesh.peers().len() + 1).unwrap_or(u32::MAX)
     }
 
-    /// The zone's hand to the log, for records that peers pass on.
+    /// The appender of this node, also for records that peers forward.
     #[must_use]
     pub const fn appender(&self) -> &Appender {
         &self.appender
@@ -235,52 +237,52 @@
         &self.source
     }
 
-    /// Says to peers that this node is about to go, and stops being ready.
+    /// Begins to leave: announces it to peers and stops being ready.
     pub fn leave(&self) {
         self.leaving.cancel();
         self.mesh.update_status(|own| own.leaving = true);
     }
 
-    /// Keeps configuration, departures and quarantine current.
-    async fn keep(&self) {
+    /// Updates configuration, departures, crash suspicions and quarantine in a loop.
+    async fn run_updates(&self) {
         let mut changed = self.source.subscribe();
         loop {
             if self.source.ready() {
                 self.state.replace(&self.source.current());
                 self.state.confirm(self.source.age());
             }
-            self.spread();
+            self.exchange_departures();
             self.receive_suspicions();
-            self.review();
+            self.review_evidence();
             tokio::select! {
                 _ = changed.changed() => {}
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(UPDATE_INTERVAL) => {}
             }
         }
     }
 
-    /// Tells the registry what peers know of departures, and peers what it knows.
-    fn spread(&self) {
-        self.registry.depart(self.mesh.departures());
+    /// Merges departures announced by peers into the registry, and announces those of the registry.
+    fn exchange_departures(&self) {
+        self.registry.record_departures(self.mesh.departures());
         for departure in self.registry.departures() {
             self.mesh.announce_departure(departure);
         }
     }
 
-    /// Quarantines versions that the evidence speaks against, and proposes to withdraw them.
-    fn review(&self) {
+    /// Quarantines versions that fail on the evidence, and proposes their withdrawal.
+    fn review_evidence(&self) {
         let state = self.state.current();
         for (version, cause) in self.evidence.review(&state) {
-            log::warn!("evidence: {version} is not used here any more: {cause:?}.");
-            self.propose(&version);
+            log::warn!("evidence: Quarantined {version} at this node: {cause:?}.");
+            self.propose_withdrawal(&version);
         }
         let quarantined = self.evidence.quarantined();
         self.mesh.update_status(|own| own.quarantined = quarantined);
     }
 
-    /// Proposes a withdrawal. Of several nodes the first in the log wins; if an operator changed
-    /// the version meanwhile, his word stands.
-    fn propose(&self, version: &id::Version) {
+    /// Proposes the withdrawal of a version through the log. If several nodes propose it, the first
+    /// record wins. The proposal has no effect if an operator has changed the version meanwhile.
+    fn propose_withdrawal(&self, version: &id::Version) {
         let state = self.state.current();
         let Some(known) = state.version(version) else {
             return;
@@ -301,22 +303,22 @@
         };
         let appender = self.appender.clone();
         self.tasks.spawn(async move {
-            let deadline = Instant::now() + PROPOSAL;
+            let deadline = Instant::now() + PROPOSAL_TIMEOUT;
             let stream = Stream::Configuration;
             if let Err(error) = appender.append(stream, record, deadline).await {
-                log::warn!("evidence: Withdrawal not proposed: {error}.");
+                log::warn!("evidence: Can't propose a withdrawal: {error}.");
             }
         });
     }
 }
 
-/// Addresses of entry VMs in the platform's list.
-fn entries(vms: &Vms) -> impl Iterator<Item = std::net::SocketAddr> {
+/// The addresses of the entry VMs in the platform's list.
+fn entry_addresses(vms: &Vms) -> impl Iterator<Item = std::net::SocketAddr> {
     let entries = vms.vms.iter().filter(|vm| vm.role == Role::Entry);
     entries.filter_map(|vm| vm.address.parse().ok())
 }
 
-fn peers(config: &Config) -> Result<mesh::Config, mesh::Error> {
+fn mesh_config(config: &Config) -> Result<mesh::Config, mesh::Error> {
     let key = frame::Key::derive(config.peer_key.reveal());
     let node = config.node.clone();
     let mut settings = mesh::Settings::new(node, config.zone.clone(), config.peer_listen, key);
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' side: `/ready`, `/live`, `/metrics` and `/state`.
+//! HTTP interface for operators: `/ready`, `/live`, `/metrics` and `/state`.
 
 use std::sync::Arc;
 
@@ -19,11 +19,11 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// The operators' side.
+/// The HTTP service for operators.
 #[derive(Debug, Clone)]
-pub struct Operators(pub Arc<Node>);
+pub struct OperatorService(pub Arc<Node>);
 
-/// Answer of `/state`: what other programs read, and figures for people.
+/// Body of `/state`: the part that other programs read, and additional fields for people.
 #[derive(Debug, Serialize)]
 struct State {
     #[serde(flatten)]
@@ -33,10 +33,12 @@
     pools: Vec<Pool>,
     departures: Vec<Departure>,
     quarantined: Vec<id::Version>,
-    list_doubted: bool,
+    #[serde(rename = "list_doubted")]
+    list_distrusted: bool,
     bills_waiting: usize,
     bill_copies: usize,
-    kept_bytes: usize,
+    #[serde(rename = "kept_bytes")]
+    answer_bytes: usize,
     wrong_checkpoints: u64,
 }
 
@@ -53,16 +55,17 @@
 struct Pool {
     name: id::Pool,
     waiting: usize,
-    flying: u32,
+    #[serde(rename = "flying")]
+    in_flight: u32,
     slots: u32,
     usable: usize,
     ejected: usize,
 }
 
-impl Serve for Operators {
+impl Serve for OperatorService {
     async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
         if request.method() != Method::GET {
-            let message = "only GET is taken here";
+            let message = "only GET is allowed here";
             return Refusal::not_run(Code::WrongMethod, message).response();
         }
         match request.uri().path() {
@@ -71,7 +74,7 @@
             "/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/metrics" => metrics(&self.0),
             "/state" => reply::json(&state(&self.0)),
-            _ => Refusal::not_run(Code::UnknownPath, "there is nothing here").response(),
+            _ => Refusal::not_run(Code::UnknownPath, "unknown path").response(),
         }
     }
 }
@@ -82,10 +85,10 @@
 
 fn metrics(node: &Node) -> Response<Reply> {
     let waiting = node.outbox.waiting();
-    node.metrics.gauge(
+    node.metrics.update_gauges(
         node.state.age(),
         waiting,
-        node.kept.bytes(),
+        node.answers.bytes(),
         &node.scheduler,
     );
     let state = node.state.current();
@@ -97,7 +100,7 @@
             .wallet
             .follower()
             .view(|view| view.fold().granted(&contract.customer, period, holder));
-        node.metrics.granted(&contract.customer, granted);
+        node.metrics.set_granted(&contract.customer, granted);
     }
     reply::raw(StatusCode::OK, pimento_metrics::TYPE, node.metrics.text())
 }
@@ -108,7 +111,7 @@
         name: endpoint.name.clone(),
         pool: endpoint.pool.clone(),
         zone: endpoint.zone.clone(),
-        usable: table.usable(endpoint),
+        usable: table.is_usable(endpoint),
         versions: endpoint
             .load
             .as_ref()
@@ -122,10 +125,10 @@
         pools: pools(node),
         departures: table.departures().to_vec(),
         quarantined: node.evidence.quarantined(),
-        list_doubted: table.doubted(),
+        list_distrusted: table.distrusts_list(),
         bills_waiting: node.outbox.waiting(),
         bill_copies: node.outbox.copies(),
-        kept_bytes: node.kept.bytes(),
+        answer_bytes: node.answers.bytes(),
         wrong_checkpoints: node.source().invalid_checkpoints(),
     }
 }
@@ -149,7 +152,7 @@
         Pool {
             name,
             waiting: depth.waiting,
-            flying: depth.in_flight,
+            in_flight: depth.in_flight,
             slots: depth.slots,
             usable: depth.usable,
             ejected: depth.ejected,
--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -158,7 +158,7 @@
             return;
         }
         // An endpoint that is leaving breaks off its own runs; that is no crash.
-        let Some(endpoint) = self.registry.staying(endpoint) else {
+        let Some(endpoint) = self.registry.get_active(endpoint) else {
             return;
         };
         let crash = crash_of(&endpoint);
@@ -167,7 +167,7 @@
             Action::Count => self.record_crashes(crash, &[digest]),
             Action::Wait => {}
             Action::Probe => {
-                let Some(node) = self.shared() else { return };
+                let Some(node) = self.to_arc() else { return };
                 // Not tracked for shutdown: it takes a bounded time, and its result is of no use to a node
                 // that shuts down.
                 tokio::spawn(async move { node.resolve_broken_runs(&endpoint, crash).await });
@@ -195,7 +195,7 @@
     async fn has_restarted_or_left(&self, endpoint: &Endpoint) -> bool {
         let checks = DETECTION_TIMEOUT.as_millis() / CHECK_INTERVAL.as_millis();
         for _ in 0..checks {
-            let current = self.registry.staying(&endpoint.name);
+            let current = self.registry.get_active(&endpoint.name);
             if current.is_none_or(|current| current.incarnation() != endpoint.incarnation()) {
                 return true;
             }
