--- a/benches/capacity/codec.rs
+++ b/benches/capacity/codec.rs
@@ -4,14 +4,14 @@
 use std::time::Instant;
 
 use pimento_contract::change;
+use pimento_ledger::Acquire;
 use pimento_ledger::Bill;
 use pimento_ledger::Grant;
 use pimento_ledger::Outcome;
-use pimento_ledger::Take;
-use pimento_ledger::record::Allowance;
-use pimento_ledger::record::Call;
-use pimento_ledger::record::Hold;
+use pimento_ledger::record::ClaimRecord;
+use pimento_ledger::record::GrantRecord;
 use pimento_ledger::record::Item;
+use pimento_ledger::record::LeaseRecord;
 use pimento_ledger::record::Run;
 use pimento_units::Money;
 use pimento_units::Offset;
@@ -62,7 +62,7 @@
         limit: Money::from_micros(1_000_000_000),
         revision: Revision(1_234),
     };
-    let take = Take {
+    let take = Acquire {
         id: id::Record(Uuid::now_v7()),
         resource: "orders:pimento-llm:kig-gikondo".parse().expect("a name"),
         holder: "entry-gikondo-17".parse().expect("a name"),
@@ -71,11 +71,11 @@
     };
     let change = folds::change(1, Revision(7));
     let sizes = [
-        ("claim", text(&Call::Claim(claim)).len()),
-        ("outcome", text(&Call::Outcome(outcome)).len()),
+        ("claim", text(&ClaimRecord::Claim(claim)).len()),
+        ("outcome", text(&ClaimRecord::Outcome(outcome)).len()),
         ("bill", text(&bill(1)).len()),
-        ("grant", text(&Allowance::Grant(grant)).len()),
-        ("take of a lease", text(&Hold::Take(take)).len()),
+        ("grant", text(&GrantRecord::Grant(grant)).len()),
+        ("take of a lease", text(&LeaseRecord::Acquire(take)).len()),
         (
             "change of a contract",
             text(&change::Entry::Change(change)).len(),
--- a/benches/capacity/folds.rs
+++ b/benches/capacity/folds.rs
@@ -16,8 +16,8 @@
 use pimento_ledger::Grant;
 use pimento_ledger::claims;
 use pimento_ledger::grants;
-use pimento_ledger::record::Allowance;
-use pimento_ledger::record::Call;
+use pimento_ledger::record::ClaimRecord;
+use pimento_ledger::record::GrantRecord;
 use pimento_units::Money;
 use pimento_units::Offset;
 use pimento_units::Revision;
@@ -65,7 +65,7 @@
         let began = Instant::now();
         for claim in claims {
             let at = claim.at;
-            fold.apply(at, &Call::Claim(claim));
+            fold.apply(at, &ClaimRecord::Claim(claim));
         }
         let each = began.elapsed().as_secs_f64() * 1e9 / number(count);
         memory.add(
@@ -88,7 +88,7 @@
         let began = Instant::now();
         for customer in 0..customers {
             for node in 0..400 {
-                fold.apply(&Allowance::Grant(grant(customer, node)));
+                fold.apply(&GrantRecord::Grant(grant(customer, node)));
             }
         }
         let each = began.elapsed().as_secs_f64() * 1e9 / number(customers * 400);
--- a/benches/capacity/log.rs
+++ b/benches/capacity/log.rs
@@ -10,7 +10,7 @@
 use pimento_coordination::log::Remote;
 use pimento_ledger::Stream;
 use pimento_ledger::claims::Fold;
-use pimento_ledger::record::Call;
+use pimento_ledger::record::ClaimRecord;
 use pimento_units::Offset;
 use tokio::runtime::Runtime;
 use tokio::time::Instant;
@@ -76,7 +76,7 @@
 }
 
 async fn append(appender: &Appender, number: u64) {
-    let call = Call::Claim(folds::claim(0, number));
+    let call = ClaimRecord::Claim(folds::claim(0, number));
     let record = serde_json::to_string(&call).expect("encodes");
     let deadline = Instant::now() + Duration::from_secs(5);
     if let Err(error) = appender.append(Stream::Claims, record, deadline).await {
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -14,7 +14,7 @@
 use pimento_ledger::claims;
 use pimento_ledger::claims::Age;
 use pimento_ledger::claims::Owner;
-use pimento_ledger::record::Call;
+use pimento_ledger::record::ClaimRecord;
 use pimento_ledger::record::Run;
 use pimento_units::Offset;
 use pimento_units::Wall;
@@ -64,11 +64,11 @@
 pub type View = view::View<claims::Fold>;
 
 impl Records for claims::Fold {
-    type Record = Call;
+    type Record = ClaimRecord;
 
     const PREFIX: &'static str = "claims";
 
-    fn take(&mut self, _offset: Offset, at: Wall, call: Call) {
+    fn take(&mut self, _offset: Offset, at: Wall, call: ClaimRecord) {
         self.apply(at, &call);
     }
 }
@@ -233,7 +233,7 @@
     pub fn finish(&self, outcome: Outcome) {
         let appender = self.appender.clone();
         self.tasks.spawn(async move {
-            let Ok(record) = serde_json::to_string(&Call::Outcome(outcome)) else {
+            let Ok(record) = serde_json::to_string(&ClaimRecord::Outcome(outcome)) else {
                 return;
             };
             let deadline = Instant::now() + OUTCOME_PATIENCE;
@@ -280,7 +280,7 @@
     /// Appends the claim and waits until it was read; none if that is not known by `deadline`.
     async fn settle(&self, claim: Claim, deadline: Instant) -> Option<Option<Owner>> {
         let request = claim.request;
-        let record = Arc::new(serde_json::to_string(&Call::Claim(claim)).ok()?);
+        let record = Arc::new(serde_json::to_string(&ClaimRecord::Claim(claim)).ok()?);
         let append = self
             .appender
             .append(Stream::Claims, record.as_str().to_owned(), deadline);
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -16,7 +16,7 @@
 use pimento_contract::Contract;
 use pimento_ledger::Stream;
 use pimento_ledger::grants;
-use pimento_ledger::record::Allowance;
+use pimento_ledger::record::GrantRecord;
 use pimento_ledger::record::Return;
 use pimento_policy::budget;
 use pimento_units::Money;
@@ -66,11 +66,11 @@
 pub type View = view::View<grants::Fold>;
 
 impl Records for grants::Fold {
-    type Record = Allowance;
+    type Record = GrantRecord;
 
     const PREFIX: &'static str = "grants";
 
-    fn take(&mut self, _offset: Offset, _at: Wall, allowance: Allowance) {
+    fn take(&mut self, _offset: Offset, _at: Wall, allowance: GrantRecord) {
         self.apply(&allowance);
     }
 }
@@ -293,7 +293,7 @@
                 .collect()
         };
         for (customer, period, amount) in returns {
-            let back = Allowance::Return(Return {
+            let back = GrantRecord::Return(Return {
                 id: id::Record(Uuid::now_v7()),
                 customer,
                 node: self.shared.holder.clone(),
--- a/crates/coordination/src/grants/shared.rs
+++ b/crates/coordination/src/grants/shared.rs
@@ -6,7 +6,7 @@
 
 use pimento_ledger::Grant;
 use pimento_ledger::Stream;
-use pimento_ledger::record::Allowance;
+use pimento_ledger::record::GrantRecord;
 use pimento_policy::budget;
 use pimento_units::Moment;
 use pimento_units::Money;
@@ -87,7 +87,7 @@
 
     pub(super) fn left(&self, customer: &id::Customer, period: u64, limit: Money) -> Money {
         self.follower
-            .view(|view| view.fold().left(customer, period))
+            .view(|view| view.fold().remaining(customer, period))
             .unwrap_or(limit)
     }
 
@@ -116,9 +116,13 @@
         let customer = grant.customer.clone();
         let period = grant.period;
         let record = grant.id;
-        let allowance = Allowance::Grant(grant);
+        let allowance = GrantRecord::Grant(grant);
         let write = self.write(&allowance, deadline);
-        let look = |view: &View| view.fold().read(&customer, period, record).then_some(());
+        let look = |view: &View| {
+            view.fold()
+                .has_read(&customer, period, record)
+                .then_some(())
+        };
         tokio::pin!(write);
         let read = tokio::select! {
             // A grant may be read before its append is answered, or though the answer was lost.
@@ -145,7 +149,7 @@
             .await
     }
 
-    pub(super) async fn write(&self, allowance: &Allowance, deadline: Instant) -> Option<Offset> {
+    pub(super) async fn write(&self, allowance: &GrantRecord, deadline: Instant) -> Option<Offset> {
         let record = serde_json::to_string(allowance).ok()?;
         let appended = self.appender.append(Stream::Grants, record, deadline).await;
         appended
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -11,10 +11,10 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+use pimento_ledger::Acquire;
 use pimento_ledger::Stream;
-use pimento_ledger::Take;
 use pimento_ledger::leases;
-use pimento_ledger::record::Hold;
+use pimento_ledger::record::LeaseRecord;
 use pimento_ledger::record::Release;
 use pimento_units::Offset;
 use pimento_units::Span;
@@ -57,11 +57,11 @@
 pub type View = view::View<leases::Fold>;
 
 impl Records for leases::Fold {
-    type Record = Hold;
+    type Record = LeaseRecord;
 
     const PREFIX: &'static str = "lease";
 
-    fn take(&mut self, offset: Offset, at: Wall, hold: Hold) {
+    fn take(&mut self, offset: Offset, at: Wall, hold: LeaseRecord) {
         self.apply(offset, at, &hold);
     }
 }
@@ -158,14 +158,14 @@
     /// Appends a take that follows `current` and reads it back.
     async fn take(&self, current: Option<&leases::Lease>) {
         let record = id::Record(Uuid::now_v7());
-        let take = Take {
+        let take = Acquire {
             id: record,
             resource: self.resource.clone(),
             holder: self.node.clone(),
             previous: current.map(|lease| lease.last),
             span: self.config.span,
         };
-        let Ok(text) = serde_json::to_string(&Hold::Take(take)) else {
+        let Ok(text) = serde_json::to_string(&LeaseRecord::Acquire(take)) else {
             return;
         };
         // Counted from before the record is sent: the log's own count begins later.
@@ -216,7 +216,7 @@
             holder: self.node.clone(),
             fencing: fencing.number,
         };
-        let Ok(text) = serde_json::to_string(&Hold::Release(release)) else {
+        let Ok(text) = serde_json::to_string(&LeaseRecord::Release(release)) else {
             return;
         };
         // Not written in time, it does no harm: the successor waits the lease out.
--- a/crates/coordination/tests/kept/claims.rs
+++ b/crates/coordination/tests/kept/claims.rs
@@ -12,7 +12,7 @@
 use pimento_ledger::Claim;
 use pimento_ledger::Stream;
 use pimento_ledger::claims::Age;
-use pimento_ledger::record::Call;
+use pimento_ledger::record::ClaimRecord;
 use pimento_ledger::record::Run;
 use pimento_units::id;
 use tokio::time::Instant;
@@ -115,7 +115,7 @@
         at: log.now(),
     };
     let owner = earlier.attempt;
-    let record = serde_json::to_string(&Call::Claim(earlier)).expect("encodes");
+    let record = serde_json::to_string(&ClaimRecord::Claim(earlier)).expect("encodes");
     log.put(Stream::Claims, record);
     let heal = async {
         while log.records(Stream::Claims).len() < 2 {
--- a/crates/ledger/examples/folds.rs
+++ b/crates/ledger/examples/folds.rs
@@ -10,8 +10,8 @@
 use pimento_ledger::Grant;
 use pimento_ledger::claims;
 use pimento_ledger::grants;
-use pimento_ledger::record::Allowance;
-use pimento_ledger::record::Call;
+use pimento_ledger::record::ClaimRecord;
+use pimento_ledger::record::GrantRecord;
 use pimento_units::Revision;
 use pimento_units::id;
 use uuid::Uuid;
@@ -34,7 +34,7 @@
             node: node.parse()?,
             at: now,
         };
-        Ok(serde_json::to_string(&Call::Claim(claim))?)
+        Ok(serde_json::to_string(&ClaimRecord::Claim(claim))?)
     };
     // The log's answer to vm-a was lost, so that vm-a appended its claim again.
     let log = [claim("vm-b", 2)?, claim("vm-a", 1)?, claim("vm-a", 1)?];
@@ -53,8 +53,8 @@
 
 fn grants() -> Result<(), Box<dyn Error>> {
     let customer: id::Customer = "garage-gatenga".parse()?;
-    let grant = |id: u128, node: &str, amount: &str| -> Result<Allowance, Box<dyn Error>> {
-        Ok(Allowance::Grant(Grant {
+    let grant = |id: u128, node: &str, amount: &str| -> Result<GrantRecord, Box<dyn Error>> {
+        Ok(GrantRecord::Grant(Grant {
             id: id::Record(Uuid::from_u128(id)),
             customer: customer.clone(),
             node: node.parse()?,
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -9,8 +9,8 @@
 use pimento_units::Wall;
 use pimento_units::id;
 
-use crate::record::Call;
 use crate::record::Claim;
+use crate::record::ClaimRecord;
 use crate::record::Outcome;
 use crate::record::Run;
 
@@ -102,11 +102,11 @@
     }
 
     /// Applies the next record; `at` is when the log took it.
-    pub fn apply(&mut self, at: Wall, call: &Call) {
+    pub fn apply(&mut self, at: Wall, call: &ClaimRecord) {
         self.now = self.now.max(at);
         match call {
-            Call::Claim(claim) => self.claim(claim),
-            Call::Outcome(outcome) => self.outcome(outcome),
+            ClaimRecord::Claim(claim) => self.claim(claim),
+            ClaimRecord::Outcome(outcome) => self.outcome(outcome),
         }
         self.expire();
     }
--- a/crates/ledger/src/grants.rs
+++ b/crates/ledger/src/grants.rs
@@ -8,8 +8,8 @@
 use pimento_units::Revision;
 use pimento_units::id;
 
-use crate::record::Allowance;
 use crate::record::Grant;
+use crate::record::GrantRecord;
 use crate::record::Return;
 
 /// Periods kept for each customer. Records of the last period may still come in after its end.
@@ -58,10 +58,10 @@
 
 impl Fold {
     /// Applies the next record.
-    pub fn apply(&mut self, allowance: &Allowance) -> Verdict {
+    pub fn apply(&mut self, allowance: &GrantRecord) -> Verdict {
         match allowance {
-            Allowance::Grant(grant) => self.grant(grant),
-            Allowance::Return(back) => self.give_back(back),
+            GrantRecord::Grant(grant) => self.grant(grant),
+            GrantRecord::Return(back) => self.give_back(back),
         }
     }
 
@@ -77,14 +77,14 @@
 
     /// What is left of the limit in a period; none if no grant of that period was read.
     #[must_use]
-    pub fn left(&self, customer: &id::Customer, period: u64) -> Option<Money> {
+    pub fn remaining(&self, customer: &id::Customer, period: u64) -> Option<Money> {
         let account = self.account(customer, period)?;
-        Some(account.left())
+        Some(account.remaining())
     }
 
     /// Whether a record was read, whatever became of it.
     #[must_use]
-    pub fn read(&self, customer: &id::Customer, period: u64, record: id::Record) -> bool {
+    pub fn has_read(&self, customer: &id::Customer, period: u64, record: id::Record) -> bool {
         self.account(customer, period)
             .is_some_and(|account| account.seen.binary_search(&record).is_ok())
     }
@@ -104,7 +104,7 @@
             return Verdict::Repeated;
         }
         account.amend(grant.limit, grant.revision);
-        let left = account.left();
+        let left = account.remaining();
         if grant.amount > left {
             return Verdict::Refused { left };
         }
@@ -186,7 +186,7 @@
     }
 
     /// What may still be granted. Zero if the contract was narrowed below what is granted already.
-    fn left(&self) -> Money {
+    fn remaining(&self) -> Money {
         self.limit.saturating_sub(self.granted)
     }
 
--- a/crates/ledger/src/leases.rs
+++ b/crates/ledger/src/leases.rs
@@ -9,9 +9,9 @@
 use pimento_units::Wall;
 use pimento_units::id;
 
-use crate::record::Hold;
+use crate::record::Acquire;
+use crate::record::LeaseRecord;
 use crate::record::Release;
-use crate::record::Take;
 
 /// The fold of the leases stream. Sorted by resource.
 #[derive(Debug, Clone, Default)]
@@ -51,10 +51,10 @@
 
 impl Fold {
     /// Applies the record at `offset`; `at` is when the log took it.
-    pub fn apply(&mut self, offset: Offset, at: Wall, hold: &Hold) -> Verdict {
+    pub fn apply(&mut self, offset: Offset, at: Wall, hold: &LeaseRecord) -> Verdict {
         match hold {
-            Hold::Take(take) => self.take(offset, at, take),
-            Hold::Release(release) => self.release(at, release),
+            LeaseRecord::Acquire(take) => self.take(offset, at, take),
+            LeaseRecord::Release(release) => self.release(at, release),
         }
     }
 
@@ -65,7 +65,7 @@
         self.leases.get(place)
     }
 
-    fn take(&mut self, offset: Offset, at: Wall, take: &Take) -> Verdict {
+    fn take(&mut self, offset: Offset, at: Wall, take: &Acquire) -> Verdict {
         let until = at + take.span.duration();
         let place = match self.place(&take.resource) {
             Ok(place) => place,
@@ -118,7 +118,7 @@
 }
 
 impl Lease {
-    fn new(offset: Offset, until: Wall, take: &Take) -> Self {
+    fn new(offset: Offset, until: Wall, take: &Acquire) -> Self {
         Self {
             resource: take.resource.clone(),
             holder: take.holder.clone(),
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -13,9 +13,9 @@
 pub mod record;
 pub mod usage;
 
+pub use record::Acquire;
 pub use record::Bill;
 pub use record::Claim;
 pub use record::Grant;
 pub use record::Outcome;
 pub use record::Stream;
-pub use record::Take;
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -59,7 +59,7 @@
 /// A record of the claims stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Call {
+pub enum ClaimRecord {
     /// A claim.
     Claim(Claim),
     /// What became of a claimed call.
@@ -146,7 +146,7 @@
 /// A record of the grants stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Allowance {
+pub enum GrantRecord {
     /// A request for a grant of spend.
     Grant(Grant),
     /// A node gives back what it will not spend of its grants in a period.
@@ -192,9 +192,10 @@
 /// A record of the leases stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Hold {
-    /// Takes or renews a lease.
-    Take(Take),
+pub enum LeaseRecord {
+    /// Acquires or renews a lease.
+    #[serde(rename = "take")]
+    Acquire(Acquire),
     /// Gives a lease up before its end.
     Release(Release),
 }
@@ -213,7 +214,7 @@
 /// Takes a lease, accepted only if `previous` is the offset of the last accepted take. The offset
 /// of the accepted record is the fencing number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Take {
+pub struct Acquire {
     /// The writer's id of this record.
     pub id: id::Record,
     /// What is leased.
--- a/crates/ledger/tests/all/claims.rs
+++ b/crates/ledger/tests/all/claims.rs
@@ -6,8 +6,8 @@
 use pimento_ledger::claims::Fold;
 use pimento_ledger::claims::SKEW;
 use pimento_ledger::claims::age;
-use pimento_ledger::record::Call;
 use pimento_ledger::record::Claim;
+use pimento_ledger::record::ClaimRecord;
 use pimento_ledger::record::Outcome;
 use pimento_ledger::record::Run;
 use pimento_units::Wall;
@@ -35,8 +35,8 @@
     id::Attempt(Uuid::from_u128(number))
 }
 
-fn claim(request: id::Request, number: u128) -> Call {
-    Call::Claim(Claim {
+fn claim(request: id::Request, number: u128) -> ClaimRecord {
+    ClaimRecord::Claim(Claim {
         request,
         digest: 7,
         attempt: attempt(number),
@@ -45,8 +45,8 @@
     })
 }
 
-fn outcome(request: id::Request, number: u128, run: Run) -> Call {
-    Call::Outcome(Outcome {
+fn outcome(request: id::Request, number: u128, run: Run) -> ClaimRecord {
+    ClaimRecord::Outcome(Outcome {
         request,
         attempt: attempt(number),
         run,
@@ -185,7 +185,7 @@
     assert!(fold.len() <= window + window / 4, "{} entries", fold.len());
 }
 
-fn calls() -> impl Strategy<Value = Vec<(u64, Call)>> {
+fn calls() -> impl Strategy<Value = Vec<(u64, ClaimRecord)>> {
     let step = (0_u64..4, 0_u64..3, 1_u128..4, 0_u8..4).prop_map(|(wait, number, by, kind)| {
         let order = request(START, number);
         let call = match kind {
@@ -211,7 +211,7 @@
             for (request, attempt) in &ran {
                 prop_assert_eq!(owner(&fold, *request), Some(*attempt));
             }
-            if let Call::Outcome(outcome) = call
+            if let ClaimRecord::Outcome(outcome) = call
                 && let Some(owner) = fold.owner(outcome.request)
                 && owner.run == Some(Run::Ran)
             {
--- a/crates/ledger/tests/all/grants.rs
+++ b/crates/ledger/tests/all/grants.rs
@@ -2,8 +2,8 @@
 
 use pimento_ledger::grants::Fold;
 use pimento_ledger::grants::Verdict;
-use pimento_ledger::record::Allowance;
 use pimento_ledger::record::Grant;
+use pimento_ledger::record::GrantRecord;
 use pimento_ledger::record::Return;
 use pimento_units::Money;
 use pimento_units::Revision;
@@ -33,8 +33,8 @@
     }
 }
 
-fn back(record: u128, by: u8, period: u64, amount: u64) -> Allowance {
-    Allowance::Return(Return {
+fn back(record: u128, by: u8, period: u64, amount: u64) -> GrantRecord {
+    GrantRecord::Return(Return {
         id: id::Record(Uuid::from_u128(record)),
         customer: customer(),
         node: node(by),
@@ -54,13 +54,16 @@
 #[test]
 fn grants_stop_at_the_limit() {
     let mut fold = Fold::default();
-    let first = Allowance::Grant(grant(1, 1, 0, 60));
+    let first = GrantRecord::Grant(grant(1, 1, 0, 60));
     assert_eq!(fold.apply(&first), Verdict::Accepted);
     assert_eq!(fold.apply(&first), Verdict::Repeated);
-    assert_eq!(fold.apply(&Allowance::Grant(grant(2, 2, 0, 50))), left(40));
-    let rest = Allowance::Grant(grant(3, 2, 0, 40));
+    assert_eq!(
+        fold.apply(&GrantRecord::Grant(grant(2, 2, 0, 50))),
+        left(40)
+    );
+    let rest = GrantRecord::Grant(grant(3, 2, 0, 40));
     assert_eq!(fold.apply(&rest), Verdict::Accepted);
-    assert_eq!(fold.apply(&Allowance::Grant(grant(4, 3, 0, 1))), left(0));
+    assert_eq!(fold.apply(&GrantRecord::Grant(grant(4, 3, 0, 1))), left(0));
     assert_eq!(
         fold.granted(&customer(), 0, &node(2)),
         Money::from_micros(40)
@@ -72,12 +75,12 @@
 #[test]
 fn returns_are_bounded_by_what_is_held() {
     let mut fold = Fold::default();
-    fold.apply(&Allowance::Grant(grant(1, 1, 0, 100)));
+    fold.apply(&GrantRecord::Grant(grant(1, 1, 0, 100)));
     assert_eq!(fold.apply(&back(2, 1, 0, 101)), left(100));
     assert_eq!(fold.apply(&back(3, 2, 0, 1)), left(0));
     assert_eq!(fold.apply(&back(4, 1, 0, 30)), Verdict::Accepted);
     assert_eq!(fold.apply(&back(4, 1, 0, 30)), Verdict::Repeated);
-    let next = Allowance::Grant(grant(5, 2, 0, 30));
+    let next = GrantRecord::Grant(grant(5, 2, 0, 30));
     assert_eq!(fold.apply(&next), Verdict::Accepted);
 }
 
@@ -91,8 +94,11 @@
         revision: Revision(2),
         ..grant(1, 1, 0, 40)
     };
-    fold.apply(&Allowance::Grant(narrowed));
-    assert_eq!(fold.apply(&Allowance::Grant(grant(2, 2, 0, 20))), left(10));
+    fold.apply(&GrantRecord::Grant(narrowed));
+    assert_eq!(
+        fold.apply(&GrantRecord::Grant(grant(2, 2, 0, 20))),
+        left(10)
+    );
 }
 
 /// A record of a period long past comes in late. Had the fold made a new account for it, the whole
@@ -102,13 +108,13 @@
     let mut fold = Fold::default();
     for period in 0..4 {
         let all = grant(u128::from(period) + 1, 1, period, 100);
-        assert_eq!(fold.apply(&Allowance::Grant(all)), Verdict::Accepted);
+        assert_eq!(fold.apply(&GrantRecord::Grant(all)), Verdict::Accepted);
     }
     assert_eq!(
-        fold.apply(&Allowance::Grant(grant(9, 2, 0, 100))),
+        fold.apply(&GrantRecord::Grant(grant(9, 2, 0, 100))),
         Verdict::Late
     );
-    assert_eq!(fold.apply(&Allowance::Grant(grant(10, 2, 2, 1))), left(0));
+    assert_eq!(fold.apply(&GrantRecord::Grant(grant(10, 2, 2, 1))), left(0));
 }
 
 proptest! {
@@ -121,7 +127,7 @@
             let allowance = if kind == 0 {
                 back(record, by, 0, amount)
             } else {
-                Allowance::Grant(grant(record, by, 0, amount))
+                GrantRecord::Grant(grant(record, by, 0, amount))
             };
             fold.apply(&allowance);
             let held: Money = (0..6).map(|n| fold.granted(&customer(), 0, &node(n))).sum();
--- a/crates/ledger/tests/all/leases.rs
+++ b/crates/ledger/tests/all/leases.rs
@@ -2,9 +2,9 @@
 
 use pimento_ledger::leases::Fold;
 use pimento_ledger::leases::Verdict;
-use pimento_ledger::record::Hold;
+use pimento_ledger::record::Acquire;
+use pimento_ledger::record::LeaseRecord;
 use pimento_ledger::record::Release;
-use pimento_ledger::record::Take;
 use pimento_units::Offset;
 use pimento_units::Span;
 use pimento_units::Wall;
@@ -24,8 +24,8 @@
     format!("node-{number}").parse().expect("a name")
 }
 
-fn take(record: u128, by: u8, previous: Option<u64>) -> Hold {
-    Hold::Take(Take {
+fn take(record: u128, by: u8, previous: Option<u64>) -> LeaseRecord {
+    LeaseRecord::Acquire(Acquire {
         id: id::Record(Uuid::from_u128(record)),
         resource: resource(),
         holder: node(by),
@@ -91,7 +91,7 @@
     let mut fold = Fold::default();
     fold.apply(Offset(5), at(0), &take(1, 1, None));
     let release = |fencing| {
-        Hold::Release(Release {
+        LeaseRecord::Release(Release {
             resource: resource(),
             holder: node(1),
             fencing: Offset(fencing),
