--- a/benches/capacity/codec.rs
+++ b/benches/capacity/codec.rs
@@ -25,8 +25,8 @@
 use pimento_wire::frame::MAX_BODY;
 use pimento_wire::peer;
 use pimento_wire::peer::Departure;
-use pimento_wire::peer::Heard;
 use pimento_wire::peer::Heartbeat;
+use pimento_wire::peer::LastSeen;
 use serde::Serialize;
 use uuid::Uuid;
 
@@ -117,8 +117,8 @@
             leaving: false,
             departures: departures(2),
             quarantined: Vec::new(),
-            heard: (0..heard)
-                .map(|node| Heard {
+            last_seen: (0..heard)
+                .map(|node| LastSeen {
                     node: node.wrapping_mul(0x9e37_79b9),
                     sequence: 1_800_000_000_000,
                 })
@@ -153,7 +153,7 @@
     let key = Key::derive("a secret that peers share");
     let mut size = Points::default();
     for count in [1, 10, 100_u64] {
-        let call = peer::Call::Hold {
+        let call = peer::Call::StoreBills {
             node: "entry-gikondo-17".parse().expect("a name"),
             bills: (0..count).map(|n| text(&bill(u128::from(n)))).collect(),
         };
--- a/crates/coordination/examples/spread.rs
+++ b/crates/coordination/examples/spread.rs
@@ -19,8 +19,8 @@
 use pimento_wire::frame::MAX_DATAGRAM;
 use pimento_wire::peer::Current;
 use pimento_wire::peer::Departure;
-use pimento_wire::peer::Heard;
 use pimento_wire::peer::Heartbeat;
+use pimento_wire::peer::LastSeen;
 use support::memory::Memory;
 use support::nodes::Node;
 use support::nodes::Plan;
@@ -145,7 +145,7 @@
         endpoint: format!("pimento-llm-{n:04}").parse().expect("a name"),
         incarnation: 1_700_000_000_000,
     };
-    let word = |n: usize| Heard {
+    let word = |n: usize| LastSeen {
         node: u32::MAX - u32::try_from(n).unwrap_or(0),
         sequence: 1_700_000_000_000,
     };
@@ -163,7 +163,7 @@
         leaving: false,
         departures: (0..departures).map(departure).collect(),
         quarantined: Vec::new(),
-        heard: (0..heard).map(word).collect(),
+        last_seen: (0..heard).map(word).collect(),
         suspicions: Vec::new(),
     };
     match Frame::seal(&beat, &Key::derive("k"), MAX_DATAGRAM) {
--- a/crates/coordination/src/bills/peers.rs
+++ b/crates/coordination/src/bills/peers.rs
@@ -36,14 +36,14 @@
             return false;
         };
         let node = self.node().clone();
-        let answer = self.call(&peer, Call::Hold { node, bills }).await;
+        let answer = self.call(&peer, Call::StoreBills { node, bills }).await;
         matches!(answer, Ok(Answer::Done))
     }
 
     async fn release(&self, peer: &id::Node, requests: Vec<id::Request>) {
         let Some(peer) = find(self, peer) else { return };
         let node = self.node().clone();
-        let call = Call::Drop { node, requests };
+        let call = Call::RemoveBills { node, requests };
         if let Err(error) = self.call(&peer, call).await {
             log::debug!("bills: release not sent: {error}");
         }
--- a/crates/coordination/src/grants/lenders.rs
+++ b/crates/coordination/src/grants/lenders.rs
@@ -24,14 +24,14 @@
         let Some(peer) = bills::find(self, peer) else {
             return Money::ZERO;
         };
-        let call = Call::Lend {
+        let call = Call::TransferGrant {
             customer: customer.clone(),
             period,
             amount,
         };
         match self.call(&peer, call).await {
             // A peer never lends more than was asked for; more would be money from nowhere.
-            Ok(Answer::Lent { amount: lent }) => lent.min(amount),
+            Ok(Answer::GrantTransferred { amount: lent }) => lent.min(amount),
             Ok(_) => Money::ZERO,
             Err(error) => {
                 log::info!("grants: nothing borrowed: {error}");
--- a/crates/coordination/src/mesh/datagrams.rs
+++ b/crates/coordination/src/mesh/datagrams.rs
@@ -139,7 +139,7 @@
             leaving: own.leaving,
             departures,
             quarantined: own.quarantined,
-            heard,
+            last_seen: heard,
             suspicions,
         }
     }
@@ -181,7 +181,7 @@
             let mut table = lock(&self.shared.table);
             let news = table.hear(&beat, now);
             if news != News::Old {
-                table.hear_of(&beat.heard, now);
+                table.hear_of(&beat.last_seen, now);
             }
             news
         };
@@ -200,8 +200,8 @@
 /// Drops half of what matters least; false if nothing is left to drop. Departures go last, since a
 /// missed one sends work to an endpoint that shuts down.
 fn shorten(beat: &mut Heartbeat) -> bool {
-    if !beat.heard.is_empty() {
-        beat.heard.truncate(beat.heard.len() / 2);
+    if !beat.last_seen.is_empty() {
+        beat.last_seen.truncate(beat.last_seen.len() / 2);
     } else if !beat.quarantined.is_empty() {
         beat.quarantined.truncate(beat.quarantined.len() / 2);
     } else if !beat.suspicions.is_empty() {
--- a/crates/coordination/src/mesh/table.rs
+++ b/crates/coordination/src/mesh/table.rs
@@ -5,8 +5,8 @@
 
 use pimento_units::Offset;
 use pimento_units::id;
-use pimento_wire::peer::Heard;
 use pimento_wire::peer::Heartbeat;
+use pimento_wire::peer::LastSeen;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -164,7 +164,7 @@
 
     /// Takes word of other nodes, passed on by a peer. Only a heartbeat that was not known of is a
     /// sign of life.
-    pub(super) fn hear_of(&mut self, heard: &[Heard], now: Instant) {
+    pub(super) fn hear_of(&mut self, heard: &[LastSeen], now: Instant) {
         for word in heard {
             let known = self
                 .known
@@ -178,12 +178,12 @@
     }
 
     /// Word of the live nodes of a zone, to pass on; the latest first.
-    pub(super) fn digest(&self, zone: &id::Zone, max: usize, now: Instant) -> Vec<Heard> {
+    pub(super) fn digest(&self, zone: &id::Zone, max: usize, now: Instant) -> Vec<LastSeen> {
         let mut live: Vec<&Known> = self.known.iter().collect();
         live.retain(|k| &k.peer.zone == zone && self.alive(k, now));
         live.sort_by_key(|k| std::cmp::Reverse(k.life));
         live.truncate(max);
-        let word = |k: &Known| Heard {
+        let word = |k: &Known| LastSeen {
             node: hash(&k.peer.node),
             sequence: k.word,
         };
--- a/crates/coordination/tests/mesh.rs
+++ b/crates/coordination/tests/mesh.rs
@@ -37,7 +37,7 @@
 impl Handler for Echo {
     async fn handle(&self, call: Call) -> Answer {
         match call {
-            Call::Fetch { .. } => Answer::Nothing,
+            Call::FetchAnswer { .. } => Answer::Nothing,
             Call::Pull { .. } => Answer::Refused {
                 reason: self.0.as_str().into(),
             },
@@ -175,7 +175,7 @@
         departures: Vec::new(),
         suspicions: Vec::new(),
         quarantined: Vec::new(),
-        heard: Vec::new(),
+        last_seen: Vec::new(),
     }
 }
 
@@ -284,7 +284,7 @@
 #[tokio::test]
 async fn call_cut_in_the_middle_is_dropped() {
     let a = start(settings("a", "trebon", &[])).await;
-    let call = Call::Drop {
+    let call = Call::RemoveBills {
         node: "x".parse().unwrap(),
         requests: Vec::new(),
     };
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -95,11 +95,11 @@
         let node = self.0;
         let peers = node.mesh.peers();
         let peer = peers.iter().find(|peer| peer.node == owner.node)?;
-        let call = peer::Call::Fetch {
+        let call = peer::Call::FetchAnswer {
             request: subject.request,
         };
         match node.mesh.call(peer, call).await {
-            Ok(peer::Answer::Kept {
+            Ok(peer::Answer::Cached {
                 status,
                 content,
                 body,
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -39,22 +39,22 @@
             return answer;
         }
         match call {
-            Call::Hold { node: owner, bills } => held(node.outbox.keep(&owner, bills)),
-            Call::Drop {
+            Call::StoreBills { node: owner, bills } => held(node.outbox.keep(&owner, bills)),
+            Call::RemoveBills {
                 node: owner,
                 requests,
             } => {
                 node.outbox.drop_copies(&owner, &requests);
                 Answer::Done
             }
-            Call::Lend {
+            Call::TransferGrant {
                 customer,
                 period,
                 amount,
-            } => Answer::Lent {
+            } => Answer::GrantTransferred {
                 amount: node.wallet.lend(&customer, period, amount),
             },
-            Call::Fetch { request } => fetch(&node, request),
+            Call::FetchAnswer { request } => fetch(&node, request),
             Call::Append { stream, records } => append(&node, &stream, records).await,
             _ => Answer::Nothing,
         }
@@ -73,7 +73,7 @@
 fn fetch(node: &Node, request: pimento_units::id::Request) -> Answer {
     node.kept
         .get(request)
-        .map_or(Answer::Nothing, |answer| Answer::Kept {
+        .map_or(Answer::Nothing, |answer| Answer::Cached {
             status: answer.status,
             content: answer.content,
             body: answer.body,
--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -21,7 +21,7 @@
 use pimento_units::Moment;
 use pimento_units::Wall;
 use pimento_units::id;
-use pimento_wire::peer::Seen;
+use pimento_wire::peer::Observation;
 use pimento_wire::peer::Suspicion;
 
 use crate::node::Node;
@@ -70,13 +70,15 @@
     }
 
     /// Counts an end that this node saw; what peers are to be told.
-    fn ended(&self, digest: Digest, crash: Crash, now: Moment) -> Option<Seen> {
+    fn ended(&self, digest: Digest, crash: Crash, now: Moment) -> Option<Observation> {
         let verdict = self.lock().table.record_crash(digest, crash, now);
         log::info!("poison: An endpoint ended under {digest}: {verdict:?}.");
-        matches!(verdict, Verdict::Suspected(_) | Verdict::Blocked).then_some(Seen::Ended {
-            endpoint: crash.endpoint,
-            incarnation: crash.incarnation,
-        })
+        matches!(verdict, Verdict::Suspected(_) | Verdict::Blocked).then_some(
+            Observation::Crashed {
+                endpoint: crash.endpoint,
+                incarnation: crash.incarnation,
+            },
+        )
     }
 
     /// Takes what peers say; gives the requests that peers are to be told are answered here. `words`
@@ -99,8 +101,8 @@
             }
             let at = now.before(age);
             match word.what {
-                Seen::Answered => inner.table.merge_answer(word.digest, at),
-                Seen::Ended {
+                Observation::Answered => inner.table.merge_answer(word.digest, at),
+                Observation::Crashed {
                     endpoint,
                     incarnation,
                 } => {
@@ -146,7 +148,7 @@
             .record_answer(digest, self.clock.now());
         if suspect {
             log::info!("poison: {digest} is cleared by a whole answer.");
-            self.suspect(digest, Seen::Answered);
+            self.suspect(digest, Observation::Answered);
         }
     }
 
@@ -207,7 +209,7 @@
         }
     }
 
-    fn suspect(&self, digest: Digest, what: Seen) {
+    fn suspect(&self, digest: Digest, what: Observation) {
         let at = self.clock.wall();
         self.mesh.suspect(Suspicion { digest, what, at });
     }
@@ -217,7 +219,7 @@
         let words = |after| self.mesh.suspicions(after);
         let (now, wall) = (self.clock.now(), self.clock.wall());
         for digest in self.poison.hear(words, now, wall) {
-            self.suspect(digest, Seen::Answered);
+            self.suspect(digest, Observation::Answered);
         }
     }
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -38,7 +38,8 @@
     /// Versions that it quarantined on its own evidence, bounded.
     pub quarantined: Vec<id::Version>,
     /// Nodes of its zone that it heard of lately, bounded.
-    pub heard: Vec<Heard>,
+    #[serde(rename = "heard")]
+    pub last_seen: Vec<LastSeen>,
     /// What is known of requests under which endpoints end, bounded.
     pub suspicions: Vec<Suspicion>,
 }
@@ -58,7 +59,7 @@
 /// It carries a number and not an age. An age loses a little on each way, so that nodes which tell
 /// each other of a dead one would keep it young for ever.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct LastSeen {
     /// Hash of the node's name.
     pub node: u32,
     /// Number of its newest heartbeat.
@@ -80,7 +81,7 @@
     /// The request.
     pub digest: Digest,
     /// What was seen.
-    pub what: Seen,
+    pub what: Observation,
     /// When, by the clock of the node that saw it. Word that is old counts for nothing, or it would go
     /// round among the nodes for ever.
     pub at: Wall,
@@ -88,9 +89,10 @@
 
 /// What was seen of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Seen {
+pub enum Observation {
     /// An endpoint ended while it ran there.
-    Ended {
+    #[serde(rename = "Ended")]
+    Crashed {
         /// Hash of the endpoint's name.
         endpoint: u64,
         /// Which life of it, if it tells them apart.
@@ -114,21 +116,24 @@
         records: Vec<(Offset, String)>,
     },
     /// Keeps copies of bills (JSON text of each) until they are on the log.
-    Hold {
+    #[serde(rename = "Hold")]
+    StoreBills {
         /// Whose bills.
         node: id::Node,
         /// The bills.
         bills: Vec<String>,
     },
     /// Drops copies that are on the log.
-    Drop {
+    #[serde(rename = "Drop")]
+    RemoveBills {
         /// Whose bills.
         node: id::Node,
         /// The requests billed.
         requests: Vec<id::Request>,
     },
     /// Asks for a part of the peer's grants, while the log can't be asked for one.
-    Lend {
+    #[serde(rename = "Lend")]
+    TransferGrant {
         /// Whose spend.
         customer: id::Customer,
         /// The spend period.
@@ -137,7 +142,8 @@
         amount: Money,
     },
     /// Asks for the kept answer of a request.
-    Fetch {
+    #[serde(rename = "Fetch")]
+    FetchAnswer {
         /// The request.
         request: id::Request,
     },
@@ -173,12 +179,14 @@
         records: Vec<(Offset, String)>,
     },
     /// A part of the peer's grants, which it will not spend any more.
-    Lent {
+    #[serde(rename = "Lent")]
+    GrantTransferred {
         /// How much.
         amount: Money,
     },
     /// A kept answer.
-    Kept {
+    #[serde(rename = "Kept")]
+    Cached {
         /// HTTP status.
         status: u16,
         /// Content type.
--- a/crates/wire/tests/border/values.rs
+++ b/crates/wire/tests/border/values.rs
@@ -10,9 +10,9 @@
 use pimento_wire::peer::Current;
 use pimento_wire::peer::Departure;
 use pimento_wire::peer::Evidence;
-use pimento_wire::peer::Heard;
 use pimento_wire::peer::Heartbeat;
-use pimento_wire::peer::Seen;
+use pimento_wire::peer::LastSeen;
+use pimento_wire::peer::Observation;
 use pimento_wire::peer::Suspicion;
 use proptest::collection::vec;
 use proptest::option::of;
@@ -60,7 +60,7 @@
         leaving: flags.2,
         departures: lists.0,
         quarantined: lists.1,
-        heard: lists.2,
+        last_seen: lists.2,
         suspicions: lists.3,
     })
 }
@@ -80,11 +80,12 @@
 }
 
 fn suspicion() -> impl Strategy<Value = Suspicion> {
-    let ended = any::<(u64, Option<u64>)>().prop_map(|(endpoint, incarnation)| Seen::Ended {
-        endpoint,
-        incarnation,
-    });
-    let what = prop_oneof![ended, proptest::strategy::Just(Seen::Answered)];
+    let ended =
+        any::<(u64, Option<u64>)>().prop_map(|(endpoint, incarnation)| Observation::Crashed {
+            endpoint,
+            incarnation,
+        });
+    let what = prop_oneof![ended, proptest::strategy::Just(Observation::Answered)];
     (any::<[u8; 4]>(), what, any::<u64>()).prop_map(|(content, what, at)| Suspicion {
         digest: Digest::of([&content[..]]),
         what,
@@ -92,8 +93,8 @@
     })
 }
 
-fn heard() -> impl Strategy<Value = Heard> {
-    any::<(u32, u64)>().prop_map(|(node, sequence)| Heard { node, sequence })
+fn heard() -> impl Strategy<Value = LastSeen> {
+    any::<(u32, u64)>().prop_map(|(node, sequence)| LastSeen { node, sequence })
 }
 
 pub fn call() -> impl Strategy<Value = Call> {
@@ -102,9 +103,10 @@
     prop_oneof![
         offset().prop_map(|offset| Call::Pull { offset }),
         records.prop_map(|records| Call::Push { records }),
-        (name(), texts()).prop_map(|(node, bills)| Call::Hold { node, bills }),
-        (name(), vec(request(), 0..4)).prop_map(|(node, requests)| Call::Drop { node, requests }),
-        request().prop_map(|request| Call::Fetch { request }),
+        (name(), texts()).prop_map(|(node, bills)| Call::StoreBills { node, bills }),
+        (name(), vec(request(), 0..4))
+            .prop_map(|(node, requests)| Call::RemoveBills { node, requests }),
+        request().prop_map(|request| Call::FetchAnswer { request }),
         (text(), texts()).prop_map(|(stream, records)| Call::Append { stream, records }),
     ]
 }
