--- a/crates/control/tests/all/fakes.rs
+++ b/crates/control/tests/all/fakes.rs
@@ -25,7 +25,7 @@
 use pimento_units::Offset;
 use pimento_units::Wall;
 use pimento_units::id;
-use pimento_wire::border::Completion;
+use pimento_wire::api::Completion;
 use pimento_wire::engine::Load;
 use pimento_wire::engine::Order;
 use pimento_wire::engine::Reply;
--- a/crates/endpoint/examples/assemble.rs
+++ b/crates/endpoint/examples/assemble.rs
@@ -6,9 +6,9 @@
 use pimento_endpoint::Assembler;
 use pimento_endpoint::Fault;
 use pimento_endpoint::engine::Event;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::Delta;
-use pimento_wire::border::Piece;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::ChunkChoice;
+use pimento_wire::api::Delta;
 
 const WORDS: [&str; 5] = ["Keep ", "away ", "from ", "open ", "fire."];
 
@@ -24,9 +24,9 @@
             object: "chat.completion.chunk".into(),
             created: 0,
             model: "pimento-mini@1".into(),
-            choices: vec![Delta {
+            choices: vec![ChunkChoice {
                 index: 0,
-                delta: Piece {
+                delta: Delta {
                     role: None,
                     content: Some((*word).into()),
                 },
--- a/crates/endpoint/src/assemble.rs
+++ b/crates/endpoint/src/assemble.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 use compact_str::format_compact;
-use pimento_wire::border::Chunk;
+use pimento_wire::api::Chunk;
 
 use crate::engine::Event;
 use crate::fault::Fault;
--- a/crates/endpoint/src/events.rs
+++ b/crates/endpoint/src/events.rs
@@ -15,8 +15,8 @@
 use hyper::Response;
 use hyper::body::Incoming;
 use hyper::header::CONTENT_TYPE;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::DONE;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::DONE;
 
 use crate::engine::Event;
 use crate::fault::Fault;
--- a/crates/endpoint/tests/all/assemble.rs
+++ b/crates/endpoint/tests/all/assemble.rs
@@ -5,9 +5,9 @@
 use pimento_endpoint::Fault;
 use pimento_endpoint::assemble::WINDOW;
 use pimento_endpoint::engine::Event;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::Delta;
-use pimento_wire::border::Piece;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::ChunkChoice;
+use pimento_wire::api::Delta;
 use proptest::collection::vec;
 use proptest::prelude::Just;
 use proptest::prelude::Strategy;
@@ -24,9 +24,9 @@
         object: "chat.completion.chunk".into(),
         created: 1,
         model: MODEL.into(),
-        choices: vec![Delta {
+        choices: vec![ChunkChoice {
             index: 0,
-            delta: Piece {
+            delta: Delta {
                 role: None,
                 content: Some(sequence.to_string()),
             },
--- a/crates/endpoint/tests/all/service.rs
+++ b/crates/endpoint/tests/all/service.rs
@@ -17,7 +17,7 @@
 use pimento_standin::service;
 use pimento_standin::service::Receipt;
 use pimento_units::id;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use tokio_util::sync::CancellationToken;
 use uuid::Uuid;
 
--- a/crates/endpoint/tests/fuzz.rs
+++ b/crates/endpoint/tests/fuzz.rs
@@ -17,11 +17,11 @@
 use pimento_endpoint::engine::Event;
 use pimento_endpoint::engine::Remote;
 use pimento_units::id;
-use pimento_wire::border::Chat;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::DONE;
-use pimento_wire::border::Delta;
-use pimento_wire::border::Piece;
+use pimento_wire::api::Chat;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::ChunkChoice;
+use pimento_wire::api::DONE;
+use pimento_wire::api::Delta;
 use proptest::collection::vec;
 use proptest::prelude::Just;
 use proptest::prelude::Strategy;
@@ -48,9 +48,9 @@
         object: "chat.completion.chunk".into(),
         created: 1,
         model: MODEL.into(),
-        choices: vec![Delta {
+        choices: vec![ChunkChoice {
             index: 0,
-            delta: Piece {
+            delta: Delta {
                 role: None,
                 content: Some(text.into()),
             },
--- a/crates/entry/src/chain.rs
+++ b/crates/entry/src/chain.rs
@@ -10,8 +10,8 @@
 use hyper::Response;
 use hyper::body::Incoming;
 use pimento_serve::Reply;
-use pimento_wire::border::Model;
-use pimento_wire::border::Models;
+use pimento_wire::api::Model;
+use pimento_wire::api::Models;
 use tokio_util::sync::CancellationToken;
 
 use crate::filter::Filter;
--- a/crates/entry/src/chain/model.rs
+++ b/crates/entry/src/chain/model.rs
@@ -7,7 +7,7 @@
 use hyper::http::request::Parts;
 use pimento_ledger::record::Item;
 use pimento_serve::Reply;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -20,7 +20,7 @@
 use pimento_serve::Reply;
 use pimento_units::Money;
 use pimento_units::Tokens;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use pimento_wire::header;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
--- a/crates/entry/src/estimate.rs
+++ b/crates/entry/src/estimate.rs
@@ -9,7 +9,7 @@
 use pimento_units::Moment;
 use pimento_units::Tokens;
 use pimento_units::id;
-use pimento_wire::border::Chat;
+use pimento_wire::api::Chat;
 
 /// Bytes of text in a token, at the usual rate for European languages.
 const BYTES: u64 = 4;
--- a/crates/entry/src/filter/assemble.rs
+++ b/crates/entry/src/filter/assemble.rs
@@ -16,9 +16,9 @@
 use pimento_units::Moment;
 use pimento_units::Tokens;
 use pimento_units::id;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::DONE;
-use pimento_wire::border::Usage;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::DONE;
+use pimento_wire::api::Usage;
 use serde::Serialize;
 use tokio::sync::oneshot;
 
--- a/crates/entry/src/filter/attempt/opened.rs
+++ b/crates/entry/src/filter/attempt/opened.rs
@@ -12,7 +12,7 @@
 use pimento_scheduler::Permit;
 use pimento_units::Moment;
 use pimento_units::id;
-use pimento_wire::border::Chunk;
+use pimento_wire::api::Chunk;
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
--- a/crates/entry/src/filter/budget.rs
+++ b/crates/entry/src/filter/budget.rs
@@ -14,7 +14,7 @@
 use pimento_units::Money;
 use pimento_units::Tokens;
 use pimento_units::id;
-use pimento_wire::border::Chat;
+use pimento_wire::api::Chat;
 
 use super::Filter;
 use super::contract::Bound;
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -8,7 +8,7 @@
 use pimento_ledger::record;
 use pimento_units::Moment;
 use pimento_units::id;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use pimento_wire::peer;
 
 use super::Filter;
--- a/crates/entry/src/filter/identify.rs
+++ b/crates/entry/src/filter/identify.rs
@@ -15,7 +15,7 @@
 use pimento_units::Moment;
 use pimento_units::Wall;
 use pimento_units::id;
-use pimento_wire::border::Chat;
+use pimento_wire::api::Chat;
 use pimento_wire::header;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio_util::sync::CancellationToken;
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -9,7 +9,7 @@
 use pimento_coordination::rating::Rater;
 use pimento_units::Moment;
 use pimento_units::id;
-use pimento_wire::border::Chat;
+use pimento_wire::api::Chat;
 use pimento_wire::platform;
 
 use crate::node::Node;
--- a/crates/entry/src/filter/reply.rs
+++ b/crates/entry/src/filter/reply.rs
@@ -11,9 +11,9 @@
 use pimento_serve::Reply;
 use pimento_units::Wall;
 use pimento_units::id;
-use pimento_wire::border::Choice;
-use pimento_wire::border::Completion;
-use pimento_wire::border::Message;
+use pimento_wire::api::Choice;
+use pimento_wire::api::Completion;
+use pimento_wire::api::Message;
 use pimento_wire::header;
 use serde::Serialize;
 
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -180,7 +180,7 @@
     }
 
     /// Counts an error.
-    pub fn refused(&self, code: Code, run: pimento_wire::border::Run) {
+    pub fn refused(&self, code: Code, run: pimento_wire::api::Run) {
         self.refusals
             .with_label_values(&[code.as_str(), run.as_str()])
             .inc();
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -12,9 +12,9 @@
 use hyper::header::HeaderValue;
 use pimento_scheduler::Refused;
 use pimento_serve::Reply;
-use pimento_wire::border::Error;
-use pimento_wire::border::Failure;
-use pimento_wire::border::Run;
+use pimento_wire::api::Error;
+use pimento_wire::api::ErrorBody;
+use pimento_wire::api::Run;
 use pimento_wire::header;
 
 /// Why a caller gets an error in place of an answer.
@@ -178,9 +178,9 @@
 
     /// The error body.
     #[must_use]
-    pub fn failure(&self) -> Failure {
+    pub fn failure(&self) -> ErrorBody {
         let (_, kind, code) = self.code.parts();
-        Failure {
+        ErrorBody {
             error: Error {
                 kind: CompactString::const_new(kind),
                 code: CompactString::const_new(code),
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use pimento_serve::Reply;
 use pimento_serve::Serve;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use tokio_util::sync::CancellationToken;
 
 use crate::chain;
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -6,7 +6,7 @@
 use pimento_ledger::record;
 use pimento_units::Money;
 use pimento_units::id;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 
 use crate::refusal::Code;
 use crate::refusal::Refusal;
--- a/crates/entry/tests/all/delivery.rs
+++ b/crates/entry/tests/all/delivery.rs
@@ -7,9 +7,9 @@
 use pimento_scheduler::Clock;
 use pimento_units::Moment;
 use pimento_units::id;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::Delta;
-use pimento_wire::border::Piece;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::ChunkChoice;
+use pimento_wire::api::Delta;
 use proptest::collection::vec;
 use proptest::prop_assert_eq;
 use proptest::proptest;
@@ -27,9 +27,9 @@
         object: "chat.completion.chunk".into(),
         created: 1,
         model: "pimento-mini@1".into(),
-        choices: vec![Delta {
+        choices: vec![ChunkChoice {
             index: 0,
-            delta: Piece {
+            delta: Delta {
                 role: None,
                 content: Some(content.into()),
             },
--- a/crates/entry/tests/all/faults.rs
+++ b/crates/entry/tests/all/faults.rs
@@ -4,7 +4,7 @@
 use pimento_standin::Site;
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 
 use crate::support::PATIENCE;
 use crate::support::World;
@@ -154,7 +154,7 @@
     assert_eq!(answer.status, StatusCode::OK);
     assert!(!answer.whole_stream());
     let events = answer.events();
-    let last: pimento_wire::border::Failure =
+    let last: pimento_wire::api::ErrorBody =
         serde_json::from_str(events.last().unwrap()).expect("the last event is the error");
     assert_eq!(last.error.run, Run::Unknown);
     assert!(!events.iter().any(|event| event.contains("[DONE]")));
--- a/crates/entry/tests/all/model.rs
+++ b/crates/entry/tests/all/model.rs
@@ -7,8 +7,8 @@
 use pimento_ledger::record::Item;
 use pimento_ledger::usage::Fold;
 use pimento_standin::Site;
-use pimento_wire::border::Chat;
-use pimento_wire::border::Models;
+use pimento_wire::api::Chat;
+use pimento_wire::api::Models;
 
 use crate::support::LARGE;
 use crate::support::SMALL;
--- a/crates/entry/tests/all/poison.rs
+++ b/crates/entry/tests/all/poison.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 
 use crate::support::Answer;
 use crate::support::Entry;
--- a/crates/entry/tests/all/refusals.rs
+++ b/crates/entry/tests/all/refusals.rs
@@ -3,7 +3,7 @@
 
 use hyper::Method;
 use hyper::StatusCode;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 
 use crate::support::Ask;
 use crate::support::Entry;
--- a/crates/entry/tests/all/scheduler.rs
+++ b/crates/entry/tests/all/scheduler.rs
@@ -12,7 +12,7 @@
 use pimento_scheduler::Pool;
 use pimento_scheduler::Scheduler;
 use pimento_units::Tokens;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use tokio_util::sync::CancellationToken;
 
 use crate::support::PATIENCE;
--- a/crates/entry/tests/all/service.rs
+++ b/crates/entry/tests/all/service.rs
@@ -5,7 +5,7 @@
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
 use pimento_standin::service::Receipt;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use uuid::Uuid;
 
 use crate::support::Answer;
--- a/crates/entry/tests/all/support.rs
+++ b/crates/entry/tests/all/support.rs
@@ -52,8 +52,8 @@
 use pimento_units::Tokens;
 use pimento_units::Wall;
 use pimento_units::id;
-use pimento_wire::border::Completion;
-use pimento_wire::border::Failure;
+use pimento_wire::api::Completion;
+use pimento_wire::api::ErrorBody;
 use pimento_wire::platform::Role;
 use pimento_wire::platform::Vm;
 use serde_json::json;
@@ -92,7 +92,7 @@
         self.headers.get(name).map_or("", |v| v.to_str().unwrap())
     }
 
-    pub fn failure(&self) -> Failure {
+    pub fn failure(&self) -> ErrorBody {
         serde_json::from_slice(&self.body)
             .unwrap_or_else(|error| panic!("no error body ({error}): {:?}", self.body))
     }
--- a/crates/entry/tests/all/versions.rs
+++ b/crates/entry/tests/all/versions.rs
@@ -4,7 +4,7 @@
 use pimento_contract::Value;
 use pimento_endpoint::engine::Engine;
 use pimento_standin::Site;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 
 use crate::support::LARGE;
 use crate::support::SMALL;
--- a/crates/standin/src/engine/attempt.rs
+++ b/crates/standin/src/engine/attempt.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use pimento_units::id;
-use pimento_wire::border::Chat;
-use pimento_wire::border::Usage;
+use pimento_wire::api::Chat;
+use pimento_wire::api::Usage;
 use pimento_wire::header;
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use pimento_units::share::PARTS;
-use pimento_wire::border::Message;
+use pimento_wire::api::Message;
 use pimento_wire::engine;
 use pimento_wire::engine::Event;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -17,7 +17,7 @@
 use hyper::Method;
 use hyper::StatusCode;
 use pimento_units::id;
-use pimento_wire::border::Chat;
+use pimento_wire::api::Chat;
 use pimento_wire::engine::Load;
 use pimento_wire::header;
 use tokio::sync::mpsc;
--- a/crates/standin/src/engine/reply.rs
+++ b/crates/standin/src/engine/reply.rs
@@ -1,13 +1,13 @@
 //! Answers of an engine: whole, and event by event.
 
 use bytes::Bytes;
-use pimento_wire::border::Choice;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::Completion;
-use pimento_wire::border::DONE;
-use pimento_wire::border::Delta;
-use pimento_wire::border::Message;
-use pimento_wire::border::Piece;
+use pimento_wire::api::Choice;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::ChunkChoice;
+use pimento_wire::api::Completion;
+use pimento_wire::api::DONE;
+use pimento_wire::api::Delta;
+use pimento_wire::api::Message;
 use tokio::sync::mpsc;
 
 use crate::engine::attempt::Attempt;
@@ -47,9 +47,9 @@
         object: "chat.completion.chunk".into(),
         created: attempt.created,
         model: attempt.version.as_str().into(),
-        choices: vec![Delta {
+        choices: vec![ChunkChoice {
             index: 0,
-            delta: Piece {
+            delta: Delta {
                 role: (number == 0).then(|| "assistant".into()),
                 content: Some(text::piece(&attempt.mark, number, attempt.total)),
             },
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -9,7 +9,7 @@
 use compact_str::CompactString;
 use pimento_units::Share;
 use pimento_units::share::PARTS;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use serde::Deserialize;
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -17,11 +17,11 @@
 use hyper::header::HeaderName;
 use hyper::header::HeaderValue;
 use pimento_units::id;
-use pimento_wire::border::Chat;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::DONE;
-use pimento_wire::border::Failure;
-use pimento_wire::border::Message as Turn;
+use pimento_wire::api::Chat;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::DONE;
+use pimento_wire::api::ErrorBody;
+use pimento_wire::api::Message as Turn;
 use pimento_wire::header;
 use serde::Serialize;
 use tokio::time::Instant;
@@ -217,7 +217,7 @@
             if event.data == DONE {
                 return self.judge(&text, allowed);
             }
-            if let Ok(failure) = serde_json::from_str::<Failure>(&event.data) {
+            if let Ok(failure) = serde_json::from_str::<ErrorBody>(&event.data) {
                 return Outcome::Refused {
                     status: StatusCode::OK.as_u16(),
                     code: failure.error.code,
--- a/crates/standin/src/load/check.rs
+++ b/crates/standin/src/load/check.rs
@@ -5,10 +5,10 @@
 use hyper::HeaderMap;
 use hyper::StatusCode;
 use pimento_units::id;
-use pimento_wire::border::Completion;
-use pimento_wire::border::Error;
-use pimento_wire::border::Failure;
-use pimento_wire::border::Run;
+use pimento_wire::api::Completion;
+use pimento_wire::api::Error;
+use pimento_wire::api::ErrorBody;
+use pimento_wire::api::Run;
 use pimento_wire::header;
 use serde::Deserialize;
 use serde::Serialize;
@@ -146,7 +146,7 @@
 ///
 /// The promise that it broke.
 pub fn error(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Result<Error, Breach> {
-    let failure: Failure = serde_json::from_slice(body).map_err(|_| Breach::ErrorBody)?;
+    let failure: ErrorBody = serde_json::from_slice(body).map_err(|_| Breach::ErrorBody)?;
     let error = failure.error;
     if error.code.is_empty() || error.kind.is_empty() || error.message.is_empty() {
         return Err(Breach::ErrorBody);
--- a/crates/standin/src/load/drive.rs
+++ b/crates/standin/src/load/drive.rs
@@ -12,7 +12,7 @@
 use pimento_units::Share;
 use pimento_units::id;
 use pimento_units::share::PARTS;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use tokio::task::JoinError;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
--- a/crates/standin/src/load/result.rs
+++ b/crates/standin/src/load/result.rs
@@ -7,7 +7,7 @@
 use compact_str::format_compact;
 use pimento_units::Wall;
 use pimento_units::id;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use serde::Deserialize;
 use serde::Serialize;
 
--- a/crates/standin/tests/all/faults.rs
+++ b/crates/standin/tests/all/faults.rs
@@ -12,7 +12,7 @@
 use pimento_standin::log;
 use pimento_standin::log::Log;
 use pimento_units::Share;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use pimento_wire::platform::Append;
 use tokio_util::sync::CancellationToken;
 
--- a/crates/wire/src/border.rs
+++ b/crates/wire/src/api.rs
@@ -145,7 +145,7 @@
     /// The version that answers.
     pub model: CompactString,
     /// One choice.
-    pub choices: Vec<Delta>,
+    pub choices: Vec<ChunkChoice>,
     /// Tokens used, on the last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
@@ -153,18 +153,18 @@
 
 /// A choice of one event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Delta {
+pub struct ChunkChoice {
     /// Always 0.
     pub index: u32,
     /// What was added.
-    pub delta: Piece,
+    pub delta: Delta,
     /// Set on the last event.
     pub finish_reason: Option<CompactString>,
 }
 
 /// Text added by one event.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Delta {
     /// Set on the first event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<CompactString>,
@@ -198,7 +198,7 @@
 
 /// The body of every error, and the data of the error event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Failure {
+pub struct ErrorBody {
     /// The error.
     pub error: Error,
 }
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -2,7 +2,7 @@
 //!
 //! | call | meaning |
 //! |---|---|
-//! | `POST /v1/chat/completions` | [`crate::border::Chat`] with `model` = version; headers `attempt-id`, `priority`, `request-timeout`. Whole: [`crate::border::Completion`]. Streamed: events whose `id` is the sequence number from 0 and whose data is a [`crate::border::Chunk`], then an event with data `[DONE]` |
+//! | `POST /v1/chat/completions` | [`crate::api::Chat`] with `model` = version; headers `attempt-id`, `priority`, `request-timeout`. Whole: [`crate::api::Completion`]. Streamed: events whose `id` is the sequence number from 0 and whose data is a [`crate::api::Chunk`], then an event with data `[DONE]` |
 //! | `GET /v1/attempts/{attempt}` with `last-event-id` | resumes a stream after that event |
 //! | `DELETE /v1/attempts/{attempt}` | cancels |
 //! | `GET /load` | [`Load`] |
--- a/crates/wire/tests/border/json.rs
+++ b/crates/wire/tests/border/json.rs
@@ -4,17 +4,17 @@
 use std::fmt::Debug;
 
 use pimento_units::Wall;
-use pimento_wire::border::Chat;
-use pimento_wire::border::Choice;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::Completion;
-use pimento_wire::border::Delta;
-use pimento_wire::border::Error;
-use pimento_wire::border::Failure;
-use pimento_wire::border::Message;
-use pimento_wire::border::Piece;
-use pimento_wire::border::Run;
-use pimento_wire::border::Usage;
+use pimento_wire::api::Chat;
+use pimento_wire::api::Choice;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::ChunkChoice;
+use pimento_wire::api::Completion;
+use pimento_wire::api::Delta;
+use pimento_wire::api::Error;
+use pimento_wire::api::ErrorBody;
+use pimento_wire::api::Message;
+use pimento_wire::api::Run;
+use pimento_wire::api::Usage;
 use pimento_wire::engine::Cache;
 use pimento_wire::engine::Event;
 use pimento_wire::engine::Load;
@@ -136,12 +136,13 @@
 
 fn chunk() -> impl Strategy<Value = Chunk> {
     let piece =
-        (of(text()), of(any::<String>())).prop_map(|(role, content)| Piece { role, content });
-    let delta = (any::<u32>(), piece, of(text())).prop_map(|(index, delta, finish_reason)| Delta {
-        index,
-        delta,
-        finish_reason,
-    });
+        (of(text()), of(any::<String>())).prop_map(|(role, content)| Delta { role, content });
+    let delta =
+        (any::<u32>(), piece, of(text())).prop_map(|(index, delta, finish_reason)| ChunkChoice {
+            index,
+            delta,
+            finish_reason,
+        });
     (text(), any::<u64>(), text(), vec(delta, 0..3), of(usage())).prop_map(
         |(id, created, model, choices, usage)| Chunk {
             id,
@@ -154,9 +155,9 @@
     )
 }
 
-fn failure() -> impl Strategy<Value = Failure> {
+fn failure() -> impl Strategy<Value = ErrorBody> {
     let run = select(&[Run::NotRun, Run::Ran, Run::Unknown][..]);
-    (text(), text(), any::<String>(), run).prop_map(|(kind, code, message, run)| Failure {
+    (text(), text(), any::<String>(), run).prop_map(|(kind, code, message, run)| ErrorBody {
         error: Error {
             kind,
             code,
--- a/tests/all/fleet/caller.rs
+++ b/tests/all/fleet/caller.rs
@@ -12,9 +12,9 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use pimento_wire::border::Completion;
-use pimento_wire::border::Failure;
-use pimento_wire::border::Run;
+use pimento_wire::api::Completion;
+use pimento_wire::api::ErrorBody;
+use pimento_wire::api::Run;
 use serde_json::json;
 use uuid::Uuid;
 
@@ -40,7 +40,7 @@
 
 impl Answer {
     /// The error body.
-    pub fn failure(&self) -> Failure {
+    pub fn failure(&self) -> ErrorBody {
         serde_json::from_slice(&self.body)
             .unwrap_or_else(|error| panic!("no error body ({error}): {:?}", self.body))
     }
