--- a/crates/contract/src/change.rs
+++ b/crates/contract/src/change.rs
@@ -60,15 +60,15 @@
 
 /// Why a checkpoint is ignored.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum Doubt {
+pub enum CheckpointError {
     /// The hash is not that of the state.
     #[snafu(display("the checkpoint's hash is not that of its state"))]
     Hash,
     /// The state stands at another offset than the checkpoint says.
-    #[snafu(display("the checkpoint says offset {said}, its state {found}"))]
+    #[snafu(display("the checkpoint says offset {declared}, its state {found}"))]
     Offset {
         /// The checkpoint's.
-        said: Offset,
+        declared: Offset,
         /// The state's.
         found: Offset,
     },
@@ -93,11 +93,11 @@
     ///
     /// # Errors
     ///
-    /// [`Doubt`] if it must be ignored.
-    pub fn check(self) -> Result<State, Doubt> {
-        let said = self.offset;
+    /// [`CheckpointError`] if it must be ignored.
+    pub fn check(self) -> Result<State, CheckpointError> {
+        let declared = self.offset;
         let found = self.state.offset;
-        ensure!(said == found, OffsetSnafu { said, found });
+        ensure!(declared == found, OffsetSnafu { declared, found });
         ensure!(self.hash == self.state.hash(), HashSnafu);
         Ok(self.state)
     }
--- a/crates/contract/src/contract.rs
+++ b/crates/contract/src/contract.rs
@@ -103,7 +103,7 @@
 
     /// Whether the customer may call `service`.
     #[must_use]
-    pub fn serves(&self, service: &id::Service) -> bool {
+    pub fn allows_service(&self, service: &id::Service) -> bool {
         self.services.binary_search(service).is_ok()
     }
 }
--- a/crates/contract/src/fold.rs
+++ b/crates/contract/src/fold.rs
@@ -81,11 +81,11 @@
 }
 
 /// Decisions kept. At 1,200 changes a day this is the last twenty hours.
-pub const RECENT: usize = 1_024;
+pub const MAX_DECISIONS: usize = 1_024;
 
 /// Removed subjects kept, the latest. At ten removals a day this is more than a year, far longer
 /// than any writer goes on appending a record again.
-pub const REMOVED: usize = 4_096;
+pub const MAX_TOMBSTONES: usize = 4_096;
 
 impl State {
     /// Applies the change at `offset`, which must not lie before [`State::offset`].
@@ -165,7 +165,7 @@
             Ok(at) => self.removed[at] = tombstone,
             Err(at) => self.removed.insert(at, tombstone),
         }
-        if self.removed.len() > REMOVED {
+        if self.removed.len() > MAX_TOMBSTONES {
             self.forget();
         }
     }
@@ -185,7 +185,7 @@
     }
 
     fn remember(&mut self, decision: Decision) {
-        if self.recent.len() == RECENT {
+        if self.recent.len() == MAX_DECISIONS {
             self.recent.remove(0);
         }
         self.recent.push(decision);
@@ -223,14 +223,14 @@
     ///
     /// Never: the state holds no map and no number that JSON can't carry.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn canonical_text(&self) -> String {
         serde_json::to_string(self).expect("a state is plain JSON")
     }
 
-    /// BLAKE3 of [`State::text`] in hexadecimal.
+    /// BLAKE3 of [`State::canonical_text`] in hexadecimal.
     #[must_use]
     pub fn hash(&self) -> CompactString {
-        let hash = blake3::hash(self.text().as_bytes());
+        let hash = blake3::hash(self.canonical_text().as_bytes());
         hash.to_hex().as_str().into()
     }
 
@@ -260,7 +260,7 @@
 
     /// The contract that an API key belongs to.
     #[must_use]
-    pub fn holder(&self, key: Key) -> Option<&Contract> {
+    pub fn contract_for_key(&self, key: Key) -> Option<&Contract> {
         self.contracts()
             .find(|c| c.keys.binary_search(&key).is_ok())
     }
--- a/crates/contract/src/raw/links.rs
+++ b/crates/contract/src/raw/links.rs
@@ -88,7 +88,7 @@
     known: &State,
     report: &Report,
 ) {
-    let Some(holder) = known.holder(key) else {
+    let Some(holder) = known.contract_for_key(key) else {
         return;
     };
     let holder = Subject::Contract(holder.customer.clone());
--- a/crates/contract/src/service.rs
+++ b/crates/contract/src/service.rs
@@ -56,7 +56,7 @@
 impl Service {
     /// Whether a call by `method` may be sent twice.
     #[must_use]
-    pub fn repeats(&self, method: &str) -> bool {
+    pub fn is_repeatable(&self, method: &str) -> bool {
         self.repeatable
             .binary_search_by(|known| known.as_str().cmp(method))
             .is_ok()
--- a/crates/contract/tests/fold.rs
+++ b/crates/contract/tests/fold.rs
@@ -5,9 +5,9 @@
 use pimento_contract::Subject;
 use pimento_contract::Value;
 use pimento_contract::change::Checkpoint;
-use pimento_contract::change::Doubt;
-use pimento_contract::fold::RECENT;
-use pimento_contract::fold::REMOVED;
+use pimento_contract::change::CheckpointError;
+use pimento_contract::fold::MAX_DECISIONS;
+use pimento_contract::fold::MAX_TOMBSTONES;
 use pimento_contract::fold::Verdict;
 use pimento_contract::service::Fencing;
 use pimento_contract::service::Pool;
@@ -93,7 +93,7 @@
     let mut state = State::default();
     state.apply(Offset(0), &set(1, 0));
     state.apply(Offset(1), &remove(2, 1));
-    for n in 0..RECENT {
+    for n in 0..MAX_DECISIONS {
         let other = change(100 + n as u128, "other", 0, Some(Fencing::Ignores));
         state.apply(state.offset, &other);
     }
@@ -129,7 +129,7 @@
 #[test]
 fn memory_of_decisions_and_removals_is_bounded() {
     let mut state = State::default();
-    for n in 0..(REMOVED + 10) {
+    for n in 0..(MAX_TOMBSTONES + 10) {
         let name = format!("pool-{n}");
         let create = change(2 * n as u128, &name, 0, Some(Fencing::Refuses));
         state.apply(state.offset, &create);
@@ -164,16 +164,16 @@
     let mut swapped = right.clone();
     swapped.state = other.clone();
     swapped.state.offset = right.offset;
-    assert_eq!(swapped.check(), Err(Doubt::Hash));
+    assert_eq!(swapped.check(), Err(CheckpointError::Hash));
 
     let mut moved = right.clone();
     moved.offset = Offset(9);
-    assert!(matches!(moved.check(), Err(Doubt::Offset { .. })));
+    assert!(matches!(moved.check(), Err(CheckpointError::Offset { .. })));
 
     let mut ahead = right;
     ahead.state.offset = Offset(9);
     ahead.offset = Offset(9);
-    assert_eq!(ahead.check(), Err(Doubt::Hash));
+    assert_eq!(ahead.check(), Err(CheckpointError::Hash));
 }
 
 /// One record of a random stream.
@@ -247,7 +247,7 @@
             read(&mut whole, record.as_ref());
             read(&mut late, record.as_ref());
         }
-        prop_assert_eq!(whole.text(), late.text());
+        prop_assert_eq!(whole.canonical_text(), late.canonical_text());
         prop_assert_eq!(whole.hash(), late.hash());
     }
 
--- a/crates/contract/tests/raw.rs
+++ b/crates/contract/tests/raw.rs
@@ -132,7 +132,7 @@
         assert_eq!(state.versions().count(), 5, "{name}");
         for contract in state.contracts() {
             let key = Key::of(&format!("demo-key-{}", contract.customer));
-            let holder = state.holder(key).map(|holder| &holder.customer);
+            let holder = state.contract_for_key(key).map(|holder| &holder.customer);
             assert_eq!(holder, Some(&contract.customer));
         }
     }
--- a/crates/entry/src/chain/service/call.rs
+++ b/crates/entry/src/chain/service/call.rs
@@ -61,7 +61,7 @@
     })?;
     let contract = caller.state.contract(&customer);
     let weight = contract.map_or(1, |contract| contract.weight);
-    let repeatable = service.repeats(head.method.as_str());
+    let repeatable = service.is_repeatable(head.method.as_str());
     // A call that may not be repeated runs to its end whether or not its caller stays.
     let gone = if repeatable {
         gone
--- a/crates/entry/src/filter/authenticate.rs
+++ b/crates/entry/src/filter/authenticate.rs
@@ -41,7 +41,7 @@
         }
         let secret = bearer(headers)?;
         let contract = state
-            .holder(Key::of(secret))
+            .contract_for_key(Key::of(secret))
             .ok_or_else(|| Refusal::not_run(Code::UnknownKey, "no contract has this API key"))?;
         Ok(Caller {
             customer: contract.customer.clone(),
--- a/crates/entry/src/filter/contract.rs
+++ b/crates/entry/src/filter/contract.rs
@@ -89,7 +89,7 @@
     #[must_use]
     pub fn service(&self, customer: &id::Customer, name: &id::Service) -> Option<Service> {
         let state = self.0.state.current();
-        let serves = state.contract(customer)?.serves(name);
+        let serves = state.contract(customer)?.allows_service(name);
         serves.then(|| state.service(name).cloned())?
     }
 
