--- a/crates/coordination/src/mesh/calls.rs
+++ b/crates/coordination/src/mesh/calls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pimento_progress::Progress;
-use pimento_progress::Silent;
+use pimento_progress::TimedOut;
 use pimento_wire::Frame;
 use pimento_wire::frame;
 use pimento_wire::frame::LENGTH;
@@ -53,7 +53,7 @@
     #[snafu(display("{source}"), context(false))]
     Bad { source: frame::Error },
     #[snafu(display("{source}"), context(false))]
-    Stalled { source: Silent },
+    Stalled { source: TimedOut },
 }
 
 /// Connections kept for their next call.
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use pimento_metrics::Names;
+use pimento_metrics::BoundedLabels;
 use pimento_metrics::counter;
-use pimento_metrics::figure;
 use pimento_metrics::gauge;
-use pimento_metrics::gauges;
+use pimento_metrics::gauge_vec;
 use pimento_metrics::histogram;
+use pimento_metrics::to_f64;
 use pimento_scheduler::Scheduler;
 use pimento_units::Money;
 use pimento_units::id;
@@ -41,7 +41,7 @@
 pub struct Metrics {
     registry: Registry,
     /// Customers with series of their own.
-    customers: Names,
+    customers: BoundedLabels,
     first_byte: HistogramVec,
     last_byte: HistogramVec,
     queue_wait: HistogramVec,
@@ -133,7 +133,7 @@
                 "Cascade steps, by version and what became of the answer",
                 &["version", "result"],
             ),
-            pools: gauges(
+            pools: gauge_vec(
                 r,
                 "pimento_pool",
                 "Jobs waiting, calls in flight, slots, endpoints usable and ejected, by pool",
@@ -149,14 +149,14 @@
                 "pimento_bills_waiting",
                 "Bills that were not yet read back from the log",
             ),
-            spend_granted: gauges(
+            spend_granted: gauge_vec(
                 r,
                 "pimento_spend_granted",
                 "Money granted to this node in the present spend period, in currency units",
                 &["customer"],
             ),
             kept_bytes: gauge(r, "pimento_kept_bytes", "Memory of kept answers, in bytes"),
-            customers: Names::new(customers),
+            customers: BoundedLabels::new(customers),
             registry,
         }
     }
@@ -211,13 +211,13 @@
     /// Sets the gauges that are read when asked for.
     pub fn gauge(&self, age: Duration, bills: usize, kept: usize, scheduler: &Scheduler) {
         self.state_age.set(age.as_secs_f64());
-        self.bills_waiting.set(figure(bills));
-        self.kept_bytes.set(figure(kept));
+        self.bills_waiting.set(to_f64(bills));
+        self.kept_bytes.set(to_f64(kept));
         for (name, pool) in scheduler.pools() {
             for (which, count) in pool.depth().figures() {
                 self.pools
                     .with_label_values(&[name.as_str(), which])
-                    .set(figure(count));
+                    .set(to_f64(count));
             }
         }
     }
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -99,7 +99,11 @@
             .view(|view| view.fold().granted(&contract.customer, period, holder));
         node.metrics.granted(&contract.customer, granted);
     }
-    reply::raw(StatusCode::OK, pimento_metrics::TYPE, node.metrics.text())
+    reply::raw(
+        StatusCode::OK,
+        pimento_metrics::CONTENT_TYPE,
+        node.metrics.text(),
+    )
 }
 
 fn state(node: &Node) -> State {
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,6 +1,6 @@
 //! Series of metrics: registered once, bounded by who uses them, and written as text.
 //!
-//! Names and labels are constants of the programs. One that `prometheus` does not take, or that is
+//! BoundedLabels and labels are constants of the programs. One that `prometheus` does not take, or that is
 //! registered twice, is a fault of the program and ends it at its start.
 
 use std::sync::Mutex;
@@ -18,7 +18,7 @@
 use prometheus::TextEncoder;
 
 /// Content type of [`text`].
-pub const TYPE: &str = prometheus::TEXT_FORMAT;
+pub const CONTENT_TYPE: &str = prometheus::TEXT_FORMAT;
 
 /// A histogram by `labels`, with these upper bounds.
 ///
@@ -59,7 +59,7 @@
 ///
 /// If the name or a label can't be used, or the name is registered already.
 #[must_use]
-pub fn gauges(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> GaugeVec {
+pub fn gauge_vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> GaugeVec {
     let vec = GaugeVec::new(Opts::new(name, help), labels);
     let vec = vec.expect("the name and labels are constants that prometheus takes");
     register(registry, &vec);
@@ -97,23 +97,23 @@
 /// A count as a figure for a chart.
 #[expect(clippy::cast_precision_loss, reason = "a figure for a chart")]
 #[must_use]
-pub fn figure(count: impl TryInto<u64>) -> f64 {
+pub fn to_f64(count: impl TryInto<u64>) -> f64 {
     count.try_into().unwrap_or(u64::MAX) as f64
 }
 
 /// The label of all names past the bound.
 const OTHERS: &str = "other";
 
-/// Names that have series of their own: the first so many that were seen. Names come from operators,
+/// BoundedLabels that have series of their own: the first so many that were seen. BoundedLabels come from operators,
 /// and each one more is a series of every metric that bears it.
 #[derive(Debug)]
-pub struct Names {
+pub struct BoundedLabels {
     most: usize,
     /// Sorted.
     known: Mutex<Vec<CompactString>>,
 }
 
-impl Names {
+impl BoundedLabels {
     /// None seen yet, of at most so many.
     #[must_use]
     pub const fn new(most: usize) -> Self {
--- a/crates/metrics/tests/names.rs
+++ b/crates/metrics/tests/names.rs
@@ -1,12 +1,12 @@
-//! Names of series are bounded.
+//! BoundedLabels of series are bounded.
 
-use pimento_metrics::Names;
+use pimento_metrics::BoundedLabels;
 
 /// Operators add names without end. The first keep series of their own, all others share one, and a
 /// name keeps its label.
 #[test]
 fn names_past_the_bound_share_a_label() {
-    let names = Names::new(2);
+    let names = BoundedLabels::new(2);
     let labels: Vec<_> = ["b", "a", "c", "a", "d", "b"]
         .map(|name| names.label(name))
         .into();
--- a/crates/progress/src/lib.rs
+++ b/crates/progress/src/lib.rs
@@ -26,7 +26,7 @@
 /// Nothing came of an answer for too long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("no answer in time"))]
-pub struct Silent;
+pub struct TimedOut;
 
 /// Counts the bytes of one call's answer as they come. Clones share the count.
 #[derive(Debug, Clone, Default)]
@@ -55,13 +55,13 @@
     ///
     /// # Errors
     ///
-    /// [`Silent`] if nothing came for that long; the call is dropped.
+    /// [`TimedOut`] if nothing came for that long; the call is dropped.
     pub async fn wait<T>(
         &self,
         call: impl Future<Output = T>,
         first: Duration,
         patience: Duration,
-    ) -> Result<T, Silent> {
+    ) -> Result<T, TimedOut> {
         let mut call = pin!(call);
         let mut received = self.received.subscribe();
         let mut bound = first;
@@ -70,7 +70,7 @@
                 biased;
                 done = &mut call => return Ok(done),
                 _ = received.changed() => bound = patience,
-                () = tokio::time::sleep(bound) => return Err(Silent),
+                () = tokio::time::sleep(bound) => return Err(TimedOut),
             }
         }
     }
--- a/crates/progress/tests/progress.rs
+++ b/crates/progress/tests/progress.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pimento_progress::Progress;
-use pimento_progress::Silent;
+use pimento_progress::TimedOut;
 use tokio::time::Instant;
 
 const FIRST: Duration = Duration::from_secs(3);
@@ -20,7 +20,7 @@
     pieces
 }
 
-async fn wait(pieces: u32, first: Duration, pause: Duration) -> (Result<u32, Silent>, Progress) {
+async fn wait(pieces: u32, first: Duration, pause: Duration) -> (Result<u32, TimedOut>, Progress) {
     let progress = Progress::default();
     let call = answer(&progress, pieces, first, pause);
     let waited = progress.wait(call, FIRST, PATIENCE).await;
@@ -43,7 +43,7 @@
 async fn an_answer_that_does_not_begin_is_given_up() {
     let begun = Instant::now();
     let (waited, progress) = wait(1, FIRST + MOMENT, MOMENT).await;
-    assert_eq!(waited, Err(Silent));
+    assert_eq!(waited, Err(TimedOut));
     assert_eq!(begun.elapsed(), FIRST);
     assert_eq!(progress.received().last, None);
 }
@@ -53,7 +53,7 @@
 async fn an_answer_that_stops_coming_is_given_up() {
     let begun = Instant::now();
     let (waited, progress) = wait(3, MOMENT, PATIENCE + MOMENT).await;
-    assert_eq!(waited, Err(Silent));
+    assert_eq!(waited, Err(TimedOut));
     assert_eq!(begun.elapsed(), MOMENT + PATIENCE);
     assert_eq!(progress.received().bytes, 10);
 }
--- a/crates/relay/src/follow/exchange.rs
+++ b/crates/relay/src/follow/exchange.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 use pimento_progress::Progress;
 use pimento_progress::Received;
-use pimento_progress::Silent;
+use pimento_progress::TimedOut;
 use pimento_units::Moment;
 
 use crate::boot;
@@ -83,7 +83,7 @@
     }
 
     /// The failure of a read that timed out.
-    pub fn given_up(&self, silent: Silent) -> Failure {
+    pub fn given_up(&self, silent: TimedOut) -> Failure {
         self.failed(zone::Failure::Unanswered, silent.to_string())
     }
 
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -3,7 +3,7 @@
 use std::future::Future;
 use std::time::Duration;
 
-use pimento_progress::Silent;
+use pimento_progress::TimedOut;
 use pimento_units::Moment;
 
 use super::Fold;
@@ -85,7 +85,7 @@
         answer: impl Future<Output = T>,
         first: Duration,
         timeout: Duration,
-    ) -> Result<T, Silent> {
+    ) -> Result<T, TimedOut> {
         self.lock().running_read = Some(exchange.progress.clone());
         let waited = exchange.progress.wait(answer, first, timeout).await;
         self.lock().running_read = None;
@@ -158,7 +158,7 @@
     fn count(
         &self,
         exchange: &Exchange,
-        answer: Result<Result<Batch, Error>, Silent>,
+        answer: Result<Result<Batch, Error>, TimedOut>,
     ) -> Result<Result<Batch, Error>, Failure> {
         let mut inner = self.lock();
         let counts = &mut inner.read_counts;
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -9,11 +9,11 @@
 use hyper::body::Incoming;
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderValue;
-use pimento_metrics::Names;
+use pimento_metrics::BoundedLabels;
 use pimento_metrics::counter;
-use pimento_metrics::figure;
-use pimento_metrics::gauges;
+use pimento_metrics::gauge_vec;
 use pimento_metrics::histogram;
+use pimento_metrics::to_f64;
 use pimento_scheduler::Scheduler;
 use pimento_serve::Reply;
 use pimento_serve::Serve;
@@ -50,7 +50,7 @@
 pub struct Metrics {
     registry: Registry,
     /// Routes that have their own series.
-    routes: Names,
+    routes: BoundedLabels,
     answers: IntCounterVec,
     refusals: IntCounterVec,
     attempts: IntCounterVec,
@@ -119,51 +119,51 @@
                 &LATENCY_BUCKETS,
                 &["route"],
             ),
-            pools: gauges(
+            pools: gauge_vec(
                 r,
                 "pimento_pool",
                 "Jobs waiting, calls in flight, slots, endpoints usable and ejected, repeats left, by \
                  pool",
                 &["pool", "figure"],
             ),
-            ages: gauges(
+            ages: gauge_vec(
                 r,
                 "pimento_view_age_seconds",
                 "Time since a topic's view was last known to be current",
                 &["topic"],
             ),
-            behind: gauges(
+            behind: gauge_vec(
                 r,
                 "pimento_view_behind_seconds",
                 "Time for which a topic's view has lacked a change that another VM knows of",
                 &["topic"],
             ),
-            reads: gauges(
+            reads: gauge_vec(
                 r,
                 "pimento_log_reads",
                 "Reads of a topic since the start by how they ended, and bytes that came",
                 &["topic", "figure"],
             ),
-            calls: gauges(
+            calls: gauge_vec(
                 r,
                 "pimento_log_calls",
                 "Calls of the log since the start, by topic and why they were made",
                 &["topic", "reason"],
             ),
-            rollouts: gauges(
+            rollouts: gauge_vec(
                 r,
                 "pimento_rollout_evidence",
                 "Answers of the new version in a roll-out as this VM knows them, by pool and outcome",
                 &["pool", "outcome"],
             ),
             poison: poison(r),
-            log_lines: gauges(
+            log_lines: gauge_vec(
                 r,
                 "pimento_log_lines_left_out",
                 "Log lines left out since the start, by reason",
                 &["reason"],
             ),
-            routes: Names::new(MAX_ROUTES),
+            routes: BoundedLabels::new(MAX_ROUTES),
             registry,
         }
     }
@@ -171,7 +171,7 @@
 
 fn poison(registry: &Registry) -> GaugeVec {
     let what = "Requests under which endpoints ended: suspects, and those that are sent no more";
-    gauges(registry, "pimento_poison_requests", what, &["state"])
+    gauge_vec(registry, "pimento_poison_requests", what, &["state"])
 }
 
 impl Metrics {
@@ -224,7 +224,7 @@
     fn set_pool_depths(&self, scheduler: &Scheduler) {
         for (name, pool) in scheduler.pools() {
             for (which, count) in pool.depth().figures() {
-                self.set_pool_figure(&name, which, figure(count));
+                self.set_pool_figure(&name, which, to_f64(count));
             }
         }
     }
@@ -251,7 +251,7 @@
         for (name, count) in figures {
             self.reads
                 .with_label_values(&[topic, name])
-                .set(figure(count));
+                .set(to_f64(count));
         }
     }
 
@@ -284,7 +284,7 @@
         for count in node.calls.counts() {
             let labels = [count.topic.as_str(), count.reason.as_str()];
             let gauge = metrics.calls.with_label_values(&labels);
-            gauge.set(figure(count.calls));
+            gauge.set(to_f64(count.calls));
         }
         for (pool, left) in node.retry_budgets.remaining(node.now()) {
             metrics.set_pool_figure(&pool, "repeats_left", left);
@@ -303,13 +303,13 @@
         for (state, count) in [("suspect", suspect), ("barred", blocked)] {
             let count = u64::try_from(count).unwrap_or(u64::MAX);
             let gauge = metrics.poison.with_label_values(&[state]);
-            gauge.set(figure(count));
+            gauge.set(to_f64(count));
         }
         let left_out = pimento_logs::left_out();
         let reasons = [("budget", left_out.budget), ("unread", left_out.unread)];
         for (reason, count) in reasons {
             let gauge = metrics.log_lines.with_label_values(&[reason]);
-            gauge.set(figure(count));
+            gauge.set(to_f64(count));
         }
     }
 }
@@ -325,7 +325,7 @@
         let mut response = Response::new(Reply::whole(pimento_metrics::text(
             &self.0.metrics.registry,
         )));
-        let kind = HeaderValue::from_static(pimento_metrics::TYPE);
+        let kind = HeaderValue::from_static(pimento_metrics::CONTENT_TYPE);
         response.headers_mut().insert(CONTENT_TYPE, kind);
         response
     }
