--- a/crates/entry/src/chain.rs
+++ b/crates/entry/src/chain.rs
@@ -9,7 +9,7 @@
 use hyper::Request;
 use hyper::Response;
 use hyper::body::Incoming;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_wire::api::Model;
 use pimento_wire::api::Models;
 use tokio_util::sync::CancellationToken;
@@ -36,7 +36,7 @@
     node: &Arc<Node>,
     request: Request<Incoming>,
     gone: CancellationToken,
-) -> Response<Reply> {
+) -> Response<ReplyBody> {
     let (head, body) = request.into_parts();
     let path = head.uri.path();
     let answer = if path == CHAT && head.method == Method::POST {
@@ -61,7 +61,7 @@
 async fn models(
     node: &Node,
     head: &hyper::http::request::Parts,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ReplyBody>, Refusal> {
     let caller = Authenticate(node).apply(&head.headers).await?;
     let contract = caller.state.contract(&caller.customer);
     let classes = contract.map_or(&[][..], |contract| &contract.classes);
--- a/crates/entry/src/chain/model.rs
+++ b/crates/entry/src/chain/model.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
 use pimento_ledger::record::Item;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_wire::api::Run;
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
@@ -42,7 +42,7 @@
     head: &Parts,
     body: Incoming,
     gone: CancellationToken,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ReplyBody>, Refusal> {
     let caller = Authenticate(node).apply(&head.headers).await?;
     let body = identify::body(node, body).await?;
     let raw = Raw {
@@ -61,7 +61,7 @@
     }
 }
 
-async fn whole(node: &Arc<Node>, funded: Funded) -> Result<Response<Reply>, Refusal> {
+async fn whole(node: &Arc<Node>, funded: Funded) -> Result<Response<ReplyBody>, Refusal> {
     let identity = &funded.bound.request.identity;
     let request = identity.id;
     let mut delivery = Delivery::whole(node.clock, request, identity.deadline);
@@ -70,7 +70,7 @@
 }
 
 /// Runs on as a task of its own, since the response's head goes out before its body is complete.
-async fn stream(node: &Arc<Node>, funded: Funded) -> Result<Response<Reply>, Refusal> {
+async fn stream(node: &Arc<Node>, funded: Funded) -> Result<Response<ReplyBody>, Refusal> {
     let (head, response) = oneshot::channel();
     let identity = &funded.bound.request.identity;
     let mut delivery = Delivery::stream(node.clock, identity.id, identity.deadline, head);
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -17,7 +17,7 @@
 use pimento_policy::retry;
 use pimento_scheduler::Job;
 use pimento_scheduler::Permit;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_units::Money;
 use pimento_units::Tokens;
 use pimento_wire::api::Run;
@@ -69,7 +69,7 @@
     head: &Parts,
     body: Incoming,
     gone: CancellationToken,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ReplyBody>, Refusal> {
     let call = read(node, head, body, gone).await?;
     if let Some(subject) = call.claim
         && let Some(answer) = Claim(node).kept(subject)?
@@ -270,7 +270,7 @@
     fund: Fund,
     trace: &Trace,
     answer: service::Answer,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ReplyBody>, Refusal> {
     // Only what the service carried out is charged.
     let charged = !answer.status.is_client_error() && !answer.status.is_server_error();
     if charged {
@@ -308,7 +308,7 @@
         request:% = call.identity.id, customer:% = call.customer;
         "reply: Served {name} with {} in {took:?}.", answer.status
     );
-    let mut response = Response::new(Reply::whole(answer.body));
+    let mut response = Response::new(ReplyBody::whole(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
     Ok(response)
@@ -325,7 +325,7 @@
     }
 }
 
-fn again(answer: &kept::Answer) -> Response<Reply> {
+fn again(answer: &kept::Answer) -> Response<ReplyBody> {
     let status = hyper::StatusCode::from_u16(answer.status).unwrap_or(hyper::StatusCode::OK);
     let mut response = reply::raw(status, &answer.content, answer.body.clone());
     let ran = hyper::header::HeaderValue::from_static(Run::Ran.as_str());
--- a/crates/entry/src/filter/assemble.rs
+++ b/crates/entry/src/filter/assemble.rs
@@ -11,7 +11,7 @@
 use hyper::Response;
 use pimento_endpoint::Fault;
 use pimento_scheduler::Clock;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Writer;
 use pimento_units::Moment;
 use pimento_units::Tokens;
@@ -49,7 +49,7 @@
     /// The caller wants the answer as a whole.
     Whole,
     /// The caller wants a stream, and nothing was sent yet.
-    Closed(oneshot::Sender<Response<Reply>>),
+    Closed(oneshot::Sender<Response<ReplyBody>>),
     /// The stream has begun.
     Open(Writer),
     /// The stream has ended.
@@ -97,7 +97,7 @@
         clock: Clock,
         request: id::Request,
         deadline: Moment,
-        head: oneshot::Sender<Response<Reply>>,
+        head: oneshot::Sender<Response<ReplyBody>>,
     ) -> Self {
         Self::new(clock, request, deadline, Outlet::Closed(head))
     }
@@ -320,7 +320,7 @@
         let outlet = std::mem::replace(&mut self.outlet, Outlet::Ended);
         self.outlet = match outlet {
             Outlet::Closed(head) => {
-                let (writer, body) = Reply::stream();
+                let (writer, body) = ReplyBody::stream();
                 self.first = Some(self.clock.now());
                 head.send(self.head.stream(body))
                     .map_err(|_| Fault::Cancelled)?;
--- a/crates/entry/src/filter/reply.rs
+++ b/crates/entry/src/filter/reply.rs
@@ -8,7 +8,7 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderMap;
 use hyper::header::HeaderValue;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_units::Wall;
 use pimento_units::id;
 use pimento_wire::api::Choice;
@@ -31,7 +31,7 @@
 impl Head {
     /// A streamed response.
     #[must_use]
-    pub fn stream(&self, body: Reply) -> Response<Reply> {
+    pub fn stream(&self, body: ReplyBody) -> Response<ReplyBody> {
         let mut response = Response::new(body);
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
@@ -42,7 +42,7 @@
 
     /// A whole response.
     #[must_use]
-    pub fn whole(&self, request: id::Request, now: Wall, answer: Answer) -> Response<Reply> {
+    pub fn whole(&self, request: id::Request, now: Wall, answer: Answer) -> Response<ReplyBody> {
         let completion = Completion {
             id: compact_str::format_compact!("chatcmpl-{request}"),
             object: CompactString::const_new("chat.completion"),
@@ -77,7 +77,7 @@
 
 /// A JSON response with status 200.
 #[must_use]
-pub fn json(body: &impl Serialize) -> Response<Reply> {
+pub fn json(body: &impl Serialize) -> Response<ReplyBody> {
     // Our own response types have string keys only, so that encoding can't fail.
     let body = serde_json::to_vec(body).unwrap_or_default();
     raw(StatusCode::OK, "application/json", body)
@@ -85,8 +85,8 @@
 
 /// A response of any type.
 #[must_use]
-pub fn raw(status: StatusCode, content: &str, body: impl Into<Bytes>) -> Response<Reply> {
-    let mut response = Response::new(Reply::whole(body));
+pub fn raw(status: StatusCode, content: &str, body: impl Into<Bytes>) -> Response<ReplyBody> {
+    let mut response = Response::new(ReplyBody::whole(body));
     *response.status_mut() = status;
     if let Ok(content) = HeaderValue::from_str(content) {
         response.headers_mut().insert(CONTENT_TYPE, content);
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -7,7 +7,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use hyper::body::Incoming;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Serve;
 use pimento_units::id;
 use pimento_wire::operators;
@@ -60,7 +60,7 @@
 }
 
 impl Serve for Operators {
-    async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
+    async fn serve(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         if request.method() != Method::GET {
             let message = "only GET is taken here";
             return Refusal::not_run(Code::WrongMethod, message).response();
@@ -76,11 +76,11 @@
     }
 }
 
-fn text(status: StatusCode, text: &'static str) -> Response<Reply> {
+fn text(status: StatusCode, text: &'static str) -> Response<ReplyBody> {
     reply::raw(status, "text/plain", text)
 }
 
-fn metrics(node: &Node) -> Response<Reply> {
+fn metrics(node: &Node) -> Response<ReplyBody> {
     let waiting = node.outbox.waiting();
     node.metrics.gauge(
         node.state.age(),
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -11,7 +11,7 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderValue;
 use pimento_scheduler::Refused;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_wire::api::Error;
 use pimento_wire::api::ErrorBody;
 use pimento_wire::api::Run;
@@ -201,8 +201,8 @@
 
     /// The whole response.
     #[must_use]
-    pub fn response(&self) -> Response<Reply> {
-        let mut response = Response::new(Reply::whole(self.json()));
+    pub fn response(&self) -> Response<ReplyBody> {
+        let mut response = Response::new(ReplyBody::whole(self.json()));
         let status = StatusCode::from_u16(self.code.parts().0);
         *response.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let headers = response.headers_mut();
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -103,7 +103,7 @@
         let finished = self.finish(bound).await;
         let flushed = self.flush(Instant::now() + FLUSH).await;
         self.operators_stop.closing.cancel();
-        self.operators_stop.cut.cancel();
+        self.operators_stop.abort.cancel();
         self.background.cancel();
         log::info!("server: Ended.");
         finished && flushed
@@ -125,7 +125,7 @@
             "server: The last bound has passed, cutting {} tasks.",
             self.node.tasks.len()
         );
-        self.stop.cut.cancel();
+        self.stop.abort.cancel();
         false
     }
 
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -5,7 +5,7 @@
 use hyper::Request;
 use hyper::Response;
 use hyper::body::Incoming;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Serve;
 use pimento_wire::api::Run;
 use tokio_util::sync::CancellationToken;
@@ -22,7 +22,7 @@
 impl Serve for Callers {
     /// Runs the chain as a task of its own. The server drops a response's future when its caller
     /// goes away, and a call that may not be repeated must not be left half way.
-    async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
+    async fn serve(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         let gone = CancellationToken::new();
         let watch = gone.clone().drop_guard();
         let node = Arc::clone(&self.0);
--- a/crates/relay/src/buffered.rs
+++ b/crates/relay/src/buffered.rs
@@ -9,7 +9,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use pimento_endpoint::Fault;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Writer;
 use pimento_units::Tokens;
 
@@ -45,10 +45,10 @@
 pub async fn serve<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     request: &AdmittedRequest,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ReplyBody>, Refusal> {
     let mut attempts = Attempts::new(node, request);
     // A server error of an endpoint is forwarded unchanged if no other response follows.
-    let mut failure: Option<Response<Reply>> = None;
+    let mut failure: Option<Response<ReplyBody>> = None;
     loop {
         let opened = match attempts.open(&Overrides::default()).await {
             Ok(opened) => opened,
@@ -78,7 +78,7 @@
                     permit.served(PLAIN_CALL_WORK);
                 }
                 record_response(node, request, head.status, bytes.len());
-                let response = Response::from_parts(head, Reply::whole(bytes));
+                let response = Response::from_parts(head, ReplyBody::whole(bytes));
                 if failed && attempts.may_retry() {
                     failure = Some(response);
                     continue;
@@ -86,7 +86,7 @@
                 return Ok(response);
             }
             Ok(Buffered::Partial(start, rest)) => {
-                let (writer, reply) = Reply::stream();
+                let (writer, reply) = ReplyBody::stream();
                 let left = request.left(node.now());
                 let (shared, digest) = (node.clone(), request.digest);
                 node.response_tasks.spawn(async move {
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -13,7 +13,7 @@
 use hyper::http::request;
 use pimento_scheduler::Clock;
 use pimento_serve::Limits;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Serve;
 use pimento_units::Moment;
 
@@ -34,7 +34,7 @@
 
 /// Limits that apply before a configuration was read.
 const DEFAULT_LIMITS: Limits = Limits {
-    head: Duration::from_secs(10),
+    head_timeout: Duration::from_secs(10),
     head_bytes: 16 << 10,
 };
 
@@ -53,7 +53,7 @@
 }
 
 impl<P: HeaderCodec + Codec, L: Log> Serve for RequestHandler<P, L> {
-    async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
+    async fn serve(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         let node = &self.0;
         let began = node.now();
         let (head, body) = request.into_parts();
@@ -81,7 +81,7 @@
         };
         let limits = table.limits();
         Limits {
-            head: limits.idle_timeout.max(limits.receive_timeout),
+            head_timeout: limits.idle_timeout.max(limits.receive_timeout),
             head_bytes: limits.head_bytes + HEAD_OVERRUN_BYTES,
         }
     }
@@ -142,7 +142,7 @@
     (head, body): (request::Parts, Incoming),
     info: RequestInfo,
     began: Moment,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ReplyBody>, Refusal> {
     let grant = admit::admit(node, &info, head.uri.path()).await?;
     let limits = *grant.table.limits();
     if head_bytes(&head) > limits.head_bytes {
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -15,7 +15,7 @@
 use pimento_metrics::histogram;
 use pimento_metrics::to_f64;
 use pimento_scheduler::Scheduler;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Serve;
 use pimento_units::id;
 use prometheus::GaugeVec;
@@ -315,14 +315,14 @@
 }
 
 impl<P: HeaderCodec + Codec, L: Log> Serve for MetricsService<P, L> {
-    async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
+    async fn serve(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         if request.uri().path() != PATH {
-            let mut response = Response::new(Reply::whole("not found\n"));
+            let mut response = Response::new(ReplyBody::whole("not found\n"));
             *response.status_mut() = StatusCode::NOT_FOUND;
             return response;
         }
         self.update_gauges();
-        let mut response = Response::new(Reply::whole(pimento_metrics::text(
+        let mut response = Response::new(ReplyBody::whole(pimento_metrics::text(
             &self.0.metrics.registry,
         )));
         let kind = HeaderValue::from_static(pimento_metrics::CONTENT_TYPE);
--- a/crates/relay/src/neighbours/records.rs
+++ b/crates/relay/src/neighbours/records.rs
@@ -9,7 +9,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use hyper::body::Incoming;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Serve;
 use pimento_serve::Stop;
 use pimento_units::Offset;
@@ -151,17 +151,17 @@
 }
 
 impl<P: HeaderCodec + Codec, L: Log> Serve for Records<P, L> {
-    async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
+    async fn serve(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         let path = request.uri().path();
         let packed = match snapshot_request(path) {
             Some(topic) => self.snapshot(topic).await,
             None => records_request(path).and_then(|(topic, from)| self.records(topic, from)),
         };
         let Some(bytes) = packed else {
-            let mut response = Response::new(Reply::whole("not here\n"));
+            let mut response = Response::new(ReplyBody::whole("not here\n"));
             *response.status_mut() = StatusCode::NOT_FOUND;
             return response;
         };
-        Response::new(Reply::whole(bytes))
+        Response::new(ReplyBody::whole(bytes))
     }
 }
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -16,7 +16,7 @@
 use hyper::header::HeaderValue;
 use hyper::header::RETRY_AFTER;
 use pimento_scheduler::Refused;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -172,9 +172,9 @@
 
     /// The complete response. Its body is the cause's name.
     #[must_use]
-    pub fn response(&self) -> Response<Reply> {
+    pub fn response(&self) -> Response<ReplyBody> {
         let text = format!("{}\n", self.cause);
-        let mut response = Response::new(Reply::whole(Bytes::from(text)));
+        let mut response = Response::new(ReplyBody::whole(Bytes::from(text)));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -11,7 +11,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use hyper::body::Incoming;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Serve;
 use pimento_serve::Stop;
 use snafu::ResultExt;
@@ -114,7 +114,7 @@
         let complete = tokio::time::timeout(left, done).await.is_ok();
         if !complete {
             log::error!("server: Grace period is over, aborting requests in flight.");
-            self.stop.cut.cancel();
+            self.stop.abort.cancel();
         }
         self.background.cancel();
         log::info!("server: Stopped.");
@@ -138,10 +138,13 @@
 }
 
 impl<P: HeaderCodec + Codec, L: Log> Serve for Ready<P, L> {
-    async fn serve(&self, _request: Request<Incoming>) -> Response<Reply> {
+    async fn serve(&self, _request: Request<Incoming>) -> Response<ReplyBody> {
         let ready = self.0.ready();
-        let mut response =
-            Response::new(Reply::whole(if ready { "ready\n" } else { "not ready\n" }));
+        let mut response = Response::new(ReplyBody::whole(if ready {
+            "ready\n"
+        } else {
+            "not ready\n"
+        }));
         if !ready {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -14,9 +14,9 @@
 use hyper::http::response;
 use pimento_endpoint::Fault;
 use pimento_scheduler::Permit;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Writer;
-use pimento_serve::body::Gone;
+use pimento_serve::body::Disconnected;
 use pimento_units::Tokens;
 use tokio::time::Instant;
 
@@ -132,7 +132,7 @@
     /// A stream, with its first event.
     Stream(Box<Started>),
     /// An error response, to be forwarded if no other response follows.
-    Error(Response<Reply>),
+    Error(Response<ReplyBody>),
 }
 
 /// Handles a request for a stream.
@@ -143,9 +143,9 @@
 pub async fn serve<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     request: AdmittedRequest,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ReplyBody>, Refusal> {
     let mut attempts = Attempts::new(node, &request);
-    let mut error: Option<Response<Reply>> = None;
+    let mut error: Option<Response<ReplyBody>> = None;
     let mut dropped = None;
     let mut overrides = Overrides {
         model: cascade::first_model(&request),
@@ -181,7 +181,7 @@
     let took = node.now().since(request.began);
     node.metrics
         .observe_first_byte(&request.grant.route.name, took);
-    let (writer, reply) = Reply::stream();
+    let (writer, reply) = ReplyBody::stream();
     let node = node.clone();
     let tasks = node.response_tasks.clone();
     tasks.spawn(async move {
@@ -226,7 +226,7 @@
                     status: head.status.as_u16(),
                 });
                 node.platform.strip_connection_headers(&mut head.headers);
-                let response = Response::from_parts(head, Reply::whole(bytes));
+                let response = Response::from_parts(head, ReplyBody::whole(bytes));
                 Ok(Some(Start::Error(response)))
             }
             Err(fault) => attempts.attempt_failed(permit, &fault).map(|()| None),
@@ -298,7 +298,7 @@
         self.due.get_or_insert(now + delay);
     }
 
-    async fn flush(&mut self, writer: &Writer) -> Result<(), Gone> {
+    async fn flush(&mut self, writer: &Writer) -> Result<(), Disconnected> {
         self.due = None;
         if self.bytes.is_empty() {
             return Ok(());
@@ -312,7 +312,7 @@
     source: &mut Source,
     writer: &Writer,
     batch: &mut EventBatch,
-) -> Result<Result<Item, Fault>, Gone> {
+) -> Result<Result<Item, Fault>, Disconnected> {
     while let Some(due) = batch.due {
         match tokio::time::timeout_at(due, source.next()).await {
             Ok(item) => return Ok(item),
@@ -350,7 +350,7 @@
         let forwarding = self.forward(&writer, source, first);
         let end = tokio::select! {
             end = forwarding => end,
-            () = writer.gone() => End::Disconnected,
+            () = writer.disconnected() => End::Disconnected,
             () = tokio::time::sleep(left) => End::Aborted(Cause::Timeout),
         };
         self.record_end(&end);
@@ -392,7 +392,7 @@
                         batch.push(&event, Instant::now());
                         item = match next(&mut source, writer, &mut batch).await {
                             Ok(item) => item,
-                            Err(Gone) => return End::Disconnected,
+                            Err(Disconnected) => return End::Disconnected,
                         };
                     }
                     Ok(false) => item = source.next().await,
--- a/crates/serve/src/body.rs
+++ b/crates/serve/src/body.rs
@@ -16,7 +16,7 @@
 
 /// The body of a response.
 #[derive(Debug)]
-pub enum Reply {
+pub enum ReplyBody {
     /// Known as a whole.
     Whole(Option<Bytes>),
     /// Comes piece by piece.
@@ -46,14 +46,14 @@
 /// The writer went away before the end.
 #[derive(Debug, Snafu)]
 #[snafu(display("the answer broke off"))]
-pub struct Broken;
+pub struct Truncated;
 
 /// The reader went away.
 #[derive(Debug, Snafu)]
 #[snafu(display("the caller went away"))]
-pub struct Gone;
+pub struct Disconnected;
 
-impl Reply {
+impl ReplyBody {
     /// A whole body.
     #[must_use]
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
@@ -77,35 +77,35 @@
     ///
     /// # Errors
     ///
-    /// [`Gone`] if the reader went away.
-    pub async fn send(&self, data: impl Into<Bytes>) -> Result<(), Gone> {
+    /// [`Disconnected`] if the reader went away.
+    pub async fn send(&self, data: impl Into<Bytes>) -> Result<(), Disconnected> {
         let piece = Piece::Data(data.into());
-        self.pieces.send(piece).await.map_err(|_| Gone)
+        self.pieces.send(piece).await.map_err(|_| Disconnected)
     }
 
     /// Ends the body cleanly.
     ///
     /// # Errors
     ///
-    /// [`Gone`] if the reader went away.
-    pub async fn end(self) -> Result<(), Gone> {
-        self.pieces.send(Piece::End).await.map_err(|_| Gone)
+    /// [`Disconnected`] if the reader went away.
+    pub async fn end(self) -> Result<(), Disconnected> {
+        self.pieces.send(Piece::End).await.map_err(|_| Disconnected)
     }
 
     /// Returns once the reader went away.
-    pub async fn gone(&self) {
+    pub async fn disconnected(&self) {
         self.pieces.closed().await;
     }
 }
 
-impl Body for Reply {
+impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Truncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Self::Stream(stream) => stream.poll(cx),
@@ -129,7 +129,7 @@
 }
 
 impl Stream {
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         if self.ended {
             return Poll::Ready(None);
         }
@@ -141,7 +141,7 @@
             }
             None => {
                 self.ended = true;
-                Some(Err(Broken))
+                Some(Err(Truncated))
             }
         })
     }
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -18,7 +18,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::body::Reply;
+use crate::body::ReplyBody;
 
 /// Wait after a failed accept, which mostly means that file descriptors have run out.
 const PAUSE: Duration = Duration::from_millis(50);
@@ -28,7 +28,7 @@
 pub struct Limits {
     /// How long a caller may take to send the head of a request, idle time on a kept connection
     /// included.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Bytes of a head that are read before it is refused.
     pub head_bytes: usize,
 }
@@ -36,7 +36,7 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head: Duration::from_secs(30),
+            head_timeout: Duration::from_secs(30),
             head_bytes: 400 << 10,
         }
     }
@@ -45,7 +45,8 @@
 /// Answers requests.
 pub trait Serve: Clone + Send + Sync + 'static {
     /// Answers one request. The future is dropped when the caller closes its connection.
-    fn serve(&self, request: Request<Incoming>) -> impl Future<Output = Response<Reply>> + Send;
+    fn serve(&self, request: Request<Incoming>)
+    -> impl Future<Output = Response<ReplyBody>> + Send;
 
     /// What callers may send, asked for each new connection.
     fn limits(&self) -> Limits {
@@ -61,7 +62,7 @@
     /// No further connection is accepted, and each is closed once it is idle.
     pub closing: CancellationToken,
     /// All connections are cut.
-    pub cut: CancellationToken,
+    pub abort: CancellationToken,
 }
 
 /// Serves until told to close; returns once all connections are closed.
@@ -109,7 +110,7 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head)
+        .header_read_timeout(limits.head_timeout)
         .max_buf_size(limits.head_bytes)
         .serve_connection(TokioIo::new(stream), answer);
     tokio::pin!(connection);
@@ -119,7 +120,7 @@
             connection.as_mut().graceful_shutdown();
             tokio::select! {
                 result = connection => result,
-                () = stop.cut.cancelled() => Ok(()),
+                () = stop.abort.cancelled() => Ok(()),
             }
         }
     };
