--- a/crates/logs/src/append.rs
+++ b/crates/logs/src/append.rs
@@ -13,7 +13,7 @@
 use logforth::record::Record;
 use pimento_units::Moment;
 
-use crate::budget::Weight;
+use crate::budget::Priority;
 use crate::queue::Queue;
 
 /// A clock that does not jump.
@@ -21,23 +21,23 @@
 
 /// Queues lines.
 #[derive(Debug)]
-pub struct Queued<L> {
+pub struct QueueAppender<L> {
     pub queue: Arc<Queue>,
     pub layout: L,
     pub clock: Clock,
 }
 
-fn weight(level: Level) -> Weight {
+fn priority(level: Level) -> Priority {
     if level >= Level::Warn {
-        Weight::Grave
+        Priority::High
     } else {
-        Weight::Plain
+        Priority::Normal
     }
 }
 
-impl<L: Layout> Append for Queued<L> {
+impl<L: Layout> Append for QueueAppender<L> {
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        if self.queue.admits(weight(record.level()), (self.clock)()) {
+        if self.queue.admit(priority(record.level()), (self.clock)()) {
             self.queue.push(&self.layout.format(record, diags)?);
         }
         Ok(())
@@ -50,9 +50,9 @@
 
 /// Adds a time to each line that orders the lines of a VM also where its time of day jumps.
 #[derive(Debug)]
-pub struct Steady(pub Clock);
+pub struct MonotonicTime(pub Clock);
 
-impl Diagnostic for Steady {
+impl Diagnostic for MonotonicTime {
     fn visit(&self, visitor: &mut dyn Visitor) -> Result<(), Error> {
         let millis = (self.0)().nanos() / 1_000_000;
         let key = Key::new("steady_ms");
--- a/crates/logs/src/budget.rs
+++ b/crates/logs/src/budget.rs
@@ -7,23 +7,23 @@
 /// Lines a second. A VM with a quarter of a core serves some tens of requests a second with about four
 /// lines each; this is several times as many, and a hundredth of that core at the ten microseconds
 /// that a line takes.
-const LINES: f64 = 400.0;
+const LINES_PER_SECOND: f64 = 400.0;
 
 /// Lines that may be written at once after a quiet time: two seconds' worth, which is how long a
 /// burst of requests or a change of the configuration makes many.
 const BURST: f64 = 800.0;
 
-/// Part of the burst that lines of single requests leave to warnings, so that what went wrong is told
+/// Part of the burst that lines of single requests leave to warnings, so that what went wrong is reported
 /// even where requests alone would use all lines up.
-const KEPT: f64 = 200.0;
+const RESERVED: f64 = 200.0;
 
 /// How much a line matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weight {
+pub enum Priority {
     /// Tells of a single request or of ordinary work.
-    Plain,
+    Normal,
     /// A warning or an error.
-    Grave,
+    High,
 }
 
 /// A token bucket of lines.
@@ -45,13 +45,13 @@
 
     /// Takes a line out, if there is one.
     #[must_use]
-    pub fn take(&mut self, weight: Weight, now: Moment) -> bool {
+    pub fn try_acquire(&mut self, priority: Priority, now: Moment) -> bool {
         let passed: Duration = now.since(self.at);
-        self.left = (self.left + passed.as_secs_f64() * LINES).min(BURST);
+        self.left = (self.left + passed.as_secs_f64() * LINES_PER_SECOND).min(BURST);
         self.at = self.at.max(now);
-        let kept = match weight {
-            Weight::Plain => KEPT,
-            Weight::Grave => 0.0,
+        let kept = match priority {
+            Priority::Normal => RESERVED,
+            Priority::High => 0.0,
         };
         let allowed = self.left >= kept + 1.0;
         if allowed {
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -4,7 +4,7 @@
 //! nobody reads the output, the queue fills and further lines are left out; if there are more lines
 //! than the [`Budget`] allows, those that tell of single requests are left out first. Both are
 //! counted, and a line says how many are missing at that place. [`start`] sets this up as the
-//! process's logger, [`flush`] waits a moment for what is queued, [`left_out`] gives the counts for
+//! process's logger, [`flush`] waits a moment for what is queued, [`dropped`] gives the counts for
 //! metrics.
 
 mod append;
@@ -13,11 +13,11 @@
 mod start;
 
 pub use budget::Budget;
-pub use queue::LeftOut;
+pub use queue::Dropped;
 pub use queue::Queue;
 pub use start::Format;
 pub use start::Output;
 pub use start::Settings;
+pub use start::dropped;
 pub use start::flush;
-pub use start::left_out;
 pub use start::start;
--- a/crates/logs/src/queue.rs
+++ b/crates/logs/src/queue.rs
@@ -11,23 +11,23 @@
 use pimento_units::Moment;
 
 use crate::budget::Budget;
-use crate::budget::Weight;
+use crate::budget::Priority;
 
 /// Bytes that wait at most, about a thousand lines. The smallest VMs have 88 MB for all.
-const WAITING: usize = 256 << 10;
+const MAX_QUEUED_BYTES: usize = 256 << 10;
 
 /// How long lines are gathered before they are written together. Each write is a wake-up of a thread
 /// and a system call, and a reader of logs doesn't mind a twentieth of a second.
-const GATHER: Duration = Duration::from_millis(50);
+const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Bytes that are written at once. A pipe takes so many as one; with more, a line of another process
 /// that shares the pipe could come in between.
-const AT_ONCE: usize = 4_096;
+const MAX_WRITE_BYTES: usize = 4_096;
 
 /// Whole lines, cut into pieces to be written at once. A longer line is a piece by itself.
 fn pieces(mut bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     std::iter::from_fn(move || {
-        let most = bytes.len().min(AT_ONCE);
+        let most = bytes.len().min(MAX_WRITE_BYTES);
         let last = bytes[..most].iter().rposition(|byte| *byte == b'\n');
         let end = last.or_else(|| bytes.iter().position(|byte| *byte == b'\n'))?;
         let (piece, rest) = bytes.split_at(end + 1);
@@ -38,16 +38,16 @@
 
 /// Lines that were left out since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct Dropped {
     /// Since there were too many.
-    pub budget: u64,
+    pub over_budget: u64,
     /// Since nobody read them in time, or the output failed.
-    pub unread: u64,
+    pub unwritten: u64,
 }
 
-impl LeftOut {
+impl Dropped {
     const fn sum(self) -> u64 {
-        self.budget + self.unread
+        self.over_budget + self.unwritten
     }
 }
 
@@ -55,9 +55,9 @@
 struct State {
     bytes: Vec<u8>,
     budget: Budget,
-    left_out: LeftOut,
-    /// What of it the output was told.
-    told: u64,
+    dropped: Dropped,
+    /// What of it the output was reported.
+    reported: u64,
     /// Bytes were taken out and are not written yet.
     writing: bool,
     closed: bool,
@@ -78,11 +78,11 @@
         let state = State {
             bytes: Vec::new(),
             budget: Budget::new(now),
-            left_out: LeftOut {
-                budget: 0,
-                unread: 0,
+            dropped: Dropped {
+                over_budget: 0,
+                unwritten: 0,
             },
-            told: 0,
+            reported: 0,
             writing: false,
             closed: false,
         };
@@ -100,15 +100,15 @@
     /// Whether a line may be made now; counts one that may not. Asked before the line is formatted,
     /// which is most of its cost.
     #[must_use]
-    pub fn admits(&self, weight: Weight, now: Moment) -> bool {
+    pub fn admit(&self, priority: Priority, now: Moment) -> bool {
         let mut state = self.lock();
-        if state.bytes.len() >= WAITING {
-            state.left_out.unread += 1;
+        if state.bytes.len() >= MAX_QUEUED_BYTES {
+            state.dropped.unwritten += 1;
             return false;
         }
-        let admitted = state.budget.take(weight, now);
+        let admitted = state.budget.try_acquire(priority, now);
         if !admitted {
-            state.left_out.budget += 1;
+            state.dropped.over_budget += 1;
         }
         admitted
     }
@@ -116,8 +116,8 @@
     /// Adds a line, without its end.
     pub fn push(&self, line: &[u8]) {
         let mut state = self.lock();
-        if state.bytes.len() + line.len() > WAITING {
-            state.left_out.unread += 1;
+        if state.bytes.len() + line.len() > MAX_QUEUED_BYTES {
+            state.dropped.unwritten += 1;
             return;
         }
         let first = state.bytes.is_empty();
@@ -131,17 +131,17 @@
 
     /// Lines that were left out.
     #[must_use]
-    pub fn left_out(&self) -> LeftOut {
-        self.lock().left_out
+    pub fn dropped(&self) -> Dropped {
+        self.lock().dropped
     }
 
     /// Writes lines as they come, until the queue is closed. `missing` makes the line that says how
     /// many are missing.
     pub fn write(&self, mut output: impl Write, missing: impl Fn(u64) -> Vec<u8>) {
-        while let Some((bytes, left_out)) = self.take() {
+        while let Some((bytes, dropped)) = self.take() {
             let mut written = pieces(&bytes).try_for_each(|piece| output.write_all(piece));
-            if left_out > 0 {
-                let mut line = missing(left_out);
+            if dropped > 0 {
+                let mut line = missing(dropped);
                 line.push(b'\n');
                 written = written.and_then(|()| output.write_all(&line));
             }
@@ -150,7 +150,7 @@
             if written.is_err() {
                 // There is nowhere to say so but in the count.
                 let lines = bytes.split(|byte| *byte == b'\n').count() - 1;
-                state.left_out.unread += lines as u64;
+                state.dropped.unwritten += lines as u64;
             }
             state.writing = false;
             drop(state);
@@ -170,13 +170,13 @@
         }
         if !state.closed {
             drop(state);
-            std::thread::sleep(GATHER);
+            std::thread::sleep(WRITE_INTERVAL);
             state = self.lock();
         }
         state.writing = true;
-        let left_out = state.left_out.sum() - state.told;
-        state.told += left_out;
-        Some((std::mem::take(&mut state.bytes), left_out))
+        let dropped = state.dropped.sum() - state.reported;
+        state.reported += dropped;
+        Some((std::mem::take(&mut state.bytes), dropped))
     }
 
     /// Ends [`write`](Self::write) once all is written.
--- a/crates/logs/src/start.rs
+++ b/crates/logs/src/start.rs
@@ -13,14 +13,14 @@
 use logforth::layout::TextLayout;
 
 use crate::append::Clock;
-use crate::append::Queued;
-use crate::append::Steady;
-use crate::queue::LeftOut;
+use crate::append::MonotonicTime;
+use crate::append::QueueAppender;
+use crate::queue::Dropped;
 use crate::queue::Queue;
 
 /// How long [`flush`] waits. A process that ends has a grace of seconds, of which its requests need
 /// nearly all.
-const LAST: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The form of lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -92,14 +92,14 @@
 }
 
 fn apply(queue: Arc<Queue>, layout: impl Layout, settings: Settings) {
-    let append = Queued {
+    let append = QueueAppender {
         queue,
         layout,
         clock: settings.clock,
     };
     let builder = logforth::starter_log::builder();
     let builder = builder.dispatch(|dispatch| {
-        let dispatch = dispatch.diagnostic(Steady(settings.clock));
+        let dispatch = dispatch.diagnostic(MonotonicTime(settings.clock));
         dispatch.append(append)
     });
     if builder.try_apply().is_ok() {
@@ -123,14 +123,11 @@
 
 /// Waits a moment for what is queued to be written. Whether it is.
 pub fn flush() -> bool {
-    QUEUE.get().is_none_or(|queue| queue.flush(LAST))
+    QUEUE.get().is_none_or(|queue| queue.flush(FLUSH_TIMEOUT))
 }
 
 /// Lines that were left out since the start.
 #[must_use]
-pub fn left_out() -> LeftOut {
-    QUEUE
-        .get()
-        .map(|queue| queue.left_out())
-        .unwrap_or_default()
+pub fn dropped() -> Dropped {
+    QUEUE.get().map(|queue| queue.dropped()).unwrap_or_default()
 }
--- a/crates/logs/tests/queue.rs
+++ b/crates/logs/tests/queue.rs
@@ -10,7 +10,7 @@
 
 use pimento_logs::Budget;
 use pimento_logs::Queue;
-use pimento_logs::budget::Weight;
+use pimento_logs::budget::Priority;
 use pimento_units::Moment;
 
 /// Longer than anything here takes.
@@ -75,7 +75,7 @@
     for _ in 0..pushed {
         queue.push(LINE);
     }
-    let lost = queue.left_out().unread;
+    let lost = queue.dropped().unwritten;
     assert!(lost > 0, "everything fitted");
     pipe.open();
     assert!(queue.flush(PATIENCE));
@@ -113,7 +113,7 @@
     assert!(queue.flush(PATIENCE));
     queue.close();
     writer.join().unwrap();
-    assert_eq!(queue.left_out().unread, 2);
+    assert_eq!(queue.dropped().unwritten, 2);
 }
 
 /// A flood of requests makes more lines than the budget has. Those of single requests are left out
@@ -121,11 +121,11 @@
 #[test]
 fn a_flood_leaves_room_for_warnings() {
     let queue = Queue::new(Moment::ZERO);
-    let plain = (0..10_000).filter(|_| queue.admits(Weight::Plain, Moment::ZERO));
+    let plain = (0..10_000).filter(|_| queue.admit(Priority::Normal, Moment::ZERO));
     let plain = plain.count();
     assert!(plain < 1_000, "{plain} lines at once");
-    assert_eq!(queue.left_out().budget, 10_000 - plain as u64);
-    let grave = (0..100).filter(|_| queue.admits(Weight::Grave, Moment::ZERO));
+    assert_eq!(queue.dropped().over_budget, 10_000 - plain as u64);
+    let grave = (0..100).filter(|_| queue.admit(Priority::High, Moment::ZERO));
     assert_eq!(grave.count(), 100);
 }
 
@@ -136,7 +136,7 @@
     let mut taken: u32 = 0;
     for step in 0..100_000_u64 {
         let now = Moment::ZERO + Duration::from_millis(step);
-        taken += u32::from(budget.take(Weight::Plain, now));
+        taken += u32::from(budget.try_acquire(Priority::Normal, now));
     }
     // 100 s at 400 lines a second, and what the bucket held at first.
     assert!((39_900..=40_800).contains(&taken), "{taken} lines");
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -305,8 +305,11 @@
             let gauge = metrics.poison.with_label_values(&[state]);
             gauge.set(to_f64(count));
         }
-        let left_out = pimento_logs::left_out();
-        let reasons = [("budget", left_out.budget), ("unread", left_out.unread)];
+        let dropped = pimento_logs::dropped();
+        let reasons = [
+            ("budget", dropped.over_budget),
+            ("unread", dropped.unwritten),
+        ];
         for (reason, count) in reasons {
             let gauge = metrics.log_lines.with_label_values(&[reason]);
             gauge.set(to_f64(count));
