--- a/crates/units/examples/amounts.rs
+++ b/crates/units/examples/amounts.rs
@@ -1,4 +1,4 @@
-//! Checked values of somebody's own settings: read as text, reckoned with, printed again.
+//! Validated values in an application's own settings: parsed, used in arithmetic and printed.
 //!
 //! `cargo run -p pimento-units --example amounts`
 
@@ -11,7 +11,7 @@
 use pimento_units::id;
 use uuid::Uuid;
 
-/// Tokens that a price is given for.
+/// Number of tokens that the price is for.
 const PRICED: u64 = 1_000_000;
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -33,7 +33,7 @@
     let other = id::Request(Uuid::nil());
     println!("another one doesn't: {}", other.created().is_none());
 
-    // A node can't be passed where a customer is meant, and what is wrong says so.
+    // A node can't be passed where a customer is expected. Invalid texts are rejected with a reason.
     let node: id::Node = "entry-vm-1".parse()?;
     println!("{node} is a node");
     for text in ["garage gatenga", ""] {
--- a/crates/units/src/digest.rs
+++ b/crates/units/src/digest.rs
@@ -1,4 +1,4 @@
-//! What tells one content from another.
+//! Content digests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,23 +7,24 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Bytes of a digest. Nobody finds two contents with one digest on purpose.
+/// Length of a digest in bytes; long enough that a collision can't be constructed deliberately.
 const LENGTH: usize = 16;
 
-/// The BLAKE3 hash of a list of parts, cut to 16 bytes.
+/// The BLAKE3 hash of a list of parts, truncated to 16 bytes.
 ///
-/// Equal digests mean equal lists: where one part ends and the next begins counts.
+/// Each part is hashed with its length, so lists that differ only in where one part ends and the
+/// next begins have different digests.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest([u8; LENGTH]);
 
-/// The text is not 32 hexadecimal digits.
+/// The text does not consist of 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("a digest has 32 hexadecimal digits"))]
 pub struct Error;
 
 impl Digest {
-    /// The digest of a list of parts.
+    /// Computes the digest of a list of parts.
     #[must_use]
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hash = blake3::Hasher::new();
--- a/crates/units/src/id.rs
+++ b/crates/units/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers: short checked names, and UUIDs for requests, attempts, records and sessions.
+//! Identifiers: short validated names, and UUIDs for requests, attempts, records and sessions.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,7 +11,7 @@
 
 use crate::time::Wall;
 
-/// The longest name, in bytes. Names end up in metric labels, headers and log lines.
+/// Maximum length of a name, in bytes. Names appear in metric labels, headers and log lines.
 pub const MAX_NAME: usize = 64;
 
 /// Why a text is not an identifier.
@@ -20,22 +20,22 @@
     /// The text is empty.
     #[snafu(display("a name must not be empty"))]
     Empty,
-    /// The text is longer than [`MAX_NAME`] bytes.
+    /// The text has more than [`MAX_NAME`] bytes.
     #[snafu(display("a name has at most {MAX_NAME} bytes, this one has {length}"))]
     Long {
-        /// Bytes found.
+        /// Length of the text in bytes.
         length: usize,
     },
-    /// A character outside letters, digits and `-_.@:`.
+    /// The text contains a character other than ASCII letters, digits and `-_.@:`.
     #[snafu(display("{character:?} is not allowed in a name (letters, digits and -_.@: are)"))]
     Character {
-        /// The first offending character.
+        /// The first such character.
         character: char,
     },
     /// The text is not a UUID.
     #[snafu(display("{text:?} is not a UUID"))]
     Uuid {
-        /// The text found.
+        /// The rejected text.
         text: CompactString,
     },
 }
@@ -107,7 +107,7 @@
 }
 
 name! {
-    /// A customer (one contract each): a workspace that sends requests.
+    /// A customer: a workspace that sends requests under a contract of its own.
     Customer
 }
 name! {
@@ -115,11 +115,11 @@
     Zone
 }
 name! {
-    /// An entry VM's name, unique for one life of the VM.
+    /// An entry VM's name, unique to one incarnation of the VM.
     Node
 }
 name! {
-    /// A replica of a model engine or of a plain service, unique for one life of its VM.
+    /// A replica of a model engine or of a plain service. The name is unique to one incarnation of its VM.
     Endpoint
 }
 name! {
@@ -139,7 +139,7 @@
     Version
 }
 name! {
-    /// Something that one holder at a time may order about, such as `orders/pimento-llm/kig-remera`.
+    /// A resource that is leased to one holder at a time, such as `orders:pimento-llm:kig-remera`.
     Resource
 }
 
@@ -169,15 +169,16 @@
 }
 
 unique! {
-    /// A caller's request (the `Idempotency-Key`). A version 7 UUID carries its age.
+    /// A caller's request (the `Idempotency-Key`). A version 7 UUID contains its creation time.
     Request
 }
 unique! {
-    /// One try of a request at one endpoint.
+    /// One attempt to have a request answered by one endpoint.
     Attempt
 }
 unique! {
-    /// One record on a stream of the platform's log; safe to append twice.
+    /// One record of a stream of the platform's log. Readers use it to ignore a second copy of the
+    /// record.
     Record
 }
 unique! {
@@ -186,7 +187,7 @@
 }
 
 impl Request {
-    /// When the caller made the id, if it is a version 7 UUID.
+    /// When the id was generated; `None` unless it is a version 7 UUID.
     #[must_use]
     pub fn created(&self) -> Option<Wall> {
         let stamp = self.0.get_timestamp()?;
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -1,8 +1,8 @@
-//! Identifiers, digests, money, tokens, shares, offsets and moments.
+//! Identifiers, digests, money, tokens, shares, offsets and timestamps.
 //!
-//! Every value that crosses a crate boundary is one of these checked types, so that a node cannot
-//! be passed where a customer is meant and a price cannot be added to a token count. Nothing here
-//! reads a clock: [`time::Moment`] and [`time::Wall`] are plain numbers that callers pass in.
+//! Values that cross a crate boundary have one of these validated types. A node cannot be passed
+//! where a customer is expected, and a price cannot be added to a token count. This crate reads no
+//! clock: [`time::Moment`] and [`time::Wall`] are numbers that callers pass in.
 
 pub mod digest;
 pub mod id;
--- a/crates/units/src/money.rs
+++ b/crates/units/src/money.rs
@@ -15,14 +15,14 @@
 /// Micro-units in one currency unit.
 pub const MICROS: u64 = 1_000_000;
 
-/// An amount of money, never negative, in micro-units. Arithmetic saturates.
+/// A non-negative amount of money in micro-units. Arithmetic saturates.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Money(u64);
 
-/// The text is not an amount such as `12.5`.
+/// The text is not an amount such as `12.5`, or has more than six decimals.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{text:?} is not an amount with at most six decimals"))]
 pub struct Error {
@@ -30,7 +30,7 @@
 }
 
 impl Money {
-    /// No money.
+    /// Zero.
     pub const ZERO: Self = Self(0);
     /// The largest amount.
     pub const MAX: Self = Self(u64::MAX);
@@ -53,7 +53,7 @@
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// The difference, or none if `other` is larger.
+    /// The difference, or `None` if `other` is larger.
     #[must_use]
     pub const fn checked_sub(self, other: Self) -> Option<Self> {
         match self.0.checked_sub(other.0) {
--- a/crates/units/src/offset.rs
+++ b/crates/units/src/offset.rs
@@ -1,4 +1,4 @@
-//! Offsets of the platform's log and revisions of configured subjects.
+//! Offsets in the platform's log, and revisions of configured subjects.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -17,8 +17,8 @@
         pub struct $type(pub u64);
 
         impl $type {
-            /// The one after this. After the last possible one comes itself: a number that a broken
-            /// log or peer made up must not send a reader back to the start.
+            /// The next number. The largest one is its own successor: a wrong number from a faulty
+            /// log or peer must not wrap around and send a reader back to the start.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
@@ -41,12 +41,12 @@
 }
 
 number! {
-    /// A place in a stream of the platform's log. The first record of a stream has offset 0.
+    /// The position of a record in a stream of the platform's log. The first record has offset 0.
     Offset
 }
 number! {
     /// The revision of one configured subject: the offset of the change that set it, plus one.
-    /// Zero stands for "does not exist".
+    /// Zero means that the subject does not exist.
     Revision
 }
 
--- a/crates/units/src/share.rs
+++ b/crates/units/src/share.rs
@@ -1,4 +1,4 @@
-//! Shares between 0 and 1 with exact equality: quality, weights, probabilities.
+//! Fractions between 0 and 1 with exact equality, for quality, weights and probabilities.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,17 +8,17 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Parts in a whole share.
+/// Parts in the whole: a share is counted in millionths.
 pub const PARTS: u32 = 1_000_000;
 
-/// A share between 0 and 1, in millionths.
+/// A fraction between 0 and 1, stored in millionths.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Share(u32);
 
-/// The number or text is not between 0 and 1.
+/// The number or text is not a fraction between 0 and 1.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{found} is not a share between 0 and 1"))]
 pub struct Error {
@@ -26,12 +26,12 @@
 }
 
 impl Share {
-    /// Nothing.
+    /// The share 0.
     pub const ZERO: Self = Self(0);
-    /// The whole.
+    /// The share 1.
     pub const ONE: Self = Self(PARTS);
 
-    /// A share of `parts` millionths, at most one.
+    /// A share of `parts` millionths, capped at 1.
     #[must_use]
     pub const fn from_parts(parts: u32) -> Self {
         if parts > PARTS {
--- a/crates/units/src/time.rs
+++ b/crates/units/src/time.rs
@@ -1,5 +1,7 @@
-//! Moments on two clocks, both passed in by the caller: a monotonic one for waits and deadlines,
-//! and the wall clock for ages of ids and records. Neither is read here.
+//! Timestamps of two clocks, and durations.
+//!
+//! [`Moment`] is a monotonic timestamp for timeouts and deadlines. [`Wall`] is a wall-clock timestamp
+//! for the age of ids and records. Callers pass both in; this module reads no clock.
 
 use std::fmt;
 use std::ops::Add;
@@ -11,7 +13,8 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Nanoseconds on a monotonic clock since some start that one process chose.
+/// A timestamp of a monotonic clock: nanoseconds since a start that the process chose. Moments of
+/// different processes can't be compared.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -46,7 +49,7 @@
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment `span` before this one; the start of the clock if that was later.
+    /// The moment `span` before this one, but not before the start of the clock.
     #[must_use]
     pub fn before(self, span: Duration) -> Self {
         let nanos = u64::try_from(span.as_nanos()).unwrap_or(u64::MAX);
@@ -68,7 +71,7 @@
     }
 }
 
-/// Milliseconds of the wall clock since the Unix epoch.
+/// A wall-clock timestamp in milliseconds since the Unix epoch.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -88,7 +91,7 @@
         self.0
     }
 
-    /// Time from `earlier` to this; zero if `earlier` is later.
+    /// Time from `earlier` to this time; zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
@@ -109,22 +112,22 @@
     }
 }
 
-/// A length of time in whole milliseconds, as settings and records carry it.
+/// A duration in whole milliseconds, as it appears in settings and records.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Span(u64);
 
-/// The text is not a length of time such as `250ms`, `30s`, `5m`, `2h` or `30d`.
+/// The text is not a duration such as `250ms`, `30s`, `5m`, `2h` or `30d`.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{text:?} is not a length of time such as 250ms, 30s, 5m, 2h or 30d"))]
 pub struct Error {
     text: CompactString,
 }
 
-/// Unit suffixes with their milliseconds, longest unit first, so that `Display` finds the shortest
-/// text. `ms` must be tried before `m` and `s` when parsing.
+/// Unit suffixes with their milliseconds, longest unit first, so that `Display` uses the largest
+/// unit that divides the span.
 const UNITS: [(&str, u64); 5] = [
     ("d", 86_400_000),
     ("h", 3_600_000),
@@ -134,7 +137,7 @@
 ];
 
 impl Span {
-    /// No time.
+    /// The empty span.
     pub const ZERO: Self = Self(0);
 
     /// A span of `millis` milliseconds.
@@ -155,7 +158,7 @@
         self.0
     }
 
-    /// The span as the standard library's type.
+    /// The span as a standard [`Duration`].
     #[must_use]
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
--- a/crates/units/src/tokens.rs
+++ b/crates/units/src/tokens.rs
@@ -1,4 +1,4 @@
-//! Counts of model tokens: the unit in which work is measured.
+//! Counts of model tokens, the unit in which the work of a request is measured.
 
 use std::fmt;
 use std::iter::Sum;
@@ -18,7 +18,7 @@
 pub struct Tokens(pub u64);
 
 impl Tokens {
-    /// No tokens.
+    /// Zero.
     pub const ZERO: Self = Self(0);
 
     /// The difference, or zero if `other` is larger.
--- a/crates/units/tests/digest.rs
+++ b/crates/units/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of contents.
+//! Content digests.
 
 use pimento_units::Digest;
 
@@ -6,16 +6,17 @@
     Digest::of(parts.iter().map(|part| part.as_bytes()))
 }
 
-/// Guards against one caller making a request that looks like another's by moving where parts end.
+/// A caller must not be able to forge another request's digest by shifting the boundary between two
+/// parts.
 #[test]
-fn a_digest_knows_where_parts_end() {
+fn a_digest_depends_on_where_parts_end() {
     assert_eq!(of(&["garage", "/chat"]), of(&["garage", "/chat"]));
     assert_ne!(of(&["garage", "/chat"]), of(&["garage/", "chat"]));
     assert_ne!(of(&["garage"]), of(&["garage", ""]));
 }
 
 #[test]
-fn a_digest_is_read_as_it_is_written() {
+fn a_digest_parses_from_its_text() {
     let digest = of(&["a"]);
     assert_eq!(digest.to_string().parse(), Ok(digest));
     for text in ["", "12", &"g".repeat(32), &format!("+{}", "1".repeat(31))] {
--- a/crates/units/tests/text.rs
+++ b/crates/units/tests/text.rs
@@ -1,5 +1,5 @@
-//! Values and their text: what was printed is read back as the same value, whatever text comes in
-//! never panics, and what is taken keeps the type's rules.
+//! Text and JSON of the value types: printed values parse back to the same value, no input panics,
+//! and accepted input satisfies the type's rules.
 
 use std::fmt::Debug;
 use std::fmt::Display;
@@ -26,7 +26,7 @@
 use serde::de::DeserializeOwned;
 use uuid::Uuid;
 
-/// Parts that texts of these types are made of, beside what nobody expects.
+/// Fragments of valid texts of these types, and unexpected ones.
 const PARTS: &[&str] = &[
     "0",
     "1",
@@ -67,12 +67,12 @@
     ("d", 86_400_000),
 ];
 
-/// Numbers where a unit ends.
+/// Numbers next to and at the boundaries of units.
 const EDGES: &[u64] = &[
     0, 1, 999, 1_000, 59_999, 60_000, 3_600_000, 86_400_000, 999_999, 1_000_000,
 ];
 
-/// Numbers of all sizes, with those near the places where a unit ends or reckoning overflows.
+/// Numbers of all sizes, with many at the boundaries of units and close to overflow.
 fn numbers() -> impl Strategy<Value = u64> {
     let last = (0_u64..10).prop_map(|n| u64::MAX - n);
     prop_oneof![any::<u64>(), select(EDGES), last]
@@ -84,7 +84,7 @@
 }
 
 fn names() -> impl Strategy<Value = String> {
-    // Many around the longest length, one over which would go by unseen among random ones.
+    // Many are close to the maximum length; random texts would rarely be just one byte too long.
     prop_oneof![
         "[a-zA-Z0-9_.@:-]{1,64}",
         "[a-z]{63,66}",
@@ -93,8 +93,8 @@
     ]
 }
 
-/// Text and JSON of a value give the value again.
-fn returns<T>(value: &T) -> Result<(), TestCaseError>
+/// Checks that a value survives a round trip through text and through JSON.
+fn check_round_trip<T>(value: &T) -> Result<(), TestCaseError>
 where
     T: Debug + PartialEq + Display + FromStr + Serialize + DeserializeOwned,
     T::Err: Debug,
@@ -105,17 +105,19 @@
     Ok(())
 }
 
-/// Whatever is taken from a text is a value like any other.
-fn taken<T>(text: &str) -> Result<(), TestCaseError>
+/// Checks that a value parsed from `text`, if it is accepted, survives a round trip.
+fn check_parsed<T>(text: &str) -> Result<(), TestCaseError>
 where
     T: Debug + PartialEq + Display + FromStr + Serialize + DeserializeOwned,
     T::Err: Debug,
 {
-    text.parse::<T>().map_or(Ok(()), |value| returns(&value))
+    text.parse::<T>()
+        .map_or(Ok(()), |value| check_round_trip(&value))
 }
 
-/// A name is taken exactly if it has 1 to 64 allowed characters, from text and from JSON alike.
-fn named<T>(text: &str) -> Result<(), TestCaseError>
+/// Checks that a name is accepted exactly if it has 1 to 64 allowed characters, both from text and
+/// from JSON.
+fn check_name<T>(text: &str) -> Result<(), TestCaseError>
 where
     T: Debug + PartialEq + Display + FromStr + Serialize + DeserializeOwned,
     T::Err: Debug,
@@ -125,32 +127,32 @@
     prop_assert_eq!(text.parse::<T>().is_ok(), good);
     let json = serde_json::to_string(text).unwrap();
     prop_assert_eq!(serde_json::from_str::<T>(&json).is_ok(), good);
-    taken::<T>(text)
+    check_parsed::<T>(text)
 }
 
 proptest! {
     #[test]
     fn numbers_are_read_back(number in numbers()) {
-        returns(&Money::from_micros(number))?;
-        returns(&Span::from_millis(number))?;
-        returns(&Tokens(number))?;
-        returns(&Offset(number))?;
-        returns(&Revision(number))?;
+        check_round_trip(&Money::from_micros(number))?;
+        check_round_trip(&Span::from_millis(number))?;
+        check_round_trip(&Tokens(number))?;
+        check_round_trip(&Offset(number))?;
+        check_round_trip(&Revision(number))?;
     }
 
     #[test]
     fn shares_are_read_back(parts in 0_u32..=1_000_000) {
-        returns(&Share::from_parts(parts))?;
+        check_round_trip(&Share::from_parts(parts))?;
     }
 
     #[test]
     fn unique_ids_are_read_back(number in any::<u128>()) {
         let uuid = Uuid::from_u128(number);
-        returns(&id::Request(uuid))?;
-        returns(&id::Attempt(uuid))?;
-        returns(&id::Record(uuid))?;
-        returns(&id::Session(uuid))?;
-        // The table of claims drops old ids from its front, which needs that ids sort by their age.
+        check_round_trip(&id::Request(uuid))?;
+        check_round_trip(&id::Attempt(uuid))?;
+        check_round_trip(&id::Record(uuid))?;
+        check_round_trip(&id::Session(uuid))?;
+        // The table of claims removes old ids from its front, so ids must sort by their age.
         let front = u64::try_from(number >> 80).ok().map(Wall::from_millis);
         let dated = uuid.get_version_num() == 7;
         prop_assert_eq!(id::Request(uuid).created(), front.filter(|_| dated));
@@ -158,29 +160,29 @@
 
     #[test]
     fn names_keep_their_rules(text in names()) {
-        named::<id::Customer>(&text)?;
-        named::<id::Zone>(&text)?;
-        named::<id::Node>(&text)?;
-        named::<id::Endpoint>(&text)?;
-        named::<id::Pool>(&text)?;
-        named::<id::Service>(&text)?;
-        named::<id::Class>(&text)?;
-        named::<id::Version>(&text)?;
-        named::<id::Resource>(&text)?;
+        check_name::<id::Customer>(&text)?;
+        check_name::<id::Zone>(&text)?;
+        check_name::<id::Node>(&text)?;
+        check_name::<id::Endpoint>(&text)?;
+        check_name::<id::Pool>(&text)?;
+        check_name::<id::Service>(&text)?;
+        check_name::<id::Class>(&text)?;
+        check_name::<id::Version>(&text)?;
+        check_name::<id::Resource>(&text)?;
     }
 
     #[test]
-    fn any_text_is_taken_or_refused(text in texts()) {
-        taken::<Money>(&text)?;
-        taken::<Share>(&text)?;
-        taken::<Span>(&text)?;
-        taken::<Tokens>(&text)?;
-        taken::<Offset>(&text)?;
-        taken::<Revision>(&text)?;
-        taken::<id::Request>(&text)?;
+    fn any_text_is_accepted_or_rejected(text in texts()) {
+        check_parsed::<Money>(&text)?;
+        check_parsed::<Share>(&text)?;
+        check_parsed::<Span>(&text)?;
+        check_parsed::<Tokens>(&text)?;
+        check_parsed::<Offset>(&text)?;
+        check_parsed::<Revision>(&text)?;
+        check_parsed::<id::Request>(&text)?;
     }
 
-    /// Decimals count from the point, however many are written.
+    /// Trailing zeros of the decimals may be omitted; a seventh decimal is rejected.
     #[test]
     fn amounts_may_leave_out_last_zeros(micros in numbers(), kept in 0_usize..=6) {
         let text = Money::from_micros(micros).to_string();
@@ -191,7 +193,7 @@
         prop_assert!(seventh.is_err());
     }
 
-    /// A length of time too long to be counted is refused and not taken for a short one.
+    /// A span that overflows is rejected and does not wrap around to a short one.
     #[test]
     fn spans_are_their_number_of_units(number in numbers(), unit in select(UNITS)) {
         let (suffix, millis) = unit;
@@ -200,14 +202,14 @@
     }
 
     #[test]
-    fn any_number_is_a_share_or_refused(number in any::<f64>()) {
+    fn any_number_is_a_share_or_rejected(number in any::<f64>()) {
         let share = Share::try_from(number);
         prop_assert_eq!(share.is_ok(), (0.0..=1.0).contains(&number));
         prop_assert!(share.unwrap_or_default() <= Share::ONE);
     }
 
-    /// The offset after the last possible one is not an earlier one: a view that went back to 0
-    /// would read a whole stream again.
+    /// The successor of the largest offset must not wrap around: a reader that went back to 0
+    /// would read the whole stream again.
     #[test]
     fn the_next_offset_is_never_an_earlier_one(number in numbers()) {
         prop_assert!(Offset(number).next() >= Offset(number));
@@ -215,7 +217,7 @@
         prop_assert!(Revision::from(Offset(number)) >= Revision(number));
     }
 
-    /// A customer is never charged less than the exact product, and at most a millionth more.
+    /// A customer is charged at least the exact product and less than a millionth more.
     #[test]
     fn scaled_money_is_rounded_up(micros in numbers(), numerator in numbers(), denominator in 1..u64::MAX) {
         let scaled = Money::from_micros(micros).scale(numerator, denominator);
