--- a/crates/coordination/src/grants/lenders.rs
+++ b/crates/coordination/src/grants/lenders.rs
@@ -24,14 +24,14 @@
         let Some(peer) = bills::find_peer(self, peer) else {
             return Money::ZERO;
         };
-        let call = Call::Lend {
+        let call = Call::TransferGrant {
             customer: customer.clone(),
             period,
             amount,
         };
         match self.call(&peer, call).await {
             // Nothing beyond the requested amount counts: it would raise the sum of all grants.
-            Ok(Answer::Lent { amount: lent }) => lent.min(amount),
+            Ok(Answer::GrantTransferred { amount: lent }) => lent.min(amount),
             Ok(_) => Money::ZERO,
             Err(error) => {
                 log::info!("grants: nothing borrowed: {error}");
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -11,10 +11,10 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+use pimento_ledger::Acquire;
 use pimento_ledger::Stream;
-use pimento_ledger::Take;
 use pimento_ledger::leases;
-use pimento_ledger::record::Hold;
+use pimento_ledger::record::LeaseRecord;
 use pimento_ledger::record::Release;
 use pimento_units::Offset;
 use pimento_units::Span;
@@ -58,11 +58,11 @@
 pub type View = view::View<leases::Fold>;
 
 impl TypedFold for leases::Fold {
-    type Record = Hold;
+    type Record = LeaseRecord;
 
     const PREFIX: &'static str = "lease";
 
-    fn apply(&mut self, offset: Offset, at: Wall, hold: Hold) {
+    fn apply(&mut self, offset: Offset, at: Wall, hold: LeaseRecord) {
         self.apply(offset, at, &hold);
     }
 }
@@ -160,14 +160,14 @@
     /// Appends a take that follows `current` and reads it back.
     async fn acquire(&self, current: Option<&leases::Lease>) {
         let record = id::Record(Uuid::now_v7());
-        let take = Take {
+        let take = Acquire {
             id: record,
             resource: self.resource.clone(),
             holder: self.node.clone(),
             previous: current.map(|lease| lease.last),
             span: self.config.span,
         };
-        let Ok(text) = serde_json::to_string(&Hold::Take(take)) else {
+        let Ok(text) = serde_json::to_string(&LeaseRecord::Acquire(take)) else {
             return;
         };
         // Measured from before the record is sent: the log starts its own measurement later.
@@ -221,7 +221,7 @@
             holder: self.node.clone(),
             fencing: fencing.number,
         };
-        let Ok(text) = serde_json::to_string(&Hold::Release(release)) else {
+        let Ok(text) = serde_json::to_string(&LeaseRecord::Release(release)) else {
             return;
         };
         // If the append fails, the successor waits until the lease expires.
--- a/crates/coordination/src/mesh/calls.rs
+++ b/crates/coordination/src/mesh/calls.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use pimento_progress::Progress;
-use pimento_progress::Silent;
+use pimento_progress::TimedOut;
 use pimento_wire::Frame;
 use pimento_wire::frame;
 use pimento_wire::frame::LENGTH;
@@ -55,7 +55,7 @@
     #[snafu(display("{source}"), context(false))]
     Frame { source: frame::Error },
     #[snafu(display("{source}"), context(false))]
-    Stalled { source: Silent },
+    Stalled { source: TimedOut },
 }
 
 /// Idle connections for later calls.
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -17,10 +17,10 @@
 use pimento_policy::retry;
 use pimento_scheduler::Job;
 use pimento_scheduler::Permit;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_units::Money;
 use pimento_units::Tokens;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use pimento_wire::header;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -69,7 +69,7 @@
     head: &Parts,
     body: Incoming,
     caller_gone: CancellationToken,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ReplyBody>, Refusal> {
     let call = read(node, head, body, caller_gone).await?;
     if let Some(subject) = call.claim
         && let Some(answer) = Claim(node).retained(subject)?
@@ -270,7 +270,7 @@
     reservation: Reservation,
     trace: &Trace,
     answer: service::Answer,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ReplyBody>, Refusal> {
     // Only calls that the service carried out are charged; error responses are not.
     let charged = !answer.status.is_client_error() && !answer.status.is_server_error();
     if charged {
@@ -310,7 +310,7 @@
         request:% = call.identity.id, customer:% = call.customer;
         "reply: Served {name} with {} in {elapsed:?}.", answer.status
     );
-    let mut response = Response::new(Reply::whole(answer.body));
+    let mut response = Response::new(ReplyBody::whole(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
     Ok(response)
@@ -327,7 +327,7 @@
     }
 }
 
-fn replay(answer: &answers::Answer) -> Response<Reply> {
+fn replay(answer: &answers::Answer) -> Response<ReplyBody> {
     let status = hyper::StatusCode::from_u16(answer.status).unwrap_or(hyper::StatusCode::OK);
     let mut response = reply::raw(status, &answer.content, answer.body.clone());
     let run = hyper::header::HeaderValue::from_static(Run::Ran.as_str());
--- a/crates/entry/src/chain/service/call.rs
+++ b/crates/entry/src/chain/service/call.rs
@@ -65,7 +65,7 @@
     })?;
     let contract = caller.state.contract(&customer);
     let weight = contract.map_or(1, |contract| contract.weight);
-    let repeatable = service.repeats(head.method.as_str());
+    let repeatable = service.is_repeatable(head.method.as_str());
     // A call that is not repeatable is completed even if its caller disconnects.
     let caller_gone = if repeatable {
         caller_gone
--- a/crates/entry/src/estimate.rs
+++ b/crates/entry/src/estimate.rs
@@ -9,7 +9,7 @@
 use pimento_units::Moment;
 use pimento_units::Tokens;
 use pimento_units::id;
-use pimento_wire::border::Chat;
+use pimento_wire::api::Chat;
 
 /// Bytes of text per token, typical of European languages.
 const BYTES_PER_TOKEN: u64 = 4;
--- a/crates/entry/src/filter/assemble.rs
+++ b/crates/entry/src/filter/assemble.rs
@@ -11,14 +11,14 @@
 use hyper::Response;
 use pimento_endpoint::Fault;
 use pimento_scheduler::Clock;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Writer;
 use pimento_units::Moment;
 use pimento_units::Tokens;
 use pimento_units::id;
-use pimento_wire::border::Chunk;
-use pimento_wire::border::DONE;
-use pimento_wire::border::Usage;
+use pimento_wire::api::Chunk;
+use pimento_wire::api::DONE;
+use pimento_wire::api::Usage;
 use serde::Serialize;
 use tokio::sync::oneshot;
 
@@ -51,7 +51,7 @@
     /// The caller requested the answer as a whole.
     Whole,
     /// The caller requested a stream, and nothing has been sent yet.
-    Closed(oneshot::Sender<Response<Reply>>),
+    Closed(oneshot::Sender<Response<ReplyBody>>),
     /// The stream has started.
     Open(Writer),
     /// The stream has ended.
@@ -99,7 +99,7 @@
         clock: Clock,
         request: id::Request,
         deadline: Moment,
-        head: oneshot::Sender<Response<Reply>>,
+        head: oneshot::Sender<Response<ReplyBody>>,
     ) -> Self {
         Self::new(clock, request, deadline, Sink::Closed(head))
     }
@@ -322,7 +322,7 @@
         let sink = std::mem::replace(&mut self.sink, Sink::Ended);
         self.sink = match sink {
             Sink::Closed(head) => {
-                let (writer, body) = Reply::stream();
+                let (writer, body) = ReplyBody::stream();
                 self.first_sent_at = Some(self.clock.now());
                 head.send(self.head.stream(body))
                     .map_err(|_| Fault::Cancelled)?;
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -8,7 +8,7 @@
 use pimento_ledger::record;
 use pimento_units::Moment;
 use pimento_units::id;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use pimento_wire::peer;
 
 use super::Filter;
@@ -96,11 +96,11 @@
         let node = self.0;
         let peers = node.mesh.peers();
         let peer = peers.iter().find(|peer| peer.node == owner.node)?;
-        let call = peer::Call::Fetch {
+        let call = peer::Call::FetchAnswer {
             request: subject.request,
         };
         match node.mesh.call(peer, call).await {
-            Ok(peer::Answer::Kept {
+            Ok(peer::Answer::Cached {
                 status,
                 content,
                 body,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use pimento_metrics::Names;
+use pimento_metrics::BoundedLabels;
 use pimento_metrics::counter;
-use pimento_metrics::figure;
 use pimento_metrics::gauge;
-use pimento_metrics::gauges;
+use pimento_metrics::gauge_vec;
 use pimento_metrics::histogram;
+use pimento_metrics::to_f64;
 use pimento_scheduler::Scheduler;
 use pimento_units::Money;
 use pimento_units::id;
@@ -41,7 +41,7 @@
 pub struct Metrics {
     registry: Registry,
     /// Customers with their own series.
-    customers: Names,
+    customers: BoundedLabels,
     first_byte: HistogramVec,
     last_byte: HistogramVec,
     queue_wait: HistogramVec,
@@ -133,7 +133,7 @@
                 "Cascade steps, by version and result",
                 &["version", "result"],
             ),
-            pools: gauges(
+            pools: gauge_vec(
                 r,
                 "pimento_pool",
                 "Jobs waiting, calls in flight, slots, endpoints usable and ejected, by pool",
@@ -149,7 +149,7 @@
                 "pimento_bills_waiting",
                 "Bills not yet read back from the log",
             ),
-            spend_granted: gauges(
+            spend_granted: gauge_vec(
                 r,
                 "pimento_spend_granted",
                 "Money granted to this node in the current spend period, in currency units",
@@ -160,7 +160,7 @@
                 "pimento_kept_bytes",
                 "Memory of cached answers, in bytes",
             ),
-            customers: Names::new(customers),
+            customers: BoundedLabels::new(customers),
             registry,
         }
     }
@@ -184,7 +184,7 @@
     }
 
     /// Counts an error.
-    pub fn record_refusal(&self, code: Code, run: pimento_wire::border::Run) {
+    pub fn record_refusal(&self, code: Code, run: pimento_wire::api::Run) {
         self.refusals
             .with_label_values(&[code.as_str(), run.as_str()])
             .inc();
@@ -221,13 +221,13 @@
         scheduler: &Scheduler,
     ) {
         self.state_age.set(age.as_secs_f64());
-        self.bills_waiting.set(figure(bills));
-        self.answer_bytes.set(figure(answer_bytes));
+        self.bills_waiting.set(to_f64(bills));
+        self.answer_bytes.set(to_f64(answer_bytes));
         for (name, pool) in scheduler.pools() {
             for (which, count) in pool.depth().figures() {
                 self.pools
                     .with_label_values(&[name.as_str(), which])
-                    .set(figure(count));
+                    .set(to_f64(count));
             }
         }
     }
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -7,7 +7,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use hyper::body::Incoming;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Serve;
 use pimento_units::id;
 use pimento_wire::operators;
@@ -63,7 +63,7 @@
 }
 
 impl Serve for OperatorService {
-    async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
+    async fn serve(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         if request.method() != Method::GET {
             let message = "only GET is allowed here";
             return Refusal::not_run(Code::WrongMethod, message).response();
@@ -79,11 +79,11 @@
     }
 }
 
-fn text(status: StatusCode, text: &'static str) -> Response<Reply> {
+fn text(status: StatusCode, text: &'static str) -> Response<ReplyBody> {
     reply::raw(status, "text/plain", text)
 }
 
-fn metrics(node: &Node) -> Response<Reply> {
+fn metrics(node: &Node) -> Response<ReplyBody> {
     let waiting = node.outbox.waiting();
     node.metrics.update_gauges(
         node.state.age(),
@@ -102,7 +102,11 @@
             .view(|view| view.fold().granted(&contract.customer, period, holder));
         node.metrics.set_granted(&contract.customer, granted);
     }
-    reply::raw(StatusCode::OK, pimento_metrics::TYPE, node.metrics.text())
+    reply::raw(
+        StatusCode::OK,
+        pimento_metrics::CONTENT_TYPE,
+        node.metrics.text(),
+    )
 }
 
 fn state(node: &Node) -> State {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -40,24 +40,24 @@
             return answer;
         }
         match call {
-            Call::Hold { node: owner, bills } => {
+            Call::StoreBills { node: owner, bills } => {
                 hold_answer(node.outbox.store_copies(&owner, bills))
             }
-            Call::Drop {
+            Call::RemoveBills {
                 node: owner,
                 requests,
             } => {
                 node.outbox.drop_copies(&owner, &requests);
                 Answer::Done
             }
-            Call::Lend {
+            Call::TransferGrant {
                 customer,
                 period,
                 amount,
-            } => Answer::Lent {
+            } => Answer::GrantTransferred {
                 amount: node.wallet.lend(&customer, period, amount),
             },
-            Call::Fetch { request } => fetch(&node, request),
+            Call::FetchAnswer { request } => fetch(&node, request),
             Call::Append { stream, records } => append(&node, &stream, records).await,
             _ => Answer::Nothing,
         }
@@ -76,7 +76,7 @@
 fn fetch(node: &Node, request: pimento_units::id::Request) -> Answer {
     node.answers
         .get(request)
-        .map_or(Answer::Nothing, |answer| Answer::Kept {
+        .map_or(Answer::Nothing, |answer| Answer::Cached {
             status: answer.status,
             content: answer.content,
             body: answer.body,
--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -21,7 +21,7 @@
 use pimento_units::Moment;
 use pimento_units::Wall;
 use pimento_units::id;
-use pimento_wire::peer::Seen;
+use pimento_wire::peer::Observation;
 use pimento_wire::peer::Suspicion;
 
 use crate::node::Node;
@@ -72,13 +72,15 @@
     }
 
     /// Records a crash that this node observed. Returns what to report to peers, if anything.
-    fn record_crash(&self, digest: Digest, crash: Crash, now: Moment) -> Option<Seen> {
+    fn record_crash(&self, digest: Digest, crash: Crash, now: Moment) -> Option<Observation> {
         let verdict = self.lock().table.record_crash(digest, crash, now);
         log::info!("poison: An endpoint crashed while it ran {digest}: {verdict:?}.");
-        matches!(verdict, Verdict::Suspected(_) | Verdict::Blocked).then_some(Seen::Ended {
-            endpoint: crash.endpoint,
-            incarnation: crash.incarnation,
-        })
+        matches!(verdict, Verdict::Suspected(_) | Verdict::Blocked).then_some(
+            Observation::Crashed {
+                endpoint: crash.endpoint,
+                incarnation: crash.incarnation,
+            },
+        )
     }
 
     /// Merges reports from peers. Returns the requests whose complete answers are to be announced to peers.
@@ -101,8 +103,8 @@
             }
             let at = now.before(age);
             match report.what {
-                Seen::Answered => inner.table.merge_answer(report.digest, at),
-                Seen::Ended {
+                Observation::Answered => inner.table.merge_answer(report.digest, at),
+                Observation::Crashed {
                     endpoint,
                     incarnation,
                 } => {
@@ -148,7 +150,7 @@
             .record_answer(digest, self.clock.now());
         if was_suspect {
             log::info!("poison: A complete answer clears {digest}.");
-            self.announce(digest, Seen::Answered);
+            self.announce(digest, Observation::Answered);
         }
     }
 
@@ -212,7 +214,7 @@
         }
     }
 
-    fn announce(&self, digest: Digest, what: Seen) {
+    fn announce(&self, digest: Digest, what: Observation) {
         let at = self.clock.wall();
         self.mesh.announce_suspicion(Suspicion { digest, what, at });
     }
@@ -222,7 +224,7 @@
         let reports = |after| self.mesh.suspicions(after);
         let (now, wall) = (self.clock.now(), self.clock.wall());
         for digest in self.poison.receive(reports, now, wall) {
-            self.announce(digest, Seen::Answered);
+            self.announce(digest, Observation::Answered);
         }
     }
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -11,10 +11,10 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderValue;
 use pimento_scheduler::Refused;
-use pimento_serve::Reply;
-use pimento_wire::border::Error;
-use pimento_wire::border::Failure;
-use pimento_wire::border::Run;
+use pimento_serve::ReplyBody;
+use pimento_wire::api::Error;
+use pimento_wire::api::ErrorBody;
+use pimento_wire::api::Run;
 use pimento_wire::header;
 
 /// Reason why a caller gets an error instead of an answer.
@@ -181,9 +181,9 @@
 
     /// The error body.
     #[must_use]
-    pub fn failure(&self) -> Failure {
+    pub fn failure(&self) -> ErrorBody {
         let (_, kind, code) = self.code.parts();
-        Failure {
+        ErrorBody {
             error: Error {
                 kind: CompactString::const_new(kind),
                 code: CompactString::const_new(code),
@@ -204,8 +204,8 @@
 
     /// The complete response.
     #[must_use]
-    pub fn response(&self) -> Response<Reply> {
-        let mut response = Response::new(Reply::whole(self.json()));
+    pub fn response(&self) -> Response<ReplyBody> {
+        let mut response = Response::new(ReplyBody::whole(self.json()));
         let status = StatusCode::from_u16(self.code.parts().0);
         *response.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let headers = response.headers_mut();
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -110,7 +110,7 @@
         let drained = self.drain(bound).await;
         let flushed = self.flush(Instant::now() + FLUSH_TIMEOUT).await;
         self.operators_stop.closing.cancel();
-        self.operators_stop.cut.cancel();
+        self.operators_stop.abort.cancel();
         self.background.cancel();
         log::info!("server: Shut down.");
         drained && flushed
@@ -132,7 +132,7 @@
             "server: The last bound has passed; aborting {} tasks.",
             self.node.tasks.len()
         );
-        self.stop.cut.cancel();
+        self.stop.abort.cancel();
         false
     }
 
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -5,9 +5,9 @@
 use hyper::Request;
 use hyper::Response;
 use hyper::body::Incoming;
-use pimento_serve::Reply;
+use pimento_serve::ReplyBody;
 use pimento_serve::Serve;
-use pimento_wire::border::Run;
+use pimento_wire::api::Run;
 use tokio_util::sync::CancellationToken;
 
 use crate::chain;
@@ -22,7 +22,7 @@
 impl Serve for CallerService {
     /// Runs the filter chain in a separate task. The server drops a response's future when the
     /// caller disconnects, and a call that may not be repeated must not stop halfway.
-    async fn serve(&self, request: Request<Incoming>) -> Response<Reply> {
+    async fn serve(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         let disconnected = CancellationToken::new();
         let guard = disconnected.clone().drop_guard();
         let node = Arc::clone(&self.0);
