--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -190,7 +190,7 @@
             size,
             deadline,
             progress: Arc::clone(&progress),
-            answer: sender,
+            result: sender,
             _permit: permit,
         };
         self.shared.queues[stream as usize]
--- a/crates/coordination/src/appender/entry.rs
+++ b/crates/coordination/src/appender/entry.rs
@@ -22,7 +22,7 @@
     /// State shared with the caller.
     pub(super) progress: std::sync::Arc<Progress>,
     /// Sends the result to the caller.
-    pub(super) answer: oneshot::Sender<Result<Offset, Error>>,
+    pub(super) result: oneshot::Sender<Result<Offset, Error>>,
     /// The memory that the records occupy; released when the entry is dropped.
     pub(super) _permit: OwnedSemaphorePermit,
 }
@@ -30,7 +30,7 @@
 impl Entry {
     /// Whether the caller still waits.
     pub(super) fn has_waiter(&self) -> bool {
-        !self.answer.is_closed() && self.deadline > Instant::now()
+        !self.result.is_closed() && self.deadline > Instant::now()
     }
 
     /// Fails the call, since the log won't accept the records before the deadline.
@@ -40,7 +40,7 @@
             lost => lost,
         };
         // If the caller has gone, it has derived its own error from the same progress.
-        let _ = self.answer.send(Err(error));
+        let _ = self.result.send(Err(error));
     }
 }
 
--- a/crates/coordination/src/appender/worker.rs
+++ b/crates/coordination/src/appender/worker.rs
@@ -93,7 +93,7 @@
                 return;
             }
             let wait = match self.log.append(self.stream, batch.records()).await {
-                Ok(first) => return batch.answer(first),
+                Ok(first) => return batch.complete(first),
                 Err(Error::Refused { retry_after }) => {
                     let until = Instant::now() + retry_after;
                     self.closed.set(until);
@@ -120,12 +120,12 @@
         all.cloned().collect()
     }
 
-    fn answer(self, first: Offset) {
+    fn complete(self, first: Offset) {
         let mut offset = first;
         for entry in self.entries {
             let next = Offset(offset.0 + entry.records.len() as u64);
             // A caller that no longer waits reads its record back from the stream.
-            let _ = entry.answer.send(Ok(offset));
+            let _ = entry.result.send(Ok(offset));
             offset = next;
         }
     }
--- a/crates/coordination/src/bills/peers.rs
+++ b/crates/coordination/src/bills/peers.rs
@@ -48,7 +48,7 @@
         let node = self.node().clone();
         let call = Call::RemoveBills { node, requests };
         if let Err(error) = self.call(&peer, call).await {
-            log::debug!("bills: release not sent: {error}");
+            log::debug!("bills: release of copies not confirmed: {error}");
         }
     }
 }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -157,24 +157,24 @@
             .view(|view| (view.fold().lease(&self.resource).cloned(), view.now()))
     }
 
-    /// Appends a take that follows `current` and reads it back.
+    /// Appends an [`Acquire`] record that follows `current` and reads it back.
     async fn acquire(&self, current: Option<&leases::Lease>) {
         let record = id::Record(Uuid::now_v7());
-        let take = Acquire {
+        let acquire = Acquire {
             id: record,
             resource: self.resource.clone(),
             holder: self.node.clone(),
             previous: current.map(|lease| lease.last),
             span: self.config.span,
         };
-        let Ok(text) = serde_json::to_string(&LeaseRecord::Acquire(take)) else {
+        let Ok(text) = serde_json::to_string(&LeaseRecord::Acquire(acquire)) else {
             return;
         };
         // Measured from before the record is sent: the log starts its own measurement later.
         let sent = Instant::now();
         let deadline = sent + self.config.span.duration() / RENEWALS;
         let appended = self.appender.append(Stream::Leases, text, deadline).await;
-        let taken = self
+        let acquired = self
             .follower
             .wait(deadline, |view| {
                 let lease = view.fold().lease(&self.resource)?;
@@ -183,7 +183,7 @@
                 (is_ours || passed).then(|| is_ours.then_some(lease.fencing))
             })
             .await;
-        if let Some(Some(number)) = taken {
+        if let Some(Some(number)) = acquired {
             self.set_held(number, sent);
         }
     }
@@ -245,8 +245,8 @@
 }
 
 impl ForeignLease {
-    /// How long to wait before this node appends a take of its own. The fold decides whether it is
-    /// accepted, so a take that comes too early costs one refused record and nothing else.
+    /// How long to wait before this node appends an [`Acquire`] record. The fold decides whether it
+    /// is accepted, so one that comes too early costs a refused record and nothing else.
     fn wait(&mut self, lease: &leases::Lease, span: Span) -> Duration {
         let now = Instant::now();
         if self.lease != Some(lease.last) {
--- a/crates/coordination/tests/kept/lease.rs
+++ b/crates/coordination/tests/kept/lease.rs
@@ -81,7 +81,7 @@
         assert!(Instant::now() < deadline, "still held without the log");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    // The lease must also expire by the log's clock, or the next take would renew it.
+    // The lease must also expire by the log's clock, or the next `Acquire` would renew it.
     tokio::time::sleep(SPAN).await;
     log.fail_appends(Fault::None);
     let next = held(&one).await;
@@ -134,7 +134,8 @@
     token.cancel();
 }
 
-/// All responses to appends are lost. The node finds its own take by reading, and holds the lease.
+/// All responses to appends are lost. The node finds its own record by reading, and holds the
+/// lease.
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_is_read_back() {
     let log = Memory::new();
