--- a/crates/coordination/tests/follower.rs
+++ b/crates/coordination/tests/follower.rs
@@ -23,12 +23,12 @@
 
 /// Records all calls of a follower to its fold.
 #[derive(Debug, Default)]
-struct Seen {
+struct Recorder {
     records: Vec<(u64, String)>,
     resets: Vec<u64>,
 }
 
-impl Fold for Seen {
+impl Fold for Recorder {
     fn apply(&mut self, offset: Offset, _at: Wall, record: &str) {
         self.records.push((offset.0, record.to_owned()));
     }
@@ -38,13 +38,13 @@
     }
 }
 
-fn follow(log: impl Log) -> Follower<Seen> {
+fn follow(log: impl Log) -> Follower<Recorder> {
     let token = CancellationToken::new();
-    Follower::start(log, STREAM, Offset(0), Seen::default(), token)
+    Follower::start(log, STREAM, Offset(0), Recorder::default(), token)
 }
 
-async fn until(follower: &Follower<Seen>, count: usize) {
-    let enough = |seen: &Seen| (seen.records.len() >= count).then_some(());
+async fn until(follower: &Follower<Recorder>, count: usize) {
+    let enough = |recorder: &Recorder| (recorder.records.len() >= count).then_some(());
     follower.wait(bound(), enough).await.expect("records");
 }
 
@@ -64,7 +64,7 @@
     until(&follower, 2_500).await;
     put(&log, 2_500..2_510);
     until(&follower, 2_510).await;
-    follower.view(|seen| assert_eq!(seen.records, numbers(0..2_510)));
+    follower.view(|recorder| assert_eq!(recorder.records, numbers(0..2_510)));
     assert_eq!(follower.next(), Offset(2_510));
 }
 
@@ -72,7 +72,7 @@
 async fn wait_ends_by_an_event_or_at_its_deadline() {
     let log = Memory::default();
     let follower = follow(log.clone());
-    let first = |seen: &Seen| seen.records.first().cloned();
+    let first = |recorder: &Recorder| recorder.records.first().cloned();
     let soon = Instant::now() + Duration::from_millis(20);
     assert_eq!(follower.wait(soon, first).await, None);
     put(&log, 0..1);
@@ -88,9 +88,9 @@
     log.retain(STREAM, Offset(4));
     let follower = follow(log.clone());
     until(&follower, 6).await;
-    follower.view(|seen| {
-        assert_eq!(seen.resets, [4]);
-        assert_eq!(seen.records, numbers(4..10));
+    follower.view(|recorder| {
+        assert_eq!(recorder.resets, [4]);
+        assert_eq!(recorder.records, numbers(4..10));
     });
 }
 
@@ -106,7 +106,7 @@
     eventually("caught up", async || follower.caught_up().then_some(())).await;
 
     log.outage(Some(Duration::from_millis(10)));
-    eventually("outage seen", async || {
+    eventually("outage detected", async || {
         (!follower.caught_up()).then_some(())
     })
     .await;
@@ -118,11 +118,11 @@
         (follower.age() > during + Duration::from_millis(50)).then_some(())
     })
     .await;
-    follower.view(|seen| assert_eq!(seen.records.len(), 5));
+    follower.view(|recorder| assert_eq!(recorder.records.len(), 5));
 
     link.cut(false);
     until(&follower, 10).await;
-    follower.view(|seen| assert_eq!(seen.records, numbers(0..10)));
+    follower.view(|recorder| assert_eq!(recorder.records, numbers(0..10)));
     eventually("caught up again", async || {
         follower.caught_up().then_some(())
     })
@@ -196,7 +196,7 @@
         put(&log, n..n + 1);
         until(&follower, usize::try_from(n + 1).unwrap()).await;
     }
-    follower.view(|seen| assert_eq!(seen.records, numbers(0..10)));
+    follower.view(|recorder| assert_eq!(recorder.records, numbers(0..10)));
 }
 
 #[tokio::test]
@@ -206,10 +206,10 @@
     let gate = watch::Sender::new(false);
     let token = CancellationToken::new();
     let closed = gate.subscribe();
-    let seen = Seen::default();
-    let follower = Follower::start_gated(log.clone(), STREAM, Offset(0), seen, closed, token);
+    let recorder = Recorder::default();
+    let follower = Follower::start_gated(log.clone(), STREAM, Offset(0), recorder, closed, token);
     let soon = Instant::now() + Duration::from_millis(50);
-    let any = |seen: &Seen| (!seen.records.is_empty()).then_some(());
+    let any = |recorder: &Recorder| (!recorder.records.is_empty()).then_some(());
     assert_eq!(follower.wait(soon, any).await, None);
     assert_eq!(log.reads(STREAM), 0);
     gate.send_replace(true);
@@ -220,7 +220,7 @@
 async fn cancelled_follower_reads_no_more() {
     let log = Memory::default();
     let token = CancellationToken::new();
-    let fold = Seen::default();
+    let fold = Recorder::default();
     let follower = Follower::start(log.clone(), STREAM, Offset(0), fold, token.clone());
     put(&log, 0..1);
     until(&follower, 1).await;
@@ -229,6 +229,6 @@
     tokio::time::sleep(Duration::from_millis(20)).await;
     put(&log, 1..2);
     let soon = Instant::now() + Duration::from_millis(50);
-    let second = |seen: &Seen| (seen.records.len() > 1).then_some(());
+    let second = |recorder: &Recorder| (recorder.records.len() > 1).then_some(());
     assert_eq!(follower.wait(soon, second).await, None);
 }
--- a/crates/coordination/tests/mesh.rs
+++ b/crates/coordination/tests/mesh.rs
@@ -131,11 +131,11 @@
     let other = start(settings("z", "hluboka", &seeds)).await;
     let agree = async |nodes: &[(Mesh, CancellationToken)]| {
         eventually("the same choice on all nodes", async || {
-            let seen = nodes.iter().all(|(m, _)| m.peers().len() == nodes.len());
+            let complete = nodes.iter().all(|(m, _)| m.peers().len() == nodes.len());
             let choices: Vec<id::Node> =
                 nodes.iter().map(|(m, _)| m.elected(Role::Reader)).collect();
             let same = choices.iter().all(|choice| *choice == choices[0]);
-            (seen && same).then(|| choices[0].clone())
+            (complete && same).then(|| choices[0].clone())
         })
         .await
     };
