--- a/benches/capacity/codec.rs
+++ b/benches/capacity/codec.rs
@@ -4,14 +4,14 @@
 use std::time::Instant;
 
 use pimento_contract::change;
+use pimento_ledger::Acquire;
 use pimento_ledger::Bill;
 use pimento_ledger::Grant;
 use pimento_ledger::Outcome;
-use pimento_ledger::Take;
-use pimento_ledger::record::Allowance;
-use pimento_ledger::record::Call;
-use pimento_ledger::record::Hold;
+use pimento_ledger::record::ClaimRecord;
+use pimento_ledger::record::GrantRecord;
 use pimento_ledger::record::Item;
+use pimento_ledger::record::LeaseRecord;
 use pimento_ledger::record::Run;
 use pimento_units::Money;
 use pimento_units::Offset;
@@ -25,8 +25,8 @@
 use pimento_wire::frame::MAX_BODY;
 use pimento_wire::peer;
 use pimento_wire::peer::Departure;
-use pimento_wire::peer::Heard;
 use pimento_wire::peer::Heartbeat;
+use pimento_wire::peer::LastSeen;
 use serde::Serialize;
 use uuid::Uuid;
 
@@ -62,7 +62,7 @@
         limit: Money::from_micros(1_000_000_000),
         revision: Revision(1_234),
     };
-    let take = Take {
+    let take = Acquire {
         id: id::Record(Uuid::now_v7()),
         resource: "orders:pimento-llm:kig-gikondo".parse().expect("a name"),
         holder: "entry-gikondo-17".parse().expect("a name"),
@@ -71,11 +71,11 @@
     };
     let change = folds::change(1, Revision(7));
     let sizes = [
-        ("claim", text(&Call::Claim(claim)).len()),
-        ("outcome", text(&Call::Outcome(outcome)).len()),
+        ("claim", text(&ClaimRecord::Claim(claim)).len()),
+        ("outcome", text(&ClaimRecord::Outcome(outcome)).len()),
         ("bill", text(&bill(1)).len()),
-        ("grant", text(&Allowance::Grant(grant)).len()),
-        ("take of a lease", text(&Hold::Take(take)).len()),
+        ("grant", text(&GrantRecord::Grant(grant)).len()),
+        ("take of a lease", text(&LeaseRecord::Acquire(take)).len()),
         (
             "change of a contract",
             text(&change::Entry::Change(change)).len(),
@@ -117,8 +117,8 @@
             leaving: false,
             departures: departures(2),
             quarantined: Vec::new(),
-            heard: (0..heard)
-                .map(|node| Heard {
+            last_seen: (0..heard)
+                .map(|node| LastSeen {
                     node: node.wrapping_mul(0x9e37_79b9),
                     sequence: 1_800_000_000_000,
                 })
@@ -153,7 +153,7 @@
     let key = Key::derive("a secret that peers share");
     let mut size = Points::default();
     for count in [1, 10, 100_u64] {
-        let call = peer::Call::Hold {
+        let call = peer::Call::StoreBills {
             node: "entry-gikondo-17".parse().expect("a name"),
             bills: (0..count).map(|n| text(&bill(u128::from(n)))).collect(),
         };
--- a/crates/coordination/src/follower.rs
+++ b/crates/coordination/src/follower.rs
@@ -241,10 +241,10 @@
                 Err(error) => {
                     self.record_failure();
                     let min_wait = match error {
-                        Error::Refused { after } => after.min(READ_WAIT),
+                        Error::Refused { retry_after } => retry_after.min(READ_WAIT),
                         _ => Duration::ZERO,
                     };
-                    let wait = backoff.wait(min_wait);
+                    let wait = backoff.next_delay(min_wait);
                     log::debug!(
                         "follower: read of {} failed, retrying in {wait:?}: {error}",
                         self.stream
--- a/crates/coordination/src/mesh/datagrams.rs
+++ b/crates/coordination/src/mesh/datagrams.rs
@@ -146,7 +146,7 @@
             leaving: status.leaving,
             departures,
             quarantined: status.quarantined,
-            heard,
+            last_seen: heard,
             suspicions,
         }
     }
@@ -188,7 +188,7 @@
             let mut table = lock(&self.shared.table);
             let update = table.merge(&beat, now);
             if update != Update::Stale {
-                table.merge_digest(&beat.heard, now);
+                table.merge_digest(&beat.last_seen, now);
             }
             update
         };
@@ -207,8 +207,8 @@
 /// Drops half of the least important items; false if no items are left. Departures are dropped last:
 /// without them requests are sent to an endpoint that is shutting down.
 fn shorten(beat: &mut Heartbeat) -> bool {
-    if !beat.heard.is_empty() {
-        beat.heard.truncate(beat.heard.len() / 2);
+    if !beat.last_seen.is_empty() {
+        beat.last_seen.truncate(beat.last_seen.len() / 2);
     } else if !beat.quarantined.is_empty() {
         beat.quarantined.truncate(beat.quarantined.len() / 2);
     } else if !beat.suspicions.is_empty() {
--- a/crates/coordination/src/mesh/table.rs
+++ b/crates/coordination/src/mesh/table.rs
@@ -5,8 +5,8 @@
 
 use pimento_units::Offset;
 use pimento_units::id;
-use pimento_wire::peer::Heard;
 use pimento_wire::peer::Heartbeat;
+use pimento_wire::peer::LastSeen;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -174,7 +174,7 @@
 
     /// Merges a peer's report of the latest heartbeats of other nodes. Only a heartbeat newer than the
     /// latest one known here shows that its node is alive.
-    pub(super) fn merge_digest(&mut self, digest: &[Heard], now: Instant) {
+    pub(super) fn merge_digest(&mut self, digest: &[LastSeen], now: Instant) {
         for reported in digest {
             let known = self
                 .known
@@ -188,12 +188,12 @@
     }
 
     /// The latest heartbeats of the live nodes of a zone, to report to peers; the most recent first.
-    pub(super) fn digest(&self, zone: &id::Zone, max: usize, now: Instant) -> Vec<Heard> {
+    pub(super) fn digest(&self, zone: &id::Zone, max: usize, now: Instant) -> Vec<LastSeen> {
         let mut live: Vec<&Known> = self.known.iter().collect();
         live.retain(|k| &k.peer.zone == zone && self.is_live(k, now));
         live.sort_by_key(|k| std::cmp::Reverse(k.last_seen));
         live.truncate(max);
-        let report = |k: &Known| Heard {
+        let report = |k: &Known| LastSeen {
             node: hash(&k.peer.node),
             sequence: k.latest,
         };
--- a/crates/coordination/tests/remote.rs
+++ b/crates/coordination/tests/remote.rs
@@ -92,7 +92,7 @@
 fn outcome<T>(result: &Result<T, log::Error>) -> Outcome {
     match result {
         Ok(_) => Outcome::Done,
-        Err(log::Error::Refused { after }) => Outcome::Refused(after.as_secs()),
+        Err(log::Error::Refused { retry_after }) => Outcome::Refused(retry_after.as_secs()),
         Err(log::Error::Lost { .. }) => Outcome::Lost,
         Err(log::Error::Gone { oldest }) => Outcome::Gone(oldest.0),
     }
--- a/crates/entry/src/chain/model.rs
+++ b/crates/entry/src/chain/model.rs
@@ -1,4 +1,4 @@
-//! Model requests, whole and streamed.
+//! Model requests, answered as a whole or as a stream.
 
 use std::sync::Arc;
 
@@ -6,8 +6,8 @@
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
 use pimento_ledger::record::Item;
-use pimento_serve::Reply;
-use pimento_wire::border::Run;
+use pimento_serve::ReplyBody;
+use pimento_wire::api::Run;
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
@@ -36,59 +36,64 @@
 ///
 /// # Errors
 ///
-/// A [`Refusal`], if nothing was sent to the caller yet.
+/// A [`Refusal`], if nothing has been sent to the caller yet.
 pub async fn serve(
     node: &Arc<Node>,
     head: &Parts,
     body: Incoming,
-    gone: CancellationToken,
-) -> Result<Response<Reply>, Refusal> {
+    caller_gone: CancellationToken,
+) -> Result<Response<ReplyBody>, Refusal> {
     let caller = Authenticate(node).apply(&head.headers).await?;
     let body = identify::body(node, body).await?;
     let raw = Raw {
         caller,
         headers: &head.headers,
         body,
-        gone,
+        caller_gone,
     };
     let request = Identify(node).apply(raw).await?;
-    let bound = Contract(node).apply(request).await?;
-    let funded = Budget(node).apply(bound).await?;
-    if funded.bound.request.chat.stream {
+    let resolved = Contract(node).apply(request).await?;
+    let funded = Budget(node).apply(resolved).await?;
+    if funded.resolved.request.chat.stream {
         stream(node, funded).await
     } else {
         whole(node, funded).await
     }
 }
 
-async fn whole(node: &Arc<Node>, funded: Funded) -> Result<Response<Reply>, Refusal> {
-    let identity = &funded.bound.request.identity;
+async fn whole(node: &Arc<Node>, funded: Funded) -> Result<Response<ReplyBody>, Refusal> {
+    let identity = &funded.resolved.request.identity;
     let request = identity.id;
     let mut delivery = Delivery::whole(node.clock, request, identity.deadline);
     let served = run(node, funded, &mut delivery).await?;
     Ok(served.head.whole(request, node.clock.wall(), served.answer))
 }
 
-/// Runs on as a task of its own, since the response's head goes out before its body is complete.
-async fn stream(node: &Arc<Node>, funded: Funded) -> Result<Response<Reply>, Refusal> {
+/// Runs the request in a separate task, because the head of the response is sent before its body is
+/// complete.
+async fn stream(node: &Arc<Node>, funded: Funded) -> Result<Response<ReplyBody>, Refusal> {
     let (head, response) = oneshot::channel();
-    let identity = &funded.bound.request.identity;
+    let identity = &funded.resolved.request.identity;
     let mut delivery = Delivery::stream(node.clock, identity.id, identity.deadline, head);
-    let task = Arc::clone(node);
+    let task_node = Arc::clone(node);
     node.tasks.spawn(async move {
-        if let Err(refusal) = run(&task, funded, &mut delivery).await {
-            task.metrics.refused(refusal.code, refusal.run);
+        if let Err(refusal) = run(&task_node, funded, &mut delivery).await {
+            task_node.metrics.record_refusal(refusal.code, refusal.run);
             log::info!(
-                "reply: Stream ended, {}: {}.",
+                "reply: Stream failed, {}: {}.",
                 refusal.code,
                 refusal.message
             );
             delivery.fail(&refusal).await;
         }
     });
-    response
-        .await
-        .map_err(|_| Refusal::new(Code::Internal, "the answer broke off", Run::Unknown))
+    response.await.map_err(|_| {
+        Refusal::new(
+            Code::Internal,
+            "the answer ended unexpectedly",
+            Run::Unknown,
+        )
+    })
 }
 
 async fn run(node: &Node, funded: Funded, delivery: &mut Delivery) -> Result<Served, Refusal> {
@@ -99,12 +104,12 @@
         trace: &mut trace,
     };
     let served = Cascade(node).apply(work).await?;
-    let request = funded.bound.request;
+    let request = funded.resolved.request;
     let version = &served.version;
     let input = served.answer.input();
     let output = served.answer.output();
     let answered = Answered {
-        request: bill::chat(request.identity.id, &request.chat),
+        request: bill::chat_billing_id(request.identity.id, &request.chat),
         customer: request.customer.clone(),
         class: Some(request.class.name.clone()),
         item: Item::Version(version.id.clone()),
@@ -112,26 +117,26 @@
         cost: trace.cost,
         input,
         output,
-        fund: funded.fund,
+        reservation: funded.reservation,
     };
     Billing(node).apply(answered).await?;
     let finished = delivery.finish().await;
     finished.map_err(|fault| trace.refusal(&fault))?;
     let now = node.clock.now();
     let arrived = request.identity.arrived;
-    let first = delivery.first().unwrap_or(now);
+    let first_sent_at = delivery.first_sent_at().unwrap_or(now);
     let sample = Sample {
-        first: first.since(arrived),
-        last: now.since(arrived),
-        waited: trace.waited,
+        first_byte: first_sent_at.since(arrived),
+        last_byte: now.since(arrived),
+        queue_wait: trace.waited,
         cost: trace.cost,
     };
     let class = request.class.name.as_str();
     node.metrics
-        .served(&request.customer, class, version.id.as_str(), sample);
+        .record_served(&request.customer, class, version.id.as_str(), sample);
     log::info!(
         request:% = request.identity.id, customer:% = request.customer;
-        "reply: Served {class} by {} in {:?}.", version.id, sample.last
+        "reply: Served {class} by {} in {:?}.", version.id, sample.last_byte
     );
     Ok(served)
 }
--- a/crates/entry/tests/all/registry.rs
+++ b/crates/entry/tests/all/registry.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may take new work.
+//! Which endpoints may take new work, by list, load reports and departures.
 
 use pimento_entry::registry::Table;
 use pimento_units::Moment;
@@ -41,16 +41,16 @@
 
 fn table(names: &[&str]) -> Table {
     let mut table = Table::default();
-    table.list(&vms(names));
+    table.update_list(&vms(names));
     for label in names {
-        table.report(&name(label), load(label, 1), NOW);
+        table.record_load(&name(label), load(label, 1), NOW);
     }
     table
 }
 
 fn usable(table: &Table) -> Vec<String> {
     let endpoints = table.endpoints().iter();
-    let usable = endpoints.filter(|endpoint| table.usable(endpoint));
+    let usable = endpoints.filter(|endpoint| table.is_usable(endpoint));
     usable.map(|endpoint| endpoint.name.to_string()).collect()
 }
 
@@ -61,76 +61,76 @@
     }
 }
 
-/// The list loses all or most of its lines for a moment, as a store in trouble may show. Dropping
-/// the endpoints would refuse every caller though nothing is wrong with them.
+/// The list loses all or most of its entries for a moment, as a faulty store may return it.
+/// Dropping the endpoints would refuse every request although they are well.
 #[test]
 fn a_list_that_suddenly_shrinks_is_doubted() {
     for short in [&[][..], &["a"][..]] {
         let mut table = table(&["a", "b", "c", "d"]);
-        table.list(&vms(short));
-        assert!(table.doubted());
+        table.update_list(&vms(short));
+        assert!(table.distrusts_list());
         assert_eq!(usable(&table), ["a", "b", "c", "d"]);
-        table.list(&vms(&["a", "b", "c", "d"]));
-        assert!(!table.doubted());
+        table.update_list(&vms(&["a", "b", "c", "d"]));
+        assert!(!table.distrusts_list());
     }
 }
 
-/// In doubt, an endpoint that the list misses and that does not answer either is left out.
+/// While the list is distrusted, a missing endpoint that does not answer either gets no work.
 #[test]
-fn a_doubted_endpoint_that_is_silent_gets_no_work() {
+fn an_unlisted_endpoint_that_does_not_answer_gets_no_work() {
     let mut table = table(&["a", "b"]);
-    table.list(&vms(&[]));
+    table.update_list(&vms(&[]));
     for _ in 0..3 {
-        table.fail(&name("b"));
+        table.record_failure(&name("b"));
     }
     assert_eq!(usable(&table), ["a"]);
 }
 
 #[test]
-fn an_endpoint_that_leaves_the_list_among_others_gets_no_work() {
+fn an_endpoint_removed_from_the_list_gets_no_work() {
     let mut table = table(&["a", "b", "c"]);
-    table.list(&vms(&["a", "c"]));
+    table.update_list(&vms(&["a", "c"]));
     assert_eq!(usable(&table), ["a", "c"]);
 }
 
-/// Each of the three sources alone is enough, whatever the others go on saying.
+/// Each of the three sources alone is enough, even if the others contradict it.
 #[test]
 fn leaving_by_list_own_word_or_peers_word_is_sticky_for_an_incarnation() {
-    type Leave = fn(&mut Table);
-    let ways: [(&str, Leave); 3] = [
+    type Report = fn(&mut Table);
+    let sources: [(&str, Report); 3] = [
         ("the list", |table| {
             let mut leaving = vms(&["a", "b"]);
             leaving.vms[0].leaving = true;
-            table.list(&leaving);
+            table.update_list(&leaving);
         }),
-        ("its own word", |table| {
+        ("its load report", |table| {
             let mut own = load("a", 1);
             own.leaving = true;
-            table.report(&name("a"), own, NOW);
+            table.record_load(&name("a"), own, NOW);
         }),
-        ("a peer's word", |table| {
-            assert!(table.depart(departure("a", 1)));
-            assert!(!table.depart(departure("a", 1)));
+        ("a peer", |table| {
+            assert!(table.record_departure(departure("a", 1)));
+            assert!(!table.record_departure(departure("a", 1)));
         }),
     ];
-    for (what, leave) in ways {
+    for (what, report_leaving) in sources {
         let mut table = table(&["a", "b"]);
-        leave(&mut table);
+        report_leaving(&mut table);
         assert_eq!(usable(&table), ["b"], "{what}");
-        table.list(&vms(&["a", "b"]));
-        table.report(&name("a"), load("a", 1), NOW);
-        assert_eq!(usable(&table), ["b"], "{what}, and the sources disagree");
+        table.update_list(&vms(&["a", "b"]));
+        table.record_load(&name("a"), load("a", 1), NOW);
+        assert_eq!(usable(&table), ["b"], "{what}, contradicted by the others");
         assert_eq!(table.departures(), [departure("a", 1)], "{what}");
-        table.report(&name("a"), load("a", 2), NOW);
-        assert_eq!(usable(&table), ["a", "b"], "{what}, and it came back anew");
+        table.record_load(&name("a"), load("a", 2), NOW);
+        assert_eq!(usable(&table), ["a", "b"], "{what}, in a new incarnation");
     }
 }
 
 #[test]
-fn a_report_from_an_address_that_was_given_to_another_vm_does_not_count() {
+fn a_report_from_a_reassigned_address_does_not_count() {
     let mut table = Table::default();
-    table.list(&vms(&["a"]));
-    table.report(&name("a"), load("z", 1), NOW);
+    table.update_list(&vms(&["a"]));
+    table.record_load(&name("a"), load("z", 1), NOW);
     assert!(usable(&table).is_empty());
 }
 
@@ -138,7 +138,7 @@
 fn departures_are_bounded() {
     let mut table = Table::default();
     for incarnation in 0..5_000 {
-        table.depart(departure("a", incarnation));
+        table.record_departure(departure("a", incarnation));
     }
     assert_eq!(table.departures().len(), 1_024);
     assert_eq!(table.departures().last(), Some(&departure("a", 4_999)));
