--- a/crates/coordination/src/mesh/datagrams.rs
+++ b/crates/coordination/src/mesh/datagrams.rs
@@ -128,7 +128,8 @@
         let shared = &self.shared;
         let departures = lock(&shared.departures).select(MAX_DEPARTURES);
         let suspicions = lock(&shared.suspicions).select(MAX_SUSPICIONS);
-        let heard = lock(&shared.table).digest(&shared.settings.zone, MAX_DIGEST, Instant::now());
+        let last_seen =
+            lock(&shared.table).digest(&shared.settings.zone, MAX_DIGEST, Instant::now());
         let status = lock(&shared.status).clone();
         let current = status.freshness.map(|freshness| Current {
             at: freshness.at,
@@ -146,7 +147,7 @@
             leaving: status.leaving,
             departures,
             quarantined: status.quarantined,
-            last_seen: heard,
+            last_seen,
             suspicions,
         }
     }
--- a/crates/coordination/tests/support/memory.rs
+++ b/crates/coordination/tests/support/memory.rs
@@ -124,8 +124,8 @@
     }
 
     /// Starts or ends an outage: the log refuses calls, to be retried after the given time.
-    pub fn outage(&self, after: Option<Duration>) {
-        self.data.lock().unwrap().outage = after;
+    pub fn outage(&self, retry_after: Option<Duration>) {
+        self.data.lock().unwrap().outage = retry_after;
         self.wake();
     }
 
@@ -195,8 +195,8 @@
 
     fn batch(&self, stream: Stream, from: Offset, max: usize) -> Result<Batch, Error> {
         let data = self.data.lock().unwrap();
-        if let Some(after) = data.outage {
-            return Err(Error::Refused { retry_after: after });
+        if let Some(retry_after) = data.outage {
+            return Err(Error::Refused { retry_after });
         }
         let retained = &data.streams[stream as usize];
         if from.0 < retained.oldest {
@@ -223,13 +223,13 @@
         let fault = {
             let mut data = self.data.lock().unwrap();
             data.streams[stream as usize].begun += 1;
-            if let Some(after) = data.outage {
-                return Err(Error::Refused { retry_after: after });
+            if let Some(retry_after) = data.outage {
+                return Err(Error::Refused { retry_after });
             }
             data.faults.pop_front()
         };
         match fault {
-            Some(Fault::Refuse(after)) => return Err(Error::Refused { retry_after: after }),
+            Some(Fault::Refuse(retry_after)) => return Err(Error::Refused { retry_after }),
             Some(Fault::LoseBefore) => return Err(lost()),
             Some(Fault::LoseAfter) => {
                 self.put(stream, records);
