--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -285,9 +285,9 @@
                 self.metrics.fetch(Outcome::Done);
                 self.stock.hold([&version]);
             }
-            Err(weights::Error::Refused { after }) => {
+            Err(weights::Error::Refused { retry_after }) => {
                 self.metrics.fetch(Outcome::Refused);
-                self.stock.block(Instant::now(), after);
+                self.stock.block(Instant::now(), retry_after);
             }
             Err(error) => {
                 log::warn!("orders: weights of {version} in doubt: {error}");
--- a/crates/control/tests/all/fakes.rs
+++ b/crates/control/tests/all/fakes.rs
@@ -359,7 +359,9 @@
         let free = calls.last().map(|(at, _)| *at + self.interval);
         if let Some(free) = free.filter(|free| now < *free) {
             *self.refusals.lock().expect("no test panics in here") += 1;
-            return Err(weights::Error::Refused { after: free - now });
+            return Err(weights::Error::Refused {
+                retry_after: free - now,
+            });
         }
         calls.push((now, fetch.version));
         Ok(())
--- a/crates/coordination/src/weights.rs
+++ b/crates/coordination/src/weights.rs
@@ -22,10 +22,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// The store refused the call before acting on it, or no connection was made.
-    #[snafu(display("the weight store refused the call; retry after {after:?}"))]
+    #[snafu(display("the weight store refused the call; retry after {retry_after:?}"))]
     Refused {
         /// Time to wait before the next call.
-        after: Duration,
+        retry_after: Duration,
     },
     /// There was no answer, or its status was an error. The fetch may have taken place.
     #[snafu(display("no valid answer from the weight store: {reason}"))]
@@ -55,8 +55,8 @@
 impl Store for Remote {
     async fn fetch(&self, fetch: Fetch) -> Result<(), Error> {
         let reply = self.client.post("/fetch", &fetch).await?;
-        if let Some(after) = reply.refusal() {
-            return Err(Error::Refused { after });
+        if let Some(retry_after) = reply.refusal() {
+            return Err(Error::Refused { retry_after });
         }
         if reply.status != StatusCode::OK {
             let reason = format!("status {}", reply.status);
@@ -70,7 +70,7 @@
     fn from(failure: Failure) -> Self {
         match failure {
             Failure::Unreachable(_) => Self::Refused {
-                after: http::RETRY_DELAY,
+                retry_after: http::RETRY_DELAY,
             },
             Failure::Lost(reason) => Self::Lost { reason },
         }
--- a/crates/coordination/tests/remote.rs
+++ b/crates/coordination/tests/remote.rs
@@ -258,10 +258,10 @@
     assert_eq!(store.fetch(fetch()).await, Ok(()));
     let rate = answer("429 Too Many Requests", "retry-after: 3\r\n", "");
     let store = weights::Remote::new(serve(rate).await, TIMEOUT);
-    let after = Duration::from_secs(3);
+    let retry_after = Duration::from_secs(3);
     assert_eq!(
         store.fetch(fetch()).await,
-        Err(weights::Error::Refused { after })
+        Err(weights::Error::Refused { retry_after })
     );
     for bytes in [answer("500 Internal Server Error", "", ""), Script::Hang] {
         let store = weights::Remote::new(serve(bytes).await, TIMEOUT);
