--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -84,7 +84,6 @@
     pub wallet: Wallet,
     pub answers: Cache,
     pub mesh: Mesh,
-
     /// Permits for memory of requests in flight, in units of [`identify::MEMORY_UNIT_BYTES`].
     pub request_memory: Arc<Semaphore>,
     pub metrics: Metrics,
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -41,7 +41,7 @@
         }
         match call {
             Call::StoreBills { node: owner, bills } => {
-                hold_answer(node.outbox.store_copies(&owner, bills))
+                store_answer(node.outbox.store_copies(&owner, bills))
             }
             Call::RemoveBills {
                 node: owner,
@@ -64,8 +64,8 @@
     }
 }
 
-fn hold_answer(is_held: bool) -> Answer {
-    if is_held {
+fn store_answer(stored: bool) -> Answer {
+    if stored {
         return Answer::Done;
     }
     Answer::Refused {
--- a/crates/entry/tests/all/delivery.rs
+++ b/crates/entry/tests/all/delivery.rs
@@ -40,18 +40,18 @@
 }
 
 /// The text as chunks that end at these places. The last chunk has the finish reason.
-fn pieces(cuts: &[usize]) -> Vec<Chunk> {
+fn chunks(cuts: &[usize]) -> Vec<Chunk> {
     let starts: Vec<usize> = TEXT.char_indices().map(|(at, _)| at).collect();
     let mut ends: Vec<usize> = cuts.iter().map(|cut| starts[cut % starts.len()]).collect();
     ends.push(TEXT.len());
     ends.sort_unstable();
     let mut from = 0;
-    let mut pieces = Vec::new();
+    let mut chunks = Vec::new();
     for (number, end) in ends.iter().enumerate() {
-        pieces.push(chunk(&TEXT[from..*end], number + 1 == ends.len()));
+        chunks.push(chunk(&TEXT[from..*end], number + 1 == ends.len()));
         from = *end;
     }
-    pieces
+    chunks
 }
 
 /// A streamed delivery, and a task that returns what its caller has received at the end.
@@ -75,12 +75,12 @@
 /// Pushes `count` chunks of a first attempt, then all of a second one that is split differently.
 async fn two_attempts(first: &[usize], count: usize, second: &[usize]) -> Answer {
     let (mut delivery, caller) = stream();
-    for piece in pieces(first).into_iter().take(count) {
-        delivery.push(piece).await.unwrap();
+    for chunk in chunks(first).into_iter().take(count) {
+        delivery.push(chunk).await.unwrap();
     }
     delivery.restart();
-    for piece in pieces(second) {
-        delivery.push(piece).await.unwrap();
+    for chunk in chunks(second) {
+        delivery.push(chunk).await.unwrap();
     }
     delivery.finish().await.unwrap();
     caller.await.unwrap()
@@ -120,14 +120,14 @@
 async fn a_held_answer_is_sent_when_it_is_released() {
     let (mut delivery, caller) = stream();
     delivery.begin(Head::default(), false);
-    for piece in pieces(&[5, 9]) {
-        delivery.push(piece).await.unwrap();
+    for chunk in chunks(&[5, 9]) {
+        delivery.push(chunk).await.unwrap();
     }
     assert!(!delivery.has_started());
     // A better version is called instead, and the first answer is discarded.
     delivery.begin(Head::default(), false);
-    for piece in pieces(&[12]) {
-        delivery.push(piece).await.unwrap();
+    for chunk in chunks(&[12]) {
+        delivery.push(chunk).await.unwrap();
     }
     delivery.release().await.unwrap();
     assert!(delivery.has_started());
--- a/crates/entry/tests/all/faults.rs
+++ b/crates/entry/tests/all/faults.rs
@@ -180,16 +180,16 @@
     // from the queue or from the engines.
     let request = entry.chat(PROMPT, false).header("request-timeout", "2");
     let answer = request.send().await;
-    let code = answer.failure().error.code;
+    let code = answer.error_body().error.code;
     assert!(code == "overloaded" || code == "no_endpoint", "{answer:?}");
-    assert_eq!(answer.failure().error.run, Run::NotRun);
+    assert_eq!(answer.error_body().error.run, Run::NotRun);
     assert_ne!(answer.header("retry-after"), "");
     assert_eq!(fixture.started(), 0);
     for engine in &fixture.engines {
         engine.faults.rules([refuse(None)]);
     }
     let answer = entry.chat(PROMPT, false).send().await;
-    assert_eq!(answer.failure().error.run, Run::Unknown, "{answer:?}");
+    assert_eq!(answer.error_body().error.run, Run::Unknown, "{answer:?}");
 }
 
 /// All engines refuse with `retry-after` of an hour, and the caller's timeout is ten minutes. The
@@ -209,7 +209,7 @@
     }
     let request = entry.chat(PROMPT, false).header("request-timeout", "600");
     let answer = tokio::time::timeout(TIMEOUT, request.send()).await.unwrap();
-    assert_eq!(answer.failure().error.run, Run::NotRun);
+    assert_eq!(answer.error_body().error.run, Run::NotRun);
     let after: u64 = answer.header("retry-after").parse().unwrap();
     assert!(after > 3_000, "retry after {after} s");
     assert_eq!(fixture.started(), 0);
@@ -337,7 +337,7 @@
         let failure = if answer.status == StatusCode::OK {
             serde_json::from_str(answer.events().last().unwrap()).unwrap()
         } else {
-            answer.failure()
+            answer.error_body()
         };
         assert_eq!(failure.error.code, "bills_unavailable", "{answer:?}");
         assert_eq!(failure.error.run, Run::Ran);
--- a/crates/entry/tests/all/poison.rs
+++ b/crates/entry/tests/all/poison.rs
@@ -63,7 +63,7 @@
 
 fn is_blocked(answer: &Answer) -> bool {
     answer.status == StatusCode::SERVICE_UNAVAILABLE
-        && answer.failure().error.code == "poison_request"
+        && answer.error_body().error.code == "poison_request"
 }
 
 /// Guards against one prompt that crashes engine after engine because callers repeat it at any VM.
@@ -94,7 +94,7 @@
     );
     let last = last.unwrap();
     assert!(is_blocked(&last), "{last:?}");
-    assert_eq!(last.failure().error.run, Run::NotRun);
+    assert_eq!(last.error_body().error.run, Run::NotRun);
     let after: u64 = last.header("retry-after").parse().unwrap();
     assert!((60..=600).contains(&after), "after {after} s");
 }
--- a/crates/entry/tests/all/refusals.rs
+++ b/crates/entry/tests/all/refusals.rs
@@ -144,7 +144,7 @@
     for (what, request, status, code) in CASES {
         let answer = request(&entry).send().await;
         assert_eq!(answer.status.as_u16(), *status, "{what}: {answer:?}");
-        let failure = answer.failure();
+        let failure = answer.error_body();
         assert_eq!(failure.error.code, *code, "{what}");
         assert_eq!(failure.error.run, Run::NotRun, "{what}");
         assert_eq!(answer.header("run"), "not_run", "{what}");
@@ -165,8 +165,8 @@
     let entry = fixture.entry("entry-1").await;
     let answer = chat(&entry).send().await;
     assert_eq!(answer.status, StatusCode::PAYMENT_REQUIRED);
-    assert_eq!(answer.failure().error.code, "spend_limit");
-    assert_eq!(answer.failure().error.run, Run::NotRun);
+    assert_eq!(answer.error_body().error.code, "spend_limit");
+    assert_eq!(answer.error_body().error.run, Run::NotRun);
     assert_ne!(answer.header("retry-after"), "");
     assert_eq!(fixture.started(), 0);
 }
@@ -189,8 +189,8 @@
     wait_until("many requests wait", || pool.depth().waiting > 20).await;
     let answer = chat(&entry).header("request-timeout", "1").send().await;
     assert_eq!(answer.status, StatusCode::TOO_MANY_REQUESTS, "{answer:?}");
-    assert_eq!(answer.failure().error.code, "overloaded");
-    assert_eq!(answer.failure().error.run, Run::NotRun);
+    assert_eq!(answer.error_body().error.code, "overloaded");
+    assert_eq!(answer.error_body().error.run, Run::NotRun);
     assert_ne!(answer.header("retry-after"), "");
     for pending in pending {
         pending.abort();
@@ -208,7 +208,7 @@
     let reserved = memory.try_acquire_many_owned(all).unwrap();
     let answer = chat(&entry).send().await;
     assert_eq!(answer.status, StatusCode::TOO_MANY_REQUESTS, "{answer:?}");
-    assert_eq!(answer.failure().error.run, Run::NotRun);
+    assert_eq!(answer.error_body().error.run, Run::NotRun);
     assert_eq!(fixture.started(), 0);
     drop(reserved);
     assert_eq!(chat(&entry).send().await.status, StatusCode::OK);
--- a/crates/entry/tests/all/service.rs
+++ b/crates/entry/tests/all/service.rs
@@ -71,7 +71,7 @@
         for answer in [one, other] {
             if answer.status != StatusCode::OK {
                 assert_eq!(answer.status, StatusCode::CONFLICT, "{answer:?}");
-                assert_ne!(answer.failure().error.run, Run::NotRun);
+                assert_ne!(answer.error_body().error.run, Run::NotRun);
             }
         }
     }
@@ -90,13 +90,13 @@
     let key = Uuid::now_v7().to_string();
     let lost = entry.order(&key).send().await;
     assert_eq!(lost.status, StatusCode::BAD_GATEWAY, "{lost:?}");
-    assert_eq!(lost.failure().error.run, Run::Unknown);
+    assert_eq!(lost.error_body().error.run, Run::Unknown);
     for desk in &fixture.desks {
         desk.faults.clear();
     }
     let again = entry.order(&key).send().await;
     assert_eq!(again.status, StatusCode::CONFLICT, "{again:?}");
-    assert_eq!(again.failure().error.run, Run::Unknown);
+    assert_eq!(again.error_body().error.run, Run::Unknown);
     assert_eq!(fixture.runs(&key), 1);
 }
 
@@ -115,7 +115,7 @@
     }
     let key = Uuid::now_v7().to_string();
     let refused = entry.order(&key).send().await;
-    assert_eq!(refused.failure().error.run, Run::NotRun, "{refused:?}");
+    assert_eq!(refused.error_body().error.run, Run::NotRun, "{refused:?}");
     assert_eq!(fixture.runs(&key), 0);
     for desk in &fixture.desks {
         desk.faults.clear();
@@ -152,8 +152,8 @@
         StatusCode::SERVICE_UNAVAILABLE,
         "{refused:?}"
     );
-    assert_eq!(refused.failure().error.code, "claims_unavailable");
-    assert_eq!(refused.failure().error.run, Run::NotRun);
+    assert_eq!(refused.error_body().error.code, "claims_unavailable");
+    assert_eq!(refused.error_body().error.run, Run::NotRun);
     assert_ne!(refused.header("retry-after"), "");
     assert_eq!(fixture.runs(&key), 0);
 }
@@ -166,6 +166,6 @@
     assert_eq!(entry.order(&key).send().await.status, StatusCode::OK);
     let other = entry.order(&key).body("{\"drums\":400}").send().await;
     assert_eq!(other.status, StatusCode::UNPROCESSABLE_ENTITY);
-    assert_eq!(other.failure().error.run, Run::NotRun);
+    assert_eq!(other.error_body().error.run, Run::NotRun);
     assert_eq!(fixture.runs(&key), 1);
 }
--- a/crates/entry/tests/all/support.rs
+++ b/crates/entry/tests/all/support.rs
@@ -92,7 +92,7 @@
         self.headers.get(name).map_or("", |v| v.to_str().unwrap())
     }
 
-    pub fn failure(&self) -> ErrorBody {
+    pub fn error_body(&self) -> ErrorBody {
         serde_json::from_slice(&self.body)
             .unwrap_or_else(|error| panic!("no error body ({error}): {:?}", self.body))
     }
--- a/crates/entry/tests/all/versions.rs
+++ b/crates/entry/tests/all/versions.rs
@@ -56,8 +56,8 @@
     for pending in pending {
         let answer = pending.await.unwrap();
         if answer.status != StatusCode::OK {
-            assert_eq!(answer.failure().error.code, "no_version", "{answer:?}");
-            assert_eq!(answer.failure().error.run, Run::NotRun);
+            assert_eq!(answer.error_body().error.code, "no_version", "{answer:?}");
+            assert_eq!(answer.error_body().error.run, Run::NotRun);
             refused += 1;
         }
     }
