--- a/src/bin/pimento-control.rs
+++ b/src/bin/pimento-control.rs
@@ -1,4 +1,4 @@
-//! The control daemon: leases, roll-outs, placement and orders.
+//! The control daemon: leases, roll-outs, placement and orders to engines.
 
 use std::process::ExitCode;
 
--- a/src/bin/pimento-standin.rs
+++ b/src/bin/pimento-standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform's services and of endpoints.
+//! Stand-ins for the platform's services and for endpoints.
 
 use std::process::ExitCode;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! pimentobarrow as one library: the parts that others embed, re-exported under one name.
+//! pimentobarrow as one library: re-exports the crates that other programs embed.
 //!
-//! [`contract`], [`ledger`] and [`policy`] are state machines without clock, network or randomness
-//! of their own; [`coordination`] and [`endpoint`] connect them to the outside. The daemons are thin
-//! programs over [`entry`] and [`control`].
+//! [`contract`], [`ledger`] and [`policy`] are state machines without a clock, network access or
+//! randomness; [`coordination`] and [`endpoint`] connect them to their environment. The daemons are
+//! thin programs over [`entry`] and [`control`].
 
 pub use pimento_contract as contract;
 pub use pimento_control as control;
