--- a/crates/ledger/examples/folds.rs
+++ b/crates/ledger/examples/folds.rs
@@ -1,5 +1,5 @@
-//! The ledger's folds over somebody's own log: here a vector of JSON lines, in the order in which
-//! the log took them. Two writers claim one call and bill it, and two nodes ask for one limit.
+//! The ledger's folds over an application's own log, here a vector of JSON lines in log order. Two
+//! nodes claim the same call, and two nodes request grants from the same limit.
 //!
 //! `cargo run -p pimento-ledger --example folds`
 
@@ -36,7 +36,7 @@
         };
         Ok(serde_json::to_string(&ClaimRecord::Claim(claim))?)
     };
-    // The log's answer to vm-a was lost, so that vm-a appended its claim again.
+    // The log's answer to vm-a was lost, so vm-a appended its claim again.
     let log = [claim("vm-b", 2)?, claim("vm-a", 1)?, claim("vm-a", 1)?];
 
     let mut fold = claims::Fold::new(WINDOW);
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -1,8 +1,9 @@
-//! Which attempt owns a call that may not be repeated.
+//! Ownership of calls that may not be repeated.
 //!
-//! The first claim on a request id in offset order owns it until its writer says that the call was
-//! not run. Entries live exactly as long as their id is young enough to be claimed: an id that is
-//! forgotten can't be claimed again, and the table is bounded by the window times the claim rate.
+//! The first claim on a request id in offset order owns the request until its writer reports that the
+//! call was not run. An entry is removed only after its id has become too old to be claimed, so a
+//! removed id can't be claimed again. The size of the table is bounded by the window times the claim
+//! rate.
 
 use std::time::Duration;
 
@@ -15,11 +16,12 @@
 use crate::record::Run;
 
 /// How far a caller's clock may run ahead of the log's. Ids from further ahead are refused: an id
-/// stays in the table until it is too old to be claimed, which one dated years ahead never is.
+/// stays in the table until it is too old to be claimed, which would take years for an id dated
+/// years ahead.
 pub const SKEW: Duration = Duration::from_mins(1);
 
-/// Expired entries are removed once they are this share (one in so many) of the table, so that
-/// moving the rest costs a constant time for each claim.
+/// Expired entries are removed once they make up more than one `SLACK`th of the table. Moving the
+/// remaining entries then has a constant amortized cost per claim.
 const SLACK: usize = 8;
 
 /// The fold of the claims stream.
@@ -32,8 +34,8 @@
     nodes: Vec<id::Node>,
 }
 
-/// One claimed request. Kept small, since a node holds one for each claim of the window; the node
-/// is an index into a table of names.
+/// One claimed request. It is small because a node holds one for each claim of the window; `node` is
+/// an index into a table of names.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     request: id::Request,
@@ -49,13 +51,13 @@
 pub struct Owner {
     /// The owning attempt.
     pub attempt: id::Attempt,
-    /// Its writer.
+    /// The node that wrote the claim.
     pub node: id::Node,
     /// The digest of the call that was claimed.
     pub digest: u64,
-    /// What became of the call, if its owner said so.
+    /// Whether the call ran, if its owner has reported it.
     pub run: Option<Run>,
-    /// The status that the endpoint answered, if it did.
+    /// The status of the endpoint's answer, if there was one.
     pub status: Option<u16>,
 }
 
@@ -64,11 +66,11 @@
 pub enum Age {
     /// It may be claimed.
     Fresh,
-    /// The id is not a version 7 UUID, so that its age can't be read.
+    /// The id is not a version 7 UUID and contains no creation time.
     Unreadable,
-    /// Older than the window.
+    /// The id is older than the window.
     Old,
-    /// From further in the future than [`SKEW`].
+    /// The id is dated further in the future than [`SKEW`].
     Early,
 }
 
@@ -89,7 +91,7 @@
 
 impl Fold {
     /// An empty table for ids up to `window` old. The window must be shorter than the log's
-    /// retention, or a new reader would miss claims that still count.
+    /// retention, or a new reader would miss claims that are still valid.
     #[must_use]
     pub const fn new(window: Duration) -> Self {
         Self {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Applies the next record; `at` is when the log took it.
+    /// Applies the next record; `at` is the time at which the log accepted it.
     pub fn apply(&mut self, at: Wall, call: &ClaimRecord) {
         self.now = self.now.max(at);
         match call {
@@ -111,10 +113,10 @@
         self.expire();
     }
 
-    /// Who owns a request, as far as this fold has read.
+    /// The owner of a request, according to the records read so far.
     #[must_use]
     pub fn owner(&self, request: id::Request) -> Option<Owner> {
-        let entry = &self.entries[self.place(request).ok()?];
+        let entry = &self.entries[self.position(request).ok()?];
         let node = self.nodes.get(usize::try_from(entry.node).ok()?)?;
         Some(Owner {
             attempt: entry.attempt,
@@ -125,7 +127,7 @@
         })
     }
 
-    /// Requests in the table.
+    /// Number of requests in the table.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.entries.len()
@@ -137,13 +139,13 @@
         self.entries.is_empty()
     }
 
-    /// The log's clock at the newest record read.
+    /// The log's time at the newest record read.
     #[must_use]
     pub const fn now(&self) -> Wall {
         self.now
     }
 
-    /// Bytes that the table holds.
+    /// Bytes allocated for the table.
     #[must_use]
     pub const fn bytes(&self) -> usize {
         self.entries.capacity() * size_of::<Entry>()
@@ -155,24 +157,24 @@
         if age(claim.request, self.now, self.window) != Age::Fresh {
             return;
         }
-        // A claim whose writer has already given it up may reach the log late, because its first
-        // answer was lost. Letting it own the request again would block every later claim.
-        let given_up = (claim.request, claim.attempt);
-        if self.released.binary_search(&given_up).is_ok() {
+        // A claim that its writer has already released may reach the log late, when the answer to the
+        // first append was lost. If it became the owner, it would block every later claim.
+        let released = (claim.request, claim.attempt);
+        if self.released.binary_search(&released).is_ok() {
             return;
         }
-        let Err(place) = self.place(claim.request) else {
+        let Err(position) = self.position(claim.request) else {
             return;
         };
         let entry = Entry {
             request: claim.request,
             attempt: claim.attempt,
             digest: claim.digest,
-            node: self.number(&claim.node),
+            node: self.node_index(&claim.node),
             status: 0,
             run: None,
         };
-        self.entries.insert(place, entry);
+        self.entries.insert(position, entry);
     }
 
     fn outcome(&mut self, outcome: &Outcome) {
@@ -180,10 +182,10 @@
             self.release(outcome);
             return;
         }
-        let Ok(place) = self.place(outcome.request) else {
+        let Ok(position) = self.position(outcome.request) else {
             return;
         };
-        let entry = &mut self.entries[place];
+        let entry = &mut self.entries[position];
         if entry.attempt == outcome.attempt {
             entry.run = Some(outcome.run);
             entry.status = outcome.status.unwrap_or(0);
@@ -194,21 +196,21 @@
         if age(outcome.request, self.now, self.window) != Age::Fresh {
             return;
         }
-        if let Ok(place) = self.place(outcome.request) {
-            let entry = &self.entries[place];
-            // Once its writer has said that a call ran or may have run, it can't be taken back.
+        if let Ok(position) = self.position(outcome.request) {
+            let entry = &self.entries[position];
+            // Once its writer has reported that a call ran or may have run, it can't be released.
             if entry.attempt == outcome.attempt && entry.run.is_none() {
-                self.entries.remove(place);
+                self.entries.remove(position);
             }
         }
-        let given_up = (outcome.request, outcome.attempt);
-        if let Err(place) = self.released.binary_search(&given_up) {
-            self.released.insert(place, given_up);
+        let released = (outcome.request, outcome.attempt);
+        if let Err(position) = self.released.binary_search(&released) {
+            self.released.insert(position, released);
         }
     }
 
-    /// Removes ids that are too old to be claimed. Version 7 UUIDs sort by their time, so that
-    /// these are the first ones.
+    /// Removes ids that are too old to be claimed. Version 7 UUIDs sort by creation time, so the
+    /// oldest ids come first.
     fn expire(&mut self) {
         let old = |request: &id::Request| age(*request, self.now, self.window) == Age::Old;
         let entries = self.entries.partition_point(|entry| old(&entry.request));
@@ -221,17 +223,17 @@
         }
     }
 
-    fn place(&self, request: id::Request) -> Result<usize, usize> {
+    fn position(&self, request: id::Request) -> Result<usize, usize> {
         self.entries
             .binary_search_by(|entry| entry.request.cmp(&request))
     }
 
-    fn number(&mut self, node: &id::Node) -> u32 {
+    fn node_index(&mut self, node: &id::Node) -> u32 {
         let known = self.nodes.iter().rposition(|name| name == node);
-        let place = known.unwrap_or_else(|| {
+        let position = known.unwrap_or_else(|| {
             self.nodes.push(node.clone());
             self.nodes.len() - 1
         });
-        u32::try_from(place).unwrap_or(u32::MAX)
+        u32::try_from(position).unwrap_or(u32::MAX)
     }
 }
--- a/crates/ledger/src/grants.rs
+++ b/crates/ledger/src/grants.rs
@@ -1,8 +1,8 @@
-//! Who may spend how much of a customer's limit.
+//! Distribution of a customer's spend limit among nodes.
 //!
-//! A grant is accepted only while the sum of accepted grants of its period, less what was returned,
-//! stays within the limit. Nodes spend only out of accepted grants, so that the limit holds
-//! whatever zones are cut off from each other, and no node needs to know what others spend.
+//! A grant is accepted only while the sum of the accepted grants of its period, less returns, stays
+//! within the limit. Nodes spend only from accepted grants. The limit therefore holds during any
+//! network partition, and no node needs to know what others spend.
 
 use pimento_units::Money;
 use pimento_units::Revision;
@@ -12,7 +12,7 @@
 use crate::record::GrantRecord;
 use crate::record::Return;
 
-/// Periods kept for each customer. Records of the last period may still come in after its end.
+/// Periods retained for each customer. Records of a period may still arrive after its end.
 const PERIODS: usize = 2;
 
 /// The fold of the grants stream. Sorted by customer and period.
@@ -29,30 +29,30 @@
     limit: Money,
     revision: Revision,
     granted: Money,
-    shares: Vec<Share>,
-    seen: Vec<id::Record>,
+    by_node: Vec<NodeGrants>,
+    records: Vec<id::Record>,
 }
 
-/// What one node holds of an account.
+/// One node's part of an account.
 #[derive(Debug, Clone)]
-struct Share {
+struct NodeGrants {
     node: id::Node,
     granted: Money,
 }
 
-/// What became of a record.
+/// How a record was decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It counts.
+    /// The record is in effect.
     Accepted,
-    /// It would go over; this much is left.
+    /// The amount exceeds what is available.
     Refused {
-        /// What is left of the limit.
+        /// For a grant, what remains of the limit; for a return, what the node holds.
         left: Money,
     },
-    /// The record was read before.
+    /// A record with this id was applied before.
     Repeated,
-    /// The period is over and forgotten.
+    /// The period is older than those retained.
     Late,
 }
 
@@ -61,35 +61,35 @@
     pub fn apply(&mut self, allowance: &GrantRecord) -> Verdict {
         match allowance {
             GrantRecord::Grant(grant) => self.grant(grant),
-            GrantRecord::Return(back) => self.give_back(back),
+            GrantRecord::Return(returned) => self.apply_return(returned),
         }
     }
 
-    /// What a node was granted in a period, less what it returned.
+    /// The sum granted to a node in a period, less what it returned.
     #[must_use]
     pub fn granted(&self, customer: &id::Customer, period: u64, node: &id::Node) -> Money {
         let Some(account) = self.account(customer, period) else {
             return Money::ZERO;
         };
-        let share = account.shares.binary_search_by(|s| s.node.cmp(node));
-        share.map_or(Money::ZERO, |place| account.shares[place].granted)
+        let position = account.by_node.binary_search_by(|s| s.node.cmp(node));
+        position.map_or(Money::ZERO, |position| account.by_node[position].granted)
     }
 
-    /// What is left of the limit in a period; none if no grant of that period was read.
+    /// What remains of the limit in a period; `None` if no record of that period was read.
     #[must_use]
     pub fn remaining(&self, customer: &id::Customer, period: u64) -> Option<Money> {
         let account = self.account(customer, period)?;
         Some(account.remaining())
     }
 
-    /// Whether a record was read, whatever became of it.
+    /// Whether a record was read, accepted or not.
     #[must_use]
     pub fn has_read(&self, customer: &id::Customer, period: u64, record: id::Record) -> bool {
         self.account(customer, period)
-            .is_some_and(|account| account.seen.binary_search(&record).is_ok())
+            .is_some_and(|account| account.records.binary_search(&record).is_ok())
     }
 
-    /// Bytes that the accounts hold.
+    /// Bytes allocated for the accounts.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let inner: usize = self.accounts.iter().map(Account::bytes).sum();
@@ -97,74 +97,80 @@
     }
 
     fn grant(&mut self, grant: &Grant) -> Verdict {
-        let Some(account) = self.open(&grant.customer, grant.period) else {
+        let Some(account) = self.account_mut(&grant.customer, grant.period) else {
             return Verdict::Late;
         };
-        if !account.first(grant.id) {
+        if !account.insert_record(grant.id) {
             return Verdict::Repeated;
         }
-        account.amend(grant.limit, grant.revision);
+        account.update_limit(grant.limit, grant.revision);
         let left = account.remaining();
         if grant.amount > left {
             return Verdict::Refused { left };
         }
         account.granted += grant.amount;
-        account.share(&grant.node).granted += grant.amount;
+        account.node_grants(&grant.node).granted += grant.amount;
         Verdict::Accepted
     }
 
-    fn give_back(&mut self, back: &Return) -> Verdict {
-        let Some(account) = self.open(&back.customer, back.period) else {
+    fn apply_return(&mut self, returned: &Return) -> Verdict {
+        let Some(account) = self.account_mut(&returned.customer, returned.period) else {
             return Verdict::Late;
         };
-        if !account.first(back.id) {
+        if !account.insert_record(returned.id) {
             return Verdict::Repeated;
         }
-        let share = account.share(&back.node);
-        let Some(kept) = share.granted.checked_sub(back.amount) else {
+        let grants = account.node_grants(&returned.node);
+        let Some(remaining) = grants.granted.checked_sub(returned.amount) else {
             return Verdict::Refused {
-                left: share.granted,
+                left: grants.granted,
             };
         };
-        share.granted = kept;
-        account.granted = account.granted - back.amount;
+        grants.granted = remaining;
+        account.granted = account.granted - returned.amount;
         Verdict::Accepted
     }
 
     fn account(&self, customer: &id::Customer, period: u64) -> Option<&Account> {
-        let place = self.place(customer, period).ok()?;
-        self.accounts.get(place)
+        let position = self.position(customer, period).ok()?;
+        self.accounts.get(position)
     }
 
-    fn place(&self, customer: &id::Customer, period: u64) -> Result<usize, usize> {
+    fn position(&self, customer: &id::Customer, period: u64) -> Result<usize, usize> {
         self.accounts
             .binary_search_by(|a| (&a.customer, a.period).cmp(&(customer, period)))
     }
 
-    /// The account of a period, made if it is new; none if the period was forgotten already.
-    fn open(&mut self, customer: &id::Customer, period: u64) -> Option<&mut Account> {
-        let place = match self.place(customer, period) {
-            Ok(place) => place,
-            Err(place) => self.begin(customer, period, place)?,
+    /// The account of a period, created if needed; `None` if the period is older than those retained.
+    fn account_mut(&mut self, customer: &id::Customer, period: u64) -> Option<&mut Account> {
+        let position = match self.position(customer, period) {
+            Ok(position) => position,
+            Err(position) => self.insert_account(customer, period, position)?,
         };
-        self.accounts.get_mut(place)
+        self.accounts.get_mut(position)
     }
 
-    fn begin(&mut self, customer: &id::Customer, period: u64, place: usize) -> Option<usize> {
+    fn insert_account(
+        &mut self,
+        customer: &id::Customer,
+        period: u64,
+        position: usize,
+    ) -> Option<usize> {
         let first = self.accounts.partition_point(|a| &a.customer < customer);
         let last = self.accounts.partition_point(|a| &a.customer <= customer);
         let full = last - first >= PERIODS;
-        // A record of a forgotten period would find an empty account there, and the whole limit
-        // could be granted a second time.
-        if full && place == first {
+        // With a new, empty account for a removed period, the whole limit could be granted a second
+        // time.
+        if full && position == first {
             return None;
         }
-        self.accounts.insert(place, Account::new(customer, period));
+        self.accounts
+            .insert(position, Account::new(customer, period));
         if !full {
-            return Some(place);
+            return Some(position);
         }
         self.accounts.remove(first);
-        Some(place - 1)
+        Some(position - 1)
     }
 }
 
@@ -176,47 +182,48 @@
             limit: Money::ZERO,
             revision: Revision(0),
             granted: Money::ZERO,
-            shares: Vec::new(),
-            seen: Vec::new(),
+            by_node: Vec::new(),
+            records: Vec::new(),
         }
     }
 
     fn bytes(&self) -> usize {
-        self.shares.capacity() * size_of::<Share>() + self.seen.capacity() * size_of::<id::Record>()
+        self.by_node.capacity() * size_of::<NodeGrants>()
+            + self.records.capacity() * size_of::<id::Record>()
     }
 
-    /// What may still be granted. Zero if the contract was narrowed below what is granted already.
+    /// What may still be granted. Zero if the limit was lowered below the sum already granted.
     fn remaining(&self) -> Money {
         self.limit.saturating_sub(self.granted)
     }
 
-    /// Takes the limit of the newest contract that a writer has seen. A writer behind the others
-    /// can't bring an older limit back.
-    fn amend(&mut self, limit: Money, revision: Revision) {
+    /// Adopts the limit of the newest contract that a writer has read. A writer with an older
+    /// contract can't restore an older limit.
+    fn update_limit(&mut self, limit: Money, revision: Revision) {
         if revision >= self.revision {
             self.limit = limit;
             self.revision = revision;
         }
     }
 
-    fn first(&mut self, record: id::Record) -> bool {
-        let Err(place) = self.seen.binary_search(&record) else {
+    fn insert_record(&mut self, record: id::Record) -> bool {
+        let Err(position) = self.records.binary_search(&record) else {
             return false;
         };
-        self.seen.insert(place, record);
+        self.records.insert(position, record);
         true
     }
 
-    fn share(&mut self, node: &id::Node) -> &mut Share {
-        let place = self.shares.binary_search_by(|s| s.node.cmp(node));
-        let place = place.unwrap_or_else(|place| {
-            let share = Share {
+    fn node_grants(&mut self, node: &id::Node) -> &mut NodeGrants {
+        let position = self.by_node.binary_search_by(|s| s.node.cmp(node));
+        let position = position.unwrap_or_else(|position| {
+            let grants = NodeGrants {
                 node: node.clone(),
                 granted: Money::ZERO,
             };
-            self.shares.insert(place, share);
-            place
+            self.by_node.insert(position, grants);
+            position
         });
-        &mut self.shares[place]
+        &mut self.by_node[position]
     }
 }
--- a/crates/ledger/src/leases.rs
+++ b/crates/ledger/src/leases.rs
@@ -1,9 +1,9 @@
-//! Who may give orders about a resource, and under which fencing number.
+//! Leases on resources, with fencing numbers.
 //!
-//! A take follows the one before it by offset, and is accepted from another holder only once the
-//! lease before has run out by the log's clock. The accepted record's offset is the fencing number:
-//! it rises with every change of holder, so that an endpoint that compares numbers refuses the
-//! orders of a holder that was paused past its lease.
+//! A record that acquires a lease names the offset of the accepted record before it. Another holder's
+//! record is accepted only after the previous lease has expired by the log's clock. The offset of the
+//! accepted record is the fencing number. It rises with each change of holder, so an endpoint that
+//! compares numbers refuses orders from a holder that was paused past the end of its lease.
 
 use pimento_units::Offset;
 use pimento_units::Wall;
@@ -19,91 +19,94 @@
     leases: Vec<Lease>,
 }
 
-/// The last accepted take of a resource.
+/// The last accepted lease of a resource.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lease {
-    /// What is leased.
+    /// The leased resource.
     pub resource: id::Resource,
-    /// Who holds it.
+    /// The node that holds it.
     pub holder: id::Node,
-    /// The fencing number: offset of the holder's first take in an unbroken row.
+    /// The fencing number: offset of the record that acquired the lease. Renewals before the end keep
+    /// it.
     pub fencing: Offset,
-    /// Offset of the last accepted take, which the next one must name.
+    /// Offset of the last accepted record, which the next one must name.
     pub last: Offset,
-    /// Id of the last accepted take.
+    /// Id of the last accepted record.
     pub record: id::Record,
-    /// End by the log's clock.
+    /// End of the lease by the log's clock.
     pub until: Wall,
 }
 
-/// What became of a record.
+/// How a record was decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The lease is taken or renewed under this fencing number.
+    /// The lease is acquired or renewed under this fencing number.
     Accepted(Offset),
-    /// The lease is given up.
+    /// The lease is released.
     Released,
-    /// Another take came first, or the lease before has not run out.
+    /// Another record came first, the lease of another holder has not expired, or a release names a
+    /// holder or fencing number that is not the current one.
     Refused,
-    /// The record was read before.
+    /// The record is a copy of the last accepted one.
     Repeated,
 }
 
 impl Fold {
-    /// Applies the record at `offset`; `at` is when the log took it.
-    pub fn apply(&mut self, offset: Offset, at: Wall, hold: &LeaseRecord) -> Verdict {
-        match hold {
-            LeaseRecord::Acquire(take) => self.take(offset, at, take),
+    /// Applies the record at `offset`; `at` is the time at which the log accepted it.
+    pub fn apply(&mut self, offset: Offset, at: Wall, record: &LeaseRecord) -> Verdict {
+        match record {
+            LeaseRecord::Acquire(acquire) => self.acquire(offset, at, acquire),
             LeaseRecord::Release(release) => self.release(at, release),
         }
     }
 
-    /// The last accepted take of a resource. It may have run out.
+    /// The last accepted lease of a resource. It may have expired.
     #[must_use]
     pub fn lease(&self, resource: &id::Resource) -> Option<&Lease> {
-        let place = self.place(resource).ok()?;
-        self.leases.get(place)
+        let position = self.position(resource).ok()?;
+        self.leases.get(position)
     }
 
-    fn take(&mut self, offset: Offset, at: Wall, take: &Acquire) -> Verdict {
-        let until = at + take.span.duration();
-        let place = match self.place(&take.resource) {
-            Ok(place) => place,
-            Err(place) => {
-                if take.previous.is_some() {
+    fn acquire(&mut self, offset: Offset, at: Wall, acquire: &Acquire) -> Verdict {
+        let until = at + acquire.span.duration();
+        let position = match self.position(&acquire.resource) {
+            Ok(position) => position,
+            Err(position) => {
+                if acquire.previous.is_some() {
                     return Verdict::Refused;
                 }
-                self.leases.insert(place, Lease::new(offset, until, take));
+                self.leases
+                    .insert(position, Lease::new(offset, until, acquire));
                 return Verdict::Accepted(offset);
             }
         };
-        let lease = &mut self.leases[place];
-        if lease.record == take.id {
+        let lease = &mut self.leases[position];
+        if lease.record == acquire.id {
             return Verdict::Repeated;
         }
-        if take.previous != Some(lease.last) {
+        if acquire.previous != Some(lease.last) {
             return Verdict::Refused;
         }
         let running = at < lease.until;
-        let same = lease.holder == take.holder;
+        let same = lease.holder == acquire.holder;
         if running && !same {
             return Verdict::Refused;
         }
-        // A renewal after the end gets a new number: somebody may have waited the lease out and be
-        // about to act, though no take of theirs is on the log yet.
+        // A renewal after the end gets a new number: another node may have waited for the end and be
+        // about to act, although its record is not on the log yet.
         let fencing = if running { lease.fencing } else { offset };
         *lease = Lease {
             fencing,
-            ..Lease::new(offset, until, take)
+            ..Lease::new(offset, until, acquire)
         };
         Verdict::Accepted(fencing)
     }
 
     fn release(&mut self, at: Wall, release: &Release) -> Verdict {
-        let Ok(place) = self.place(&release.resource) else {
+        let Ok(position) = self.position(&release.resource) else {
             return Verdict::Refused;
         };
-        let lease = &mut self.leases[place];
+        let lease = &mut self.leases[position];
         if lease.holder != release.holder || lease.fencing != release.fencing {
             return Verdict::Refused;
         }
@@ -111,20 +114,20 @@
         Verdict::Released
     }
 
-    fn place(&self, resource: &id::Resource) -> Result<usize, usize> {
+    fn position(&self, resource: &id::Resource) -> Result<usize, usize> {
         self.leases
             .binary_search_by(|lease| lease.resource.cmp(resource))
     }
 }
 
 impl Lease {
-    fn new(offset: Offset, until: Wall, take: &Acquire) -> Self {
+    fn new(offset: Offset, until: Wall, acquire: &Acquire) -> Self {
         Self {
-            resource: take.resource.clone(),
-            holder: take.holder.clone(),
+            resource: acquire.resource.clone(),
+            holder: acquire.holder.clone(),
             fencing: offset,
             last: offset,
-            record: take.id,
+            record: acquire.id,
             until,
         }
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,11 +1,16 @@
-//! Records of the streams that the system keeps on the platform's log, and their folds.
+//! Records of the system's streams on the platform's log, and the folds that evaluate them.
 //!
-//! Each fold is a pure function of the records in offset order, so that every reader reaches the
-//! same verdict without an election: the first claim on a request owns it, one bill counts for
-//! each request, grants are accepted while their sum stays under the limit, and the offset of an
-//! accepted lease is its fencing number. Records carry ids of their own and are safe to append
-//! twice. Time is the log's clock as read with each record; nothing here reads a clock, draws a
-//! random number or awaits.
+//! Each fold is a pure function of the records in offset order, so all readers reach the same
+//! verdicts without electing a leader:
+//!
+//! - The first claim on a request owns it.
+//! - One bill counts for each request.
+//! - Grants are accepted while their sum stays within the limit.
+//! - The offset of the record that acquires a lease is its fencing number.
+//!
+//! A record has an id, or a unique key, and may be appended twice without effect. Time is the log's
+//! clock as stored with each record. This crate reads no clock, draws no random numbers and does not
+//! await.
 
 pub mod claims;
 pub mod grants;
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,4 +1,5 @@
-//! Records of the claims, usage, grants and leases streams, as they stand on the log (JSON).
+//! Records of the claims, usage, grants and leases streams, in the form in which the log stores them
+//! (JSON).
 
 use std::fmt;
 
@@ -15,13 +16,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stream {
-    /// Changes of configuration and checkpoints.
+    /// Configuration changes and checkpoints.
     Configuration,
     /// Claims on calls that may not be repeated, and their outcomes.
     Claims,
-    /// Bills. Read by the ledger reader and by the writers of bills only.
+    /// Bills. Only the ledger reader and the writers of bills read them.
     Usage,
-    /// Grants of spend. Apart from bills, so that entry VMs need not read those.
+    /// Grants of spend. Separate from bills, so that entry VMs need not read the bills.
     Grants,
     /// Leases.
     Leases,
@@ -37,7 +38,7 @@
         Self::Leases,
     ];
 
-    /// The name in the log's paths.
+    /// The stream's name in paths of the log's API.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -62,35 +63,35 @@
 pub enum ClaimRecord {
     /// A claim.
     Claim(Claim),
-    /// What became of a claimed call.
+    /// The outcome of a claimed call.
     Outcome(Outcome),
 }
 
 /// A claim on a request id. The first in offset order owns the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The request claimed.
+    /// The claimed request.
     pub request: id::Request,
-    /// Hash of the customer, method, path and body, so that one id cannot stand for two calls.
+    /// Hash of the customer, method, path and body, so that one id cannot be used for two calls.
     pub digest: u64,
-    /// The claimer's attempt; unique for each claim.
+    /// The attempt that claims the request; unique for each claim.
     pub attempt: id::Attempt,
-    /// The claimer.
+    /// The node that claims the request.
     pub node: id::Node,
-    /// When it was written, by the claimer's clock.
+    /// Time of writing by the node's clock.
     pub at: Wall,
 }
 
-/// What became of a claimed call, written by its owner.
+/// The outcome of a claimed call, written by its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The request.
     pub request: id::Request,
-    /// The attempt that owns it.
+    /// The attempt that owns the request.
     pub attempt: id::Attempt,
-    /// Whether it ran.
+    /// Whether the call ran.
     pub run: Run,
-    /// The status that the endpoint answered, if it did.
+    /// The status of the endpoint's answer, if there was one.
     pub status: Option<u16>,
 }
 
@@ -98,42 +99,42 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Run {
-    /// No endpoint started it. Never said of a call that any endpoint may have started.
+    /// No endpoint started the call. Never used for a call that an endpoint may have started.
     NotRun,
-    /// It ran.
+    /// The call ran.
     Ran,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// One bill for one request. The first for a request id counts.
+/// The bill for a request. The first one for a customer's request id counts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bill {
-    /// The request billed.
+    /// The billed request.
     pub request: id::Request,
-    /// Who pays.
+    /// The customer who pays.
     pub customer: id::Customer,
-    /// The class, for model requests.
+    /// The class of a model request.
     pub class: Option<id::Class>,
-    /// What answered.
+    /// The version or service that answered.
     pub item: Item,
-    /// What the customer is charged.
+    /// The amount charged to the customer.
     pub charge: Money,
-    /// What all attempts and cascade steps cost us.
+    /// The operator's cost of all attempts and cascade steps.
     pub cost: Money,
     /// Prompt tokens of the answer.
     pub input: Tokens,
     /// Generated tokens of the answer.
     pub output: Tokens,
-    /// The entry VM that served it.
+    /// The entry VM that served the request.
     pub node: id::Node,
     /// The spend period that the charge falls into.
     pub period: u64,
-    /// When the answer ended, by the node's clock.
+    /// End of the answer by the node's clock.
     pub at: Wall,
 }
 
-/// What answered a billed request.
+/// The version or service that answered a billed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Item {
@@ -149,43 +150,43 @@
 pub enum GrantRecord {
     /// A request for a grant of spend.
     Grant(Grant),
-    /// A node gives back what it will not spend of its grants in a period.
+    /// Returns what a node will not spend of its grants in a period.
     Return(Return),
 }
 
-/// A grant of spend to one node: accepted only while the sum of accepted grants of the period,
-/// less returns, stays under the contract's limit.
+/// A grant of spend to one node. It is accepted only while the sum of accepted grants of the period,
+/// less returns, stays within the contract's limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The writer's id of this record.
     pub id: id::Record,
-    /// Whose spend.
+    /// The customer whose limit the grant counts against.
     pub customer: id::Customer,
-    /// Who may spend it.
+    /// The node that may spend the grant.
     pub node: id::Node,
     /// The spend period.
     pub period: u64,
-    /// How much.
+    /// The amount granted.
     pub amount: Money,
-    /// The limit of the contract that the writer saw, with its revision: a grant written under a
-    /// newer contract sets the limit for those after it.
+    /// The limit of the contract that the writer read. The limit of the newest revision applies to
+    /// this grant and later ones.
     pub limit: Money,
     /// Revision of that contract.
     pub revision: pimento_units::Revision,
 }
 
-/// A node's word that it will not spend `amount` of its grants.
+/// A node's commitment not to spend `amount` of its grants.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Return {
     /// The writer's id of this record.
     pub id: id::Record,
-    /// Whose spend.
+    /// The customer whose limit it was granted from.
     pub customer: id::Customer,
-    /// Whose grants are returned.
+    /// The node that returns its grants.
     pub node: id::Node,
     /// The spend period.
     pub period: u64,
-    /// How much.
+    /// The amount returned.
     pub amount: Money,
 }
 
@@ -196,33 +197,33 @@
     /// Acquires or renews a lease.
     #[serde(rename = "take")]
     Acquire(Acquire),
-    /// Gives a lease up before its end.
+    /// Releases a lease before its end.
     Release(Release),
 }
 
-/// Gives a lease up, accepted only from its holder under its fencing number.
+/// Releases a lease. It is accepted only from the holder under the current fencing number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
-    /// What is leased.
+    /// The leased resource.
     pub resource: id::Resource,
-    /// Who holds it.
+    /// The node that holds it.
     pub holder: id::Node,
-    /// The fencing number it is held under.
+    /// The fencing number of the lease.
     pub fencing: Offset,
 }
 
-/// Takes a lease, accepted only if `previous` is the offset of the last accepted take. The offset
-/// of the accepted record is the fencing number.
+/// Acquires or renews a lease. It is accepted only if `previous` is the offset of the last accepted
+/// record. The offset of an accepted record is the fencing number, unless it renews a running lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acquire {
     /// The writer's id of this record.
     pub id: id::Record,
-    /// What is leased.
+    /// The resource to lease.
     pub resource: id::Resource,
-    /// Who takes it.
+    /// The node that acquires it.
     pub holder: id::Node,
-    /// Offset of the take that this one follows; none for the first.
+    /// Offset of the accepted record before this one; `None` for the first.
     pub previous: Option<Offset>,
-    /// How long the lease lasts by the log's clock, from when the log took the record.
+    /// Duration of the lease by the log's clock, from the time at which the log accepted the record.
     pub span: Span,
 }
--- a/crates/ledger/src/usage.rs
+++ b/crates/ledger/src/usage.rs
@@ -1,4 +1,4 @@
-//! One bill for each request, and totals for each customer.
+//! Deduplication of bills, and totals for each customer.
 
 use pimento_units::Money;
 use pimento_units::Tokens;
@@ -13,18 +13,18 @@
     totals: Vec<Total>,
 }
 
-/// What one customer's bills come to.
+/// Totals of one customer's bills.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Total {
-    /// Who pays.
+    /// The customer who pays.
     pub customer: id::Customer,
-    /// Bills that count.
+    /// Number of bills that count.
     pub bills: u64,
-    /// Bills of requests that had one already.
+    /// Number of bills for requests that had been billed before.
     pub repeated: u64,
-    /// What the customer is charged.
+    /// The amount charged to the customer.
     pub charge: Money,
-    /// What the requests cost us.
+    /// The operator's cost of the requests.
     pub cost: Money,
     /// Prompt tokens.
     pub input: Tokens,
@@ -62,8 +62,8 @@
     }
 
     fn total(&mut self, customer: &id::Customer) -> &mut Total {
-        let place = self.totals.binary_search_by(|t| t.customer.cmp(customer));
-        let place = place.unwrap_or_else(|place| {
+        let position = self.totals.binary_search_by(|t| t.customer.cmp(customer));
+        let position = position.unwrap_or_else(|position| {
             let total = Total {
                 customer: customer.clone(),
                 bills: 0,
@@ -73,43 +73,44 @@
                 input: Tokens::ZERO,
                 output: Tokens::ZERO,
             };
-            self.totals.insert(place, total);
-            place
+            self.totals.insert(position, total);
+            position
         });
-        &mut self.totals[place]
+        &mut self.totals[position]
     }
 }
 
-type Item = (id::Request, id::Customer);
+type Key = (id::Request, id::Customer);
 
-/// Insertions between merges. Ids come in no order, and inserting each into one long sorted vector
-/// would move half of it every time.
-const MERGE: usize = 4_096;
+/// Size of `recent` at which it is merged. Ids arrive in no particular order; inserting each directly
+/// into the large vector would move half of it every time.
+const MERGE_AT: usize = 4_096;
 
-/// A set as one long sorted vector and a short one that is merged into it now and then.
+/// A set of two sorted vectors: a large one, and a small one of recent keys that is merged into it
+/// periodically.
 #[derive(Debug, Clone, Default)]
 struct Set {
-    long: Vec<Item>,
-    short: Vec<Item>,
+    merged: Vec<Key>,
+    recent: Vec<Key>,
 }
 
 impl Set {
-    fn contains(&self, item: &Item) -> bool {
-        self.long.binary_search(item).is_ok() || self.short.binary_search(item).is_ok()
+    fn contains(&self, key: &Key) -> bool {
+        self.merged.binary_search(key).is_ok() || self.recent.binary_search(key).is_ok()
     }
 
-    fn insert(&mut self, item: Item) -> bool {
-        if self.long.binary_search(&item).is_ok() {
+    fn insert(&mut self, key: Key) -> bool {
+        if self.merged.binary_search(&key).is_ok() {
             return false;
         }
-        let Err(place) = self.short.binary_search(&item) else {
+        let Err(position) = self.recent.binary_search(&key) else {
             return false;
         };
-        self.short.insert(place, item);
-        if self.short.len() >= MERGE {
-            self.long.append(&mut self.short);
-            // Two sorted runs: the standard sort merges them in one pass.
-            self.long.sort();
+        self.recent.insert(position, key);
+        if self.recent.len() >= MERGE_AT {
+            self.merged.append(&mut self.recent);
+            // The standard sort merges two sorted runs in one pass.
+            self.merged.sort();
         }
         true
     }
--- a/crates/ledger/tests/all/claims.rs
+++ b/crates/ledger/tests/all/claims.rs
@@ -62,8 +62,8 @@
     fold.owner(request).map(|owner| owner.attempt)
 }
 
-/// Two entry VMs claim one request id at once. Both read the same order, so that only the first
-/// runs the call, and the same claim appended twice changes nothing.
+/// Two entry VMs claim one request id concurrently. Both read the claims in the same order, so only
+/// the first runs the call. A second copy of a claim has no effect.
 #[test]
 fn the_first_claim_owns_the_request() {
     let order = request(START, 1);
@@ -75,8 +75,8 @@
     assert_eq!(fold.len(), 1);
 }
 
-/// A claimer's endpoint refused the call without starting it. The caller asks again and is served:
-/// the first claim was released.
+/// The endpoint refused the call without starting it, so the claim is released and the caller's next
+/// attempt is served.
 #[test]
 fn a_call_that_did_not_run_can_be_claimed_again() {
     let order = request(START, 1);
@@ -88,9 +88,9 @@
     assert_eq!(owner(&fold, order), Some(attempt(2)));
 }
 
-/// A claimer gives up before it has seen its claim on the log and says so; the claim itself, its
-/// first answer lost, reaches the log after that. It must not own the request: nobody would run
-/// the call, and every later claim would be turned away.
+/// A node releases its claim before it has read it from the log. The answer to the first append was
+/// lost, so the claim itself reaches the log after the release. It must not own the request: nobody
+/// would run the call, and every later claim would be refused.
 #[test]
 fn a_claim_that_was_given_up_never_owns() {
     let order = request(START, 1);
@@ -102,8 +102,8 @@
     assert_eq!(owner(&fold, order), Some(attempt(2)));
 }
 
-/// A claimer says that the call ran, and a late duplicate of an earlier record says it did not.
-/// The call stays claimed, or it would run a second time.
+/// The owner reports that the call ran, and a late record reports that it did not. The call must
+/// stay claimed, or it would run a second time.
 #[test]
 fn a_call_that_ran_is_never_released() {
     for run in [Run::Ran, Run::Unknown] {
@@ -119,7 +119,7 @@
     }
 }
 
-/// An outcome written by an attempt that does not own the request changes nothing.
+/// An outcome written by an attempt that does not own the request has no effect.
 #[test]
 fn only_the_owner_reports() {
     let order = request(START, 1);
@@ -149,8 +149,8 @@
     }
 }
 
-/// A caller, with a right clock or a fast one, asks again after the entry of its first call has left
-/// the table. If the id could be claimed then, the order would be placed twice.
+/// A caller, whose clock is right or fast, repeats a request after its entry was removed from the
+/// table. If the id could be claimed then, the call would run twice.
 #[test]
 fn a_forgotten_id_cannot_be_claimed() {
     let skew = u64::try_from(SKEW.as_millis()).expect("a minute");
@@ -199,7 +199,7 @@
 }
 
 proptest! {
-    /// Once a call ran under an owner, no other attempt ever owns it, whatever is written after.
+    /// Once the owner of a call has reported that it ran, no later record changes the owner.
     #[test]
     fn an_owner_that_ran_stays(steps in calls()) {
         let mut fold = Fold::new(WINDOW);
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Each record appended twice gives the same owners as once: a lost answer does no harm.
+    /// Appending each record twice results in the same owners as appending it once.
     #[test]
     fn repeated_claims_change_nothing(steps in calls()) {
         let mut once = Fold::new(WINDOW);
--- a/crates/ledger/tests/all/grants.rs
+++ b/crates/ledger/tests/all/grants.rs
@@ -1,4 +1,4 @@
-//! Grants of spend never pass the limit.
+//! Grants of spend never exceed the limit.
 
 use pimento_ledger::grants::Fold;
 use pimento_ledger::grants::Verdict;
@@ -49,8 +49,8 @@
     }
 }
 
-/// Six nodes ask for more than there is. The one that would go over is refused and told what is
-/// left; a record appended twice counts once.
+/// Nodes request more than the limit. The request that would exceed it is refused with the remaining
+/// amount. A record that is appended twice counts once.
 #[test]
 fn grants_stop_at_the_limit() {
     let mut fold = Fold::default();
@@ -70,8 +70,8 @@
     );
 }
 
-/// A node returns what it does not need, and another one spends it. It can't return more than it
-/// holds: the difference would be money from nowhere.
+/// A node returns what it does not need, and another node is granted it. A node can't return more
+/// than it holds, or the limit would be exceeded by the difference.
 #[test]
 fn returns_are_bounded_by_what_is_held() {
     let mut fold = Fold::default();
@@ -84,8 +84,8 @@
     assert_eq!(fold.apply(&next), Verdict::Accepted);
 }
 
-/// An operator narrows the limit; a node that has not seen it yet writes a grant under the old
-/// one. The newer contract's limit stays in force.
+/// An operator lowers the limit, and a node that has not read the change yet writes a grant with the
+/// old limit. The newer contract's limit stays in force.
 #[test]
 fn an_older_limit_does_not_come_back() {
     let mut fold = Fold::default();
@@ -101,8 +101,8 @@
     );
 }
 
-/// A record of a period long past comes in late. Had the fold made a new account for it, the whole
-/// limit of that period could be granted once more.
+/// A record of a period long past arrives late. If the fold created a new account for it, the whole
+/// limit of that period could be granted again.
 #[test]
 fn a_forgotten_period_stays_closed() {
     let mut fold = Fold::default();
@@ -118,8 +118,8 @@
 }
 
 proptest! {
-    /// Whatever is asked for and returned, in whatever order and how often, what nodes hold
-    /// together never passes the limit.
+    /// For any sequence of grants, returns and duplicates, the sum that nodes hold stays within the
+    /// limit.
     #[test]
     fn never_over_the_limit(steps in vec((0_u128..40, 0_u8..6, 0_u64..80, 0_u8..4), 0..80)) {
         let mut fold = Fold::default();
--- a/crates/ledger/tests/all/leases.rs
+++ b/crates/ledger/tests/all/leases.rs
@@ -1,4 +1,4 @@
-//! One holder at a time, under rising fencing numbers.
+//! A lease has one holder at a time, with rising fencing numbers.
 
 use pimento_ledger::leases::Fold;
 use pimento_ledger::leases::Verdict;
@@ -38,8 +38,8 @@
     Wall::from_millis(seconds * 1_000)
 }
 
-/// Two nodes race for a lease, and the loser tries again while it runs. Only after its end by the
-/// log's clock does another get it, under a higher number.
+/// Two nodes compete for a lease, and the loser tries again while it runs. It gets the lease, with a
+/// higher number, only after the end by the log's clock.
 #[test]
 fn a_running_lease_is_not_taken_over() {
     let mut fold = Fold::default();
@@ -60,8 +60,8 @@
     assert_eq!(later, Verdict::Accepted(Offset(8)));
 }
 
-/// The holder renews in time and keeps its number. The answer of a renewal is lost and it is
-/// appended again: the second copy changes nothing.
+/// The holder renews in time and keeps its number. The answer to a renewal is lost and the record is
+/// appended again: the second copy has no effect.
 #[test]
 fn a_renewal_keeps_the_number() {
     let mut fold = Fold::default();
@@ -74,8 +74,8 @@
     assert_eq!((lease.last, lease.until), (Offset(6), at(18)));
 }
 
-/// The holder was paused past its end and renews after that. It gets a new number, since its
-/// successor may have begun to act.
+/// The holder was paused past the end of its lease and renews afterwards. It gets a new number, since
+/// a successor may have begun to act.
 #[test]
 fn a_late_renewal_gets_a_new_number() {
     let mut fold = Fold::default();
@@ -84,8 +84,8 @@
     assert_eq!(late, Verdict::Accepted(Offset(6)));
 }
 
-/// A holder that shuts down gives its lease up, and the next one need not wait. A release under
-/// an old number changes nothing.
+/// A holder that shuts down releases its lease, and the next holder need not wait. A release with an
+/// old number is refused.
 #[test]
 fn a_released_lease_is_free_at_once() {
     let mut fold = Fold::default();
@@ -104,8 +104,8 @@
 }
 
 proptest! {
-    /// Over any race, numbers rise with each change of holder, and no two holders overlap by the
-    /// log's clock.
+    /// In any sequence of records, numbers rise with each change of holder, and the leases of two holders
+    /// do not overlap by the log's clock.
     #[test]
     fn numbers_rise(steps in vec((0_u64..6, 0_u8..3, proptest::bool::ANY), 1..60)) {
         let mut fold = Fold::default();
--- a/crates/ledger/tests/all/main.rs
+++ b/crates/ledger/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the folds, one module a stream.
+//! Tests of the folds, one module per stream.
 
 mod claims;
 mod grants;
--- a/crates/ledger/tests/all/usage.rs
+++ b/crates/ledger/tests/all/usage.rs
@@ -1,4 +1,4 @@
-//! One bill for each request.
+//! One bill counts for each request.
 
 use pimento_ledger::record::Bill;
 use pimento_ledger::record::Item;
@@ -28,8 +28,8 @@
     }
 }
 
-/// Both holders of a bill append it, and one of them twice since an answer was lost. The customer
-/// pays once.
+/// Two nodes hold a copy of a bill and both append it, one of them twice because an answer was lost.
+/// The customer pays once.
 #[test]
 fn a_request_is_billed_once() {
     let mut fold = Fold::default();
@@ -41,7 +41,7 @@
     assert_eq!(total.charge, Money::from_micros(100));
 }
 
-/// Two customers happen to send one request id. Neither pays for the other and both pay.
+/// Two customers happen to use the same request id. Each pays for its own request.
 #[test]
 fn request_ids_are_the_customers_own() {
     let mut fold = Fold::default();
@@ -52,8 +52,8 @@
 }
 
 proptest! {
-    /// Totals are those of the distinct requests, over any order and any repetition, also past the
-    /// point where the two vectors of the set are merged.
+    /// Totals count distinct requests for any order and repetition, also beyond the point at which the
+    /// two vectors of the set are merged.
     #[test]
     fn totals_count_distinct_requests(requests in vec(0_u128..6_000, 0..9_000)) {
         let mut fold = Fold::default();
