--- a/crates/contract/src/change.rs
+++ b/crates/contract/src/change.rs
@@ -23,27 +23,28 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
-    /// A proposed change; the fold accepts or refuses it.
+    /// A proposed change, which the fold accepts or refuses.
     Change(Change),
-    /// The state after all records before `offset`; a pure function of them, so that any reader
-    /// may write one.
+    /// The state after all records before its offset. It is a pure function of these records, so any
+    /// reader may write one.
     Checkpoint(Checkpoint),
 }
 
 /// A proposed change of one subject.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The writer's id of this change, by which a lost answer is read back.
+    /// The change's id, chosen by the writer. With it the writer finds the decision when the answer
+    /// to the append was lost.
     pub id: id::Record,
-    /// What is changed.
+    /// The subject that is changed.
     pub subject: Subject,
-    /// The revision that the writer saw; accepted only if it is still the current one.
+    /// The revision that the writer read. The change is accepted only if it is still current.
     pub base: Revision,
-    /// The new value; none removes the subject.
+    /// The new value; `None` removes the subject.
     pub value: Option<Value>,
-    /// Who wrote it: an operator's or a node's name.
+    /// The author: an operator's or a node's name.
     pub by: CompactString,
-    /// When it was written, by the writer's clock.
+    /// Time of writing by the writer's clock.
     pub at: Wall,
 }
 
@@ -52,30 +53,30 @@
 pub struct Checkpoint {
     /// The next offset to apply to `state`.
     pub offset: Offset,
-    /// BLAKE3 of the state's canonical text, in hexadecimal.
+    /// BLAKE3 hash of the state's canonical text, in hexadecimal.
     pub hash: CompactString,
-    /// The state itself.
+    /// The state.
     pub state: State,
 }
 
 /// Why a checkpoint is ignored.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum CheckpointError {
-    /// The hash is not that of the state.
+    /// The hash does not match the state.
     #[snafu(display("the checkpoint's hash is not that of its state"))]
     Hash,
-    /// The state stands at another offset than the checkpoint says.
+    /// The checkpoint declares another offset than its state has.
     #[snafu(display("the checkpoint says offset {declared}, its state {found}"))]
     Offset {
-        /// The checkpoint's.
+        /// The checkpoint's offset.
         declared: Offset,
-        /// The state's.
+        /// The state's offset.
         found: Offset,
     },
 }
 
 impl Checkpoint {
-    /// The checkpoint of a state.
+    /// Creates the checkpoint of a state.
     #[must_use]
     pub fn of(state: &State) -> Self {
         Self {
@@ -85,15 +86,15 @@
         }
     }
 
-    /// The state, if offset and hash fit it.
+    /// Returns the state if it matches the checkpoint's offset and hash.
     ///
-    /// A record that was damaged, or written by a program that knows other fields, does not fit
-    /// its hash after reading. Taking it would put a state in force that no prefix of the log
-    /// gives.
+    /// After decoding, a record that was damaged, or written by a program with other fields, does
+    /// not match its hash. Using it would put a state in force that does not result from any prefix
+    /// of the log.
     ///
     /// # Errors
     ///
-    /// [`CheckpointError`] if it must be ignored.
+    /// [`CheckpointError`] if the checkpoint must be ignored.
     pub fn check(self) -> Result<State, CheckpointError> {
         let declared = self.offset;
         let found = self.state.offset;
@@ -103,7 +104,7 @@
     }
 }
 
-/// What a change is about.
+/// The subject of a change.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
@@ -148,7 +149,7 @@
 }
 
 impl Value {
-    /// The subject that this is a value of.
+    /// The subject to which this value belongs.
     #[must_use]
     pub fn subject(&self) -> Subject {
         match self {
--- a/crates/contract/src/contract.rs
+++ b/crates/contract/src/contract.rs
@@ -1,4 +1,4 @@
-//! What one customer may use and spend, and the quality it must receive.
+//! Contracts: what a customer may use and spend, and the quality that it must receive.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,16 +14,16 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// One customer's contract. Lists are sorted by their key.
+/// One customer's contract. Lists are sorted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contract {
-    /// Whose contract this is.
+    /// The customer.
     pub customer: id::Customer,
     /// Hashes of the customer's API keys, sorted.
     pub keys: Vec<Key>,
-    /// Share of a full pool relative to other customers; at least 1.
+    /// Weight of the customer relative to others when a pool is full; at least 1.
     pub weight: u32,
-    /// The most that may be spent.
+    /// The spend limit.
     pub spend: Spend,
     /// Classes of requests, sorted by name; at least one.
     pub classes: Vec<Class>,
@@ -31,33 +31,34 @@
     pub services: Vec<id::Service>,
 }
 
-/// A class of requests, named by a caller as `model`.
+/// A class of requests, which callers select by `model`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Class {
-    /// The name that callers give as `model`; the first in the contract answers to `auto`.
+    /// The name that callers send as `model`. `auto` selects the class with the lowest priority
+    /// number.
     pub name: id::Class,
     /// Versions that may answer, sorted; at least one.
     pub versions: Vec<id::Version>,
-    /// The share of answers that must pass the rating.
+    /// The fraction of answers that must pass the rating.
     pub quality: Share,
-    /// Lower goes first when a pool is full.
+    /// Priority when a pool is full; lower numbers are served first.
     pub priority: u8,
-    /// How long a caller waits by default for the whole answer.
+    /// Default timeout for the whole answer.
     pub timeout: Span,
-    /// The most tokens that one answer may have.
+    /// Maximum number of tokens in one answer.
     pub output: Tokens,
 }
 
 /// A spend limit over consecutive periods of fixed length, counted from the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spend {
-    /// The most that may be spent in one period.
+    /// Maximum spend in one period.
     pub limit: Money,
     /// Length of a period.
     pub period: Span,
 }
 
-/// The number of a spend period since the Unix epoch.
+/// The index of a spend period, counted from the Unix epoch.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -82,17 +83,17 @@
 }
 
 impl Contract {
-    /// The class that a caller's `model` names; `auto` is the first in priority order.
+    /// The class that a caller's `model` selects; `auto` selects the first in priority order.
     #[must_use]
     pub fn class(&self, model: &str) -> Option<&Class> {
         if model == "auto" {
             return self.classes.iter().min_by_key(|class| class.priority);
         }
-        let place = self
+        let position = self
             .classes
             .binary_search_by(|class| class.name.as_str().cmp(model))
             .ok()?;
-        self.classes.get(place)
+        self.classes.get(position)
     }
 
     /// Whether any class allows `version`.
@@ -109,25 +110,25 @@
 }
 
 impl Class {
-    /// Whether this class may be answered by `version`.
+    /// Whether `version` may answer requests of this class.
     #[must_use]
     pub fn allows(&self, version: &id::Version) -> bool {
         self.versions.binary_search(version).is_ok()
     }
 }
 
-/// The BLAKE3 hash of an API key. Contracts and the log hold this, never the key itself.
+/// The BLAKE3 hash of an API key. Contracts and the log contain only the hash, never the key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "CompactString", into = "CompactString")]
 pub struct Key([u8; 32]);
 
-/// The text is not 64 hexadecimal digits.
+/// The text does not consist of 64 hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("an API key's hash has 64 hexadecimal digits"))]
 pub struct Error;
 
 impl Key {
-    /// The hash of an API key as callers send it.
+    /// Hashes an API key in the form in which callers send it.
     #[must_use]
     pub fn of(secret: &str) -> Self {
         Self(blake3::hash(secret.as_bytes()).into())
--- a/crates/contract/src/fold.rs
+++ b/crates/contract/src/fold.rs
@@ -1,9 +1,9 @@
 //! The fold of the configuration stream into one state.
 //!
-//! A change is accepted only if its base revision is the subject's current one, so that of two
-//! racing operators the first in the log wins and nobody's change is overwritten unseen. The
-//! function depends on the records alone: all readers at one offset hold the same state, and the
-//! hash of its canonical text is the same at all of them.
+//! A change is accepted only if its base revision is the subject's current one. Of two concurrent
+//! changes the first in the log wins, and no operator overwrites a change that they have not read.
+//! The fold depends only on the records: all readers at one offset have the same state, and the same
+//! hash of its canonical text.
 
 use compact_str::CompactString;
 use pimento_units::Offset;
@@ -22,7 +22,7 @@
 use crate::service::Service;
 use crate::version::Version;
 
-/// All that is in force after the records before `offset`. Sorted by subject.
+/// The configuration in force after all records before `offset`, sorted by subject.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// The next offset to apply.
@@ -32,14 +32,14 @@
     recent: Vec<Decision>,
 }
 
-/// A subject that was removed.
+/// A removed subject.
 ///
-/// Without its revision a subject that was removed could not be told from one that never existed:
-/// the change that once created it, appended again by a writer whose answer was lost, would be
-/// accepted a second time and undo the removal.
+/// Its revision distinguishes a removed subject from one that never existed. Otherwise a second copy
+/// of the change that created it, appended by a writer whose answer was lost, would be accepted and
+/// undo the removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tombstone {
-    /// What was removed.
+    /// The removed subject.
     pub subject: Subject,
     /// The revision that removed it.
     pub revision: Revision,
@@ -48,7 +48,7 @@
 /// A subject in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// What it is.
+    /// The subject.
     pub subject: Subject,
     /// The revision that set it.
     pub revision: Revision,
@@ -56,45 +56,45 @@
     pub value: Value,
 }
 
-/// What became of a change.
+/// How a change was decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// In force as this revision.
+    /// The change is in force as this revision.
     Accepted(Revision),
-    /// Another change came first; this is the revision that won.
+    /// The base is not the subject's current revision, which is this one.
     Conflict(Revision),
     /// The value does not belong to the subject.
     Mismatch,
 }
 
-/// A recent change with its verdict, kept so that a writer whose answer was lost can read it back
-/// and so that the same record appended twice counts once.
+/// The verdict on a recent change. With it a writer finds the verdict when the answer to the append
+/// was lost, and a record that is appended twice counts once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
     /// The change's id.
     pub id: id::Record,
-    /// Where it stands in the log.
+    /// Its offset in the log.
     pub offset: Offset,
     /// What became of it.
     pub verdict: Verdict,
 }
 
-/// Decisions kept. At 1,200 changes a day this is the last twenty hours.
+/// Maximum number of decisions retained. At 1,200 changes a day they cover the last twenty hours.
 pub const MAX_DECISIONS: usize = 1_024;
 
-/// Removed subjects kept, the latest. At ten removals a day this is more than a year, far longer
-/// than any writer goes on appending a record again.
+/// Maximum number of tombstones retained, the latest ones. At ten removals a day they cover more than
+/// a year, far longer than any writer retries an append.
 pub const MAX_TOMBSTONES: usize = 4_096;
 
 impl State {
-    /// Applies the change at `offset`, which must not lie before [`State::offset`].
+    /// Applies the change at `offset`, which must not be less than [`State::offset`].
     ///
-    /// A change that stands on the log twice has its first verdict both times.
+    /// A second copy of a change in the log gets the verdict on the first.
     ///
     /// # Panics
     ///
-    /// If `offset` lies before the state's own: applying it would revert what is in force.
+    /// If `offset` is less than the state's offset: applying the change would revert newer ones.
     pub fn apply(&mut self, offset: Offset, change: &Change) -> Verdict {
         assert!(offset >= self.offset, "a fold never goes back");
         self.offset = offset.next();
@@ -102,7 +102,7 @@
             return decision.verdict;
         }
         let verdict = self.decide(offset, change);
-        self.remember(Decision {
+        self.record_decision(Decision {
             id: change.id,
             offset,
             verdict,
@@ -110,7 +110,7 @@
         verdict
     }
 
-    /// Moves past a record that changes nothing, such as a checkpoint or an unreadable one.
+    /// Skips a record that has no effect, such as a checkpoint or an unreadable record.
     pub fn skip(&mut self, offset: Offset) {
         self.offset = self.offset.max(offset.next());
     }
@@ -139,7 +139,7 @@
     }
 
     fn set(&mut self, subject: &Subject, revision: Revision, value: &Value) {
-        if let Ok(at) = self.buried(subject) {
+        if let Ok(at) = self.find_tombstone(subject) {
             self.removed.remove(at);
         }
         let item = Item {
@@ -147,44 +147,44 @@
             revision,
             value: value.clone(),
         };
-        match self.place(subject) {
+        match self.find_item(subject) {
             Ok(at) => self.subjects[at] = item,
             Err(at) => self.subjects.insert(at, item),
         }
     }
 
     fn remove(&mut self, subject: &Subject, revision: Revision) {
-        if let Ok(at) = self.place(subject) {
+        if let Ok(at) = self.find_item(subject) {
             self.subjects.remove(at);
         }
         let tombstone = Tombstone {
             subject: subject.clone(),
             revision,
         };
-        match self.buried(subject) {
+        match self.find_tombstone(subject) {
             Ok(at) => self.removed[at] = tombstone,
             Err(at) => self.removed.insert(at, tombstone),
         }
         if self.removed.len() > MAX_TOMBSTONES {
-            self.forget();
+            self.remove_oldest_tombstone();
         }
     }
 
-    /// Drops the oldest tombstone.
-    fn forget(&mut self) {
+    /// Removes the oldest tombstone.
+    fn remove_oldest_tombstone(&mut self) {
         let oldest = self.removed.iter().map(|t| t.revision).min();
         self.removed.retain(|t| Some(t.revision) != oldest);
     }
 
-    fn place(&self, subject: &Subject) -> Result<usize, usize> {
+    fn find_item(&self, subject: &Subject) -> Result<usize, usize> {
         self.subjects.binary_search_by(|i| i.subject.cmp(subject))
     }
 
-    fn buried(&self, subject: &Subject) -> Result<usize, usize> {
+    fn find_tombstone(&self, subject: &Subject) -> Result<usize, usize> {
         self.removed.binary_search_by(|t| t.subject.cmp(subject))
     }
 
-    fn remember(&mut self, decision: Decision) {
+    fn record_decision(&mut self, decision: Decision) {
         if self.recent.len() == MAX_DECISIONS {
             self.recent.remove(0);
         }
@@ -200,34 +200,34 @@
     /// One subject in force.
     #[must_use]
     pub fn item(&self, subject: &Subject) -> Option<&Item> {
-        let place = self.place(subject).ok()?;
-        self.subjects.get(place)
+        let position = self.find_item(subject).ok()?;
+        self.subjects.get(position)
     }
 
-    /// The subject's current revision: that which set it, or that which removed it, or zero if it
-    /// never existed. A change must name it as its base.
+    /// The subject's current revision: the one that set or removed it, or zero if it never existed.
+    /// A change must have it as its base.
     #[must_use]
     pub fn revision(&self, subject: &Subject) -> Revision {
         if let Some(item) = self.item(subject) {
             return item.revision;
         }
-        match self.buried(subject) {
+        match self.find_tombstone(subject) {
             Ok(at) => self.removed[at].revision,
             Err(_) => Revision(0),
         }
     }
 
-    /// The canonical text: compact JSON with fields in their declared order and lists sorted.
+    /// The canonical text: compact JSON with fields in the order of declaration and sorted lists.
     ///
     /// # Panics
     ///
-    /// Never: the state holds no map and no number that JSON can't carry.
+    /// Never: the state contains no map and no number that JSON can't represent.
     #[must_use]
     pub fn canonical_text(&self) -> String {
         serde_json::to_string(self).expect("a state is plain JSON")
     }
 
-    /// BLAKE3 of [`State::canonical_text`] in hexadecimal.
+    /// BLAKE3 hash of [`State::canonical_text`], in hexadecimal.
     #[must_use]
     pub fn hash(&self) -> CompactString {
         let hash = blake3::hash(self.canonical_text().as_bytes());
@@ -250,7 +250,7 @@
         })
     }
 
-    /// All roll-outs, sorted by the version that comes in.
+    /// All roll-outs, sorted by the version that is rolled out.
     pub fn rollouts(&self) -> impl Iterator<Item = &Rollout> {
         self.subjects.iter().filter_map(|item| match &item.value {
             Value::Rollout(rollout) => Some(rollout),
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,9 +1,9 @@
-//! Checked contracts, versions, roll-outs and services, and the fold of the configuration stream.
+//! Validated contracts, versions, roll-outs and services, and the fold of the configuration stream.
 //!
-//! Operators write TOML; [`raw`] turns it into the checked types here and reports every finding
-//! with its place at once. Changes travel as [`change::Entry`] records on the platform's log, and
-//! [`fold::State`] decides, in offset order and the same at every reader, which of them are in
-//! force. Nothing here reads a clock, draws a random number or awaits.
+//! Operators write TOML. [`raw`] validates it and converts it into the types of this crate; it reports
+//! all findings together, each with its location. Changes are [`change::Entry`] records on the
+//! platform's log. [`fold::State`] decides in offset order which changes are in force, and all readers
+//! reach the same result. This crate reads no clock, draws no random numbers and does not await.
 
 pub mod change;
 pub mod contract;
--- a/crates/contract/src/rollout.rs
+++ b/crates/contract/src/rollout.rs
@@ -1,4 +1,4 @@
-//! A roll-out: the stages by which a new version takes over from an older one.
+//! Roll-outs: the stages in which a new version replaces an older one.
 
 use pimento_units::Share;
 use pimento_units::Span;
@@ -6,28 +6,28 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A roll-out of `to` in place of `from`. There is one for each `to`.
+/// A roll-out of `to` in place of `from`. Each `to` has at most one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
     /// The version that is replaced.
     pub from: id::Version,
-    /// The version that comes in.
+    /// The version that is rolled out.
     pub to: id::Version,
-    /// Rising weights of `to`; the last is 1.
+    /// Increasing weights of `to`; the last is 1.
     pub stages: Vec<Share>,
     /// Index of the stage in force.
     pub stage: usize,
-    /// Whether the roll-out goes on.
+    /// Whether the roll-out is running.
     pub status: Status,
-    /// What must hold before the next stage.
+    /// Conditions for advancing to the next stage.
     pub gate: Gate,
 }
 
-/// Whether a roll-out goes on.
+/// Whether a roll-out is running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// Sessions move to `to` by the weight of the stage.
+    /// Sessions move to `to` according to the weight of the stage.
     Running,
     /// No new session moves to `to`.
     Halted,
@@ -35,23 +35,24 @@
     Done,
 }
 
-/// Evidence that a stage needs before the next one.
+/// Conditions for advancing to the next stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gate {
-    /// Rated answers of `to` needed.
+    /// Minimum number of rated answers of `to`.
     pub samples: u32,
-    /// How far below `from` the share of passed answers of `to` may lie.
+    /// Maximum difference by which the fraction of passed answers of `to` may be below that of
+    /// `from`.
     pub quality: Share,
-    /// The largest share of failed attempts.
+    /// Maximum fraction of failed attempts.
     pub errors: Share,
-    /// The largest ratio of latencies, `to` over `from`, in hundredths (150 is 1.5 times).
+    /// Maximum ratio of the latencies of `to` and `from`, in hundredths (150 means 1.5 times).
     pub latency: u32,
-    /// The shortest time in a stage.
+    /// Minimum time in a stage.
     pub dwell: Span,
 }
 
 impl Rollout {
-    /// The share of sessions that go to `to` now.
+    /// The current fraction of sessions that go to `to`.
     #[must_use]
     pub fn weight(&self) -> Share {
         match self.status {
--- a/crates/contract/src/service.rs
+++ b/crates/contract/src/service.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A plain service that stands beside the model engines.
+/// A plain service, which is not a model engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// The name in the path `/services/{service}/…`.
@@ -16,21 +16,22 @@
     pub pool: id::Pool,
     /// Methods whose calls may be repeated, sorted, upper case.
     pub repeatable: Vec<CompactString>,
-    /// How calls that may not be repeated are kept to one run.
+    /// How calls that may not be repeated are prevented from running twice.
     pub claims: Claims,
     /// Price of a call.
     pub price: Money,
-    /// How long a caller waits by default.
+    /// Default timeout of a call.
     pub timeout: Span,
 }
 
-/// How calls that may not be repeated are kept to one run.
+/// How calls that may not be repeated are prevented from running twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Claims {
-    /// Claimed in the platform's log first; refused while the log is out.
+    /// A call is claimed on the platform's log first, and refused during an outage of the log.
     Log,
-    /// One attempt and no claim, for callers who never ask twice; served through an outage.
+    /// A call has one attempt and no claim, for callers that never retry. It is served during an
+    /// outage of the log.
     SingleAttempt,
 }
 
@@ -39,22 +40,22 @@
 pub struct Pool {
     /// The pool's name.
     pub name: id::Pool,
-    /// Whether its engines refuse orders with an old fencing number.
+    /// How its engines treat orders with an old fencing number.
     pub fencing: Fencing,
 }
 
-/// What an engine does with an order that carries an old fencing number.
+/// How an engine treats an order with an old fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// Refuses it.
+    /// The engine refuses the order.
     Refuses,
-    /// Carries it out all the same.
+    /// The engine carries the order out.
     Ignores,
 }
 
 impl Service {
-    /// Whether a call by `method` may be sent twice.
+    /// Whether a call with `method` may be sent twice.
     #[must_use]
     pub fn is_repeatable(&self, method: &str) -> bool {
         self.repeatable
--- a/crates/contract/src/version.rs
+++ b/crates/contract/src/version.rs
@@ -1,4 +1,4 @@
-//! A model version: where it runs, what it costs and whether it may take new work.
+//! Model versions: where they run, what they cost and whether they accept new work.
 
 use pimento_units::Money;
 use pimento_units::Share;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Tokens that a [`Price`] is given for.
+/// Number of tokens that a [`Price`] is for.
 pub const PRICE_TOKENS: u64 = 1_000;
 
 /// One version of a model.
@@ -15,13 +15,13 @@
 pub struct Version {
     /// The version's name.
     pub id: id::Version,
-    /// The pool whose engines hold it.
+    /// The pool whose engines load it.
     pub pool: id::Pool,
-    /// What it costs.
+    /// Its price.
     pub price: Price,
-    /// The share of its answers that is expected to pass the rating before any was seen.
+    /// The fraction of its answers that is expected to pass the rating, used before any was rated.
     pub quality: Share,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub status: Status,
 }
 
@@ -34,18 +34,18 @@
     pub output: Money,
 }
 
-/// Whether a version takes new work.
+/// Whether a version accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// New work may be sent to it.
+    /// New work may be sent to the version.
     Serving,
-    /// No new work may be sent to it; what runs may finish.
+    /// No new work may be sent to the version; running requests may finish.
     Withdrawn,
 }
 
 impl Price {
-    /// The price of a call, rounded up to a millionth.
+    /// The price of a call. Prompt and generated tokens are each rounded up to a millionth.
     #[must_use]
     pub fn of(&self, input: Tokens, output: Tokens) -> Money {
         self.input.scale(input.0, PRICE_TOKENS) + self.output.scale(output.0, PRICE_TOKENS)
