--- a/crates/coordination/src/grants/lenders.rs
+++ b/crates/coordination/src/grants/lenders.rs
@@ -21,7 +21,7 @@
         period: u64,
         amount: Money,
     ) -> Money {
-        let Some(peer) = bills::find(self, peer) else {
+        let Some(peer) = bills::find_peer(self, peer) else {
             return Money::ZERO;
         };
         let call = Call::TransferGrant {
@@ -30,7 +30,7 @@
             amount,
         };
         match self.call(&peer, call).await {
-            // A peer never lends more than was asked for; more would be money from nowhere.
+            // Nothing beyond the requested amount counts: it would raise the sum of all grants.
             Ok(Answer::GrantTransferred { amount: lent }) => lent.min(amount),
             Ok(_) => Money::ZERO,
             Err(error) => {
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -20,14 +20,14 @@
 
 /// The platform's log. Clones share one connection pool.
 pub trait Log: Clone + Send + Sync + 'static {
-    /// Appends records (JSON text each), all or none, and gives the first one's offset.
+    /// Appends records (JSON text each) atomically and returns the offset of the first.
     fn append(
         &self,
         stream: Stream,
         records: Vec<String>,
     ) -> impl Future<Output = Result<Offset, Error>> + Send;
 
-    /// Reads at most `max` records from `from` on, waiting up to `wait` if there are none yet.
+    /// Reads at most `max` records starting at `from`. Waits up to `wait` if there are none yet.
     fn read(
         &self,
         stream: Stream,
@@ -40,36 +40,37 @@
 /// Why a call to the log failed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The log said no before it did anything: over its rate, or in an outage it announced. Also
-    /// if no connection to it could be made. A record refused is surely not on the log.
-    #[snafu(display("the log refused the call, ask again after {after:?}"))]
+    /// The log refused the call before it had any effect, since its rate limit is exceeded or it
+    /// has announced an outage; or no connection could be made. A refused record is not on the log.
+    #[snafu(display("the log refused the call, retry after {retry_after:?}"))]
     Refused {
-        /// When to ask again.
-        after: Duration,
+        /// Delay before the next attempt.
+        retry_after: Duration,
     },
-    /// No answer, or one that can't be read: an append may or may not have taken effect.
-    #[snafu(display("the log's answer was lost: {reason}"))]
+    /// There was no response, or it could not be decoded: an append may or may not have taken
+    /// effect.
+    #[snafu(display("the log's response was lost: {reason}"))]
     Lost {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
-    /// Retention has passed the offset asked for.
-    #[snafu(display("the log keeps records from {oldest} on only"))]
+    /// The records at the requested offset have expired.
+    #[snafu(display("the log only retains records from offset {oldest} on"))]
     Gone {
-        /// The oldest offset that is kept.
+        /// The oldest offset that is retained.
         oldest: Offset,
     },
 }
 
-/// The log over HTTP, as in [`pimento_wire::platform`].
+/// A client of the log over HTTP; the messages are in [`pimento_wire::platform`].
 #[derive(Debug, Clone)]
 pub struct Remote {
     client: Client,
 }
 
 impl Remote {
-    /// The log at `address`. The answer to a call may take `timeout` to begin, beyond the wait of a
-    /// read, and as long to go on.
+    /// A client of the log at `address`. `timeout` bounds the time until a response begins, beyond
+    /// the wait of a read, and then each gap until more of it arrives.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let client = Client::new(address, timeout);
@@ -82,7 +83,7 @@
         let path = format!("/streams/{stream}");
         let reply = self.client.post(&path, &Append { records }).await?;
         check(&reply)?;
-        let appended: Appended = reply.read().map_err(lost)?;
+        let appended: Appended = reply.decode().map_err(lost)?;
         Ok(appended.first)
     }
 
@@ -97,18 +98,18 @@
         let path = format!("/streams/{stream}?from={from}&max={max}&wait_ms={wait_ms}");
         let reply = self.client.get(&path, wait).await?;
         check(&reply)?;
-        reply.read().map_err(lost)
+        reply.decode().map_err(lost)
     }
 }
 
 fn check(reply: &Reply) -> Result<(), Error> {
-    if let Some(after) = reply.refusal() {
-        return Err(Error::Refused { after });
+    if let Some(retry_after) = reply.refusal() {
+        return Err(Error::Refused { retry_after });
     }
     match reply.status {
         StatusCode::OK => Ok(()),
         StatusCode::GONE => {
-            let gone: Gone = reply.read().map_err(lost)?;
+            let gone: Gone = reply.decode().map_err(lost)?;
             Err(Error::Gone {
                 oldest: gone.oldest,
             })
@@ -124,7 +125,9 @@
 impl From<Failure> for Error {
     fn from(failure: Failure) -> Self {
         match failure {
-            Failure::Unreachable(_) => Self::Refused { after: http::RETRY },
+            Failure::Unreachable(_) => Self::Refused {
+                retry_after: http::RETRY_DELAY,
+            },
             Failure::Lost(reason) => Self::Lost { reason },
         }
     }
--- a/crates/entry/src/kept.rs
+++ b/crates/entry/src/answers.rs
@@ -1,7 +1,7 @@
-//! Answers kept for callers that ask again for a call that may not be repeated.
+//! Cache of answers to calls that may not be repeated, for callers that send such a call again.
 //!
-//! Bounded in bytes: when full, the oldest answers go first. Whoever asks for one that is gone
-//! hears that the call ran, which stays true.
+//! The cache is bounded in bytes and evicts the oldest answers first. A repeated call whose answer
+//! was evicted is refused with the information that the call ran.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 use pimento_units::Moment;
 use pimento_units::id;
 
-/// Bytes that an entry costs beside its body.
+/// Estimated bytes of an entry beside its body and content type.
 const OVERHEAD: usize = 256;
 
-/// A kept answer.
+/// A cached answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The digest of the call.
+    /// Digest of the call.
     pub digest: u64,
     /// HTTP status.
     pub status: u16,
@@ -32,7 +32,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    most: usize,
+    max_bytes: usize,
     window: Duration,
     bytes: usize,
     /// Sorted by request.
@@ -41,18 +41,18 @@
     order: VecDeque<(Moment, id::Request)>,
 }
 
-/// The kept answers of a node; clones share them.
+/// The answer cache of a node. Clones share it.
 #[derive(Debug, Clone)]
-pub struct Kept {
+pub struct Cache {
     inner: Arc<Mutex<Inner>>,
 }
 
-impl Kept {
-    /// Keeps at most `most` bytes, each answer for `window`.
+impl Cache {
+    /// A cache of at most `max_bytes` bytes. An insertion evicts answers older than `window`.
     #[must_use]
-    pub fn new(most: usize, window: Duration) -> Self {
+    pub fn new(max_bytes: usize, window: Duration) -> Self {
         let inner = Inner {
-            most,
+            max_bytes,
             window,
             bytes: 0,
             answers: Vec::new(),
@@ -63,33 +63,33 @@
         }
     }
 
-    /// Keeps an answer. One that alone is over the bound is not kept.
-    pub fn put(&self, request: id::Request, answer: Answer, now: Moment) {
+    /// Caches an answer, unless it alone exceeds the size limit or the request has one already.
+    pub fn insert(&self, request: id::Request, answer: Answer, now: Moment) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let size = size(&answer);
-        if size > inner.most {
+        if size > inner.max_bytes {
             return;
         }
         inner.expire(now, size);
         match inner.answers.binary_search_by_key(&request, |(r, _)| *r) {
             Ok(_) => {}
-            Err(place) => {
+            Err(index) => {
                 inner.bytes += size;
-                inner.answers.insert(place, (request, answer));
+                inner.answers.insert(index, (request, answer));
                 inner.order.push_back((now, request));
             }
         }
     }
 
-    /// A kept answer.
+    /// The cached answer to a request.
     #[must_use]
     pub fn get(&self, request: id::Request) -> Option<Answer> {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = inner.answers.binary_search_by_key(&request, |(r, _)| *r);
-        place.ok().map(|place| inner.answers[place].1.clone())
+        let index = inner.answers.binary_search_by_key(&request, |(r, _)| *r);
+        index.ok().map(|index| inner.answers[index].1.clone())
     }
 
-    /// Bytes held.
+    /// Bytes in use.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -98,17 +98,17 @@
 }
 
 impl Inner {
-    /// Makes room for `size` bytes and drops what is past its window.
+    /// Evicts answers past the window, and the oldest others until `size` bytes are free.
     fn expire(&mut self, now: Moment, size: usize) {
         while let Some((at, request)) = self.order.front().copied() {
-            let full = self.bytes + size > self.most;
+            let full = self.bytes + size > self.max_bytes;
             if !full && now.since(at) <= self.window {
                 return;
             }
             self.order.pop_front();
-            if let Ok(place) = self.answers.binary_search_by_key(&request, |(r, _)| *r) {
-                let (_, gone) = self.answers.remove(place);
-                self.bytes -= self::size(&gone);
+            if let Ok(index) = self.answers.binary_search_by_key(&request, |(r, _)| *r) {
+                let (_, evicted) = self.answers.remove(index);
+                self.bytes -= self::size(&evicted);
             }
         }
     }
