--- a/crates/contract/examples/own_log.rs
+++ b/crates/contract/examples/own_log.rs
@@ -1,4 +1,4 @@
-//! The configuration fold over somebody's own log: here a vector of text lines.
+//! The configuration fold over an application's own log, here a vector of text lines.
 //!
 //! `cargo run -p pimento-contract --example own_log`
 
@@ -33,8 +33,8 @@
     }
 }
 
-/// A writer: checks a file and appends a change for each value. The second time it is appended on
-/// the same base, as an operator would who has not read the first one's changes.
+/// A writer: validates a file and appends a change for each value. It does so for two operators with
+/// the same base, as if the second had not read the first one's changes.
 fn publish() -> Result<Vec<String>, Findings> {
     let file = File {
         name: "example.toml".into(),
@@ -64,7 +64,7 @@
     }
 }
 
-/// A reader: every one that reads these lines reaches these verdicts and this hash.
+/// A reader: all readers of these lines reach the same verdicts and hash.
 fn read(log: &[String]) {
     let mut state = State::default();
     for (number, line) in (0..).zip(log) {
--- a/crates/contract/src/raw.rs
+++ b/crates/contract/src/raw.rs
@@ -1,9 +1,9 @@
-//! Raw configuration as operators write it (TOML), and its checking.
+//! Configuration as operators write it (TOML), and its validation.
 //!
-//! A file holds any number of `[[pool]]`, `[[version]]`, `[[service]]`, `[[rollout]]` and
-//! `[[contract]]` tables. All files of one call are checked together and against the state in
-//! force, and every finding is reported at once with its file, line and key path. The reference of
-//! all keys is `docs/CONTRACTS.md`.
+//! A file contains any number of `[[pool]]`, `[[version]]`, `[[service]]`, `[[rollout]]` and
+//! `[[contract]]` tables. All files of one call are validated together and against the state in
+//! force. All findings are reported together, each with its file, line and key path. All keys are
+//! documented in `docs/CONTRACTS.md`.
 
 mod contract;
 mod finding;
@@ -28,32 +28,32 @@
 use crate::change::Value;
 use crate::fold::State;
 
-/// A file as it was read.
+/// A configuration file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct File {
-    /// Its name, as findings give it.
+    /// The name that findings use for it.
     pub name: CompactString,
-    /// Its text.
+    /// Its contents.
     pub text: String,
 }
 
-/// Files with the state that they are to be published over.
+/// Files, with the state to which they are to be published.
 #[derive(Debug, Clone, Copy)]
 pub struct Source<'a> {
-    /// The files, checked together.
+    /// The files, which are validated together.
     pub files: &'a [File],
-    /// What is in force; names in the files may refer to it.
+    /// The state in force; names in the files may refer to it.
     pub known: &'a State,
 }
 
-/// The checked values of all files, sorted by subject, no subject twice.
+/// The validated values of all files, sorted by subject, without duplicates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Configuration {
     /// The values.
     pub values: Vec<Value>,
 }
 
-/// What reading gathers besides findings, for the checks across tables and files.
+/// What the parser collects besides findings, for the checks across tables and files.
 #[derive(Debug, Default)]
 struct Draft {
     values: Vec<Value>,
@@ -62,8 +62,8 @@
 }
 
 impl Draft {
-    /// Notes that a subject is defined, even if the rest of its table is faulty, so that one fault
-    /// does not cause another finding at each name that refers to it.
+    /// Records that a subject is defined, even if the rest of its table is faulty. Otherwise one
+    /// fault would cause another finding at each reference to the subject.
     fn define(&mut self, subject: Subject, place: Place) {
         self.definitions.push((subject, place));
     }
@@ -76,13 +76,12 @@
 impl TryFrom<Source<'_>> for Configuration {
     type Error = Findings;
 
-    /// Checks all files together.
+    /// Validates all files together.
     ///
     /// # Errors
     ///
-    /// All findings, sorted by file and line. A file that is no TOML gives its syntax findings
-    /// only, and then names are not checked across files, since the names that it defines can't
-    /// be known.
+    /// All findings, sorted by file and line. A file that is not valid TOML has only syntax
+    /// findings. References are not checked then, since the names that it defines are unknown.
     fn try_from(source: Source<'_>) -> Result<Self, Findings> {
         let report = Report::default();
         let mut draft = Draft::default();
@@ -103,7 +102,7 @@
     }
 }
 
-/// Reads one file; false if it is no TOML.
+/// Reads one file; returns false if it is not valid TOML.
 fn read(file: &File, report: &Report, draft: &mut Draft) -> bool {
     let lines = Lines::of(file);
     let (document, errors) = DeTable::parse_recoverable(&file.text);
@@ -134,7 +133,7 @@
     true
 }
 
-/// Turns byte offsets of a file into line numbers.
+/// Converts byte offsets in a file into line numbers.
 #[derive(Debug)]
 struct Lines<'a> {
     file: &'a CompactString,
--- a/crates/contract/src/raw/contract.rs
+++ b/crates/contract/src/raw/contract.rs
@@ -1,4 +1,4 @@
-//! Reading of `[[contract]]` tables.
+//! Parsing of `[[contract]]` tables.
 
 use pimento_units::Money;
 use pimento_units::Span;
@@ -18,13 +18,14 @@
 use crate::contract::Key;
 use crate::contract::Spend;
 
-/// The name by which callers ask for the contract's first class; no class may be called so.
+/// The name by which callers select the class with the lowest priority number. No class may have this
+/// name.
 const AUTO: &str = "auto";
 
-/// Weight of a contract that names none.
+/// Weight of a contract that does not set one.
 const DEFAULT_WEIGHT: u32 = 1;
 
-/// Priority of a class that names none, in the middle between the first (0) and the last.
+/// Priority of a class that does not set one, so that others can be set above (from 0) and below it.
 const DEFAULT_PRIORITY: u8 = 5;
 
 /// Reads one contract.
@@ -53,7 +54,7 @@
 fn keys(table: &mut Table<'_, '_>, draft: &mut Draft, owner: Option<&Subject>) -> Vec<Key> {
     let keys = table.texts("keys");
     if keys.is_empty() {
-        table.fault("keys", "needs at least one hash of an API key");
+        table.add_finding("keys", "needs at least one hash of an API key");
     }
     for key in &keys {
         draft.refer(Link::Key {
@@ -75,11 +76,11 @@
     })
 }
 
-/// A length of time above zero.
+/// Reads a duration above zero.
 pub(super) fn positive(table: &mut Table<'_, '_>, key: &'static str) -> Option<Span> {
     let span = table.text::<Span>(key)?.value;
     if span == Span::ZERO {
-        table.fault(key, "must be more than no time");
+        table.add_finding(key, "must be longer than zero");
         return None;
     }
     Some(span)
@@ -88,7 +89,7 @@
 fn classes(table: &mut Table<'_, '_>, draft: &mut Draft) -> Vec<Class> {
     let tables = table.tables("class");
     if tables.is_empty() {
-        table.fault("class", "needs at least one class of requests");
+        table.add_finding("class", "needs at least one class of requests");
     }
     let mut classes: Vec<Class> = Vec::with_capacity(tables.len());
     for table in tables {
@@ -124,12 +125,15 @@
 
 fn check_name(table: &Table<'_, '_>, name: &id::Class, before: &[Class]) {
     if name.as_str() == AUTO {
-        table.fault("name", "\"auto\" stands for the contract's first class");
+        table.add_finding(
+            "name",
+            "\"auto\" is reserved for the class with the lowest priority number",
+        );
     }
     if before.iter().any(|class| class.name == *name) {
-        table.fault(
+        table.add_finding(
             "name",
-            format!("{name} is a class of this contract already"),
+            format!("{name} is already a class of this contract"),
         );
     }
 }
@@ -137,7 +141,7 @@
 fn versions(table: &mut Table<'_, '_>, draft: &mut Draft) -> Vec<id::Version> {
     let versions = all_referred(table, "versions", draft, Subject::Version);
     if versions.is_empty() {
-        table.fault("versions", "needs at least one version");
+        table.add_finding("versions", "needs at least one version");
     }
     versions
 }
--- a/crates/contract/src/raw/finding.rs
+++ b/crates/contract/src/raw/finding.rs
@@ -1,4 +1,4 @@
-//! Findings with their place.
+//! Findings with their locations.
 
 use std::cell::RefCell;
 use std::error::Error;
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 
-/// Where something stands.
+/// A location in a file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
     /// The file's name.
@@ -27,12 +27,12 @@
     }
 }
 
-/// One fault of a file.
+/// One fault in a file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// Where.
+    /// Its location.
     pub place: Place,
-    /// What, as a sentence for people.
+    /// A description for the operator.
     pub message: String,
 }
 
@@ -42,18 +42,18 @@
     }
 }
 
-/// All faults found, sorted by place.
+/// All findings, sorted by location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// The findings, sorted by place.
+    /// The findings, sorted by location.
     #[must_use]
     pub fn as_slice(&self) -> &[Finding] {
         &self.0
     }
 
-    /// Whether nothing was found.
+    /// Whether there are no findings.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -71,7 +71,7 @@
 
 impl Error for Findings {}
 
-/// Gathers findings through shared references, since nested tables are read side by side.
+/// Collects findings through shared references, since several nested tables are open at once.
 #[derive(Debug, Default)]
 pub(super) struct Report(RefCell<Vec<Finding>>);
 
--- a/crates/contract/src/raw/links.rs
+++ b/crates/contract/src/raw/links.rs
@@ -1,4 +1,4 @@
-//! Checks across tables and files: names that must exist, subjects defined twice, keys shared.
+//! Checks across tables and files: undefined names, subjects defined twice, shared API keys.
 
 use super::Draft;
 use super::finding::Place;
@@ -7,23 +7,23 @@
 use crate::contract::Key;
 use crate::fold::State;
 
-/// Something that one table says about another.
+/// A reference that must be checked against other tables.
 #[derive(Debug)]
 pub(super) enum Link {
     /// A name that must be defined.
     Subject {
-        /// What is named.
+        /// The subject that the name refers to.
         subject: Subject,
-        /// Where.
+        /// Location of the name.
         place: Place,
     },
-    /// An API key's hash that must be one customer's only.
+    /// The hash of an API key, which must belong to only one customer.
     Key {
         /// The hash.
         key: Key,
-        /// The contract that lists it; none if its customer can't be read.
+        /// The contract that lists it; `None` if its customer can't be read.
         owner: Option<Subject>,
-        /// Where.
+        /// Location of the hash.
         place: Place,
     },
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Checks all links of the files, with `known` as what is in force already.
+/// Checks all links of the files; `known` is the state in force.
 pub(super) fn check(draft: &Draft, known: &State, report: &Report) {
     check_definitions(draft, report);
     let mut keys: Vec<(Key, &Place)> = Vec::new();
@@ -50,7 +50,7 @@
                 match keys.binary_search_by_key(key, |(key, _)| *key) {
                     Ok(at) => {
                         let first = keys[at].1;
-                        report.add(place, format!("this key stands at {first} already"));
+                        report.add(place, format!("this key is already listed at {first}"));
                     }
                     Err(at) => keys.insert(at, (*key, place)),
                 }
@@ -61,12 +61,12 @@
 
 fn check_definitions(draft: &Draft, report: &Report) {
     let mut definitions: Vec<&(Subject, Place)> = draft.definitions.iter().collect();
-    // A stable sort: of one subject's definitions the first that was read stays first.
+    // The sort is stable: of several definitions of a subject, the one read first stays first.
     definitions.sort_by_key(|(subject, _)| subject);
     for pair in definitions.windows(2) {
         let [(before, first), (subject, place)] = [pair[0], pair[1]];
         if before == subject {
-            report.add(place, format!("{subject} is defined at {first} already"));
+            report.add(place, format!("{subject} is already defined at {first}"));
         }
     }
 }
@@ -74,12 +74,12 @@
 fn check_subject(subject: &Subject, place: &Place, draft: &Draft, known: &State, report: &Report) {
     let defined = draft.definitions.iter().any(|(other, _)| other == subject);
     if !defined && known.item(subject).is_none() {
-        report.add(place, format!("{subject} is defined nowhere"));
+        report.add(place, format!("{subject} is not defined"));
     }
 }
 
-/// A key in force for another customer must not be taken, unless the files rewrite that contract
-/// too (then both lists are among the links).
+/// Reports a key that is in force for another customer, unless the files redefine that customer's
+/// contract too. In that case both lists are among the links.
 fn check_holder(
     key: Key,
     owner: Option<&Subject>,
@@ -94,6 +94,6 @@
     let holder = Subject::Contract(holder.customer.clone());
     let rewritten = draft.definitions.iter().any(|(other, _)| *other == holder);
     if !rewritten && owner != Some(&holder) {
-        report.add(place, format!("this key belongs to {holder} already"));
+        report.add(place, format!("this key already belongs to {holder}"));
     }
 }
--- a/crates/contract/src/raw/names.rs
+++ b/crates/contract/src/raw/names.rs
@@ -1,4 +1,4 @@
-//! Names that tables define and names that they refer to, noted for the checks across files.
+//! Names that tables define or refer to, recorded for the checks across files.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -9,7 +9,7 @@
 use super::table::Table;
 use crate::change::Subject;
 
-/// Reads the name that a table defines. It is noted even if the rest of the table is faulty.
+/// Reads the name that a table defines. It is recorded even if the rest of the table is faulty.
 pub(super) fn defined<T>(
     table: &mut Table<'_, '_>,
     key: &'static str,
@@ -24,7 +24,7 @@
     Some(name)
 }
 
-/// Reads a name that must be defined somewhere.
+/// Reads a name that must be defined in the files or in the state in force.
 pub(super) fn referred<T>(
     table: &mut Table<'_, '_>,
     key: &'static str,
@@ -39,7 +39,7 @@
     Some(name.value)
 }
 
-/// Reads a list of names that must be defined somewhere, sorted, each once.
+/// Reads a list of such names; returns them sorted and without duplicates.
 pub(super) fn all_referred<T>(
     table: &mut Table<'_, '_>,
     key: &'static str,
@@ -61,7 +61,7 @@
     draft.refer(Link::subject(subject, &name.place));
 }
 
-/// The values of a list, sorted, each once.
+/// The values of a list, sorted and without duplicates.
 pub(super) fn sorted<T: Ord>(items: Vec<Placed<T>>) -> Vec<T> {
     let mut values: Vec<T> = items.into_iter().map(|placed| placed.value).collect();
     values.sort();
--- a/crates/contract/src/raw/platform.rs
+++ b/crates/contract/src/raw/platform.rs
@@ -1,4 +1,4 @@
-//! Reading of `[[pool]]`, `[[version]]`, `[[service]]` and `[[rollout]]` tables.
+//! Parsing of `[[pool]]`, `[[version]]`, `[[service]]` and `[[rollout]]` tables.
 
 use std::fmt;
 use std::str::FromStr;
@@ -27,11 +27,11 @@
 use crate::version::Price;
 use crate::version::Version;
 
-/// A text that is one of a few words.
+/// A value given as one of a fixed set of words.
 #[derive(Debug, Clone, Copy)]
 struct Choice<T>(T);
 
-/// The text is none of the words.
+/// The text is none of the words; contains the list of them.
 struct Unlisted(&'static str);
 
 impl fmt::Display for Unlisted {
@@ -78,8 +78,8 @@
     }
 }
 
-/// Reads one pool. An engine is taken to ignore fencing numbers unless its pool says otherwise,
-/// since the opposite mistake lets two holders order at once.
+/// Reads one pool. By default its engines are assumed to ignore fencing numbers: with the opposite
+/// default, a pool whose setting is missing could receive orders from two holders at once.
 pub(super) fn pool(mut table: Table<'_, '_>, draft: &mut Draft) {
     let name = defined(&mut table, "name", draft, Subject::Pool);
     let fencing = table.text_or("fencing", Choice(Fencing::Ignores));
@@ -122,7 +122,7 @@
     })
 }
 
-/// Reads one plain service. No method is repeatable unless it is listed.
+/// Reads one plain service. Only listed methods are repeatable.
 pub(super) fn service(mut table: Table<'_, '_>, draft: &mut Draft) {
     let name = defined(&mut table, "name", draft, Subject::Service);
     let pool = referred(&mut table, "pool", draft, Subject::Pool);
@@ -156,7 +156,7 @@
         draft.define(Subject::Rollout(to.clone()), table.place().clone());
     }
     if from.is_some() && from == to {
-        table.fault("to", "must be another version than `from`");
+        table.add_finding("to", "must be another version than `from`");
     }
     let stages = table.shares("stages");
     if let Some(stages) = &stages {
@@ -166,7 +166,7 @@
     if let (Some(stages), Some(stage)) = (&stages, stage)
         && stage >= stages.len().max(1)
     {
-        table.fault("stage", format!("there are {} stages", stages.len()));
+        table.add_finding("stage", format!("there are {} stages", stages.len()));
     }
     let status = table.text_or("status", Choice(rollout::Status::Running));
     let gate = table.table("gate").and_then(gate);
@@ -192,7 +192,7 @@
     let begins = stages.first().is_some_and(|first| *first > Share::ZERO);
     let ends = stages.last() == Some(&Share::ONE);
     if !(rising && begins && ends) {
-        table.fault("stages", "must rise from above 0 to 1");
+        table.add_finding("stages", "must rise from above 0 to 1");
     }
 }
 
@@ -212,13 +212,13 @@
     })
 }
 
-/// The largest latency ratio a gate may name. Beyond it the gate would not judge latency at all.
+/// Maximum latency ratio of a gate. A larger one would in effect disable the check of latency.
 const MAX_RATIO: f64 = 100.0;
 
 fn latency(table: &mut Table<'_, '_>) -> Option<u32> {
     let ratio = table.decimal("latency")?;
     if !(1.0..=MAX_RATIO).contains(&ratio) {
-        table.fault("latency", "must be a ratio between 1 and 100, such as 1.5");
+        table.add_finding("latency", "must be a ratio between 1 and 100, such as 1.5");
         return None;
     }
     // In range by the check above.
--- a/crates/contract/src/raw/table.rs
+++ b/crates/contract/src/raw/table.rs
@@ -1,4 +1,4 @@
-//! A TOML table read key by key: wrong types, missing keys and unknown keys become findings.
+//! Reads a TOML table key by key and reports wrong types, missing keys and unknown keys.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -15,14 +15,14 @@
 use super::finding::Place;
 use super::finding::Report;
 
-/// A value with its place, for findings of later checks.
+/// A value with its location, for findings of later checks.
 #[derive(Debug, Clone)]
 pub(super) struct Placed<T> {
     pub(super) value: T,
     pub(super) place: Place,
 }
 
-/// A table of a file.
+/// A table in a file.
 #[derive(Debug)]
 pub(super) struct Table<'a, 'i> {
     keys: &'a DeTable<'i>,
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Where the table begins.
+    /// Where the table starts.
     pub(super) fn place(&self) -> &Place {
         &self.place
     }
 
     /// Adds a finding at `key`, or at the table if the key is missing.
-    pub(super) fn fault(&self, key: &str, message: impl Display) {
+    pub(super) fn add_finding(&self, key: &str, message: impl Display) {
         self.report.add(&self.at(key), message);
     }
 
@@ -75,24 +75,24 @@
         self.keys.get(key)
     }
 
-    fn need(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'i>>> {
+    fn require(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'i>>> {
         let found = self.find(key);
         if found.is_none() {
-            self.fault(key, "is missing");
+            self.add_finding(key, "is missing");
         }
         found
     }
 
-    /// A text that must be there.
+    /// Reads a required string.
     pub(super) fn text<T>(&mut self, key: &'static str) -> Option<Placed<T>>
     where
         T: FromStr<Err: Display>,
     {
-        let value = self.need(key)?;
+        let value = self.require(key)?;
         self.parse(value, self.path(key))
     }
 
-    /// A text with a default.
+    /// Reads an optional string with a default.
     pub(super) fn text_or<T>(&mut self, key: &'static str, default: T) -> Option<T>
     where
         T: FromStr<Err: Display>,
@@ -109,7 +109,8 @@
     {
         let place = self.lines.place(value.span(), path);
         let DeValue::String(text) = value.get_ref() else {
-            self.report.add(&place, wrong("a text in quotes", value));
+            self.report
+                .add(&place, type_mismatch("a string in quotes", value));
             return None;
         };
         match text.parse() {
@@ -121,13 +122,13 @@
         }
     }
 
-    /// A whole number of at least `least`, which must be there.
+    /// Reads a required integer of at least `least`.
     pub(super) fn number<T: TryFrom<u64>>(&mut self, key: &'static str, least: u64) -> Option<T> {
-        let value = self.need(key)?;
+        let value = self.require(key)?;
         self.whole(key, value, least)
     }
 
-    /// A whole number of at least `least`, with a default.
+    /// Reads an optional integer of at least `least`, with a default.
     pub(super) fn number_or<T>(&mut self, key: &'static str, least: u64, default: T) -> Option<T>
     where
         T: TryFrom<u64>,
@@ -143,51 +144,51 @@
         T: TryFrom<u64>,
     {
         let DeValue::Integer(digits) = value.get_ref() else {
-            self.fault(key, wrong("a whole number", value));
+            self.add_finding(key, type_mismatch("an integer", value));
             return None;
         };
         let number = i128::from_str_radix(digits.as_str(), digits.radix()).ok();
         let number = number.and_then(|number| u64::try_from(number).ok());
         let Some(number) = number.filter(|number| *number >= least) else {
-            self.fault(key, format!("must be at least {least}, not {digits}"));
+            self.add_finding(key, format!("must be at least {least}, not {digits}"));
             return None;
         };
         let Ok(number) = T::try_from(number) else {
-            self.fault(key, format!("{number} is too large"));
+            self.add_finding(key, format!("{number} is too large"));
             return None;
         };
         Some(number)
     }
 
-    /// A share between 0 and 1, which must be there.
+    /// Reads a required share between 0 and 1.
     pub(super) fn share(&mut self, key: &'static str) -> Option<Share> {
         let number = self.decimal(key)?;
         self.checked(key, Share::try_from(number))
     }
 
-    /// A number with decimals, which must be there.
+    /// Reads a required number, which may have decimals.
     pub(super) fn decimal(&mut self, key: &'static str) -> Option<f64> {
-        let value = self.need(key)?;
+        let value = self.require(key)?;
         let number = decimal(value);
         if number.is_none() {
-            self.fault(key, wrong("a number", value));
+            self.add_finding(key, type_mismatch("a number", value));
         }
         number
     }
 
     fn checked<T, E: Display>(&self, key: &str, result: Result<T, E>) -> Option<T> {
-        result.map_err(|error| self.fault(key, error)).ok()
+        result.map_err(|error| self.add_finding(key, error)).ok()
     }
 
-    /// A list of shares, which must be there.
+    /// Reads a required array of shares.
     pub(super) fn shares(&mut self, key: &'static str) -> Option<Vec<Share>> {
-        let value = self.need(key)?;
+        let value = self.require(key)?;
         let items = self.array(key, value)?;
         let mut shares = Vec::with_capacity(items.len());
         for (index, item) in items.iter().enumerate() {
             let place = self.element(key, index, item);
             let Some(number) = decimal(item) else {
-                self.report.add(&place, wrong("a number", item));
+                self.report.add(&place, type_mismatch("a number", item));
                 continue;
             };
             match Share::try_from(number) {
@@ -198,8 +199,8 @@
         (shares.len() == items.len()).then_some(shares)
     }
 
-    /// A list of texts; an empty one if the key is missing. Faulty elements are left out after
-    /// their finding.
+    /// Reads an array of strings; empty if the key is missing. Faulty elements are reported and left
+    /// out.
     pub(super) fn texts<T>(&mut self, key: &'static str) -> Vec<Placed<T>>
     where
         T: FromStr<Err: Display>,
@@ -218,7 +219,7 @@
 
     fn array(&self, key: &str, value: &'a Spanned<DeValue<'i>>) -> Option<&'a DeArray<'i>> {
         let DeValue::Array(items) = value.get_ref() else {
-            self.fault(key, wrong("a list", value));
+            self.add_finding(key, type_mismatch("an array", value));
             return None;
         };
         Some(items)
@@ -229,13 +230,13 @@
         self.lines.place(item.span(), path)
     }
 
-    /// A table that must be there.
+    /// Reads a required table.
     pub(super) fn table(&mut self, key: &'static str) -> Option<Self> {
-        let value = self.need(key)?;
+        let value = self.require(key)?;
         self.nested(value, self.at(key))
     }
 
-    /// The tables of a `[[key]]`; none if the key is missing.
+    /// Reads the tables of a `[[key]]`; empty if the key is missing.
     pub(super) fn tables(&mut self, key: &'static str) -> Vec<Self> {
         let Some(value) = self.find(key) else {
             return Vec::new();
@@ -252,7 +253,7 @@
 
     fn nested(&self, value: &'a Spanned<DeValue<'i>>, place: Place) -> Option<Self> {
         let DeValue::Table(keys) = value.get_ref() else {
-            self.report.add(&place, wrong("a table", value));
+            self.report.add(&place, type_mismatch("a table", value));
             return None;
         };
         Some(Self {
@@ -264,8 +265,8 @@
         })
     }
 
-    /// Reports the keys that nobody asked for: a misspelt optional key would else silently leave
-    /// its default in force.
+    /// Reports keys that were not read. Otherwise a misspelt optional key would silently leave its
+    /// default in force.
     pub(super) fn finish(self) {
         for key in self.keys.keys() {
             let name = key.get_ref().as_ref();
@@ -275,7 +276,7 @@
             let place = self.lines.place(key.span(), self.path(name));
             let known = self.used.join(", ");
             self.report
-                .add(&place, format!("is not a key here (keys are {known})"));
+                .add(&place, format!("is not a known key (known keys: {known})"));
         }
     }
 }
@@ -288,15 +289,15 @@
     }
 }
 
-fn wrong(wanted: &str, found: &Spanned<DeValue<'_>>) -> String {
+fn type_mismatch(expected: &str, found: &Spanned<DeValue<'_>>) -> String {
     let found = match found.get_ref() {
-        DeValue::String(_) => "a text",
-        DeValue::Integer(_) => "a whole number",
+        DeValue::String(_) => "a string",
+        DeValue::Integer(_) => "an integer",
         DeValue::Float(_) => "a number",
-        DeValue::Boolean(_) => "a truth value",
+        DeValue::Boolean(_) => "a boolean",
         DeValue::Datetime(_) => "a date",
-        DeValue::Array(_) => "a list",
+        DeValue::Array(_) => "an array",
         DeValue::Table(_) => "a table",
     };
-    format!("must be {wanted}, not {found}")
+    format!("must be {expected}, not {found}")
 }
--- a/crates/contract/tests/fold.rs
+++ b/crates/contract/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the configuration stream: racing operators, lost answers, checkpoints.
+//! The fold of the configuration stream: concurrent changes, lost answers, checkpoints.
 
 use pimento_contract::Change;
 use pimento_contract::State;
@@ -53,9 +53,9 @@
     change(id, "pool", base, None)
 }
 
-/// Two operators read the same contract and both publish a change of it. The first in the log is in
-/// force; the second is told which revision won, so that its operator looks again instead of
-/// undoing the first unseen.
+/// Two operators read the same revision and both publish a change of it. The first in the log is in
+/// force. The verdict on the second names the current revision, so that its operator reads the first
+/// change instead of overwriting it.
 #[test]
 fn first_of_two_racing_operators_wins() {
     let mut state = State::default();
@@ -75,8 +75,8 @@
     assert_eq!(state.items().len(), 1);
 }
 
-/// The answer to an append is lost after it took effect, and the writer appends the record again.
-/// Both copies stand in the log; the change counts once and has one verdict.
+/// The answer to a successful append is lost, and the writer appends the record again. The log
+/// contains both copies, but the change counts once and has one verdict.
 #[test]
 fn record_appended_twice_counts_once() {
     let mut state = State::default();
@@ -86,8 +86,8 @@
     assert_eq!(state.decision(set(1, 0).id).unwrap().offset, Offset(0));
 }
 
-/// A pool is created, then removed. Long after, when the decision on the creation is forgotten, the
-/// creator's record comes a second time. It must not bring the pool back: the removal is in force.
+/// A pool is created and removed. After the decision on the creation has been evicted, a second copy
+/// of the creating record arrives. It must not create the pool again.
 #[test]
 fn late_copy_of_a_creation_does_not_undo_a_removal() {
     let mut state = State::default();
@@ -150,8 +150,8 @@
     state.apply(Offset(4), &set(2, 0));
 }
 
-/// A checkpoint was damaged, or written wrongly. A new node that started from it would put a state
-/// in force that nobody published; it must be ignored.
+/// A checkpoint that is damaged or was written incorrectly must be ignored. A new node that started
+/// from it would put a state in force that nobody published.
 #[test]
 fn wrong_checkpoints_are_ignored() {
     let mut state = State::default();
@@ -179,10 +179,10 @@
 /// One record of a random stream.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A change on what its writer last saw: the state some records ago.
+    /// A change based on the state that its writer last read, `seen` records ago.
     Change { name: u8, seen: usize, remove: bool },
-    /// An earlier record once more.
-    Again { which: usize },
+    /// A second copy of an earlier record.
+    Repeat { which: usize },
     /// A checkpoint or an unreadable record.
     Other,
 }
@@ -191,13 +191,13 @@
     let step = prop_oneof![
         6 => (0..3_u8, 0..4_usize, any::<bool>())
             .prop_map(|(name, seen, remove)| Step::Change { name, seen, remove }),
-        2 => (0..1_000_usize).prop_map(|which| Step::Again { which }),
+        2 => (0..1_000_usize).prop_map(|which| Step::Repeat { which }),
         1 => Just(Step::Other),
     ];
     vec(step, 1..60)
 }
 
-/// The records of a stream; none stands for one that changes nothing.
+/// The records of a stream; `None` stands for a record without effect.
 fn records(steps: &[Step]) -> Vec<Option<Change>> {
     let mut states = vec![State::default()];
     let mut records: Vec<Option<Change>> = Vec::new();
@@ -209,8 +209,8 @@
                 let value = (!remove).then_some(Fencing::Refuses);
                 Some(change(at as u128, &name, base.0, value))
             }
-            Step::Again { which } if at > 0 => records[which % at].clone(),
-            Step::Again { .. } | Step::Other => None,
+            Step::Repeat { which } if at > 0 => records[which % at].clone(),
+            Step::Repeat { .. } | Step::Other => None,
         };
         let mut state = states[at].clone();
         read(&mut state, record.as_ref());
@@ -230,8 +230,8 @@
 }
 
 proptest! {
-    /// A reader that was there all along and one that started from a checkpoint at any place hold
-    /// the same state, to the last byte.
+    /// A reader that has read the stream from its start and one that started from a checkpoint at any
+    /// offset have the same state, byte for byte.
     #[test]
     fn readers_agree_wherever_they_start(steps in steps(), from in 0..60_usize) {
         let records = records(&steps);
@@ -251,8 +251,8 @@
         prop_assert_eq!(whole.hash(), late.hash());
     }
 
-    /// A subject changes only by a change not seen before whose writer saw the subject as it is.
-    /// So nothing that was replaced or removed comes back, however often records are repeated.
+    /// A subject changes only by a new change that is based on its current revision. Replaced or
+    /// removed values therefore never come back, however often records are repeated.
     #[test]
     fn nothing_in_force_reverts(steps in steps()) {
         let records = records(&steps);
--- a/crates/contract/tests/raw.rs
+++ b/crates/contract/tests/raw.rs
@@ -1,4 +1,5 @@
-//! Checking of operators' files: each `raw/*.toml` has its expected findings beside it.
+//! Validation of operators' files. Each `raw/*.toml` has its expected findings in a file of the same
+//! name.
 
 use std::fs;
 use std::path::Path;
@@ -79,8 +80,8 @@
 }
 
 proptest! {
-    /// Whatever an operator's editor did to a file, checking ends with values or with findings that
-    /// name a line of it; it never fails otherwise.
+    /// Validation of a damaged file returns values, or findings that name a line of the file. It never
+    /// panics.
     #[test]
     fn a_damaged_file_gives_values_or_findings(
         lines in vec((0_usize..200, 0_usize..200, ".{0,12}"), 1..6),
@@ -101,7 +102,7 @@
     }
 }
 
-/// Replaces what follows a place in a line.
+/// Replaces the end of a line, starting at a column.
 fn damage(text: &str, line: usize, column: usize, with: &str) -> String {
     let damaged = text.lines().enumerate().map(|(number, content)| {
         let kept: String = content.chars().take(column % 60).collect();
@@ -155,7 +156,8 @@
 }
 
 /// An operator gives a new customer the API key of another customer, whose contract is not in the
-/// file. Accepted, requests with the key would go to the bill of whichever contract is found first.
+/// file. If this were accepted, requests with the key would be billed to whichever contract is found
+/// first.
 #[test]
 fn a_key_of_another_customer_in_force_is_found() {
     let known = check(&example("nyabarongo"), &State::default()).expect("the example is whole");
