--- a/crates/wire/examples/sealed.rs
+++ b/crates/wire/examples/sealed.rs
@@ -1,4 +1,4 @@
-//! Sealed frames between two of one's own processes: here two threads and a TCP connection.
+//! Sealed frames between two processes, here two threads with a TCP connection.
 //!
 //! `cargo run -p pimento-wire --example sealed`
 
@@ -17,11 +17,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The largest frame that either side takes.
+/// Maximum size of a frame in bytes.
 const LIMIT: usize = 64 << 10;
 const SECRET: &str = "the secret of both";
 
-/// One's own message: any type with `serde` will do.
+/// The application's message: any type that implements the `serde` traits.
 #[derive(Debug, Serialize, Deserialize)]
 struct Stock {
     drums: u32,
@@ -30,7 +30,7 @@
 
 type Failure = Box<dyn Error + Send + Sync>;
 
-/// Reads one frame; the length is checked before anything is set aside for it.
+/// Reads one frame. The length is checked before memory is allocated for it.
 fn receive(stream: &mut TcpStream) -> Result<Frame, Failure> {
     let mut length = [0; LENGTH];
     stream.read_exact(&mut length)?;
@@ -64,14 +64,14 @@
     let key = Key::derive(SECRET);
     println!("opened: {:?}", frame.open::<Stock>(&key)?);
     let stranger = frame.open::<Stock>(&Key::derive("another secret"));
-    println!("by another key: {}", told(stranger));
+    println!("by another key: {}", text(stranger));
     let mut bytes = frame.bytes().to_vec();
     bytes[MAC] ^= 1;
     let changed = Frame::receive(bytes, LIMIT)?.open::<Stock>(&key);
-    println!("with one bit changed: {}", told(changed));
+    println!("with one bit changed: {}", text(changed));
     Ok(())
 }
 
-fn told(result: Result<Stock, impl Error>) -> String {
+fn text(result: Result<Stock, impl Error>) -> String {
     result.map_or_else(|error| error.to_string(), |stock| format!("{stock:?}"))
 }
--- a/crates/wire/src/api.rs
+++ b/crates/wire/src/api.rs
@@ -1,6 +1,6 @@
-//! The border with callers: chat completions in the widely known shape, and the error body.
+//! The API for callers: chat completions in the widely used format, and the error body.
 //!
-//! Unknown fields are accepted and not passed on, so that existing client libraries work unchanged.
+//! Unknown fields are accepted and not forwarded, so that existing client libraries work unchanged.
 
 use std::fmt;
 
@@ -13,15 +13,15 @@
 /// Body of `POST /v1/chat/completions`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Chat {
-    /// A class of the contract, or `auto`. Towards an engine: the version.
+    /// A class of the contract, or `auto`. In a request to an engine, the version.
     pub model: CompactString,
     /// The conversation.
     pub messages: Vec<Message>,
-    /// Whether the answer comes as server-sent events. Null, as some client libraries send it,
-    /// stands for no.
+    /// Whether the answer is streamed as server-sent events. Some client libraries send null, which
+    /// means false.
     #[serde(default, deserialize_with = "or_default")]
     pub stream: bool,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(
         default,
         alias = "max_completion_tokens",
@@ -37,7 +37,8 @@
     pub temperature: Option<f32>,
 }
 
-/// A number too large for its type reads as infinite, and would go to the engine as null.
+/// Rejects numbers that are too large for `f32`: they are read as infinite and would be sent to the
+/// engine as null.
 fn finite<'de, D>(deserializer: D) -> Result<Option<f32>, D::Error>
 where
     D: Deserializer<'de>,
@@ -62,7 +63,7 @@
 pub struct Message {
     /// `system`, `user` or `assistant`.
     pub role: CompactString,
-    /// The text. Client libraries send it as text, as a list of text parts, or as null.
+    /// The text. Client libraries send it as a string, as a list of text parts, or as null.
     #[serde(deserialize_with = "content")]
     pub content: String,
 }
@@ -94,7 +95,7 @@
     })
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Completion {
     /// `chatcmpl-` and the request id.
@@ -105,13 +106,13 @@
     pub created: u64,
     /// The version that answered.
     pub model: CompactString,
-    /// One choice.
+    /// Exactly one choice.
     pub choices: Vec<Choice>,
     /// Tokens used.
     pub usage: Usage,
 }
 
-/// A choice of a whole answer.
+/// A choice of a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
     /// Always 0.
@@ -122,12 +123,12 @@
     pub finish_reason: CompactString,
 }
 
-/// Tokens of a call.
+/// Token counts of a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Of the prompt.
+    /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Generated.
+    /// Generated tokens.
     pub completion_tokens: u64,
     /// Sum of both.
     pub total_tokens: u64,
@@ -144,9 +145,9 @@
     pub created: u64,
     /// The version that answers.
     pub model: CompactString,
-    /// One choice.
+    /// Exactly one choice.
     pub choices: Vec<ChunkChoice>,
-    /// Tokens used, on the last chunk.
+    /// Tokens used; set on the last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
@@ -156,13 +157,13 @@
 pub struct ChunkChoice {
     /// Always 0.
     pub index: u32,
-    /// What was added.
+    /// The text that this event adds.
     pub delta: Delta,
     /// Set on the last event.
     pub finish_reason: Option<CompactString>,
 }
 
-/// Text added by one event.
+/// Text that one event adds to the answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// Set on the first event.
@@ -173,10 +174,10 @@
     pub content: Option<String>,
 }
 
-/// The data of the event that ends a stream which is whole.
+/// The data of the event that ends a complete stream.
 pub const DONE: &str = "[DONE]";
 
-/// Answer of `GET /v1/models`.
+/// Response to `GET /v1/models`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Models {
     /// `list`.
@@ -185,7 +186,7 @@
     pub data: Vec<Model>,
 }
 
-/// One model that a caller may name.
+/// One value that a caller may send as `model`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
     /// The class's name.
@@ -206,31 +207,31 @@
 /// An error as callers see it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Error {
-    /// A coarse kind, as in the widely known shape: `invalid_request_error`, `rate_limit_error`, …
+    /// A coarse kind as in the widely used format: `invalid_request_error`, `rate_limit_error`, …
     #[serde(rename = "type")]
     pub kind: CompactString,
-    /// A stable code to test against.
+    /// A stable code for programs.
     pub code: CompactString,
-    /// A sentence for people.
+    /// A description for people.
     pub message: String,
     /// Whether the call was carried out.
     pub run: Run,
 }
 
-/// Whether a call was carried out, as said to a caller.
+/// Whether a call was carried out, as reported to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Run {
-    /// No endpoint started it.
+    /// No endpoint started the call.
     NotRun,
-    /// It ran.
+    /// The call ran.
     Ran,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
 impl Run {
-    /// The text in bodies and headers.
+    /// The value in bodies and headers.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -1,4 +1,4 @@
-//! The border with model engines (HTTP JSON and server-sent events).
+//! The API of model engines (HTTP JSON and server-sent events).
 //!
 //! | call | meaning |
 //! |---|---|
@@ -16,33 +16,33 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an engine says of itself; lags behind the truth.
+/// The load that an engine reports; it lags behind the actual load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Its name.
+    /// The engine's name.
     pub endpoint: id::Endpoint,
-    /// Changes at every restart.
+    /// The engine's incarnation, which changes at each restart.
     pub incarnation: u64,
-    /// Calls in the running batch.
+    /// Number of calls in the running batch.
     pub running: u32,
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub waiting: u32,
-    /// The most calls in a batch.
+    /// Maximum number of calls in a batch.
     pub batch: u32,
-    /// Milliseconds since this was measured.
+    /// Milliseconds since these values were measured.
     pub age_ms: u64,
-    /// Versions loaded, sorted.
+    /// Loaded versions, sorted.
     pub versions: Vec<id::Version>,
-    /// Whether it takes no new work.
+    /// Whether the engine is leaving and accepts no new work.
     pub leaving: bool,
 }
 
-/// Changes of the prefix cache, published late and with gaps.
+/// Changes of the prefix cache. They are published with a delay, and some may be missing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cache {
     /// The sequence number of the newest event.
     pub sequence: u64,
-    /// Events after the one asked for; some may be missing.
+    /// Events after the requested sequence number; some may be missing.
     pub events: Vec<Event>,
 }
 
@@ -53,17 +53,17 @@
     pub sequence: u64,
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Whether it was added (or else evicted).
+    /// Whether the prefix was added; otherwise it was evicted.
     pub added: bool,
 }
 
-/// An order to an engine. It states the wanted result, so that it may be sent again.
+/// An order to an engine. It names the desired state, so it may be sent repeatedly.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Hold exactly these versions (sorted).
+    /// Load exactly these versions (sorted).
     Versions(Vec<id::Version>),
-    /// Play this role: `decode`, `prefill` or `mixed`.
+    /// Assume this role: `decode`, `prefill` or `mixed`.
     Role(CompactString),
 }
 
@@ -72,6 +72,6 @@
 pub struct Reply {
     /// Whether the order was carried out; false if its fencing number is old.
     pub accepted: bool,
-    /// The highest fencing number seen, if the engine checks it.
+    /// The highest fencing number that the engine has received, if it checks them.
     pub fencing: Option<u64>,
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,7 +1,7 @@
-//! Frames between processes: a postcard body sealed with a keyed MAC, bounded in size.
+//! Frames between processes: a postcard body authenticated by a keyed MAC, with a size limit.
 //!
-//! A frame is `length (4 bytes, little endian) | MAC (16 bytes) | body`. The MAC is BLAKE3 keyed
-//! with the deployment's peer key, cut to 16 bytes. A datagram omits the length.
+//! A frame is `length (4 bytes, little endian) | MAC (16 bytes) | body`. The MAC is the BLAKE3 hash
+//! keyed with the deployment's peer key, truncated to 16 bytes. A datagram omits the length.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -9,33 +9,34 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// Bytes of the MAC.
+/// Length of the MAC in bytes.
 pub const MAC: usize = 16;
-/// Bytes of the length before a frame on TCP.
+/// Size in bytes of the length that precedes a frame on TCP.
 pub const LENGTH: usize = 4;
-/// The largest body on TCP, in bytes. The largest message is a checkpoint of the whole state.
+/// Maximum size of a frame on TCP, in bytes, without its length. The largest message is a checkpoint of
+/// the whole state.
 pub const MAX_BODY: usize = 8 << 20;
-/// The largest datagram, in bytes; stays below the smallest usual path MTU.
+/// Maximum size of a datagram, in bytes; below the smallest usual path MTU.
 pub const MAX_DATAGRAM: usize = 1_200;
 
-/// Why a frame was dropped. Every drop is counted by its receiver.
+/// Why a frame was dropped. The receiver counts dropped frames.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Longer than allowed.
+    /// The frame is longer than allowed.
     #[snafu(display("a frame of {length} bytes is over the limit of {limit}"))]
     Size {
-        /// Bytes found.
+        /// Size of the frame in bytes.
         length: usize,
-        /// Bytes allowed.
+        /// Maximum size in bytes.
         limit: usize,
     },
-    /// Shorter than a MAC.
+    /// The frame is shorter than a MAC.
     #[snafu(display("the frame is cut off"))]
     Short,
-    /// The MAC does not fit body and key.
+    /// The MAC does not match body and key.
     #[snafu(display("the frame's MAC is wrong"))]
     Mac,
-    /// The body is not the expected type.
+    /// The body can't be encoded, or does not decode to the expected type.
     #[snafu(display("the frame's body can't be read"))]
     Body {
         /// The codec's error.
@@ -43,12 +44,12 @@
     },
 }
 
-/// The key that all entry VMs and controls of a deployment share.
+/// The key shared by all processes of a deployment that exchange frames.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// A key derived from the deployment's secret.
+    /// Derives the key from the deployment's secret.
     #[must_use]
     pub fn derive(secret: &str) -> Self {
         Self(blake3::derive_key(
@@ -95,7 +96,7 @@
         Ok(Self(bytes.into()))
     }
 
-    /// Takes bytes from a socket, unchecked.
+    /// Wraps bytes from a socket. Checks their size, but not the MAC.
     ///
     /// # Errors
     ///
@@ -119,7 +120,7 @@
     /// [`Error::Mac`] or [`Error::Body`].
     pub fn open<T: DeserializeOwned>(&self, key: &Key) -> Result<T, Error> {
         let (mac, body) = self.0.split_at(MAC);
-        // Compared as hashes, so that the time taken tells nothing about the right MAC.
+        // Hashes are compared, so that the duration reveals nothing about the correct MAC.
         if blake3::hash(mac) != blake3::hash(&key.mac(body)) {
             return Err(Error::Mac);
         }
@@ -132,11 +133,11 @@
         &self.0
     }
 
-    /// The length to send before the frame on TCP.
+    /// The encoded length to send before the frame on TCP.
     ///
     /// # Panics
     ///
-    /// Never: sizes are checked against limits far below 4 GiB.
+    /// If the frame has 4 GiB or more, which a limit such as [`MAX_BODY`] excludes.
     #[must_use]
     pub fn length(&self) -> [u8; LENGTH] {
         u32::try_from(self.0.len())
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,14 @@
-//! Typed messages: HTTP JSON at the border with callers, endpoints and the platform, and postcard
-//! frames between the system's own processes.
+//! Typed messages: HTTP JSON for callers, endpoints and the platform, and postcard frames between the
+//! system's own processes.
 //!
-//! [`api`] is what callers see, [`engine`] what model engines speak, [`platform`] what the
-//! platform's services speak. [`peer`] holds the frames between entry VMs and [`frame`] seals them
-//! with a keyed MAC and a size limit. Only shapes and codecs live here, no sockets.
+//! - [`api`]: the API for callers.
+//! - [`engine`]: the API of model engines.
+//! - [`platform`]: the APIs of the platform's services.
+//! - [`operators`]: the state that an entry VM serves to its operators.
+//! - [`peer`]: the messages between entry VMs.
+//! - [`frame`]: frames for these messages, with a keyed MAC and a size limit.
+//!
+//! This crate contains only types and codecs and opens no sockets.
 
 pub mod api;
 pub mod engine;
--- a/crates/wire/src/operators.rs
+++ b/crates/wire/src/operators.rs
@@ -1,7 +1,7 @@
-//! What an entry VM says of itself on its operators' address (`GET /state`, JSON).
+//! The state that an entry VM serves on its operators' address (`GET /state`, JSON).
 //!
-//! `pimentoctl status` shows it, and the controllers judge roll-outs by its evidence. Programs may
-//! add fields; readers pass over those that they don't know.
+//! `pimentoctl status` shows it, and the controllers decide on roll-outs by its evidence. Later
+//! versions may add fields; readers ignore unknown ones.
 
 use pimento_units::Offset;
 use pimento_units::id;
@@ -13,19 +13,19 @@
 /// The state of one entry VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Its name.
+    /// The VM's name.
     pub node: id::Node,
-    /// Its zone.
+    /// The VM's zone.
     pub zone: id::Zone,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// The next offset of its configuration.
+    /// The next offset to read from the configuration stream.
     pub offset: Offset,
-    /// Milliseconds since it last knew its configuration to be current.
+    /// Milliseconds since its configuration was last known to be current.
     pub age_ms: u64,
-    /// What it saw of each version. Counts begin anew when the revision of a roll-out that names
-    /// the version changes, so that whoever reads them judges the stage in force and needs no
-    /// earlier reading to compare with.
+    /// What the VM observed of each version. Counts restart when the revision of a roll-out of the
+    /// version changes. They therefore describe the stage in force, and readers need no earlier
+    /// values to compare with.
     #[serde(default)]
     pub evidence: Vec<Evidence>,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,7 +1,10 @@
-//! Messages between entry VMs: heartbeats by UDP, state, bill copies and kept answers by TCP.
+//! Messages between entry VMs: heartbeats over UDP; state, copies of bills and cached answers over TCP.
 //!
-//! Everything here is a hint or an idempotent transfer; what must be agreed goes through the
+//! These messages are hints or idempotent transfers. Everything that needs agreement is written to the
 //! platform's log.
+//!
+//! Messages are encoded with postcard, so the order and the types of fields and variants are the wire
+//! format and their names are not transmitted. [`Evidence`] is the exception: it is sent as JSON.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -14,140 +17,142 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A datagram, sent each second to a few peers.
+/// A datagram that an entry VM sends each second to a few peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     pub node: id::Node,
-    /// Its zone.
+    /// The sender's zone.
     pub zone: id::Zone,
-    /// Where peers reach it by TCP and UDP.
+    /// The sender's address for TCP and UDP.
     pub address: CompactString,
-    /// Rises with each heartbeat of one life, so that a late datagram is told apart.
+    /// Increases with each heartbeat of one incarnation, so that late datagrams are recognized.
     pub sequence: u64,
-    /// Offset of its configuration.
+    /// Offset of the sender's configuration.
     pub offset: Offset,
-    /// Until when that is known to be current; none if it never was.
+    /// When this configuration was last known to be current; `None` if it never was.
     pub current: Option<Current>,
-    /// Whether it reads the log itself at present.
+    /// Whether the sender currently reads the log itself.
     pub tailing: bool,
-    /// Whether it is about to go.
+    /// Whether the sender is about to leave.
     pub leaving: bool,
-    /// Endpoints that it knows to be leaving, newest first, bounded.
+    /// Endpoints that the sender knows to be leaving, newest first; bounded.
     pub departures: Vec<Departure>,
-    /// Versions that it quarantined on its own evidence, bounded.
+    /// Versions that the sender quarantined on its own evidence; bounded.
     pub quarantined: Vec<id::Version>,
-    /// Nodes of its zone that it heard of lately, bounded.
+    /// Nodes of the sender's zone that were recently alive, with their newest heartbeat; bounded.
     #[serde(rename = "heard")]
     pub last_seen: Vec<LastSeen>,
-    /// What is known of requests under which endpoints end, bounded.
+    /// Observations of requests that may crash endpoints; bounded.
     pub suspicions: Vec<Suspicion>,
 }
 
-/// Until when a configuration is known to be current.
+/// When a configuration was last known to be current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Current {
-    /// The log's clock when the log was last read to its end, by whoever read it.
+    /// The log's time at which any node last read the log to its end.
     pub at: Wall,
-    /// Milliseconds since then, as the sender counts them.
+    /// Milliseconds since then, by the sender's clock.
     pub age_ms: u64,
 }
 
-/// Word of another node, passed on: at 50 nodes a zone and three datagrams a second each node hears
-/// any other one only every half minute, which is too seldom to tell a live one from a dead one.
+/// The newest known heartbeat of another node, forwarded to peers.
+///
+/// With 50 nodes in a zone and three datagrams a second, a node receives a heartbeat directly from
+/// another one only every half minute. This is too rare to tell a live node from a dead one.
 ///
-/// It carries a number and not an age. An age loses a little on each way, so that nodes which tell
-/// each other of a dead one would keep it young for ever.
+/// It contains the heartbeat's number instead of its age. A forwarded age omits the time in transit, so
+/// nodes that forward the age of a dead node to each other would never see it expire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastSeen {
     /// Hash of the node's name.
     pub node: u32,
-    /// Number of its newest heartbeat.
+    /// Sequence number of its newest heartbeat.
     pub sequence: u64,
 }
 
-/// An endpoint known to be leaving; sticky for its incarnation.
+/// An endpoint that is known to be leaving. This holds until the end of the incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Departure {
-    /// Which.
+    /// The endpoint.
     pub endpoint: id::Endpoint,
-    /// Which life of it.
+    /// The endpoint's incarnation.
     pub incarnation: u64,
 }
 
-/// What a node saw of a request under which endpoints may end.
+/// A node's observation of a request that may crash endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Suspicion {
     /// The request.
     pub digest: Digest,
-    /// What was seen.
+    /// The observation.
     pub what: Observation,
-    /// When, by the clock of the node that saw it. Word that is old counts for nothing, or it would go
-    /// round among the nodes for ever.
+    /// When it was made, by the clock of the node that made it. Old observations are ignored;
+    /// otherwise nodes would forward them to each other forever.
     pub at: Wall,
 }
 
-/// What was seen of a request.
+/// An observation of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Observation {
-    /// An endpoint ended while it ran there.
+    /// An endpoint crashed while it ran the request.
     #[serde(rename = "Ended")]
     Crashed {
         /// Hash of the endpoint's name.
         endpoint: u64,
-        /// Which life of it, if it tells them apart.
+        /// The endpoint's incarnation, if the endpoint reports one.
         incarnation: Option<u64>,
     },
-    /// An answer was whole.
+    /// The request was answered completely.
     Answered,
 }
 
-/// A call by TCP from one entry VM to another.
+/// A call from one entry VM to another over TCP.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
-    /// Sends the configuration, if newer than `offset`.
+    /// Requests the configuration, if it is newer than `offset`.
     Pull {
-        /// What the caller has.
+        /// The caller's offset.
         offset: Offset,
     },
-    /// Brings the newest records of the configuration stream, without a gap.
+    /// Sends the newest records of the configuration stream, without gaps.
     Push {
         /// Offset and JSON text of each.
         records: Vec<(Offset, String)>,
     },
-    /// Keeps copies of bills (JSON text of each) until they are on the log.
+    /// Asks the peer to store copies of bills until they are on the log.
     #[serde(rename = "Hold")]
     StoreBills {
-        /// Whose bills.
+        /// The node that wrote the bills.
         node: id::Node,
-        /// The bills.
+        /// The bills as JSON text.
         bills: Vec<String>,
     },
-    /// Drops copies that are on the log.
+    /// Asks the peer to remove copies of bills that are on the log.
     #[serde(rename = "Drop")]
     RemoveBills {
-        /// Whose bills.
+        /// The node that wrote the bills.
         node: id::Node,
-        /// The requests billed.
+        /// The billed requests.
         requests: Vec<id::Request>,
     },
-    /// Asks for a part of the peer's grants, while the log can't be asked for one.
+    /// Requests a part of the peer's grants while the log is unavailable.
     #[serde(rename = "Lend")]
     TransferGrant {
-        /// Whose spend.
+        /// The customer whose spend is granted.
         customer: id::Customer,
         /// The spend period.
         period: u64,
-        /// How much is wanted.
+        /// The requested amount.
         amount: Money,
     },
-    /// Asks for the kept answer of a request.
+    /// Requests the cached answer to a request.
     #[serde(rename = "Fetch")]
     FetchAnswer {
         /// The request.
         request: id::Request,
     },
-    /// Hands records to the zone's appender.
+    /// Forwards records to the zone's appender.
     Append {
         /// The stream's name.
         stream: CompactString,
@@ -159,32 +164,32 @@
 /// Answer to a [`Call`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Done.
+    /// The call was carried out.
     Done,
-    /// Nothing newer, nothing kept.
+    /// There is nothing newer, or no cached answer.
     Nothing,
-    /// Not now; the reason is for the log.
+    /// The call is refused for now; the reason is for log lines.
     Refused {
-        /// Why.
+        /// The reason.
         reason: CompactString,
     },
-    /// The configuration as JSON text of a checkpoint.
+    /// The configuration.
     State {
-        /// The checkpoint.
+        /// A checkpoint as JSON text.
         checkpoint: String,
     },
-    /// The records of the configuration stream from the caller's offset on, without a gap.
+    /// The records of the configuration stream from the caller's offset on, without gaps.
     Records {
         /// Offset and JSON text of each.
         records: Vec<(Offset, String)>,
     },
-    /// A part of the peer's grants, which it will not spend any more.
+    /// A part of the peer's grants, which the peer will no longer spend.
     #[serde(rename = "Lent")]
     GrantTransferred {
-        /// How much.
+        /// The transferred amount.
         amount: Money,
     },
-    /// A kept answer.
+    /// A cached answer.
     #[serde(rename = "Kept")]
     Cached {
         /// HTTP status.
@@ -194,27 +199,27 @@
         /// Body.
         body: Bytes,
     },
-    /// Records are on the log from this offset.
+    /// The records are on the log.
     Appended {
-        /// The first one's offset.
+        /// Offset of the first record.
         first: Offset,
     },
 }
 
-/// What one node saw of a version in one class; sent with bills to whoever decides on stages.
+/// One node's observations of a version, by which the controllers decide on the stages of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The version.
     pub version: id::Version,
-    /// Rated answers.
+    /// Number of rated answers.
     pub rated: u32,
-    /// Answers that passed.
+    /// Number of answers that passed.
     pub passed: u32,
-    /// Attempts.
+    /// Number of attempts.
     pub attempts: u32,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub failed: u32,
-    /// The share of rated answers that passed.
+    /// Fraction of rated answers that passed.
     pub quality: Share,
     /// 95th percentile of latency, in milliseconds.
     pub latency_ms: u32,
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,4 +1,4 @@
-//! The border with the platform's services (HTTP JSON).
+//! The APIs of the platform's services (HTTP JSON).
 //!
 //! | service | call | meaning |
 //! |---|---|---|
@@ -23,63 +23,63 @@
     pub records: Vec<String>,
 }
 
-/// Where appended records stand.
+/// The position of appended records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Appended {
-    /// The first one's offset.
+    /// Offset of the first record.
     pub first: Offset,
 }
 
-/// Records read.
+/// The records of a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// Records in offset order.
     pub records: Vec<Entry>,
-    /// Where to read on.
+    /// The offset of the next read.
     pub next: Offset,
-    /// The end of the stream when this was read.
+    /// The end of the stream at the time of the read.
     pub end: Offset,
-    /// The log's clock when this was read.
+    /// The log's time of the read.
     pub now: Wall,
 }
 
-/// A record with its place.
+/// A record with its offset and time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place.
+    /// The record's offset.
     pub offset: Offset,
-    /// When the log took it, by the log's clock.
+    /// When the log accepted the record, by the log's clock.
     pub at: Wall,
     /// The record as JSON text.
     pub record: String,
 }
 
-/// Retention has passed the offset asked for.
+/// The requested offset is older than the log's retention.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gone {
-    /// The oldest offset that is kept.
+    /// The oldest retained offset.
     pub oldest: Offset,
 }
 
-/// The platform's list of VMs, lagging.
+/// The platform's list of VMs, which lags behind the actual VMs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vms {
-    /// All VMs known.
+    /// All known VMs.
     pub vms: Vec<Vm>,
 }
 
 /// One VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name, unique for one life.
+    /// The VM's name, unique to one incarnation.
     pub name: CompactString,
-    /// Its zone.
+    /// The VM's zone.
     pub zone: id::Zone,
-    /// IP number and port.
+    /// IP address and port.
     pub address: CompactString,
-    /// What runs on it.
+    /// What runs on the VM.
     pub role: Role,
-    /// Whether it is about to go.
+    /// Whether the VM is about to leave.
     pub leaving: bool,
 }
 
@@ -95,7 +95,7 @@
     Service(id::Pool),
 }
 
-/// Has the weight store bring a version to an endpoint's zone.
+/// Asks the weight store to copy a version's weights to a zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fetch {
     /// The version.
@@ -104,7 +104,7 @@
     pub zone: id::Zone,
 }
 
-/// Asks for the rating of a whole answer.
+/// Requests the rating of a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rate {
     /// The version that answered.
--- a/crates/wire/tests/border/frames.rs
+++ b/crates/wire/tests/border/frames.rs
@@ -1,5 +1,5 @@
-//! Frames beyond what `tests/frame.rs` covers: every message of peers, frames that were cut or grew,
-//! and names within a sealed body.
+//! Further tests of frames: all messages between peers, truncated and extended frames, and names
+//! within a sealed body.
 
 use pimento_units::id;
 use pimento_wire::Frame;
@@ -16,7 +16,7 @@
 
 use crate::values;
 
-/// Room for every message that is made here.
+/// Size limit that all generated messages fit in.
 const LIMIT: usize = 64 << 10;
 
 fn key() -> Key {
@@ -25,16 +25,16 @@
 
 proptest! {
     #[test]
-    fn messages_of_peers_are_read_back(heartbeat in values::heartbeat(), call in values::call()) {
+    fn messages_of_peers_survive_a_round_trip(heartbeat in values::heartbeat(), call in values::call()) {
         let frame = Frame::seal(&heartbeat, &key(), LIMIT).unwrap();
         prop_assert_eq!(frame.open::<Heartbeat>(&key()).unwrap(), heartbeat);
         let frame = Frame::seal(&call, &key(), LIMIT).unwrap();
         prop_assert_eq!(frame.open::<Call>(&key()).unwrap(), call);
     }
 
-    /// The codec passes over bytes that follow a message, so that the MAC alone tells them.
+    /// The codec ignores bytes after a message, so only the MAC detects them.
     #[test]
-    fn a_cut_or_grown_frame_is_refused(call in values::call(), cut in any::<Index>(), more in vec(any::<u8>(), 1..20)) {
+    fn a_truncated_or_extended_frame_is_rejected(call in values::call(), cut in any::<Index>(), more in vec(any::<u8>(), 1..20)) {
         let frame = Frame::seal(&call, &key(), LIMIT).unwrap();
         let grown = [&frame.bytes()[..], &more].concat();
         let opened = Frame::receive(grown, LIMIT).unwrap().open::<Call>(&key());
@@ -44,8 +44,8 @@
         prop_assert!(matches!(opened, Err(Error::Mac | Error::Short)));
     }
 
-    /// A name that no parser would take doesn't come in as bytes, either: it would end up in metric
-    /// labels and headers.
+    /// Decoding must reject names that the parser rejects, since names appear in metric labels and
+    /// headers.
     #[test]
     fn sealed_names_keep_their_rules(text in any::<String>()) {
         let frame = Frame::seal(&text, &key(), LIMIT).unwrap();
--- a/crates/wire/tests/border/json.rs
+++ b/crates/wire/tests/border/json.rs
@@ -1,5 +1,5 @@
-//! JSON at the borders: fields that nobody here knows are passed over, so that client libraries and
-//! engines may grow, and any text is read or refused without a panic.
+//! JSON from outside: unknown fields are ignored, so that client libraries and engines can add fields,
+//! and arbitrary text is read or rejected without a panic.
 
 use std::fmt::Debug;
 
@@ -41,7 +41,7 @@
 use crate::values::offset;
 use crate::values::text;
 
-/// Fields that clients of the widely known shape send, or might some day.
+/// Fields that clients of the widely used format send, or may send in the future.
 const UNKNOWN: &[&str] = &["logprobs", "seed", "user", "x_trace", "type_", "", "é"];
 
 fn extra() -> impl Strategy<Value = (String, Value)> {
@@ -55,33 +55,33 @@
     (select(UNKNOWN).prop_map(String::from), value)
 }
 
-/// Adds a field to every object.
-fn grow(value: &mut Value, (field, added): &(String, Value)) {
+/// Adds a field to each object.
+fn add_field(value: &mut Value, (field, added): &(String, Value)) {
     match value {
         Value::Array(items) => items
             .iter_mut()
-            .for_each(|item| grow(item, &(field.clone(), added.clone()))),
+            .for_each(|item| add_field(item, &(field.clone(), added.clone()))),
         Value::Object(fields) => {
             fields
                 .values_mut()
-                .for_each(|item| grow(item, &(field.clone(), added.clone())));
+                .for_each(|item| add_field(item, &(field.clone(), added.clone())));
             fields.insert(field.clone(), added.clone());
         }
         _ => {}
     }
 }
 
-/// A message is read back, with and without fields that are not known here.
-fn returns<T>(message: &T, extra: &(String, Value)) -> Result<(), TestCaseError>
+/// Checks that a message survives a round trip, with and without an unknown field.
+fn check_round_trip<T>(message: &T, extra: &(String, Value)) -> Result<(), TestCaseError>
 where
     T: Debug + PartialEq + Serialize + DeserializeOwned,
 {
     let plain = serde_json::to_string(message).unwrap();
     prop_assert_eq!(&serde_json::from_str::<T>(&plain).unwrap(), message);
     let mut value = serde_json::to_value(message).unwrap();
-    grow(&mut value, extra);
-    let grown: T = serde_json::from_str(&value.to_string()).unwrap();
-    prop_assert_eq!(&grown, message);
+    add_field(&mut value, extra);
+    let extended: T = serde_json::from_str(&value.to_string()).unwrap();
+    prop_assert_eq!(&extended, message);
     Ok(())
 }
 
@@ -221,46 +221,46 @@
 
 proptest! {
     #[test]
-    fn callers_messages_are_read_back(chat in chat(), completion in completion(), chunk in chunk(), failure in failure(), extra in extra()) {
-        returns(&chat, &extra)?;
-        returns(&completion, &extra)?;
-        returns(&chunk, &extra)?;
-        returns(&failure, &extra)?;
+    fn messages_of_callers_survive_a_round_trip(chat in chat(), completion in completion(), chunk in chunk(), failure in failure(), extra in extra()) {
+        check_round_trip(&chat, &extra)?;
+        check_round_trip(&completion, &extra)?;
+        check_round_trip(&chunk, &extra)?;
+        check_round_trip(&failure, &extra)?;
     }
 
     #[test]
-    fn endpoints_and_platforms_messages_are_read_back(load in load(), cache in cache(), batch in batch(), state in state(), extra in extra()) {
-        returns(&load, &extra)?;
-        returns(&cache, &extra)?;
-        returns(&batch, &extra)?;
-        returns(&state, &extra)?;
+    fn messages_of_endpoints_and_the_platform_survive_a_round_trip(load in load(), cache in cache(), batch in batch(), state in state(), extra in extra()) {
+        check_round_trip(&load, &extra)?;
+        check_round_trip(&cache, &extra)?;
+        check_round_trip(&batch, &extra)?;
+        check_round_trip(&state, &extra)?;
     }
 
-    /// Client libraries leave out what they have no word on, or send null for it.
+    /// Client libraries omit optional fields, or send null for them.
     #[test]
-    fn a_call_needs_its_model_and_messages_only(chat in chat(), left in any::<[Option<bool>; 3]>()) {
+    fn a_call_requires_only_model_and_messages(chat in chat(), sent in any::<[Option<bool>; 3]>()) {
         let mut value = serde_json::to_value(&chat).unwrap();
-        let mut wanted = chat;
+        let mut expected = chat;
         let optional = ["stream", "max_tokens", "temperature"];
-        for (field, sent) in optional.into_iter().zip(left) {
+        for (field, sent) in optional.into_iter().zip(sent) {
             match sent {
                 Some(true) => continue,
                 Some(false) => value[field] = Value::Null,
                 None => drop(value.as_object_mut().unwrap().remove(field)),
             }
-            wanted.stream &= field != "stream";
-            wanted.max_tokens = wanted.max_tokens.filter(|_| field != "max_tokens");
-            wanted.temperature = wanted.temperature.filter(|_| field != "temperature");
+            expected.stream &= field != "stream";
+            expected.max_tokens = expected.max_tokens.filter(|_| field != "max_tokens");
+            expected.temperature = expected.temperature.filter(|_| field != "temperature");
         }
         let read: Chat = serde_json::from_value(value).unwrap();
-        prop_assert_eq!(read, wanted);
+        prop_assert_eq!(read, expected);
     }
 }
 
-/// Client libraries send a message's text in three forms; a part that is no text, and a number out of
-/// range, are refused here and not by the engine.
+/// Client libraries send a message's text in three forms. A part that is not text, and a number that
+/// is out of range, must be rejected here, before the engine.
 #[test]
-fn texts_come_in_three_forms() {
+fn message_texts_have_three_forms() {
     let read = |content: Value| {
         let message = serde_json::json!({"role": "user", "content": content});
         serde_json::from_value::<Message>(message).map(|message| message.content)
--- a/crates/wire/tests/border/main.rs
+++ b/crates/wire/tests/border/main.rs
@@ -1,5 +1,5 @@
-//! What comes in from outside: JSON at the borders and frames between processes, whatever bytes they
-//! are made of.
+//! Arbitrary input from outside: JSON from callers, endpoints and the platform, and frames between
+//! processes.
 
 mod frames;
 mod json;
--- a/crates/wire/tests/border/values.rs
+++ b/crates/wire/tests/border/values.rs
@@ -1,4 +1,4 @@
-//! Arbitrary messages.
+//! Strategies for arbitrary messages.
 
 use compact_str::CompactString;
 use pimento_units::Digest;
@@ -46,7 +46,7 @@
     let lists = (
         vec(departure(), 0..4),
         vec(name(), 0..4),
-        vec(heard(), 0..60),
+        vec(last_seen(), 0..60),
         vec(suspicion(), 0..4),
     );
     (head, flags, lists).prop_map(|(head, flags, lists)| Heartbeat {
@@ -80,12 +80,12 @@
 }
 
 fn suspicion() -> impl Strategy<Value = Suspicion> {
-    let ended =
+    let crashed =
         any::<(u64, Option<u64>)>().prop_map(|(endpoint, incarnation)| Observation::Crashed {
             endpoint,
             incarnation,
         });
-    let what = prop_oneof![ended, proptest::strategy::Just(Observation::Answered)];
+    let what = prop_oneof![crashed, proptest::strategy::Just(Observation::Answered)];
     (any::<[u8; 4]>(), what, any::<u64>()).prop_map(|(content, what, at)| Suspicion {
         digest: Digest::of([&content[..]]),
         what,
@@ -93,7 +93,7 @@
     })
 }
 
-fn heard() -> impl Strategy<Value = LastSeen> {
+fn last_seen() -> impl Strategy<Value = LastSeen> {
     any::<(u32, u64)>().prop_map(|(node, sequence)| LastSeen { node, sequence })
 }
 
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: what one process seals another one opens, and nothing else opens.
+//! Sealing and opening of frames.
 
 use pimento_units::Offset;
 use pimento_wire::Frame;
@@ -23,7 +23,7 @@
 
 proptest! {
     #[test]
-    fn sealed_call_opens_as_it_was(records in vec((any::<u64>(), ".{0,20}"), 0..8)) {
+    fn sealed_call_opens_unchanged(records in vec((any::<u64>(), ".{0,20}"), 0..8)) {
         let key = Key::derive("key");
         let call = push(records);
         let frame = Frame::seal(&call, &key, MAX_BODY).unwrap();
@@ -33,10 +33,10 @@
         prop_assert_eq!(received.open::<Call>(&key).unwrap(), call);
     }
 
-    /// One bit of a frame is turned on its way, in MAC or body. It never opens, not even as another
+    /// One bit of the MAC or the body flips in transit. The frame must not open, not even as another
     /// message.
     #[test]
-    fn frame_with_a_turned_bit_does_not_open(text in ".{0,40}", at in any::<usize>(), bit in 0..8) {
+    fn frame_with_a_flipped_bit_does_not_open(text in ".{0,40}", at in any::<usize>(), bit in 0..8) {
         let key = Key::derive("key");
         let frame = Frame::seal(&push(vec![(1, text)]), &key, MAX_BODY).unwrap();
         let mut bytes = frame.bytes().to_vec();
@@ -47,7 +47,7 @@
     }
 
     #[test]
-    fn any_bytes_are_dropped_without_harm(bytes in vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_rejected(bytes in vec(any::<u8>(), 0..200)) {
         let key = Key::derive("key");
         match Frame::receive(bytes.clone(), 100) {
             Err(Error::Short) => prop_assert!(bytes.len() < MAC),
@@ -57,10 +57,10 @@
         }
     }
 
-    /// A sealed body of any bytes, as from a program of another version: it opens or not, but reading
-    /// it never panics.
+    /// A frame with a valid MAC contains arbitrary bytes, as from a program of another version.
+    /// Decoding may fail but must not panic.
     #[test]
-    fn sealed_nonsense_is_no_harm(bytes in vec(any::<u8>(), 0..100)) {
+    fn sealed_arbitrary_bytes_do_not_panic(bytes in vec(any::<u8>(), 0..100)) {
         let key = Key::derive("key");
         let mac = key.mac(&bytes);
         let frame = Frame::receive([&mac[..], &bytes[..]].concat(), MAX_BODY).unwrap();
