--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,7 +1,7 @@
-//! Series of metrics: registered once, bounded by who uses them, and written as text.
+//! Registration of Prometheus metrics, their export as text, and bounds on the number of series.
 //!
-//! BoundedLabels and labels are constants of the programs. One that `prometheus` does not take, or that is
-//! registered twice, is a fault of the program and ends it at its start.
+//! Names and labels are constants of the programs. An invalid one, or one that is registered twice, is a
+//! programming error and causes a panic at startup.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -20,11 +20,11 @@
 /// Content type of [`text`].
 pub const CONTENT_TYPE: &str = prometheus::TEXT_FORMAT;
 
-/// A histogram by `labels`, with these upper bounds.
+/// Registers a histogram with `labels` and the upper `bounds` of its buckets.
 ///
 /// # Panics
 ///
-/// If the name or a label can't be used, or the name is registered already.
+/// If the name or a label is invalid, or the name is already registered.
 #[must_use]
 pub fn histogram(
     registry: &Registry,
@@ -40,11 +40,11 @@
     vec
 }
 
-/// A counter by `labels`.
+/// Registers a counter with `labels`.
 ///
 /// # Panics
 ///
-/// If the name or a label can't be used, or the name is registered already.
+/// If the name or a label is invalid, or the name is already registered.
 #[must_use]
 pub fn counter(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let vec = IntCounterVec::new(Opts::new(name, help), labels);
@@ -53,11 +53,11 @@
     vec
 }
 
-/// A gauge by `labels`.
+/// Registers a gauge with `labels`.
 ///
 /// # Panics
 ///
-/// If the name or a label can't be used, or the name is registered already.
+/// If the name or a label is invalid, or the name is already registered.
 #[must_use]
 pub fn gauge_vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> GaugeVec {
     let vec = GaugeVec::new(Opts::new(name, help), labels);
@@ -66,11 +66,11 @@
     vec
 }
 
-/// A single gauge.
+/// Registers a gauge without labels.
 ///
 /// # Panics
 ///
-/// If the name can't be used or is registered already.
+/// If the name is invalid or already registered.
 #[must_use]
 pub fn gauge(registry: &Registry, name: &str, help: &str) -> Gauge {
     let gauge = Gauge::new(name, help).expect("the name is a constant that prometheus takes");
@@ -83,42 +83,44 @@
     registered.expect("each name is registered once");
 }
 
-/// All metrics of a registry as text.
+/// All metrics of a registry in the text format.
 #[must_use]
 pub fn text(registry: &Registry) -> Vec<u8> {
     let mut text = Vec::new();
     let encoded = TextEncoder::new().encode(&registry.gather(), &mut text);
     if let Err(error) = encoded {
-        log::error!("metrics: Not encoded: {error}.");
+        log::error!("metrics: Encoding failed: {error}.");
     }
     text
 }
 
-/// A count as a figure for a chart.
-#[expect(clippy::cast_precision_loss, reason = "a figure for a chart")]
+/// Converts a count to the value of a gauge. Counts above 2^53 lose precision.
+#[expect(clippy::cast_precision_loss, reason = "a gauge needs no exact value")]
 #[must_use]
 pub fn to_f64(count: impl TryInto<u64>) -> f64 {
     count.try_into().unwrap_or(u64::MAX) as f64
 }
 
-/// The label of all names past the bound.
-const OTHERS: &str = "other";
+/// The label shared by all names beyond the bound.
+const OTHER: &str = "other";
 
-/// BoundedLabels that have series of their own: the first so many that were seen. BoundedLabels come from operators,
-/// and each one more is a series of every metric that bears it.
+/// Labels for names that operators choose, with a bound on their number.
+///
+/// Each label is a separate series in every metric that uses it. The first names get labels of their
+/// own; all further names share one.
 #[derive(Debug)]
 pub struct BoundedLabels {
-    most: usize,
+    max: usize,
     /// Sorted.
     known: Mutex<Vec<CompactString>>,
 }
 
 impl BoundedLabels {
-    /// None seen yet, of at most so many.
+    /// No labels yet, and at most `max` names with a label of their own.
     #[must_use]
-    pub const fn new(most: usize) -> Self {
+    pub const fn new(max: usize) -> Self {
         Self {
-            most,
+            max,
             known: Mutex::new(Vec::new()),
         }
     }
@@ -128,12 +130,12 @@
     pub fn label(&self, name: &str) -> CompactString {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         match known.binary_search_by(|known| known.as_str().cmp(name)) {
-            Ok(place) => known[place].clone(),
-            Err(place) if known.len() < self.most => {
-                known.insert(place, name.into());
+            Ok(position) => known[position].clone(),
+            Err(position) if known.len() < self.max => {
+                known.insert(position, name.into());
                 name.into()
             }
-            Err(_) => OTHERS.into(),
+            Err(_) => OTHER.into(),
         }
     }
 }
--- a/crates/metrics/tests/names.rs
+++ b/crates/metrics/tests/names.rs
@@ -1,8 +1,8 @@
-//! BoundedLabels of series are bounded.
+//! Bounds on the number of labels.
 
 use pimento_metrics::BoundedLabels;
 
-/// Operators add names without end. The first keep series of their own, all others share one, and a
+/// Operators keep adding names. The first names have series of their own, all others share one, and a
 /// name keeps its label.
 #[test]
 fn names_past_the_bound_share_a_label() {
--- a/crates/progress/src/lib.rs
+++ b/crates/progress/src/lib.rs
@@ -1,9 +1,10 @@
-//! Waits for answers as long as they keep coming.
+//! Idle timeouts for answers: a call fails when no data arrives for too long.
 //!
-//! A client counts the bytes of an answer as they come, and whoever asked gives it up by its silence.
-//! A bound on the whole answer fails each time for one that takes longer than it. The call is then made
-//! again from the first byte, for ever: nodes with slow links never get what has grown too large for the
-//! bound, and act on what they had before. A connection that fell silent shows as soon by its silence.
+//! The client counts the bytes of an answer as they arrive, and the caller waits as long as the count
+//! rises. With a timeout for the whole answer, an answer that needs longer would fail on every retry,
+//! since each one starts again at the first byte. Nodes with slow links would never receive data that has
+//! grown too large for the timeout, and would keep acting on old data. An idle timeout detects a dead
+//! connection just as fast.
 
 use std::future::Future;
 use std::pin::pin;
@@ -14,28 +15,28 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What has come of an answer.
+/// How much of an answer has been received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Received {
-    /// Bytes.
+    /// Number of bytes received.
     pub bytes: u64,
-    /// When the last of them came; none before the first.
+    /// When the last bytes arrived; `None` before the first.
     pub last: Option<Instant>,
 }
 
-/// Nothing came of an answer for too long.
+/// No data arrived within the timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("no answer in time"))]
 pub struct TimedOut;
 
-/// Counts the bytes of one call's answer as they come. Clones share the count.
+/// Counts the bytes of one call's answer as they arrive. Clones share the count.
 #[derive(Debug, Clone, Default)]
 pub struct Progress {
     received: Arc<watch::Sender<Received>>,
 }
 
 impl Progress {
-    /// Counts bytes that came.
+    /// Counts received bytes.
     pub fn add(&self, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.received.send_modify(|received| {
@@ -44,33 +45,34 @@
         });
     }
 
-    /// What has come so far.
+    /// What has been received so far.
     #[must_use]
     pub fn received(&self) -> Received {
         *self.received.borrow()
     }
 
-    /// Waits for `call`, whose answer is counted here, while that keeps coming: its first byte may
-    /// take `first`, and each pause after it `patience`. The whole may take any time.
+    /// Waits for `call`, whose answer is counted here, as long as data arrives. The first byte must
+    /// arrive within `first`, and each further one within `idle_timeout`. The total time is not
+    /// limited.
     ///
     /// # Errors
     ///
-    /// [`TimedOut`] if nothing came for that long; the call is dropped.
+    /// [`TimedOut`] if no data arrived in time; the call is dropped.
     pub async fn wait<T>(
         &self,
         call: impl Future<Output = T>,
         first: Duration,
-        patience: Duration,
+        idle_timeout: Duration,
     ) -> Result<T, TimedOut> {
         let mut call = pin!(call);
         let mut received = self.received.subscribe();
-        let mut bound = first;
+        let mut timeout = first;
         loop {
             tokio::select! {
                 biased;
                 done = &mut call => return Ok(done),
-                _ = received.changed() => bound = patience,
-                () = tokio::time::sleep(bound) => return Err(TimedOut),
+                _ = received.changed() => timeout = idle_timeout,
+                () = tokio::time::sleep(timeout) => return Err(TimedOut),
             }
         }
     }
--- a/crates/progress/tests/progress.rs
+++ b/crates/progress/tests/progress.rs
@@ -1,4 +1,4 @@
-//! How long an answer is waited for, by the clock of the runtime, which the tests move.
+//! How long an answer is waited for, by the runtime's clock, which the tests advance.
 
 use std::time::Duration;
 
@@ -7,53 +7,58 @@
 use tokio::time::Instant;
 
 const FIRST: Duration = Duration::from_secs(3);
-const PATIENCE: Duration = Duration::from_secs(1);
-const MOMENT: Duration = Duration::from_millis(1);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+const SHORT: Duration = Duration::from_millis(1);
 
-/// An answer of as many pieces of ten bytes, the first after `first` and each other after `pause`.
-async fn answer(progress: &Progress, pieces: u32, first: Duration, pause: Duration) -> u32 {
+/// An answer of `pieces` pieces of ten bytes, the first after `first` and each further one after
+/// `interval`.
+async fn answer(progress: &Progress, pieces: u32, first: Duration, interval: Duration) -> u32 {
     for piece in 0..pieces {
-        let pause = if piece == 0 { first } else { pause };
-        tokio::time::sleep(pause).await;
+        let interval = if piece == 0 { first } else { interval };
+        tokio::time::sleep(interval).await;
         progress.add(10);
     }
     pieces
 }
 
-async fn wait(pieces: u32, first: Duration, pause: Duration) -> (Result<u32, TimedOut>, Progress) {
+async fn wait(
+    pieces: u32,
+    first: Duration,
+    interval: Duration,
+) -> (Result<u32, TimedOut>, Progress) {
     let progress = Progress::default();
-    let call = answer(&progress, pieces, first, pause);
-    let waited = progress.wait(call, FIRST, PATIENCE).await;
+    let call = answer(&progress, pieces, first, interval);
+    let waited = progress.wait(call, FIRST, IDLE_TIMEOUT).await;
     (waited, progress)
 }
 
-// An answer takes a hundred times the patience and never pauses for longer than it: it is had whole.
+// An answer takes much longer than the idle timeout, but no interval exceeds it.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_keeps_coming_is_had_whole() {
-    let begun = Instant::now();
-    let (waited, progress) = wait(100, FIRST.mul_f64(0.9), PATIENCE.mul_f64(0.9)).await;
+async fn an_answer_that_keeps_arriving_is_received_completely() {
+    let start = Instant::now();
+    let (waited, progress) = wait(100, FIRST.mul_f64(0.9), IDLE_TIMEOUT.mul_f64(0.9)).await;
     assert_eq!(waited, Ok(100));
-    assert!(begun.elapsed() > PATIENCE * 80);
+    assert!(start.elapsed() > IDLE_TIMEOUT * 80);
     assert_eq!(progress.received().bytes, 1_000);
     assert_eq!(progress.received().last, Some(Instant::now()));
 }
 
-// Nothing comes at all. That is known once the first byte is due, and not before.
+// No data arrives. The call must fail when the first byte is due, and not before.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_does_not_begin_is_given_up() {
-    let begun = Instant::now();
-    let (waited, progress) = wait(1, FIRST + MOMENT, MOMENT).await;
+async fn an_answer_that_does_not_start_times_out() {
+    let start = Instant::now();
+    let (waited, progress) = wait(1, FIRST + SHORT, SHORT).await;
     assert_eq!(waited, Err(TimedOut));
-    assert_eq!(begun.elapsed(), FIRST);
+    assert_eq!(start.elapsed(), FIRST);
     assert_eq!(progress.received().last, None);
 }
 
-// Some pieces come, then a pause that is too long: a connection that fell silent in the middle.
+// A connection goes silent after some pieces have arrived.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_stops_coming_is_given_up() {
-    let begun = Instant::now();
-    let (waited, progress) = wait(3, MOMENT, PATIENCE + MOMENT).await;
+async fn an_answer_that_stops_arriving_times_out() {
+    let start = Instant::now();
+    let (waited, progress) = wait(3, SHORT, IDLE_TIMEOUT + SHORT).await;
     assert_eq!(waited, Err(TimedOut));
-    assert_eq!(begun.elapsed(), MOMENT + PATIENCE);
+    assert_eq!(start.elapsed(), SHORT + IDLE_TIMEOUT);
     assert_eq!(progress.received().bytes, 10);
 }
--- a/crates/serve/src/body.rs
+++ b/crates/serve/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses to callers: whole, or a stream that can't end cleanly by accident.
+//! Bodies of responses to callers: complete ones, and streams that are never truncated unnoticed.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -11,15 +11,16 @@
 use snafu::Snafu;
 use tokio::sync::mpsc;
 
-/// Pieces that wait for a slow reader before the engine's stream is no longer read.
-const WAITING: usize = 32;
+/// Pieces that are buffered for a slow reader. When the buffer is full, the writer waits and stops reading
+/// the engine's stream.
+const BUFFERED_PIECES: usize = 32;
 
 /// The body of a response.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// Known as a whole.
+    /// A complete body; `None` once it has been sent.
     Whole(Option<Bytes>),
-    /// Comes piece by piece.
+    /// A streamed body.
     Stream(Stream),
 }
 
@@ -36,34 +37,34 @@
     End,
 }
 
-/// The writing end of a streamed body. Dropped without [`Writer::end`], it breaks the connection,
-/// so that a caller can't take a part for the whole.
+/// The writing end of a streamed body. If it is dropped without [`Writer::end`], the connection is broken
+/// off, so that callers can't mistake a partial body for a complete one.
 #[derive(Debug)]
 pub struct Writer {
     pieces: mpsc::Sender<Piece>,
 }
 
-/// The writer went away before the end.
+/// The writer was dropped before the end of the body.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer broke off"))]
+#[snafu(display("the response body ended before it was complete"))]
 pub struct Truncated;
 
-/// The reader went away.
+/// The reader of the body was dropped.
 #[derive(Debug, Snafu)]
-#[snafu(display("the caller went away"))]
+#[snafu(display("the caller disconnected"))]
 pub struct Disconnected;
 
 impl ReplyBody {
-    /// A whole body.
+    /// Creates a complete body.
     #[must_use]
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
 
-    /// A streamed body and its writer.
+    /// Creates a streamed body and its writer.
     #[must_use]
     pub fn stream() -> (Writer, Self) {
-        let (sender, pieces) = mpsc::channel(WAITING);
+        let (sender, pieces) = mpsc::channel(BUFFERED_PIECES);
         let stream = Stream {
             pieces,
             ended: false,
@@ -73,11 +74,11 @@
 }
 
 impl Writer {
-    /// Sends a piece, waiting for a slow reader.
+    /// Sends a piece. Waits while the buffer is full.
     ///
     /// # Errors
     ///
-    /// [`Disconnected`] if the reader went away.
+    /// [`Disconnected`] if the reader was dropped.
     pub async fn send(&self, data: impl Into<Bytes>) -> Result<(), Disconnected> {
         let piece = Piece::Data(data.into());
         self.pieces.send(piece).await.map_err(|_| Disconnected)
@@ -87,12 +88,12 @@
     ///
     /// # Errors
     ///
-    /// [`Disconnected`] if the reader went away.
+    /// [`Disconnected`] if the reader was dropped.
     pub async fn end(self) -> Result<(), Disconnected> {
         self.pieces.send(Piece::End).await.map_err(|_| Disconnected)
     }
 
-    /// Returns once the reader went away.
+    /// Waits until the reader is dropped.
     pub async fn disconnected(&self) {
         self.pieces.closed().await;
     }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP listeners that end without cutting a request, and bodies that can't end cleanly by accident.
+//! HTTP servers with graceful shutdown, and response bodies that are never truncated unnoticed.
 //!
-//! [`run`] accepts connections and answers each request by a [`Serve`]; [`Stop`] tells it to ask
-//! callers to close, to stop accepting, or to cut what is left. [`ReplyBody`] is the body of a response:
-//! a [`Writer`] that is dropped before its end breaks the connection.
+//! [`run`] accepts connections and answers each request with a [`Serve`]. [`Stop`] makes it ask callers
+//! to close their connections, stop accepting new ones, or abort those that remain. [`ReplyBody`] is the
+//! body of a response. If its [`Writer`] is dropped before the end, the connection is broken off.
 
 pub mod body;
 pub mod server;
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -1,4 +1,4 @@
-//! Listeners: connections over HTTP/1, closed in an order that cuts no request.
+//! HTTP/1 servers, whose connections are shut down without cutting off requests.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -20,16 +20,16 @@
 
 use crate::body::ReplyBody;
 
-/// Wait after a failed accept, which mostly means that file descriptors have run out.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Wait after a failed accept, which usually means that file descriptors have run out.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What a caller may send.
+/// Limits on what a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// How long a caller may take to send the head of a request, idle time on a kept connection
-    /// included.
+    /// Maximum time for receiving the head of a request, including idle time on a persistent
+    /// connection.
     pub head_timeout: Duration,
-    /// Bytes of a head that are read before it is refused.
+    /// Maximum number of bytes of a head that are read before it is refused.
     pub head_bytes: usize,
 }
 
@@ -48,24 +48,24 @@
     fn serve(&self, request: Request<Incoming>)
     -> impl Future<Output = Response<ReplyBody>> + Send;
 
-    /// What callers may send, asked for each new connection.
+    /// The limits, read for each new connection.
     fn limits(&self) -> Limits {
         Limits::default()
     }
 }
 
-/// When a server stops.
+/// Signals for the steps of a server's shutdown.
 #[derive(Debug, Clone, Default)]
 pub struct Stop {
-    /// Responses ask callers to close their connection.
+    /// Responses ask callers to close their connections.
     pub leaving: CancellationToken,
-    /// No further connection is accepted, and each is closed once it is idle.
+    /// No further connections are accepted, and each connection is closed once it is idle.
     pub closing: CancellationToken,
-    /// All connections are cut.
+    /// All remaining connections are closed at once. Takes effect only after `closing`.
     pub abort: CancellationToken,
 }
 
-/// Serves until told to close; returns once all connections are closed.
+/// Serves until `stop` is closing; returns once all connections are closed.
 pub async fn run(listener: TcpListener, service: impl Serve, stop: Stop) {
     let connections = TaskTracker::new();
     loop {
@@ -80,7 +80,7 @@
             }
             Err(error) => {
                 log::warn!("server: Connection not accepted: {error}.");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
@@ -90,9 +90,9 @@
 }
 
 async fn connection(stream: TcpStream, service: impl Serve, stop: Stop) {
-    // Each piece of a stream goes out at once.
+    // Each piece of a stream is sent immediately.
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("server: {error}.");
+        log::debug!("server: Setting TCP_NODELAY failed: {error}.");
     }
     let limits = service.limits();
     let leaving = stop.leaving.clone();
