--- a/crates/logs/src/append.rs
+++ b/crates/logs/src/append.rs
@@ -1,4 +1,4 @@
-//! The queue as `logforth` sees it.
+//! Connects the queue to `logforth`.
 
 use std::sync::Arc;
 
@@ -16,10 +16,10 @@
 use crate::budget::Priority;
 use crate::queue::Queue;
 
-/// A clock that does not jump.
+/// A monotonic clock.
 pub type Clock = fn() -> Moment;
 
-/// Queues lines.
+/// Formats records and adds the lines to the queue.
 #[derive(Debug)]
 pub struct QueueAppender<L> {
     pub queue: Arc<Queue>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Adds a time to each line that orders the lines of a VM also where its time of day jumps.
+/// Adds a monotonic time to each line. It orders the lines of a VM even when the wall clock jumps.
 #[derive(Debug)]
 pub struct MonotonicTime(pub Clock);
 
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,11 +1,12 @@
-//! Log lines that never hold up the work that they tell of.
+//! Logging that never blocks the threads that log.
 //!
-//! A line is written into a bounded [`Queue`], which a thread of its own empties into the output. If
-//! nobody reads the output, the queue fills and further lines are left out; if there are more lines
-//! than the [`Budget`] allows, those that tell of single requests are left out first. Both are
-//! counted, and a line says how many are missing at that place. [`start`] sets this up as the
-//! process's logger, [`flush`] waits a moment for what is queued, [`dropped`] gives the counts for
-//! metrics.
+//! Lines are added to a bounded [`Queue`], and a separate thread writes them to the output. If nobody
+//! reads the output, the queue fills up and further lines are dropped. If there are more lines than the
+//! [`Budget`] allows, lines about single requests are dropped first. Both are counted, and a line in the
+//! output states how many lines are missing there.
+//!
+//! [`start`] installs the process's logger, [`flush`] waits briefly until the queued lines are written,
+//! and [`dropped`] returns the counts for metrics.
 
 mod append;
 pub mod budget;
--- a/crates/logs/src/queue.rs
+++ b/crates/logs/src/queue.rs
@@ -1,4 +1,4 @@
-//! Lines that wait to be written.
+//! The queue of lines that are waiting to be written.
 
 use std::io::Write;
 use std::sync::Condvar;
@@ -13,22 +13,24 @@
 use crate::budget::Budget;
 use crate::budget::Priority;
 
-/// Bytes that wait at most, about a thousand lines. The smallest VMs have 88 MB for all.
+/// Maximum size of the queue in bytes, about a thousand lines. The smallest VMs have 88 MB of memory in
+/// total.
 const MAX_QUEUED_BYTES: usize = 256 << 10;
 
-/// How long lines are gathered before they are written together. Each write is a wake-up of a thread
-/// and a system call, and a reader of logs doesn't mind a twentieth of a second.
+/// How long lines are collected before they are written together. Each write costs a thread wake-up and
+/// a system call, and a delay of 50 ms does not matter to readers of logs.
 const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Bytes that are written at once. A pipe takes so many as one; with more, a line of another process
-/// that shares the pipe could come in between.
+/// Maximum size of one write in bytes. Writes of up to this size to a pipe are atomic. A larger one could
+/// be interleaved with lines of another process that shares the pipe.
 const MAX_WRITE_BYTES: usize = 4_096;
 
-/// Whole lines, cut into pieces to be written at once. A longer line is a piece by itself.
+/// Splits `bytes` into pieces of whole lines, each to be written at once. A line that is longer than
+/// [`MAX_WRITE_BYTES`] is a piece by itself.
 fn pieces(mut bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     std::iter::from_fn(move || {
-        let most = bytes.len().min(MAX_WRITE_BYTES);
-        let last = bytes[..most].iter().rposition(|byte| *byte == b'\n');
+        let max = bytes.len().min(MAX_WRITE_BYTES);
+        let last = bytes[..max].iter().rposition(|byte| *byte == b'\n');
         let end = last.or_else(|| bytes.iter().position(|byte| *byte == b'\n'))?;
         let (piece, rest) = bytes.split_at(end + 1);
         bytes = rest;
@@ -36,12 +38,12 @@
     })
 }
 
-/// Lines that were left out since the start.
+/// Numbers of lines dropped since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// Since there were too many.
+    /// Lines beyond the budget.
     pub over_budget: u64,
-    /// Since nobody read them in time, or the output failed.
+    /// Lines that were not written because the queue was full or the output failed.
     pub unwritten: u64,
 }
 
@@ -56,9 +58,9 @@
     bytes: Vec<u8>,
     budget: Budget,
     dropped: Dropped,
-    /// What of it the output was reported.
+    /// How many dropped lines have been reported in the output.
     reported: u64,
-    /// Bytes were taken out and are not written yet.
+    /// Whether bytes have been taken from the queue and are not written yet.
     writing: bool,
     closed: bool,
 }
@@ -72,7 +74,7 @@
 }
 
 impl Queue {
-    /// An empty one.
+    /// An empty queue.
     #[must_use]
     pub const fn new(now: Moment) -> Self {
         let state = State {
@@ -97,8 +99,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a line may be made now; counts one that may not. Asked before the line is formatted,
-    /// which is most of its cost.
+    /// Takes a line from the budget and returns whether it may be added; counts it as dropped
+    /// otherwise. Called before the line is formatted, which is most of its cost.
     #[must_use]
     pub fn admit(&self, priority: Priority, now: Moment) -> bool {
         let mut state = self.lock();
@@ -113,7 +115,7 @@
         admitted
     }
 
-    /// Adds a line, without its end.
+    /// Adds a line, which is given without its newline.
     pub fn push(&self, line: &[u8]) {
         let mut state = self.lock();
         if state.bytes.len() + line.len() > MAX_QUEUED_BYTES {
@@ -129,14 +131,14 @@
         }
     }
 
-    /// Lines that were left out.
+    /// Numbers of lines dropped so far.
     #[must_use]
     pub fn dropped(&self) -> Dropped {
         self.lock().dropped
     }
 
-    /// Writes lines as they come, until the queue is closed. `missing` makes the line that says how
-    /// many are missing.
+    /// Writes queued lines to `output` until the queue is closed and empty. `missing` formats the line
+    /// that states how many lines were dropped.
     pub fn write(&self, mut output: impl Write, missing: impl Fn(u64) -> Vec<u8>) {
         while let Some((bytes, dropped)) = self.take() {
             let mut written = pieces(&bytes).try_for_each(|piece| output.write_all(piece));
@@ -148,7 +150,7 @@
             let written = written.and_then(|()| output.flush());
             let mut state = self.lock();
             if written.is_err() {
-                // There is nowhere to say so but in the count.
+                // The failure can only be reported in the count.
                 let lines = bytes.split(|byte| *byte == b'\n').count() - 1;
                 state.dropped.unwritten += lines as u64;
             }
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Waits for lines; none once the queue is closed and empty.
+    /// Waits for lines; returns `None` once the queue is closed and empty.
     fn take(&self) -> Option<(Vec<u8>, u64)> {
         let mut state = self.lock();
         while state.bytes.is_empty() && !state.closed {
@@ -179,22 +181,22 @@
         Some((std::mem::take(&mut state.bytes), dropped))
     }
 
-    /// Ends [`write`](Self::write) once all is written.
+    /// Makes [`write`](Self::write) return once all lines are written.
     pub fn close(&self) {
         self.lock().closed = true;
         self.filled.notify_one();
     }
 
-    /// Waits until all lines are written, or for `most`. Whether they are.
-    pub fn flush(&self, most: Duration) -> bool {
-        let until = Instant::now() + most;
+    /// Waits until all lines are written, at most for `timeout`. Returns whether they are.
+    pub fn flush(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         let mut state = self.lock();
         while !state.bytes.is_empty() || state.writing {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let waited = self.written.wait_timeout(state, left);
+            let waited = self.written.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         true
--- a/crates/logs/src/start.rs
+++ b/crates/logs/src/start.rs
@@ -1,4 +1,4 @@
-//! Setting up the process's logger.
+//! Setup of the process's logger.
 
 use std::io;
 use std::str::FromStr;
@@ -18,16 +18,16 @@
 use crate::queue::Dropped;
 use crate::queue::Queue;
 
-/// How long [`flush`] waits. A process that ends has a grace of seconds, of which its requests need
-/// nearly all.
+/// How long [`flush`] waits. The grace period at the end of a process is a few seconds, and its requests
+/// need nearly all of it.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The form of lines.
+/// The format of lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Text for people.
     Text,
-    /// One object a line, for machines.
+    /// One JSON object per line, for machines.
     Json,
 }
 
@@ -43,35 +43,35 @@
     }
 }
 
-/// Where lines go.
+/// Where lines are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
     /// Standard output.
     Stdout,
-    /// Standard error, for programs whose output is their result.
+    /// Standard error, for programs that write their result to standard output.
     Stderr,
 }
 
-/// How lines are written.
+/// Settings of the logger.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// Their form.
+    /// The format of lines.
     pub format: Format,
-    /// The least level.
+    /// The most verbose level that is logged.
     pub level: LevelFilter,
-    /// Where they go.
+    /// Where lines are written.
     pub output: Output,
-    /// A clock that does not jump, whose time stands in each line beside the time of day.
+    /// A monotonic clock, whose time each line contains in addition to the time of day.
     pub clock: Clock,
 }
 
 static QUEUE: OnceLock<Arc<Queue>> = OnceLock::new();
 
-/// Makes this the process's logger. A second start changes nothing.
+/// Installs the process's logger. A second call has no effect.
 ///
 /// # Errors
 ///
-/// If the thread that writes can't be started.
+/// If the writing thread can't be started.
 pub fn start(settings: Settings) -> io::Result<()> {
     let queue = Arc::new(Queue::new((settings.clock)()));
     if QUEUE.set(Arc::clone(&queue)).is_err() {
@@ -107,7 +107,7 @@
     }
 }
 
-/// The line that says how many are missing.
+/// The line that states how many lines were dropped.
 fn missing(format: Format, count: u64) -> Vec<u8> {
     match format {
         Format::Text => format!("logs: {count} lines left out.").into_bytes(),
@@ -121,12 +121,12 @@
     }
 }
 
-/// Waits a moment for what is queued to be written. Whether it is.
+/// Waits briefly until the queued lines are written. Returns whether they are.
 pub fn flush() -> bool {
     QUEUE.get().is_none_or(|queue| queue.flush(FLUSH_TIMEOUT))
 }
 
-/// Lines that were left out since the start.
+/// Numbers of lines dropped since the start.
 #[must_use]
 pub fn dropped() -> Dropped {
     QUEUE.get().map(|queue| queue.dropped()).unwrap_or_default()
--- a/crates/logs/tests/queue.rs
+++ b/crates/logs/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of lines under floods, with an output that nobody reads, and one that fails.
+//! The queue under load, with an output that nobody reads, and with one that fails.
 
 use std::io;
 use std::io::Write;
@@ -13,12 +13,12 @@
 use pimento_logs::budget::Priority;
 use pimento_units::Moment;
 
-/// Longer than anything here takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any operation here takes.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 const LINE: &[u8; 100] = &[b'x'; 100];
 
-/// An output that takes nothing until it is opened.
+/// An output that blocks until it is opened.
 #[derive(Debug, Clone, Default)]
 struct Pipe {
     shared: Arc<(Mutex<State>, Condvar)>,
@@ -63,11 +63,11 @@
     thread::spawn(move || queue.write(output, missing))
 }
 
-/// Whoever reads the program's output stops reading. The pipe fills, the writing thread hangs, and
-/// the program must neither wait nor grow: lines are left out. When reading goes on, a line says how
-/// many are missing, and later lines come again.
+/// The reader of the program's output stops reading. The pipe fills up and the writing thread blocks, but
+/// the program must neither wait nor use more memory: lines are dropped. When the reader resumes, a line
+/// states how many are missing, and later lines are written again.
 #[test]
-fn an_output_that_nobody_reads_holds_nobody_up() {
+fn an_output_that_nobody_reads_does_not_block() {
     let queue = Arc::new(Queue::new(Moment::ZERO));
     let pipe = Pipe::default();
     let writer = start(&queue, pipe.clone());
@@ -75,26 +75,26 @@
     for _ in 0..pushed {
         queue.push(LINE);
     }
-    let lost = queue.dropped().unwritten;
-    assert!(lost > 0, "everything fitted");
+    let dropped = queue.dropped().unwritten;
+    assert!(dropped > 0, "everything fitted");
     pipe.open();
-    assert!(queue.flush(PATIENCE));
+    assert!(queue.flush(TIMEOUT));
     queue.push(b"after");
     queue.close();
     writer.join().unwrap();
     let text = pipe.text();
     let whole = text.lines().filter(|line| line.as_bytes() == LINE).count();
-    assert_eq!(whole as u64 + lost, pushed);
+    assert_eq!(whole as u64 + dropped, pushed);
     let missing: u64 = text
         .lines()
         .filter_map(|line| line.strip_prefix("missing "))
         .map(|count| count.parse::<u64>().unwrap())
         .sum();
-    assert_eq!(missing, lost);
+    assert_eq!(missing, dropped);
     assert!(text.lines().any(|line| line == "after"));
 }
 
-/// The output is closed for good: lines are counted as lost, and nobody hears of it otherwise.
+/// The output is closed permanently. Lines are counted as dropped, and the failure has no other effect.
 #[test]
 fn lines_to_a_closed_output_are_counted() {
     struct Closed;
@@ -110,40 +110,40 @@
     let writer = start(&queue, Closed);
     queue.push(b"one");
     queue.push(b"two");
-    assert!(queue.flush(PATIENCE));
+    assert!(queue.flush(TIMEOUT));
     queue.close();
     writer.join().unwrap();
     assert_eq!(queue.dropped().unwritten, 2);
 }
 
-/// A flood of requests makes more lines than the budget has. Those of single requests are left out
-/// and counted, while warnings still come through.
+/// A flood of requests produces more lines than the budget allows. Lines about single requests are
+/// dropped and counted, and warnings are still written.
 #[test]
 fn a_flood_leaves_room_for_warnings() {
     let queue = Queue::new(Moment::ZERO);
-    let plain = (0..10_000).filter(|_| queue.admit(Priority::Normal, Moment::ZERO));
-    let plain = plain.count();
-    assert!(plain < 1_000, "{plain} lines at once");
-    assert_eq!(queue.dropped().over_budget, 10_000 - plain as u64);
-    let grave = (0..100).filter(|_| queue.admit(Priority::High, Moment::ZERO));
-    assert_eq!(grave.count(), 100);
+    let normal = (0..10_000).filter(|_| queue.admit(Priority::Normal, Moment::ZERO));
+    let normal = normal.count();
+    assert!(normal < 1_000, "{normal} lines at once");
+    assert_eq!(queue.dropped().over_budget, 10_000 - normal as u64);
+    let high = (0..100).filter(|_| queue.admit(Priority::High, Moment::ZERO));
+    assert_eq!(high.count(), 100);
 }
 
-/// Over a long time the budget lets through what it names, whatever the times of the lines.
+/// Over a long time the budget admits the sustained rate, however the lines are spaced.
 #[test]
 fn the_budget_refills_with_time() {
     let mut budget = Budget::new(Moment::ZERO);
-    let mut taken: u32 = 0;
+    let mut admitted: u32 = 0;
     for step in 0..100_000_u64 {
         let now = Moment::ZERO + Duration::from_millis(step);
-        taken += u32::from(budget.try_acquire(Priority::Normal, now));
+        admitted += u32::from(budget.try_acquire(Priority::Normal, now));
     }
-    // 100 s at 400 lines a second, and what the bucket held at first.
-    assert!((39_900..=40_800).contains(&taken), "{taken} lines");
+    // 100 s at 400 lines a second, and the initial content of the bucket.
+    assert!((39_900..=40_800).contains(&admitted), "{admitted} lines");
 }
 
-/// Several processes share one pipe. What is written at once must be whole lines and no more than a
-/// pipe takes as one, or another process's line comes in between.
+/// Several processes share one pipe. Each write must contain whole lines and be small enough to be atomic,
+/// or lines of other processes could be interleaved with them. A longer line is a write by itself.
 #[test]
 fn whole_lines_are_written_at_once() {
     #[derive(Clone, Default)]
