--- a/crates/contract/src/fold.rs
+++ b/crates/contract/src/fold.rs
@@ -96,7 +96,7 @@
     ///
     /// If `offset` is less than the state's offset: applying the change would revert newer ones.
     pub fn apply(&mut self, offset: Offset, change: &Change) -> Verdict {
-        assert!(offset >= self.offset, "a fold never goes back");
+        assert!(offset >= self.offset, "the offset must not decrease");
         self.offset = offset.next();
         if let Some(decision) = self.decision(change.id) {
             return decision.verdict;
--- a/crates/contract/tests/fold.rs
+++ b/crates/contract/tests/fold.rs
@@ -100,7 +100,7 @@
     assert_eq!(
         state.decision(set(1, 0).id),
         None,
-        "the decision must be forgotten by now"
+        "the decision must have been evicted by now"
     );
     let verdict = state.apply(state.offset, &set(1, 0));
     assert_eq!(verdict, Verdict::Conflict(Revision(2)));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn removed_subject_is_created_again_on_the_revision_that_removed_it() {
+fn removed_subject_is_created_again_with_the_revision_of_its_removal_as_base() {
     let mut state = State::default();
     state.apply(Offset(0), &set(1, 0));
     state.apply(Offset(1), &remove(2, 1));
@@ -143,8 +143,8 @@
 }
 
 #[test]
-#[should_panic(expected = "a fold never goes back")]
-fn fold_refuses_to_go_back() {
+#[should_panic(expected = "the offset must not decrease")]
+fn decreasing_offset_panics() {
     let mut state = State::default();
     state.apply(Offset(5), &set(1, 0));
     state.apply(Offset(4), &set(2, 0));
--- a/crates/contract/tests/raw.rs
+++ b/crates/contract/tests/raw.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn faulty_files_give_their_findings() {
+fn faulty_files_have_the_expected_findings() {
     for path in paths(&folder("tests/raw")) {
         let expected = fs::read_to_string(path.with_extension("findings"))
             .expect("each file has its findings beside it");
@@ -83,7 +83,7 @@
     /// Validation of a damaged file returns values, or findings that name a line of the file. It never
     /// panics.
     #[test]
-    fn a_damaged_file_gives_values_or_findings(
+    fn a_damaged_file_has_values_or_findings(
         lines in vec((0_usize..200, 0_usize..200, ".{0,12}"), 1..6),
     ) {
         let mut file = load(&folder("../../examples/nyabarongo/contracts.toml"));
@@ -116,14 +116,14 @@
 }
 
 #[test]
-fn five_faults_give_five_findings_at_once() {
+fn five_faults_have_five_findings() {
     let file = load(&folder("tests/raw/five-faults.toml"));
     let found = check(&[file], &State::default()).expect_err("the file is faulty");
     assert_eq!(found.as_slice().len(), 5);
 }
 
 #[test]
-fn examples_are_whole() {
+fn examples_are_valid() {
     for name in ["nyabarongo", "rybnikar"] {
         let files = example(name);
         let found = check(&files, &State::default());
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_file_may_name_what_is_in_force() {
+fn a_file_may_refer_to_subjects_in_force() {
     for name in ["nyabarongo", "rybnikar"] {
         let rollout = folder("../../examples")
             .join(name)
@@ -149,7 +149,7 @@
         let alone = check(std::slice::from_ref(&rollout), &State::default());
         let alone = alone.expect_err("its versions are defined elsewhere");
         assert_eq!(alone.as_slice().len(), 2, "{alone}");
-        let known = check(&example(name), &State::default()).expect("the example is whole");
+        let known = check(&example(name), &State::default()).expect("the example is valid");
         let over = check(&[rollout], &state(&known.values)).expect("its versions are in force");
         assert_eq!(over.values.len(), 1);
     }
@@ -160,7 +160,7 @@
 /// first.
 #[test]
 fn a_key_of_another_customer_in_force_is_found() {
-    let known = check(&example("nyabarongo"), &State::default()).expect("the example is whole");
+    let known = check(&example("nyabarongo"), &State::default()).expect("the example is valid");
     let known = state(&known.values);
     let mut file = load(&folder("../../examples/nyabarongo/contracts.toml"));
     let first = file
--- a/crates/ledger/tests/all/leases.rs
+++ b/crates/ledger/tests/all/leases.rs
@@ -104,8 +104,8 @@
 }
 
 proptest! {
-    /// In any sequence of records, numbers rise with each change of holder, and the leases of two holders
-    /// do not overlap by the log's clock.
+    /// In any sequence of records, numbers rise with each change of holder, and the leases of two
+    /// holders do not overlap by the log's clock.
     #[test]
     fn numbers_rise(steps in vec((0_u64..6, 0_u8..3, proptest::bool::ANY), 1..60)) {
         let mut fold = Fold::default();
--- a/crates/logs/src/budget.rs
+++ b/crates/logs/src/budget.rs
@@ -4,13 +4,13 @@
 
 use pimento_units::Moment;
 
-/// Sustained rate. A VM with a quarter of a core serves some tens of requests a second, with about four
-/// lines each. The limit is several times higher; at ten microseconds per line it costs about a
-/// hundredth of that core.
+/// Sustained rate. A VM with a quarter of a core serves some tens of requests a second, with about
+/// four lines each. The limit is several times higher; at ten microseconds per line it costs about
+/// a hundredth of that core.
 const LINES_PER_SECOND: f64 = 400.0;
 
-/// Lines that may be written in a burst: those of two seconds, which is as long as a burst of requests or a
-/// configuration change produces many lines.
+/// Lines that may be written in a burst: those of two seconds, which is as long as a burst of
+/// requests or a configuration change produces many lines.
 const BURST: f64 = 800.0;
 
 /// Lines of the burst that are reserved for warnings and errors, so that failures are logged even when
--- a/crates/logs/src/queue.rs
+++ b/crates/logs/src/queue.rs
@@ -13,16 +13,16 @@
 use crate::budget::Budget;
 use crate::budget::Priority;
 
-/// Maximum size of the queue in bytes, about a thousand lines. The smallest VMs have 88 MB of memory in
-/// total.
+/// Maximum size of the queue in bytes, about a thousand lines. The smallest VMs have 88 MB of
+/// memory in total.
 const MAX_QUEUED_BYTES: usize = 256 << 10;
 
-/// How long lines are collected before they are written together. Each write costs a thread wake-up and
-/// a system call, and a delay of 50 ms does not matter to readers of logs.
+/// How long lines are collected before they are written together. Each write costs a thread wake-up
+/// and a system call, and a delay of 50 ms does not matter to readers of logs.
 const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Maximum size of one write in bytes. Writes of up to this size to a pipe are atomic. A larger one could
-/// be interleaved with lines of another process that shares the pipe.
+/// Maximum size of one write in bytes. Writes of up to this size to a pipe are atomic. A larger one
+/// could be interleaved with lines of another process that shares the pipe.
 const MAX_WRITE_BYTES: usize = 4_096;
 
 /// Splits `bytes` into pieces of whole lines, each to be written at once. A line that is longer than
--- a/crates/logs/src/start.rs
+++ b/crates/logs/src/start.rs
@@ -18,8 +18,8 @@
 use crate::queue::Dropped;
 use crate::queue::Queue;
 
-/// How long [`flush`] waits. The grace period at the end of a process is a few seconds, and its requests
-/// need nearly all of it.
+/// How long [`flush`] waits. The grace period at the end of a process is a few seconds, and its
+/// requests need nearly all of it.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The format of lines.
--- a/crates/logs/tests/queue.rs
+++ b/crates/logs/tests/queue.rs
@@ -63,9 +63,9 @@
     thread::spawn(move || queue.write(output, missing))
 }
 
-/// The reader of the program's output stops reading. The pipe fills up and the writing thread blocks, but
-/// the program must neither wait nor use more memory: lines are dropped. When the reader resumes, a line
-/// states how many are missing, and later lines are written again.
+/// The reader of the program's output stops reading. The pipe fills up and the writing thread
+/// blocks, but the program must neither wait nor use more memory: lines are dropped. When the
+/// reader resumes, a line states how many are missing, and later lines are written again.
 #[test]
 fn an_output_that_nobody_reads_does_not_block() {
     let queue = Arc::new(Queue::new(Moment::ZERO));
@@ -94,7 +94,8 @@
     assert!(text.lines().any(|line| line == "after"));
 }
 
-/// The output is closed permanently. Lines are counted as dropped, and the failure has no other effect.
+/// The output is closed permanently. Lines are counted as dropped, and the failure has no other
+/// effect.
 #[test]
 fn lines_to_a_closed_output_are_counted() {
     struct Closed;
@@ -142,8 +143,9 @@
     assert!((39_900..=40_800).contains(&admitted), "{admitted} lines");
 }
 
-/// Several processes share one pipe. Each write must contain whole lines and be small enough to be atomic,
-/// or lines of other processes could be interleaved with them. A longer line is a write by itself.
+/// Several processes share one pipe. Each write must contain whole lines and be small enough to be
+/// atomic, or lines of other processes could be interleaved with them. A longer line is a write by
+/// itself.
 #[test]
 fn whole_lines_are_written_at_once() {
     #[derive(Clone, Default)]
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,7 +1,7 @@
 //! Registration of Prometheus metrics, their export as text, and bounds on the number of series.
 //!
-//! Names and labels are constants of the programs. An invalid one, or one that is registered twice, is a
-//! programming error and causes a panic at startup.
+//! Names and labels are constants of the programs. An invalid one, or one that is registered twice,
+//! is a programming error and causes a panic at startup.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
--- a/crates/progress/src/lib.rs
+++ b/crates/progress/src/lib.rs
@@ -1,10 +1,10 @@
 //! Idle timeouts for answers: a call fails when no data arrives for too long.
 //!
-//! The client counts the bytes of an answer as they arrive, and the caller waits as long as the count
-//! rises. With a timeout for the whole answer, an answer that needs longer would fail on every retry,
-//! since each one starts again at the first byte. Nodes with slow links would never receive data that has
-//! grown too large for the timeout, and would keep acting on old data. An idle timeout detects a dead
-//! connection just as fast.
+//! The client counts the bytes of an answer as they arrive, and the caller waits as long as the
+//! count rises. With a timeout for the whole answer, an answer that needs longer would fail on
+//! every retry, since each one starts again at the first byte. Nodes with slow links would never
+//! receive data that has grown too large for the timeout, and would keep acting on old data. An
+//! idle timeout detects a dead connection just as fast.
 
 use std::future::Future;
 use std::pin::pin;
--- a/crates/serve/src/body.rs
+++ b/crates/serve/src/body.rs
@@ -11,8 +11,8 @@
 use snafu::Snafu;
 use tokio::sync::mpsc;
 
-/// Pieces that are buffered for a slow reader. When the buffer is full, the writer waits and stops reading
-/// the engine's stream.
+/// Pieces that are buffered for a slow reader. When the buffer is full, the writer waits and stops
+/// reading the engine's stream.
 const BUFFERED_PIECES: usize = 32;
 
 /// The body of a response.
@@ -37,8 +37,8 @@
     End,
 }
 
-/// The writing end of a streamed body. If it is dropped without [`Writer::end`], the connection is broken
-/// off, so that callers can't mistake a partial body for a complete one.
+/// The writing end of a streamed body. If it is dropped without [`Writer::end`], the connection is
+/// broken off, so that callers can't mistake a partial body for a complete one.
 #[derive(Debug)]
 pub struct Writer {
     pieces: mpsc::Sender<Piece>,
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,8 +1,9 @@
 //! HTTP servers with graceful shutdown, and response bodies that are never truncated unnoticed.
 //!
-//! [`run`] accepts connections and answers each request with a [`Serve`]. [`Stop`] makes it ask callers
-//! to close their connections, stop accepting new ones, or abort those that remain. [`ReplyBody`] is the
-//! body of a response. If its [`Writer`] is dropped before the end, the connection is broken off.
+//! [`run`] accepts connections and answers each request with a [`Serve`]. [`Stop`] makes it ask
+//! callers to close their connections, stop accepting new ones, or abort those that remain.
+//! [`ReplyBody`] is the body of a response. If its [`Writer`] is dropped before the end, the
+//! connection is broken off.
 
 pub mod body;
 pub mod server;
--- a/crates/units/src/id.rs
+++ b/crates/units/src/id.rs
@@ -119,7 +119,8 @@
     Node
 }
 name! {
-    /// A replica of a model engine or of a plain service. The name is unique to one incarnation of its VM.
+    /// A replica of a model engine or of a plain service. The name is unique to one incarnation of
+    /// its VM.
     Endpoint
 }
 name! {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -13,8 +13,8 @@
 pub const MAC: usize = 16;
 /// Size in bytes of the length that precedes a frame on TCP.
 pub const LENGTH: usize = 4;
-/// Maximum size of a frame on TCP, in bytes, without its length. The largest message is a checkpoint of
-/// the whole state.
+/// Maximum size of a frame on TCP, in bytes, without its length. The largest message is a
+/// checkpoint of the whole state.
 pub const MAX_BODY: usize = 8 << 20;
 /// Maximum size of a datagram, in bytes; below the smallest usual path MTU.
 pub const MAX_DATAGRAM: usize = 1_200;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,5 @@
-//! Messages between entry VMs: heartbeats over UDP; state, copies of bills and cached answers over TCP.
+//! Messages between entry VMs: heartbeats over UDP; state, copies of bills and cached answers over
+//! TCP.
 //!
 //! These messages are hints or idempotent transfers. Everything that needs agreement is written to the
 //! platform's log.
@@ -61,8 +62,8 @@
 /// With 50 nodes in a zone and three datagrams a second, a node receives a heartbeat directly from
 /// another one only every half minute. This is too rare to tell a live node from a dead one.
 ///
-/// It contains the heartbeat's number instead of its age. A forwarded age omits the time in transit, so
-/// nodes that forward the age of a dead node to each other would never see it expire.
+/// It contains the heartbeat's number instead of its age. A forwarded age omits the time in
+/// transit, so nodes that forward the age of a dead node to each other would never see it expire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastSeen {
     /// Hash of the node's name.
