--- a/crates/endpoint/examples/assemble.rs
+++ b/crates/endpoint/examples/assemble.rs
@@ -51,15 +51,15 @@
 fn main() -> Result<(), Fault> {
     let mut assembler = Assembler::new("pimento-mini@1");
     feed(&mut assembler, &[1, 0, 0, 3])?;
-    let after = assembler.last();
+    let after = assembler.last_delivered();
     println!(
         "\n-- cut; resume after piece {after:?}, whole: {}",
-        assembler.whole()
+        assembler.is_complete()
     );
     feed(&mut assembler, &[2, 3, 4, 5])?;
     println!(
         "\n-- whole: {}, duplicates: {}",
-        assembler.whole(),
+        assembler.is_complete(),
         assembler.duplicates()
     );
     Ok(())
--- a/crates/endpoint/src/assemble.rs
+++ b/crates/endpoint/src/assemble.rs
@@ -16,15 +16,15 @@
 pub const WINDOW: usize = 64;
 
 /// The state of one streamed answer. It outlives connections: after a cut, resume the attempt
-/// after [`Assembler::last`] and go on feeding the same assembler.
+/// after [`Assembler::last_delivered`] and go on feeding the same assembler.
 #[derive(Debug, Clone)]
 pub struct Assembler {
     model: CompactString,
-    stream: Option<CompactString>,
-    next: u64,
-    early: Vec<(u64, Chunk)>,
-    end: Option<u64>,
-    marked: bool,
+    response_id: Option<CompactString>,
+    next_sequence: u64,
+    out_of_order: Vec<(u64, Chunk)>,
+    last_sequence: Option<u64>,
+    ended: bool,
     duplicates: u64,
 }
 
@@ -34,11 +34,11 @@
     pub fn new(model: impl Into<CompactString>) -> Self {
         Self {
             model: model.into(),
-            stream: None,
-            next: 0,
-            early: Vec::new(),
-            end: None,
-            marked: false,
+            response_id: None,
+            next_sequence: 0,
+            out_of_order: Vec::new(),
+            last_sequence: None,
+            ended: false,
             duplicates: 0,
         }
     }
@@ -47,12 +47,12 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Nonsense`] if the piece is of another stream or version, lies past the end, or is
+    /// [`Fault::Invalid`] if the piece is of another stream or version, lies past the end, or is
     /// further ahead than [`WINDOW`]; the attempt is then of no use.
     pub fn accept(&mut self, event: Event) -> Result<(), Fault> {
         match event {
             Event::Done { .. } => {
-                self.marked = true;
+                self.ended = true;
                 Ok(())
             }
             Event::Chunk { sequence, chunk } => self.piece(sequence, chunk),
@@ -61,27 +61,30 @@
 
     fn piece(&mut self, sequence: u64, chunk: Chunk) -> Result<(), Fault> {
         self.check(sequence, &chunk)?;
-        if sequence < self.next {
+        if sequence < self.next_sequence {
             self.duplicates += 1;
             return Ok(());
         }
-        match self.early.binary_search_by_key(&sequence, |(n, _)| *n) {
+        match self
+            .out_of_order
+            .binary_search_by_key(&sequence, |(n, _)| *n)
+        {
             Ok(_) => self.duplicates += 1,
-            Err(_) if self.early.len() == WINDOW => {
+            Err(_) if self.out_of_order.len() == WINDOW => {
                 return nonsense(format_compact!(
                     "{WINDOW} pieces wait for piece {}",
-                    self.next
+                    self.next_sequence
                 ));
             }
             Err(place) => {
                 if finished(&chunk) {
                     // A later piece that waits already would go out after the last one.
-                    if place < self.early.len() {
+                    if place < self.out_of_order.len() {
                         return nonsense(format_compact!("piece {sequence} is not the last one"));
                     }
-                    self.end = Some(sequence);
+                    self.last_sequence = Some(sequence);
                 }
-                self.early.insert(place, (sequence, chunk));
+                self.out_of_order.insert(place, (sequence, chunk));
             }
         }
         Ok(())
@@ -93,11 +96,11 @@
         if chunk.model != self.model {
             return nonsense(format_compact!("a piece is from version {}", chunk.model));
         }
-        let stream = self.stream.get_or_insert_with(|| chunk.id.clone());
+        let stream = self.response_id.get_or_insert_with(|| chunk.id.clone());
         if *stream != chunk.id {
             return nonsense(format_compact!("a piece is from the answer {}", chunk.id));
         }
-        if self.end.is_some_and(|end| sequence > end) {
+        if self.last_sequence.is_some_and(|end| sequence > end) {
             return nonsense(format_compact!("piece {sequence} lies past the last one"));
         }
         Ok(())
@@ -109,37 +112,37 @@
         reason = "none means not yet, which an iterator's end does not"
     )]
     pub fn next(&mut self) -> Option<Chunk> {
-        if self.early.first()?.0 != self.next {
+        if self.out_of_order.first()?.0 != self.next_sequence {
             return None;
         }
-        self.next += 1;
-        Some(self.early.remove(0).1)
+        self.next_sequence += 1;
+        Some(self.out_of_order.remove(0).1)
     }
 
     /// The last piece given out, after which to resume.
     #[must_use]
-    pub const fn last(&self) -> Option<u64> {
-        self.next.checked_sub(1)
+    pub const fn last_delivered(&self) -> Option<u64> {
+        self.next_sequence.checked_sub(1)
     }
 
     /// The piece that is missing while later ones or the end mark are there.
     #[must_use]
-    pub fn gap(&self) -> Option<u64> {
-        let later = !self.early.is_empty() && self.early[0].0 > self.next;
-        let cut = self.marked && !self.whole() && self.early.is_empty();
-        (later || cut).then_some(self.next)
+    pub fn missing(&self) -> Option<u64> {
+        let later = !self.out_of_order.is_empty() && self.out_of_order[0].0 > self.next_sequence;
+        let ended_early = self.ended && !self.is_complete() && self.out_of_order.is_empty();
+        (later || ended_early).then_some(self.next_sequence)
     }
 
     /// Whether the end mark came and every piece up to the last was given out.
     #[must_use]
-    pub fn whole(&self) -> bool {
-        self.marked && self.end.is_some() && self.last() == self.end
+    pub fn is_complete(&self) -> bool {
+        self.ended && self.last_sequence.is_some() && self.last_delivered() == self.last_sequence
     }
 
     /// Whether the end mark came, with or without all pieces.
     #[must_use]
-    pub const fn marked(&self) -> bool {
-        self.marked
+    pub const fn has_ended(&self) -> bool {
+        self.ended
     }
 
     /// Pieces that came more than once.
@@ -157,5 +160,5 @@
 }
 
 fn nonsense<T>(reason: CompactString) -> Result<T, Fault> {
-    Err(Fault::Nonsense { reason })
+    Err(Fault::Invalid { reason })
 }
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -101,7 +101,7 @@
         match tokio::time::timeout(timeout, whole).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes()),
             Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-                Err(Fault::Nonsense {
+                Err(Fault::Invalid {
                     reason: format_compact!("the body is over {} bytes", self.body),
                 })
             }
@@ -112,7 +112,7 @@
 }
 
 fn cut(error: &impl ToString) -> Fault {
-    Fault::Cut {
+    Fault::Interrupted {
         reason: CompactString::from(error.to_string()),
     }
 }
--- a/crates/endpoint/src/engine.rs
+++ b/crates/endpoint/src/engine.rs
@@ -254,7 +254,7 @@
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Fault> {
-    serde_json::from_slice(body).map_err(|error| Fault::Nonsense {
+    serde_json::from_slice(body).map_err(|error| Fault::Invalid {
         reason: error.to_compact_string(),
     })
 }
@@ -262,7 +262,7 @@
 /// An engine that answers from another version than it was asked for would serve a customer from
 /// a version that its contract may not allow.
 fn foreign(model: &str) -> Fault {
-    Fault::Nonsense {
+    Fault::Invalid {
         reason: format_compact!("the answer is from {model}, which was not asked"),
     }
 }
--- a/crates/endpoint/src/events.rs
+++ b/crates/endpoint/src/events.rs
@@ -34,7 +34,7 @@
         let content = response.headers().get(CONTENT_TYPE);
         let streamed = content.is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"));
         if !streamed {
-            return Err(Fault::Nonsense {
+            return Err(Fault::Invalid {
                 reason: CompactString::const_new("the answer is not an event stream"),
             });
         }
@@ -50,10 +50,10 @@
                 sequence: self.pieces,
             });
         }
-        let sequence: u64 = event.id.parse().map_err(|_| Fault::Nonsense {
+        let sequence: u64 = event.id.parse().map_err(|_| Fault::Invalid {
             reason: format_compact!("the event's id {:?} is not a number", event.id),
         })?;
-        let chunk: Chunk = serde_json::from_str(&event.data).map_err(|error| Fault::Nonsense {
+        let chunk: Chunk = serde_json::from_str(&event.data).map_err(|error| Fault::Invalid {
             reason: error.to_compact_string(),
         })?;
         self.pieces = self.pieces.max(sequence.saturating_add(1));
@@ -68,10 +68,10 @@
         let item = match ready!(Pin::new(&mut self.inner).poll_next(cx)) {
             None => None,
             Some(Ok(event)) => Some(self.read(&event)),
-            Some(Err(EventStreamError::Transport(error))) => Some(Err(Fault::Cut {
+            Some(Err(EventStreamError::Transport(error))) => Some(Err(Fault::Interrupted {
                 reason: error.to_compact_string(),
             })),
-            Some(Err(error)) => Some(Err(Fault::Nonsense {
+            Some(Err(error)) => Some(Err(Fault::Invalid {
                 reason: error.to_compact_string(),
             })),
         };
--- a/crates/endpoint/src/fault.rs
+++ b/crates/endpoint/src/fault.rs
@@ -30,13 +30,13 @@
     },
     /// The connection broke, or the answer ended before its end mark.
     #[snafu(display("the answer was cut off: {reason}"))]
-    Cut {
+    Interrupted {
         /// What happened.
         reason: CompactString,
     },
     /// The answer can't be read as what was asked for.
     #[snafu(display("the answer makes no sense: {reason}"))]
-    Nonsense {
+    Invalid {
         /// What was found.
         reason: CompactString,
     },
@@ -57,7 +57,7 @@
 
     /// Whether the connection ended in the middle of the call: its endpoint may have ended as well.
     #[must_use]
-    pub const fn is_cut(&self) -> bool {
-        matches!(self, Self::Cut { .. })
+    pub const fn is_interrupted(&self) -> bool {
+        matches!(self, Self::Interrupted { .. })
     }
 }
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod engine;
 pub mod events;
 pub mod fault;
-pub mod gone;
+pub mod probe;
 pub mod service;
 
 pub use assemble::Assembler;
--- a/crates/endpoint/tests/all/assemble.rs
+++ b/crates/endpoint/tests/all/assemble.rs
@@ -142,8 +142,8 @@
             out.extend(drain(&mut assembler));
         }
         assert_eq!(out, case.out, "{}", case.what);
-        assert_eq!(assembler.whole(), case.whole, "{}", case.what);
-        assert_eq!(assembler.gap(), case.gap, "{}", case.what);
+        assert_eq!(assembler.is_complete(), case.whole, "{}", case.what);
+        assert_eq!(assembler.missing(), case.gap, "{}", case.what);
         assert_eq!(assembler.duplicates(), case.duplicates, "{}", case.what);
     }
 }
@@ -168,7 +168,7 @@
             1
         };
         let refused = assembler.accept(Event::Chunk { sequence, chunk });
-        assert!(matches!(refused, Err(Fault::Nonsense { .. })));
+        assert!(matches!(refused, Err(Fault::Invalid { .. })));
         assert_eq!(drain(&mut assembler), ["0"]);
     }
 }
@@ -181,7 +181,7 @@
         assembler.accept(event(number, 1_000)).unwrap();
     }
     let refused = assembler.accept(event(most + 1, 1_000));
-    assert!(matches!(refused, Err(Fault::Nonsense { .. })));
+    assert!(matches!(refused, Err(Fault::Invalid { .. })));
 }
 
 /// Numbers of pieces within a window's reach of their place, some of them twice.
@@ -209,7 +209,7 @@
         }
         let wanted: Vec<String> = (0..pieces).map(|n| n.to_string()).collect();
         prop_assert_eq!(out, wanted);
-        prop_assert!(assembler.whole());
+        prop_assert!(assembler.is_complete());
     }
 
     #[test]
@@ -220,7 +220,7 @@
             assembler.accept(event(number, pieces)).unwrap();
             drain(&mut assembler);
         }
-        prop_assert!(!assembler.whole());
+        prop_assert!(!assembler.is_complete());
     }
 
     /// A stream is cut anywhere and resumed after the last piece given out; the engine may send
@@ -233,12 +233,12 @@
             assembler.accept(event(number, pieces)).unwrap();
             out.extend(drain(&mut assembler));
         }
-        let next = assembler.last().map_or(0, |last| last + 1);
+        let next = assembler.last_delivered().map_or(0, |last| last + 1);
         for number in next.saturating_sub(back)..=pieces {
             assembler.accept(event(number, pieces)).unwrap();
             out.extend(drain(&mut assembler));
         }
         prop_assert_eq!(out.len() as u64, pieces);
-        prop_assert!(assembler.whole());
+        prop_assert!(assembler.is_complete());
     }
 }
--- a/crates/endpoint/tests/all/engine.rs
+++ b/crates/endpoint/tests/all/engine.rs
@@ -101,16 +101,20 @@
             |f| *f == Fault::Failed { status: 500 },
             false,
         ),
-        (Action::Drop, |f| matches!(f, Fault::Cut { .. }), false),
+        (
+            Action::Drop,
+            |f| matches!(f, Fault::Interrupted { .. }),
+            false,
+        ),
         (
             Action::LoseAnswer,
-            |f| matches!(f, Fault::Cut { .. }),
+            |f| matches!(f, Fault::Interrupted { .. }),
             false,
         ),
         (Action::Hang, |f| *f == Fault::Timeout, false),
         (
             Action::Garbage,
-            |f| matches!(f, Fault::Nonsense { .. }),
+            |f| matches!(f, Fault::Invalid { .. }),
             false,
         ),
     ]
@@ -146,17 +150,19 @@
     const OK: &str =
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
     let table: [Answer; 5] = [
-        ("SSH-2.0-OpenSSH\r\n", |f| matches!(f, Fault::Cut { .. })),
+        ("SSH-2.0-OpenSSH\r\n", |f| {
+            matches!(f, Fault::Interrupted { .. })
+        }),
         ("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi", |f| {
-            matches!(f, Fault::Nonsense { .. })
+            matches!(f, Fault::Invalid { .. })
         }),
         (
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\nid: x\ndata: {}\n\n",
-            |f| matches!(f, Fault::Nonsense { .. }),
+            |f| matches!(f, Fault::Invalid { .. }),
         ),
         (
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\nid: 1\ndata: {}\n\n",
-            |f| matches!(f, Fault::Nonsense { .. }),
+            |f| matches!(f, Fault::Invalid { .. }),
         ),
         ("HTTP/1.1 302 Found\r\ncontent-length: 0\r\n\r\n", |f| {
             *f == Fault::Failed { status: 302 }
@@ -182,7 +188,7 @@
     });
     let remote = Remote::new(pool, engine.address);
     let fault = remote.complete(call(false)).await.unwrap_err();
-    assert!(matches!(fault, Fault::Nonsense { .. }), "{fault}");
+    assert!(matches!(fault, Fault::Invalid { .. }), "{fault}");
 }
 
 #[tokio::test]
@@ -234,5 +240,5 @@
     );
     let remote = Remote::new(Pool::default(), raw::start(answer).await);
     let fault = remote.complete(call(false)).await.unwrap_err();
-    assert!(matches!(fault, Fault::Nonsense { .. }), "{fault}");
+    assert!(matches!(fault, Fault::Invalid { .. }), "{fault}");
 }
--- a/crates/endpoint/tests/all/service.rs
+++ b/crates/endpoint/tests/all/service.rs
@@ -52,8 +52,14 @@
         (refuse(429, Some(Run::NotRun)), Err(Fault::not_run)),
         (refuse(503, None), Ok(503)),
         (refuse(400, None), Ok(400)),
-        (Action::Drop, Err(|f| matches!(f, Fault::Cut { .. }))),
-        (Action::LoseAnswer, Err(|f| matches!(f, Fault::Cut { .. }))),
+        (
+            Action::Drop,
+            Err(|f| matches!(f, Fault::Interrupted { .. })),
+        ),
+        (
+            Action::LoseAnswer,
+            Err(|f| matches!(f, Fault::Interrupted { .. })),
+        ),
         (Action::Hang, Err(|f| *f == Fault::Timeout)),
     ]
 }
--- a/crates/endpoint/tests/fuzz.rs
+++ b/crates/endpoint/tests/fuzz.rs
@@ -76,7 +76,7 @@
 impl Caller {
     fn take(&mut self, assembler: &mut Assembler) -> Result<(), TestCaseError> {
         loop {
-            let whole = assembler.whole();
+            let whole = assembler.is_complete();
             let Some(chunk) = assembler.next() else { break };
             // Whoever was told that the answer is whole has ended it.
             prop_assert!(!whole, "more came after it was whole");
@@ -88,7 +88,7 @@
             }
         }
         prop_assert!(
-            !assembler.whole() || self.last,
+            !assembler.is_complete() || self.last,
             "whole without its last piece"
         );
         Ok(())
@@ -121,7 +121,7 @@
         }
         let there = came.iter().take(end).take_while(|came| **came).count();
         prop_assert_eq!(&caller.text, &pieces[..there].concat());
-        prop_assert_eq!(assembler.whole(), came.iter().all(|came| *came));
+        prop_assert_eq!(assembler.is_complete(), came.iter().all(|came| *came));
     }
 
     /// An engine that numbers and ends its pieces at random.
@@ -140,7 +140,7 @@
             }
             caller.take(&mut assembler)?;
         }
-        let next = assembler.last().map_or(0, |last| last + 1);
+        let next = assembler.last_delivered().map_or(0, |last| last + 1);
         prop_assert_eq!(caller.count, next);
     }
 }
@@ -190,13 +190,13 @@
         };
         while let Some(Ok(event)) = events.next().await {
             if let Err(fault) = assembler.accept(event) {
-                let nonsense = matches!(fault, Fault::Nonsense { .. });
+                let nonsense = matches!(fault, Fault::Invalid { .. });
                 prop_assert!(nonsense);
                 break;
             }
             caller.take(&mut assembler)?;
         }
-        Ok((caller, assembler.whole()))
+        Ok((caller, assembler.is_complete()))
     })
 }
 
--- a/crates/entry/src/filter/assemble.rs
+++ b/crates/entry/src/filter/assemble.rs
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Nonsense`] if a restarted attempt does not repeat what was sent, [`Fault::Cancelled`] if the
+    /// [`Fault::Invalid`] if a restarted attempt does not repeat what was sent, [`Fault::Cancelled`] if the
     /// caller disconnected, [`Fault::Timeout`] if it does not read.
     pub async fn push(&mut self, mut chunk: Chunk) -> Result<(), Fault> {
         chunk.id = self.id.clone();
@@ -203,7 +203,7 @@
             self.repeated = Some(repeated + text.len());
             return Ok(None);
         }
-        Err(Fault::Nonsense {
+        Err(Fault::Invalid {
             reason: CompactString::const_new("the restarted answer differs from its first part"),
         })
     }
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -430,8 +430,8 @@
         Fault::Unreachable { .. } => "unreachable",
         Fault::Refused { .. } => "refused",
         Fault::Failed { .. } => "failed",
-        Fault::Cut { .. } => "cut",
-        Fault::Nonsense { .. } => "nonsense",
+        Fault::Interrupted { .. } => "cut",
+        Fault::Invalid { .. } => "nonsense",
         Fault::Timeout => "timeout",
         Fault::Cancelled => "cancelled",
     }
--- a/crates/entry/src/filter/attempt/opened.rs
+++ b/crates/entry/src/filter/attempt/opened.rs
@@ -56,7 +56,7 @@
 }
 
 fn cut_off() -> Fault {
-    Fault::Cut {
+    Fault::Interrupted {
         reason: "the stream ended before its end mark".into(),
     }
 }
@@ -76,7 +76,7 @@
                 resumes = 0;
                 delivery.push(chunk).await?;
             }
-            if self.assembler.whole() {
+            if self.assembler.is_complete() {
                 return Ok(());
             }
             let read_deadline = deadline.min(Instant::now() + stall_timeout);
@@ -86,7 +86,7 @@
                     self.assembler.accept(event)?;
                     continue;
                 }
-                Ok(Some(Err(fault @ Fault::Nonsense { .. }))) => return Err(fault),
+                Ok(Some(Err(fault @ Fault::Invalid { .. }))) => return Err(fault),
                 Ok(Some(Err(fault))) => fault,
                 Ok(None) => cut_off(),
                 Err(_) => Fault::Timeout,
@@ -100,7 +100,7 @@
     }
 
     async fn resume(&mut self, number: u32, broken: Fault, deadline: Instant) -> Result<(), Fault> {
-        let Some(last) = self.assembler.last() else {
+        let Some(last) = self.assembler.last_delivered() else {
             return Err(broken);
         };
         let endpoint = self.permit.endpoint();
--- a/crates/entry/src/poison.rs
+++ b/crates/entry/src/poison.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use pimento_endpoint::Fault;
-use pimento_endpoint::gone;
+use pimento_endpoint::probe;
 use pimento_policy::choice;
 use pimento_policy::poison::Config;
 use pimento_policy::poison::Crash;
@@ -156,7 +156,7 @@
 
     /// Records that a run failed at an endpoint. If its connection broke, the endpoint may have crashed.
     pub fn record_broken_run(&self, digest: Digest, endpoint: &id::Endpoint, fault: &Fault) {
-        if !fault.is_cut() {
+        if !fault.is_interrupted() {
             return;
         }
         // An endpoint that is leaving breaks off its own runs; that is no crash.
@@ -179,7 +179,7 @@
 
     /// Determines whether an endpoint crashed. If so, records the crash for all runs that broke off there.
     async fn resolve_broken_runs(&self, endpoint: &Endpoint, crash: Crash) {
-        let crashed = gone::is_refused(endpoint.address, CONNECT_TIMEOUT).await
+        let crashed = probe::is_refused(endpoint.address, CONNECT_TIMEOUT).await
             || self.has_restarted_or_left(endpoint).await;
         let digests = self.poison.lock().broken_runs.resolve(crash, crashed);
         log::info!(
--- a/crates/entry/tests/all/delivery.rs
+++ b/crates/entry/tests/all/delivery.rs
@@ -109,7 +109,7 @@
     delivery.push(chunk("Keep away ", false)).await.unwrap();
     delivery.restart();
     let fault = delivery.push(chunk("Keep out ", false)).await.unwrap_err();
-    assert!(matches!(fault, Fault::Nonsense { .. }), "{fault}");
+    assert!(matches!(fault, Fault::Invalid { .. }), "{fault}");
     drop(delivery);
     // The body ends without its last chunk, which the client reports as an error.
     assert!(caller.await.is_err());
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -425,7 +425,7 @@
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 fn nonsense(reason: &'static str) -> Fault {
-    Fault::Nonsense {
+    Fault::Invalid {
         reason: reason.into(),
     }
 }
--- a/crates/relay/src/connection.rs
+++ b/crates/relay/src/connection.rs
@@ -73,10 +73,10 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Cut`] if the connection failed before the end of the body.
+    /// [`Fault::Interrupted`] if the connection failed before the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Fault> {
         while let Some(frame) = self.incoming.frame().await {
-            let frame = frame.map_err(|error| Fault::Cut {
+            let frame = frame.map_err(|error| Fault::Interrupted {
                 reason: CompactString::from(error.to_string()),
             })?;
             if let Ok(data) = frame.into_data() {
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Cut`] if the connection failed first, [`Fault::Nonsense`] if the response is not valid
+    /// [`Fault::Interrupted`] if the connection failed first, [`Fault::Invalid`] if the response is not valid
     /// HTTP. In both cases the request may have run.
     pub async fn send(mut self, outgoing: OutgoingRequest) -> Result<EndpointResponse, Fault> {
         let OutgoingRequest {
@@ -148,9 +148,9 @@
         let response = self.sender.send_request(request).await.map_err(|error| {
             let reason = CompactString::from(error.to_string());
             if error.is_parse() {
-                return Fault::Nonsense { reason };
+                return Fault::Invalid { reason };
             }
-            Fault::Cut { reason }
+            Fault::Interrupted { reason }
         })?;
         let (head, body) = response.into_parts();
         let body = ResponseBody {
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -236,7 +236,7 @@
     endpoint: &id::Endpoint,
     fault: &Fault,
 ) {
-    if !fault.is_cut() {
+    if !fault.is_interrupted() {
         return;
     }
     let known = node.directory.view(|view| view.member(endpoint).cloned());
--- a/crates/relay/src/poison/crash_check.rs
+++ b/crates/relay/src/poison/crash_check.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use pimento_endpoint::gone;
+use pimento_endpoint::probe;
 
 use crate::codec::Codec;
 use crate::headers::HeaderCodec;
@@ -42,7 +42,7 @@
     registration: &Registration,
 ) -> Option<CrashEvidence> {
     let bound = node.connect_times(|times| times.current());
-    if gone::is_refused(registration.address, bound).await {
+    if probe::is_refused(registration.address, bound).await {
         return Some(CrashEvidence::Refused);
     }
     let mut changes = node.directory.changes();
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -104,11 +104,11 @@
             }
             let data = tokio::time::timeout(timeout, self.body.next()).await;
             match data.unwrap_or(Err(Fault::Timeout))? {
-                Some(data) => self.splitter.push(&data).map_err(|error| Fault::Nonsense {
+                Some(data) => self.splitter.push(&data).map_err(|error| Fault::Invalid {
                     reason: error.to_string().into(),
                 })?,
                 None if self.splitter.has_partial_event() => {
-                    return Err(Fault::Nonsense {
+                    return Err(Fault::Invalid {
                         reason: "the stream ended within an event".into(),
                     });
                 }
@@ -245,7 +245,7 @@
             }))))
         }
         Ok(Item::End) => {
-            let fault = Fault::Nonsense {
+            let fault = Fault::Invalid {
                 reason: "the stream has no event".into(),
             };
             attempts
@@ -262,7 +262,7 @@
     let mut bytes = Vec::new();
     while let Some(data) = body.next().await? {
         if bytes.len() + data.len() > MAX_ERROR_BODY_BYTES {
-            return Err(Fault::Nonsense {
+            return Err(Fault::Invalid {
                 reason: "the body of an error response is too long".into(),
             });
         }
@@ -445,7 +445,7 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Nonsense`] if an event before it is missing.
+    /// [`Fault::Invalid`] if an event before it is missing.
     fn accept(&mut self, event: &Event) -> Result<bool, Fault> {
         let Some(id) = event.id else {
             return Ok(true);
@@ -455,7 +455,7 @@
                 return Ok(false);
             }
             if id > last + 1 {
-                return Err(Fault::Nonsense {
+                return Err(Fault::Invalid {
                     reason: "an event is missing".into(),
                 });
             }
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -116,8 +116,8 @@
             Fault::Cancelled => (limit::Outcome::Unknown, eject::Outcome::Unknown),
             Fault::Unreachable { .. }
             | Fault::Failed { .. }
-            | Fault::Cut { .. }
-            | Fault::Nonsense { .. } => (limit::Outcome::Unknown, eject::Outcome::Failed),
+            | Fault::Interrupted { .. }
+            | Fault::Invalid { .. } => (limit::Outcome::Unknown, eject::Outcome::Failed),
         };
         // This comes before the slot's release, or the next job would be sent to the endpoint at once.
         if let Fault::Refused { after, .. } = fault {
