--- a/crates/control/src/bucket.rs
+++ b/crates/control/src/bucket.rs
@@ -1,53 +1,55 @@
-//! A token bucket, sans-IO: the weight store's rate limit, kept by the one holder of a zone.
+//! A token bucket, sans-IO. The holder of a zone's lease applies the weight store's rate limit with
+//! it.
 
 use std::time::Duration;
 
 use pimento_units::Moment;
 
-/// Permits that come back at a steady rate up to a bound.
+/// Permits that are replenished at a constant rate up to a bound.
 #[derive(Debug, Clone)]
 pub struct Bucket {
     interval: Duration,
     burst: u32,
-    /// When the bucket was, or will be, full but for what was taken.
+    /// When the bucket was, or will be, full again if no more permits are acquired.
     level: Moment,
-    blocked: Moment,
+    blocked_until: Moment,
 }
 
 impl Bucket {
-    /// A full bucket of `burst` permits (at least one), with one coming back each `interval`.
+    /// A full bucket of `burst` permits (at least one), of which one is replenished every
+    /// `interval`.
     #[must_use]
     pub const fn new(interval: Duration, burst: u32) -> Self {
         Self {
             interval,
             burst: if burst == 0 { 1 } else { burst },
             level: Moment::ZERO,
-            blocked: Moment::ZERO,
+            blocked_until: Moment::ZERO,
         }
     }
 
-    /// Takes a permit.
+    /// Acquires a permit.
     ///
     /// # Errors
     ///
-    /// How long to wait for the next one.
-    pub fn take(&mut self, now: Moment) -> Result<(), Duration> {
-        if now < self.blocked {
-            return Err(self.blocked.since(now));
+    /// The time until the next permit is available.
+    pub fn try_acquire(&mut self, now: Moment) -> Result<(), Duration> {
+        if now < self.blocked_until {
+            return Err(self.blocked_until.since(now));
         }
         let level = self.level.max(now);
-        let ahead = level.since(now);
-        let most = self.interval * (self.burst - 1);
-        if ahead > most {
-            return Err(ahead.saturating_sub(most));
+        let backlog = level.since(now);
+        let max_backlog = self.interval * (self.burst - 1);
+        if backlog > max_backlog {
+            return Err(backlog.saturating_sub(max_backlog));
         }
         self.level = level + self.interval;
         Ok(())
     }
 
-    /// The store itself said to come back after `after`: its word goes before our count, since
-    /// another zone or an earlier holder may have used the rate.
+    /// Blocks the bucket for `after`, as the store asked. This overrides the local count, since
+    /// another zone or an earlier holder may have used up the rate.
     pub fn block(&mut self, now: Moment, after: Duration) {
-        self.blocked = self.blocked.max(now + after);
+        self.blocked_until = self.blocked_until.max(now + after);
     }
 }
--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -1,4 +1,4 @@
-//! The program: reads settings, starts logging, runs until it is asked to end.
+//! Entry point: reads the settings, starts logging and runs the daemon until a signal stops it.
 
 use std::process::ExitCode;
 
@@ -8,13 +8,13 @@
 
 use crate::config;
 use crate::config::Config;
-use crate::config::Format;
+use crate::config::LogFormat;
 use crate::daemon;
 
 /// Exit code if the program failed.
 pub const EXIT_FAILED: u8 = 1;
 
-/// Exit code for bad settings.
+/// Exit code for invalid settings.
 pub const EXIT_USAGE: u8 = 2;
 
 /// Runs the program.
@@ -32,7 +32,7 @@
         print!("{}", config::print(&matches));
         return ExitCode::SUCCESS;
     }
-    start_log(&config);
+    start_logging(&config);
     match daemon::run(config) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -42,16 +42,16 @@
     }
 }
 
-fn start_log(config: &Config) {
+fn start_logging(config: &Config) {
     let builder = logforth::starter_log::builder();
-    let builder = builder.dispatch(|dispatch| match config.format {
-        Format::Text => {
+    let builder = builder.dispatch(|dispatch| match config.log_format {
+        LogFormat::Text => {
             dispatch.append(append::Stderr::default().with_layout(TextLayout::default()))
         }
-        Format::Json => {
+        LogFormat::Json => {
             dispatch.append(append::Stderr::default().with_layout(JsonLayout::default()))
         }
     });
     builder.apply();
-    log::set_max_level(config.level);
+    log::set_max_level(config.log_level);
 }
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings: flags and environment, checked together.
+//! Settings from flags and environment variables, validated together.
 
 use std::error::Error;
 use std::fmt;
@@ -15,7 +15,7 @@
 use pimento_units::Span;
 use pimento_units::id;
 
-/// One setting: flag, environment variable, default, help.
+/// A setting with its flag, environment variable, default and help text.
 struct Setting {
     flag: &'static str,
     env: &'static str,
@@ -43,7 +43,7 @@
         "node",
         "PIMENTO_NODE",
         None,
-        "This VM's name, unique for one life of the VM",
+        "This VM's name, unique to one incarnation of the VM",
     ),
     setting("zone", "PIMENTO_ZONE", None, "This VM's availability zone"),
     setting(
@@ -68,7 +68,7 @@
         "operators",
         "PIMENTO_OPERATORS",
         None,
-        "Operators' addresses of the entry VMs, between commas, for evidence on roll-outs",
+        "Operators' addresses of the entry VMs, separated by commas, for evidence on roll-outs",
     ),
     setting(
         "operators-listen",
@@ -80,20 +80,20 @@
         "period",
         "PIMENTO_CONTROL_PERIOD",
         Some("2s"),
-        "Time between two passes",
+        "Interval between a controller's passes",
     ),
-    setting("lease", "PIMENTO_LEASE", Some("15s"), "Length of a lease"),
+    setting("lease", "PIMENTO_LEASE", Some("15s"), "Duration of a lease"),
     setting(
         "lease-margin",
         "PIMENTO_LEASE_MARGIN",
         Some("2s"),
-        "How long before its end a holder stops",
+        "How long before the end of a lease its holder stops",
     ),
     setting(
         "order-flight",
         "PIMENTO_ORDER_FLIGHT",
         Some("30s"),
-        "The longest time that an order may take; a successor waits it out where engines ignore fencing numbers",
+        "Maximum time that an order may take; a successor waits for it where engines ignore fencing numbers",
     ),
     setting(
         "drain",
@@ -105,58 +105,58 @@
         "engine-versions",
         "PIMENTO_ENGINE_VERSIONS",
         Some("8"),
-        "The most versions that an engine holds",
+        "Maximum number of versions that an engine holds",
     ),
     setting(
         "weights-interval",
         "PIMENTO_WEIGHTS_INTERVAL",
         Some("10s"),
-        "Time between two calls to the weight store",
+        "Interval between calls to the weight store",
     ),
     setting(
         "weights-burst",
         "PIMENTO_WEIGHTS_BURST",
         Some("2"),
-        "Calls to the weight store that may come at once",
+        "Number of calls to the weight store that may come in a burst",
     ),
     setting(
         "weights-timeout",
         "PIMENTO_WEIGHTS_TIMEOUT",
         Some("5m"),
-        "How long the weight store may take",
+        "Timeout of calls to the weight store",
     ),
     setting(
         "timeout",
         "PIMENTO_PLATFORM_TIMEOUT",
         Some("2s"),
-        "How long other calls to the platform and to entry VMs may take",
+        "Timeout of other calls to the platform and to entry VMs",
     ),
     setting(
         "log-format",
         "PIMENTO_LOG_FORMAT",
         Some("text"),
-        "Form of log lines: text or json",
+        "Format of log lines: text or json",
     ),
     setting(
         "log-level",
         "PIMENTO_LOG_LEVEL",
         Some("info"),
-        "Least level of log lines: error, warn, info, debug or trace",
+        "Minimum level of log lines: error, warn, info, debug or trace",
     ),
 ];
 
-/// The command.
+/// The command-line definition.
 #[must_use]
 pub fn command() -> Command {
     let command = Command::new("pimento-control")
-        .about("Keeps leases, moves roll-outs on and gives orders to engines")
+        .about("Holds leases, advances roll-outs and sends orders to engines")
         .version(env!("CARGO_PKG_VERSION"))
-        .after_help("Exit codes: 0 ended as asked, 1 failed, 2 bad settings")
+        .after_help("Exit codes: 0 stopped by a signal, 1 failed, 2 invalid settings")
         .arg(
             Arg::new("print-config")
                 .long("print-config")
                 .action(ArgAction::SetTrue)
-                .help("Print the settings in force and end"),
+                .help("Print the effective settings and exit"),
         );
     command.args(SETTINGS.iter().map(|setting| {
         let arg = Arg::new(setting.flag)
@@ -171,16 +171,16 @@
     }))
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Format {
-    /// For people.
+pub enum LogFormat {
+    /// Plain text.
     Text,
-    /// For machines, one object a line.
+    /// One JSON object per line.
     Json,
 }
 
-impl FromStr for Format {
+impl FromStr for LogFormat {
     type Err = &'static str;
     fn from_str(text: &str) -> Result<Self, &'static str> {
         match text {
@@ -191,48 +191,48 @@
     }
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Config {
     /// This VM.
     pub node: id::Node,
     /// Its zone.
     pub zone: id::Zone,
-    /// The log.
-    pub log: SocketAddr,
-    /// The VM list.
-    pub vms: SocketAddr,
-    /// The weight store.
-    pub weights: SocketAddr,
-    /// Entry VMs' operators' addresses.
+    /// Address of the platform's log.
+    pub log_address: SocketAddr,
+    /// Address of the platform's list of VMs.
+    pub vms_address: SocketAddr,
+    /// Address of the platform's weight store.
+    pub weights_address: SocketAddr,
+    /// Operators' addresses of the entry VMs.
     pub operators: Vec<SocketAddr>,
-    /// Our own operators' address.
-    pub listen: SocketAddr,
-    /// Time between two passes.
+    /// Address that this program serves operators on.
+    pub operators_listen: SocketAddr,
+    /// Interval between a controller's passes.
     pub period: Duration,
-    /// Length and margin of a lease.
+    /// Duration and margin of a lease.
     pub lease: lease::Config,
-    /// The longest time that an order may take.
-    pub flight: Duration,
+    /// Maximum time that an order may take to reach its engine.
+    pub order_timeout: Duration,
     /// How long a withdrawn version stays loaded.
     pub drain: Duration,
-    /// The most versions that an engine holds.
-    pub room: usize,
-    /// Time between two calls to the weight store.
-    pub interval: Duration,
-    /// Calls to the weight store that may come at once.
-    pub burst: u32,
-    /// How long the weight store may take.
-    pub fetch: Duration,
-    /// How long other calls may take.
-    pub timeout: Duration,
-    /// Form of log lines.
-    pub format: Format,
-    /// Least level of log lines.
-    pub level: LevelFilter,
+    /// Maximum number of versions that an engine holds.
+    pub max_versions: usize,
+    /// Interval between calls to the weight store.
+    pub fetch_interval: Duration,
+    /// Number of calls to the weight store that may come in a burst.
+    pub fetch_burst: u32,
+    /// Timeout of calls to the weight store.
+    pub fetch_timeout: Duration,
+    /// Timeout of other calls to the platform and to entry VMs.
+    pub platform_timeout: Duration,
+    /// Format of log lines.
+    pub log_format: LogFormat,
+    /// Minimum level of log lines.
+    pub log_level: LevelFilter,
 }
 
-/// All that is wrong with the settings, a line each.
+/// All errors in the settings, one per line.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Findings(Vec<String>);
 
@@ -245,13 +245,13 @@
 impl Error for Findings {}
 
 impl Findings {
-    fn note(&mut self, flag: &str, finding: impl fmt::Display) {
+    fn push(&mut self, flag: &str, finding: impl fmt::Display) {
         self.0.push(format!("--{flag}: {finding}"));
     }
 
     fn parse<T: FromStr<Err: fmt::Display>>(&mut self, flag: &str, text: &str) -> Option<T> {
         text.parse()
-            .map_err(|error| self.note(flag, format!("{error} (found {text:?})")))
+            .map_err(|error| self.push(flag, format!("{error} (found {text:?})")))
             .ok()
     }
 
@@ -262,7 +262,7 @@
     ) -> Option<T> {
         let text = matches.get_one::<String>(flag);
         if text.is_none() {
-            self.note(flag, "is missing");
+            self.push(flag, "is missing");
         }
         self.parse(flag, text?)
     }
@@ -274,31 +274,32 @@
         values.filter_map(|text| self.parse(flag, text)).collect()
     }
 
-    fn positive(&mut self, matches: &ArgMatches, flag: &str) -> Option<Duration> {
+    fn positive_duration(&mut self, matches: &ArgMatches, flag: &str) -> Option<Duration> {
         let span: Span = self.value(matches, flag)?;
         if span == Span::ZERO {
-            self.note(flag, "must be more than no time");
+            self.push(flag, "must be longer than 0");
             return None;
         }
         Some(span.duration())
     }
 
-    fn count(&mut self, matches: &ArgMatches, flag: &str) -> Option<u32> {
+    fn positive_count(&mut self, matches: &ArgMatches, flag: &str) -> Option<u32> {
         let count = self.value(matches, flag)?;
         if count == 0 {
-            self.note(flag, "must be at least 1");
+            self.push(flag, "must be at least 1");
             return None;
         }
         Some(count)
     }
 
-    /// A lease must outlast its margin, and three renewals must fit into the rest.
+    /// Reads the lease's duration and margin. The margin must be at most half of the duration: a
+    /// lease is renewed three times per duration, and a renewal must fit before the margin.
     fn lease(&mut self, matches: &ArgMatches) -> Option<lease::Config> {
-        let span = self.positive(matches, "lease");
-        let margin = self.positive(matches, "lease-margin");
+        let span = self.positive_duration(matches, "lease");
+        let margin = self.positive_duration(matches, "lease-margin");
         let (span, margin) = (span?, margin?);
         if margin * 2 > span {
-            self.note("lease-margin", "must be at most half of --lease");
+            self.push("lease-margin", "must be at most half of --lease");
             return None;
         }
         Some(lease::Config {
@@ -313,7 +314,7 @@
 
     fn try_from(matches: &ArgMatches) -> Result<Self, Findings> {
         let mut findings = Findings::default();
-        let config = read(matches, &mut findings);
+        let config = parse_all(matches, &mut findings);
         match config {
             Some(config) if findings.0.is_empty() => Ok(config),
             _ => Err(findings),
@@ -321,49 +322,49 @@
     }
 }
 
-/// Reads each setting before any is unwrapped, so that all findings come together.
-fn read(matches: &ArgMatches, findings: &mut Findings) -> Option<Config> {
+/// Reads every setting before unwrapping any, so that all findings are reported together.
+fn parse_all(matches: &ArgMatches, findings: &mut Findings) -> Option<Config> {
     let node = findings.value(matches, "node");
     let zone = findings.value(matches, "zone");
-    let log = findings.value(matches, "log-address");
-    let vms = findings.value(matches, "vms-address");
-    let weights = findings.value(matches, "weights-address");
+    let log_address = findings.value(matches, "log-address");
+    let vms_address = findings.value(matches, "vms-address");
+    let weights_address = findings.value(matches, "weights-address");
     let operators = findings.list(matches, "operators");
-    let listen = findings.value(matches, "operators-listen");
-    let period = findings.positive(matches, "period");
+    let operators_listen = findings.value(matches, "operators-listen");
+    let period = findings.positive_duration(matches, "period");
     let lease = findings.lease(matches);
-    let flight = findings.positive(matches, "order-flight");
+    let order_timeout = findings.positive_duration(matches, "order-flight");
     let drain: Option<Span> = findings.value(matches, "drain");
-    let room = findings.count(matches, "engine-versions");
-    let interval = findings.positive(matches, "weights-interval");
-    let burst = findings.count(matches, "weights-burst");
-    let fetch = findings.positive(matches, "weights-timeout");
-    let timeout = findings.positive(matches, "timeout");
-    let format = findings.value(matches, "log-format");
-    let level = findings.value(matches, "log-level");
+    let max_versions = findings.positive_count(matches, "engine-versions");
+    let fetch_interval = findings.positive_duration(matches, "weights-interval");
+    let fetch_burst = findings.positive_count(matches, "weights-burst");
+    let fetch_timeout = findings.positive_duration(matches, "weights-timeout");
+    let platform_timeout = findings.positive_duration(matches, "timeout");
+    let log_format = findings.value(matches, "log-format");
+    let log_level = findings.value(matches, "log-level");
     Some(Config {
         node: node?,
         zone: zone?,
-        log: log?,
-        vms: vms?,
-        weights: weights?,
+        log_address: log_address?,
+        vms_address: vms_address?,
+        weights_address: weights_address?,
         operators,
-        listen: listen?,
+        operators_listen: operators_listen?,
         period: period?,
         lease: lease?,
-        flight: flight?,
+        order_timeout: order_timeout?,
         drain: drain?.duration(),
-        room: usize::try_from(room?).unwrap_or(usize::MAX),
-        interval: interval?,
-        burst: burst?,
-        fetch: fetch?,
-        timeout: timeout?,
-        format: format?,
-        level: level?,
+        max_versions: usize::try_from(max_versions?).unwrap_or(usize::MAX),
+        fetch_interval: fetch_interval?,
+        fetch_burst: fetch_burst?,
+        fetch_timeout: fetch_timeout?,
+        platform_timeout: platform_timeout?,
+        log_format: log_format?,
+        log_level: log_level?,
     })
 }
 
-/// The settings in force as `flag=value` lines. There is no secret among them.
+/// The effective settings as `flag=value` lines. None of them is secret.
 #[must_use]
 pub fn print(matches: &ArgMatches) -> String {
     let line = |setting: &Setting| {
--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -1,4 +1,5 @@
-//! A controller: compares what is wanted with what is, and acts on the difference, again and again.
+//! A reconciliation loop: compares the desired state with the observed one and acts on the
+//! difference.
 
 use std::fmt::Display;
 use std::future::Future;
@@ -10,30 +11,30 @@
 
 use crate::metrics::Metrics;
 
-/// One controller. A pass that fails or is cut off leaves nothing half done that the next pass, of
-/// this or another instance, does not find and mend.
+/// One controller. If a pass fails or is cancelled halfway, the next pass of this or another
+/// instance detects what is missing and completes it.
 pub trait Controller: Send + 'static {
     /// Why a pass failed.
     type Error: Display + Send;
 
-    /// The prefix of its log lines and the label of its metrics.
+    /// Prefix of its log lines and label of its metrics.
     const NAME: &'static str;
 
-    /// One pass.
+    /// Runs one reconciliation pass.
     fn pass(&mut self) -> impl Future<Output = Result<Pass, Self::Error>> + Send;
 }
 
 /// How a pass ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pass {
-    /// Nothing more to do for now.
+    /// There is nothing left to do for now.
     Idle,
-    /// Something was done, and the next pass may find more at once.
+    /// The pass changed something; the next one may find more to do immediately.
     Acted,
 }
 
-/// Runs passes until `token`: one each `period`, at once when `changed` tells of a new
-/// configuration, and soon after a pass that acted.
+/// Runs passes until `token` is cancelled: one per `period`, one immediately when `changed` signals
+/// a new configuration, and one [`RECHECK_DELAY`] after a pass that acted.
 pub async fn run<C: Controller, T>(
     mut controller: C,
     period: Duration,
@@ -42,27 +43,28 @@
     token: CancellationToken,
 ) {
     loop {
-        let begun = Instant::now();
+        let started = Instant::now();
         let Some(result) = token.run_until_cancelled(controller.pass()).await else {
             return;
         };
-        metrics.pass(C::NAME, begun.elapsed(), result.is_ok());
-        let wait = match result {
-            Ok(Pass::Acted) => period.min(SOON),
+        metrics.record_pass(C::NAME, started.elapsed(), result.is_ok());
+        let delay = match result {
+            Ok(Pass::Acted) => period.min(RECHECK_DELAY),
             Ok(Pass::Idle) => period,
             Err(error) => {
-                log::warn!("{}: pass failed: {error}", C::NAME);
+                log::warn!("{}: The pass failed: {error}.", C::NAME);
                 period
             }
         };
         tokio::select! {
             () = token.cancelled() => return,
-            () = tokio::time::sleep(wait) => {}
-            // A closed channel means that the configuration's source has ended; the period goes on.
+            () = tokio::time::sleep(delay) => {}
+            // The channel closes when the configuration's source has ended; periodic passes go on.
             Ok(()) = changed.changed() => {}
         }
     }
 }
 
-/// Pause after a pass that acted. Engines report with a lag, so a tighter loop would see nothing.
-const SOON: Duration = Duration::from_millis(200);
+/// Delay after a pass that acted. Engines report with a lag, so an earlier pass would see no
+/// change.
+const RECHECK_DELAY: Duration = Duration::from_millis(200);
--- a/crates/control/src/daemon.rs
+++ b/crates/control/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The running program: all controllers over the real clients, until it is asked to end.
+//! The daemon: runs all controllers with the real clients until a signal asks it to stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,19 +30,19 @@
 use crate::config::Config;
 use crate::controller;
 use crate::leases;
-use crate::leases::Keeper;
 use crate::leases::Leases;
+use crate::leases::Manager;
 use crate::metrics::Metrics;
-use crate::operators as site;
-use crate::orders::Dial;
+use crate::operators as http;
+use crate::orders::Connector;
+use crate::orders::Dependencies;
 use crate::orders::Orders;
-use crate::orders::Parts;
 use crate::orders::Settings;
 use crate::rollout;
 use crate::rollout::Rollouts;
 
-/// How long to wait at the end for the log to show that leases are given up.
-const RELEASE: Duration = Duration::from_secs(3);
+/// How long the shutdown waits for the log to show the leases as released.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why the program could not run.
 #[derive(Debug, Snafu)]
@@ -55,13 +55,13 @@
         /// The system's error.
         source: io::Error,
     },
-    /// Signals can't be had.
-    #[snafu(display("can't wait for signals: {source}"))]
+    /// The signal handlers can't be installed.
+    #[snafu(display("can't install signal handlers: {source}"))]
     Signal {
         /// The system's error.
         source: io::Error,
     },
-    /// Threads can't be had.
+    /// The runtime's threads can't be started.
     #[snafu(display("can't start threads: {source}"))]
     Threads {
         /// The system's error.
@@ -75,29 +75,30 @@
     },
 }
 
-/// Engines over shared connections.
+/// Connects to engines over one connection pool.
 #[derive(Debug)]
 struct Engines(Pool);
 
-impl Dial for Engines {
+impl Connector for Engines {
     type Engine = engine::Remote;
 
-    fn dial(&self, address: SocketAddr) -> engine::Remote {
+    fn connect(&self, address: SocketAddr) -> engine::Remote {
         engine::Remote::new(self.0.clone(), address)
     }
 }
 
-/// Two threads: the work is waiting, and control must leave the VM's cores to requests.
-const THREADS: usize = 2;
+/// The work is mostly waiting, and the VM's cores must stay free for requests.
+const WORKER_THREADS: usize = 2;
 
 /// Runs until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// If threads, the address or signals can't be had.
+/// If the threads can't be started, the address can't be bound, signal handlers can't be installed
+/// or the metrics can't be registered.
 pub fn run(config: Config) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(THREADS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()
         .context(ThreadsSnafu)?;
@@ -109,16 +110,16 @@
     let mut interrupt = signal(SignalKind::interrupt()).context(SignalSnafu)?;
     let token = CancellationToken::new();
     let running = start(config, &token).await?;
-    // One line on standard output, so that a script can wait for it and learn the port.
+    // Scripts wait for this line on standard output and read the port from it.
     println!("READY={}", running.address);
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    ::log::info!("control: asked to end");
-    running.end().await;
+    ::log::info!("control: Shutting down after a signal.");
+    running.shut_down().await;
     token.cancel();
-    ::log::info!("control: ended");
+    ::log::info!("control: Stopped.");
     Ok(())
 }
 
@@ -129,35 +130,42 @@
     pub address: SocketAddr,
     leases: Leases,
     setup: leases::Setup,
-    work: CancellationToken,
-    holding: CancellationToken,
+    controllers_token: CancellationToken,
+    leases_token: CancellationToken,
     tasks: TaskTracker,
 }
 
 impl Running {
-    /// Ends the controllers, then gives the leases up. An order that is on its way when this is
-    /// called is dropped with its controller; the successor finds the engine's own word.
-    pub async fn end(self) {
-        self.work.cancel();
+    /// Stops the controllers, then releases the leases. An order in flight is dropped with its
+    /// controller; the successor asks the engine what it holds.
+    pub async fn shut_down(self) {
+        self.controllers_token.cancel();
         self.tasks.close();
         self.tasks.wait().await;
-        leases::released(&self.leases, &self.setup, &self.holding, RELEASE).await;
+        leases::release(
+            &self.leases,
+            &self.setup,
+            &self.leases_token,
+            RELEASE_TIMEOUT,
+        )
+        .await;
     }
 }
 
-/// Starts everything; `token` ends the clients of the platform, after [`Running::end`].
+/// Starts all controllers. Cancel `token`, which stops the platform's clients, after
+/// [`Running::shut_down`].
 ///
 /// # Errors
 ///
-/// If the address can't be bound.
+/// If the address can't be bound or the metrics can't be registered.
 pub async fn start(config: Config, token: &CancellationToken) -> Result<Running, Error> {
-    let address = config.listen;
+    let address = config.operators_listen;
     let listener = TcpListener::bind(address)
         .await
         .context(BindSnafu { address })?;
     let address = listener.local_addr().context(BindSnafu { address })?;
     let metrics = Metrics::new().context(MetricsSnafu)?;
-    let log = log::Remote::new(config.log, config.timeout);
+    let log = log::Remote::new(config.log_address, config.platform_timeout);
     let appender = Appender::start(log.clone(), appender::Config::default(), token.clone());
     let source = Source::start(
         log.clone(),
@@ -183,22 +191,22 @@
         address,
         leases: Leases::new(config.zone.clone()),
         setup,
-        work: token.child_token(),
-        holding: token.child_token(),
+        controllers_token: token.child_token(),
+        leases_token: token.child_token(),
         tasks: TaskTracker::new(),
     };
-    let view = site::View {
+    let context = http::Context {
         node: config.node.clone(),
         zone: config.zone.clone(),
         source: source.clone(),
         leases: running.leases.clone(),
         metrics: metrics.clone(),
-        ending: running.work.clone(),
+        shutdown: running.controllers_token.clone(),
     };
-    tokio::spawn(site::serve(listener, Arc::new(view), token.clone()));
-    running.spawn(&config, &log, &source, &metrics);
+    tokio::spawn(http::serve(listener, Arc::new(context), token.clone()));
+    running.spawn_all(&config, &log, &source, &metrics);
     ::log::info!(
-        "control: {} in {} serves operators on {address}",
+        "control: {} in {} serves operators on {address}.",
         config.node,
         config.zone
     );
@@ -206,17 +214,17 @@
 }
 
 impl Running {
-    fn spawn(&self, config: &Config, log: &log::Remote, source: &Source, metrics: &Metrics) {
-        let keeper = Keeper::new(
+    fn spawn_all(&self, config: &Config, log: &log::Remote, source: &Source, metrics: &Metrics) {
+        let manager = Manager::new(
             self.setup.clone(),
             self.leases.clone(),
             source.subscribe(),
             metrics.clone(),
-            self.holding.clone(),
+            self.leases_token.clone(),
         );
-        self.control(keeper, config, source, metrics);
-        self.control(
-            self.orders(config, source, metrics),
+        self.spawn_controller(manager, config, source, metrics);
+        self.spawn_controller(
+            self.orders_controller(config, source, metrics),
             config,
             source,
             metrics,
@@ -224,18 +232,18 @@
         let entries = config
             .operators
             .iter()
-            .map(|address| operators::Remote::new(*address, config.timeout))
+            .map(|address| operators::Remote::new(*address, config.platform_timeout))
             .collect();
-        let parts = rollout::Parts {
+        let dependencies = rollout::Dependencies {
             log: log.clone(),
             entries,
-            turn: self.leases.clone(),
+            lease: self.leases.clone(),
         };
-        let rollouts = Rollouts::new(config.node.clone(), parts, source.subscribe());
-        self.control(rollouts, config, source, metrics);
+        let rollouts = Rollouts::new(config.node.clone(), dependencies, source.subscribe());
+        self.spawn_controller(rollouts, config, source, metrics);
     }
 
-    fn orders(
+    fn orders_controller(
         &self,
         config: &Config,
         source: &Source,
@@ -243,22 +251,22 @@
     ) -> Orders<Leases, vms::Remote, weights::Remote, Engines> {
         let settings = Settings {
             zone: config.zone.clone(),
-            flight: config.flight,
+            order_timeout: config.order_timeout,
             drain: config.drain,
-            room: config.room,
-            interval: config.interval,
-            burst: config.burst,
+            max_versions: config.max_versions,
+            fetch_interval: config.fetch_interval,
+            fetch_burst: config.fetch_burst,
         };
-        let parts = Parts {
-            guard: self.leases.clone(),
-            list: vms::Remote::new(config.vms, config.timeout),
-            store: weights::Remote::new(config.weights, config.fetch),
-            dial: Engines(Pool::default()),
+        let dependencies = Dependencies {
+            leases: self.leases.clone(),
+            list: vms::Remote::new(config.vms_address, config.platform_timeout),
+            store: weights::Remote::new(config.weights_address, config.fetch_timeout),
+            connector: Engines(Pool::default()),
         };
-        Orders::new(settings, parts, source.subscribe(), metrics.clone())
+        Orders::new(settings, dependencies, source.subscribe(), metrics.clone())
     }
 
-    fn control(
+    fn spawn_controller(
         &self,
         controller: impl controller::Controller,
         config: &Config,
@@ -266,7 +274,7 @@
         metrics: &Metrics,
     ) {
         let changed = source.subscribe();
-        let (metrics, token) = (metrics.clone(), self.work.clone());
+        let (metrics, token) = (metrics.clone(), self.controllers_token.clone());
         let run = controller::run(controller, config.period, changed, metrics, token);
         self.tasks.spawn(run);
     }
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -1,7 +1,8 @@
-//! Keeps leases: one on the orders of each pool in this node's zone, and one on roll-outs.
+//! Holds leases: one on the orders to each pool in this node's zone, and one on roll-outs.
 //!
-//! Correctness hangs on the first kind only. The second saves work: without it each instance would
-//! ask all entry VMs for evidence and propose the same steps, of which all but one come too late.
+//! Only the first kind is needed for correctness. The second saves work: without it, every instance
+//! would query all entry VMs for evidence and propose the same steps, of which only the first takes
+//! effect.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -27,19 +28,19 @@
 use crate::controller::Pass;
 use crate::metrics::Metrics;
 
-/// Tells whether this node may give orders to a pool.
-pub trait Guard: Send + Sync + 'static {
-    /// The fencing number, if the lease of the pool is held now.
+/// Leases on the orders to pools.
+pub trait PoolLeases: Send + Sync + 'static {
+    /// The fencing number, if this node holds the lease of the pool now.
     fn held(&self, pool: &id::Pool) -> Option<Fencing>;
 }
 
-/// Tells whether it is this node's turn at work that any node could do.
-pub trait Turn: Send + Sync + 'static {
-    /// Whether it is.
-    fn mine(&self) -> bool;
+/// The lease on roll-outs.
+pub trait RolloutLease: Send + Sync + 'static {
+    /// Whether this node holds it.
+    fn is_held(&self) -> bool;
 }
 
-/// What a [`Keeper`] needs.
+/// Configuration and clients of a [`Manager`].
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// This node.
@@ -48,14 +49,14 @@
     pub zone: id::Zone,
     /// Length and margin of a lease.
     pub lease: lease::Config,
-    /// Writes takes.
+    /// Appends lease records to the log.
     pub appender: Appender,
-    /// Reads the leases stream.
+    /// Follows the leases stream.
     pub follower: Follower<View>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct Entry {
     resource: id::Resource,
     lease: Lease,
     token: CancellationToken,
@@ -66,56 +67,57 @@
 pub struct Leases {
     zone: id::Zone,
     /// Sorted by resource.
-    kept: Arc<Mutex<Vec<Kept>>>,
+    entries: Arc<Mutex<Vec<Entry>>>,
 }
 
 impl Leases {
-    /// No leases yet, for a node in `zone`.
+    /// An empty set for a node in `zone`.
     #[must_use]
     pub fn new(zone: id::Zone) -> Self {
         Self {
             zone,
-            kept: Arc::default(),
+            entries: Arc::default(),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Kept>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<Entry>> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Resources whose lease is held now, with the fencing number.
+    /// Resources whose lease is held now, with their fencing numbers.
     #[must_use]
-    pub fn holding(&self) -> Vec<(id::Resource, Fencing)> {
-        let kept = self.lock();
-        let held = kept
+    pub fn all_held(&self) -> Vec<(id::Resource, Fencing)> {
+        let entries = self.lock();
+        let held = entries
             .iter()
-            .map(|k| Some((k.resource.clone(), k.lease.held()?)));
+            .map(|entry| Some((entry.resource.clone(), entry.lease.held()?)));
         held.flatten().collect()
     }
 
-    fn find(&self, resource: &id::Resource) -> Option<Fencing> {
-        let kept = self.lock();
-        let at = kept.binary_search_by(|k| k.resource.cmp(resource)).ok()?;
-        kept[at].lease.held()
+    fn held_lease(&self, resource: &id::Resource) -> Option<Fencing> {
+        let entries = self.lock();
+        let at = entries
+            .binary_search_by(|entry| entry.resource.cmp(resource))
+            .ok()?;
+        entries[at].lease.held()
     }
 }
 
-impl Guard for Leases {
+impl PoolLeases for Leases {
     fn held(&self, pool: &id::Pool) -> Option<Fencing> {
-        self.find(&resource(pool, &self.zone))
+        self.held_lease(&pool_resource(pool, &self.zone))
     }
 }
 
-impl Turn for Leases {
-    /// Whether the lease on roll-outs is held.
-    fn mine(&self) -> bool {
-        self.find(&rollouts()).is_some()
+impl RolloutLease for Leases {
+    fn is_held(&self) -> bool {
+        self.held_lease(&rollout_resource()).is_some()
     }
 }
 
-/// The controller that takes the leases, and gives up those of pools that are gone.
+/// The controller that acquires the leases, and releases those of pools that no longer exist.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct Manager {
     setup: Setup,
     leases: Leases,
     state: watch::Receiver<Arc<State>>,
@@ -123,8 +125,8 @@
     token: CancellationToken,
 }
 
-impl Keeper {
-    /// A keeper whose leases are given up with `token`.
+impl Manager {
+    /// A manager whose leases are released when `token` is cancelled.
     #[must_use]
     pub const fn new(
         setup: Setup,
@@ -142,7 +144,7 @@
         }
     }
 
-    fn start(&self, resource: id::Resource) -> Kept {
+    fn start(&self, resource: id::Resource) -> Entry {
         let token = self.token.child_token();
         let lease = Lease::start(
             resource.clone(),
@@ -152,7 +154,7 @@
             self.setup.follower.clone(),
             token.clone(),
         );
-        Kept {
+        Entry {
             resource,
             lease,
             token,
@@ -160,14 +162,14 @@
     }
 }
 
-impl Keeper {
+impl Manager {
     /// Leases that this node should hold or wait for, sorted.
     fn wanted(&self) -> Vec<id::Resource> {
         let state = self.state.borrow();
         let pools = state.versions().map(|version| &version.pool);
         let mut wanted: Vec<id::Resource> = pools
-            .map(|pool| resource(pool, &self.setup.zone))
-            .chain([rollouts()])
+            .map(|pool| pool_resource(pool, &self.setup.zone))
+            .chain([rollout_resource()])
             .collect();
         wanted.sort();
         wanted.dedup();
@@ -175,50 +177,51 @@
     }
 }
 
-impl Controller for Keeper {
+impl Controller for Manager {
     type Error = Infallible;
 
     const NAME: &'static str = "leases";
 
     async fn pass(&mut self) -> Result<Pass, Infallible> {
         let wanted = self.wanted();
-        let mut kept = self.leases.lock();
-        kept.retain(|k| {
-            let stays = wanted.binary_search(&k.resource).is_ok();
-            if !stays {
-                k.token.cancel();
+        let mut entries = self.leases.lock();
+        entries.retain(|entry| {
+            let is_wanted = wanted.binary_search(&entry.resource).is_ok();
+            if !is_wanted {
+                entry.token.cancel();
             }
-            stays
+            is_wanted
         });
         for resource in wanted {
-            if let Err(at) = kept.binary_search_by(|k| k.resource.cmp(&resource)) {
-                kept.insert(at, self.start(resource));
+            if let Err(at) = entries.binary_search_by(|entry| entry.resource.cmp(&resource)) {
+                entries.insert(at, self.start(resource));
             }
         }
-        drop(kept);
-        let rollouts = usize::from(self.leases.mine());
-        let all = self.leases.holding().len();
-        self.metrics.leases(all.saturating_sub(rollouts), rollouts);
+        drop(entries);
+        let rollouts = usize::from(self.leases.is_held());
+        let all = self.leases.all_held().len();
+        self.metrics
+            .set_leases(all.saturating_sub(rollouts), rollouts);
         Ok(Pass::Idle)
     }
 }
 
-/// The name under which roll-outs are leased, for the whole deployment.
+/// Resource name of the deployment's lease on roll-outs.
 ///
 /// # Panics
 ///
 /// Never: the name is valid.
-fn rollouts() -> id::Resource {
+fn rollout_resource() -> id::Resource {
     "rollouts".parse().expect("the name is valid")
 }
 
-/// The name under which the orders to a pool in a zone are leased.
+/// Resource name of the lease on the orders to a pool in a zone.
 ///
 /// # Panics
 ///
-/// Never: the hash of names that are too long together makes a valid name.
+/// Never: names that are too long together are replaced by a hash, which is a valid name.
 #[must_use]
-pub fn resource(pool: &id::Pool, zone: &id::Zone) -> id::Resource {
+pub fn pool_resource(pool: &id::Pool, zone: &id::Zone) -> id::Resource {
     let plain = format!("orders:{pool}:{zone}");
     plain.parse().unwrap_or_else(|_| {
         let hash = xxh3_64(plain.as_bytes());
@@ -227,25 +230,27 @@
     })
 }
 
-/// Waits until the log shows the leases of this node as given up, or until `wait` has passed. A
-/// successor then need not wait them out.
-pub async fn released(leases: &Leases, setup: &Setup, token: &CancellationToken, wait: Duration) {
-    let held = leases.holding().into_iter();
+/// Cancels `token` and waits until the log shows the leases of this node as released, but at most
+/// `timeout`. A successor then need not wait until they expire.
+pub async fn release(leases: &Leases, setup: &Setup, token: &CancellationToken, timeout: Duration) {
+    let held = leases.all_held().into_iter();
     let resources: Vec<id::Resource> = held.map(|(resource, _)| resource).collect();
-    let ends = setup.follower.view(|view| ends(view, &resources));
+    let expiries = setup.follower.view(|view| expiries(view, &resources));
     token.cancel();
-    let deadline = Instant::now() + wait;
+    let deadline = Instant::now() + timeout;
     let changed = |view: &View| {
-        let now = self::ends(view, &resources);
-        let over = now.iter().zip(&ends).all(|(now, before)| now != before);
-        over.then_some(())
+        let now = self::expiries(view, &resources);
+        let released = now.iter().zip(&expiries).all(|(now, before)| now != before);
+        released.then_some(())
     };
     if setup.follower.wait(deadline, changed).await.is_none() {
-        log::info!("leases: some were not given up in time, successors wait them out");
+        log::info!(
+            "leases: Some leases were not released in time; successors wait until they expire."
+        );
     }
 }
 
-fn ends(view: &View, resources: &[id::Resource]) -> Vec<Option<pimento_units::Wall>> {
-    let end = |resource| view.fold().lease(resource).map(|lease| lease.until);
-    resources.iter().map(end).collect()
+fn expiries(view: &View, resources: &[id::Resource]) -> Vec<Option<pimento_units::Wall>> {
+    let expiry = |resource| view.fold().lease(resource).map(|lease| lease.until);
+    resources.iter().map(expiry).collect()
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,10 +1,10 @@
-//! The controllers: leases, roll-outs, placement and orders to engines.
+//! Controllers of leases, roll-outs, placement and orders to engines.
 //!
-//! `pimento-control` runs beside `pimento-entry` on the entry VMs; none is set aside for it and all
-//! do the same. Decisions are pure functions ([`rollout::decide`], [`placement`], [`fence`],
-//! [`bucket`]); a [`controller::Controller`] gathers their input and carries out their result, over
-//! the small traits of `pimento-coordination` and `pimento-endpoint`. Whatever one instance leaves
-//! undone, any other picks up from the log and from what the engines report.
+//! `pimento-control` runs beside `pimento-entry` on every entry VM, and all instances are equal.
+//! Decisions are pure functions ([`rollout::decide`], [`placement`], [`fence`], [`bucket`]). A
+//! [`controller::Controller`] collects their input and applies their result, through the traits of
+//! `pimento-coordination` and `pimento-endpoint`. If an instance fails, any other one continues its
+//! work from the log and from the engines' reports.
 
 pub mod bucket;
 pub mod cli;
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and times of the controllers, for `/metrics`.
+//! Metrics of the controllers, for `/metrics`.
 
 use std::time::Duration;
 
@@ -25,15 +25,15 @@
     age: Gauge,
 }
 
-/// What became of an order or a fetch.
+/// Outcome of an order or a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Carried out.
+    /// It was carried out.
     Done,
-    /// Refused by the other side.
+    /// The engine or the weight store refused it.
     Refused,
-    /// No answer: it may have been carried out.
-    Lost,
+    /// There was no response; it may have been carried out.
+    Unknown,
 }
 
 impl Outcome {
@@ -41,7 +41,7 @@
         match self {
             Self::Done => "done",
             Self::Refused => "refused",
-            Self::Lost => "lost",
+            Self::Unknown => "lost",
         }
     }
 }
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// If the library refuses a name, which a test would find.
+    /// If the library refuses a name.
     pub fn new() -> Result<Self, Error> {
         let metrics = Self {
             registry: Registry::new(),
@@ -96,27 +96,27 @@
         registry.register(Box::new(self.age.clone()))
     }
 
-    /// Notes a pass.
-    pub fn pass(&self, controller: &str, time: Duration, well: bool) {
+    /// Records a pass.
+    pub fn record_pass(&self, controller: &str, duration: Duration, succeeded: bool) {
         let passes = self.passes.with_label_values(&[controller]);
-        passes.observe(time.as_secs_f64());
-        if !well {
+        passes.observe(duration.as_secs_f64());
+        if !succeeded {
             self.failures.with_label_values(&[controller]).inc();
         }
     }
 
     /// Counts an order.
-    pub fn order(&self, outcome: Outcome) {
+    pub fn record_order(&self, outcome: Outcome) {
         self.orders.with_label_values(&[outcome.label()]).inc();
     }
 
     /// Counts a fetch.
-    pub fn fetch(&self, outcome: Outcome) {
+    pub fn record_fetch(&self, outcome: Outcome) {
         self.fetches.with_label_values(&[outcome.label()]).inc();
     }
 
-    /// Sets the number of leases held: on orders to pools, and on roll-outs.
-    pub fn leases(&self, orders: usize, rollouts: usize) {
+    /// Sets the number of leases held, on orders to pools and on roll-outs.
+    pub fn set_leases(&self, orders: usize, rollouts: usize) {
         for (kind, held) in [("orders", orders), ("rollouts", rollouts)] {
             let gauge = self.leases.with_label_values(&[kind]);
             gauge.set(i64::try_from(held).unwrap_or(i64::MAX));
@@ -124,16 +124,16 @@
     }
 
     /// Sets the age of the configuration.
-    pub fn age(&self, age: Duration) {
+    pub fn set_age(&self, age: Duration) {
         self.age.set(age.as_secs_f64());
     }
 
-    /// All metrics in the text format.
+    /// Encodes all metrics in the text format.
     ///
     /// # Errors
     ///
     /// If the library can't encode them.
-    pub fn text(&self) -> Result<Vec<u8>, Error> {
+    pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' address: `/live`, `/ready`, `/metrics`, `/state`.
+//! HTTP server for operators: `/live`, `/ready`, `/metrics`, `/state`.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -26,28 +26,28 @@
 use crate::leases::Leases;
 use crate::metrics::Metrics;
 
-/// How long a caller may take to send a request's head. A caller that opens connections and stays
-/// silent would otherwise hold them for ever.
-const HEAD: Duration = Duration::from_secs(5);
+/// How long a client may take to send a request's headers. A client that opens connections and
+/// sends nothing would otherwise hold them forever.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after a failed accept. Running out of file descriptors would otherwise spin the loop.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. The loop would otherwise spin when file descriptors run out.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What is shown.
+/// State behind the responses.
 #[derive(Debug)]
-pub struct View {
+pub struct Context {
     /// This node.
     pub node: id::Node,
     /// Its zone.
     pub zone: id::Zone,
     /// The configuration.
     pub source: Source,
-    /// Leases.
+    /// The leases of this node.
     pub leases: Leases,
-    /// Metrics.
+    /// The metrics.
     pub metrics: Metrics,
-    /// Cancelled once the program is asked to end.
-    pub ending: CancellationToken,
+    /// Cancelled when the shutdown begins.
+    pub shutdown: CancellationToken,
 }
 
 /// Body of `/state`.
@@ -58,17 +58,17 @@
     ready: bool,
     offset: Offset,
     age_ms: u64,
-    leases: Vec<Held>,
+    leases: Vec<HeldLease>,
 }
 
 #[derive(Debug, Serialize)]
-struct Held {
+struct HeldLease {
     resource: id::Resource,
     fencing: Offset,
 }
 
-/// Serves until `token`.
-pub async fn serve(listener: TcpListener, view: Arc<View>, token: CancellationToken) {
+/// Serves until `token` is cancelled.
+pub async fn serve(listener: TcpListener, context: Arc<Context>, token: CancellationToken) {
     loop {
         let accepted = tokio::select! {
             () = token.cancelled() => return,
@@ -76,60 +76,60 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let connection = connection(stream, Arc::clone(&view));
+                let connection = serve_connection(stream, Arc::clone(&context));
                 let token = token.clone();
                 tokio::spawn(async move { token.run_until_cancelled(connection).await });
             }
             Err(error) => {
-                log::warn!("operators: accept failed: {error}");
-                tokio::time::sleep(PAUSE).await;
+                log::warn!("operators: Cannot accept a connection: {error}.");
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, view: Arc<View>) {
+async fn serve_connection(stream: TcpStream, context: Arc<Context>) {
     let service = service_fn(move |request| {
-        let view = Arc::clone(&view);
-        async move { Ok::<_, Infallible>(view.answer(&request)) }
+        let context = Arc::clone(&context);
+        async move { Ok::<_, Infallible>(context.respond(&request)) }
     });
-    let served = http1::Builder::new()
+    let result = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
+        .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
-    if let Err(error) = served {
-        log::debug!("operators: connection ended: {error}");
+    if let Err(error) = result {
+        log::debug!("operators: The connection failed: {error}.");
     }
 }
 
-impl View {
-    fn ready(&self) -> bool {
-        self.source.ready() && !self.ending.is_cancelled()
+impl Context {
+    fn is_ready(&self) -> bool {
+        self.source.ready() && !self.shutdown.is_cancelled()
     }
 
-    fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         match request.uri().path() {
             "/live" => text(StatusCode::OK, "live\n"),
-            "/ready" if self.ready() => text(StatusCode::OK, "ready\n"),
+            "/ready" if self.is_ready() => text(StatusCode::OK, "ready\n"),
             "/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            "/metrics" => self.measures(),
+            "/metrics" => self.metrics(),
             "/state" => self.state(),
             _ => text(StatusCode::NOT_FOUND, "not found\n"),
         }
     }
 
-    fn measures(&self) -> Response<Full<Bytes>> {
-        self.metrics.age(self.source.age());
-        match self.metrics.text() {
-            Ok(body) => answer(StatusCode::OK, "text/plain; version=0.0.4", body),
+    fn metrics(&self) -> Response<Full<Bytes>> {
+        self.metrics.set_age(self.source.age());
+        match self.metrics.encode() {
+            Ok(body) => response(StatusCode::OK, "text/plain; version=0.0.4", body),
             Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
         }
     }
 
     fn state(&self) -> Response<Full<Bytes>> {
         let held =
-            |(resource, fencing): (id::Resource, pimento_coordination::lease::Fencing)| Held {
+            |(resource, fencing): (id::Resource, pimento_coordination::lease::Fencing)| HeldLease {
                 resource,
                 fencing: fencing.number,
             };
@@ -137,23 +137,23 @@
         let state = State {
             node: &self.node,
             zone: &self.zone,
-            ready: self.ready(),
+            ready: self.is_ready(),
             offset: self.source.current().offset,
             age_ms: u64::try_from(age).unwrap_or(u64::MAX),
-            leases: self.leases.holding().into_iter().map(held).collect(),
+            leases: self.leases.all_held().into_iter().map(held).collect(),
         };
         match serde_json::to_vec(&state) {
-            Ok(body) => answer(StatusCode::OK, "application/json", body),
+            Ok(body) => response(StatusCode::OK, "application/json", body),
             Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
         }
     }
 }
 
 fn text(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
-    answer(status, "text/plain", body)
+    response(status, "text/plain", body)
 }
 
-fn answer(
+fn response(
     status: StatusCode,
     content: &'static str,
     body: impl Into<Bytes>,
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,12 +1,12 @@
-//! Orders to the engines of this node's zone: brings weights, and has engines hold what the
-//! placement says.
+//! Orders to the engines of this node's zone: fetches weights into the zone and makes engines load
+//! the versions that the placement assigns.
 //!
-//! An order states the wanted result, so that it may be given again: after a lost answer the engine
-//! is asked what it holds, and the order is given once more only if that differs.
+//! An order states the desired result and is idempotent. After a lost response the engine is asked
+//! which versions it holds, and the order is sent again only if they differ.
 
-mod carrier;
-mod sent;
-mod stock;
+mod accepted;
+mod fetcher;
+mod inventory;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,139 +30,143 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use self::carrier::Carrier;
-use self::sent::Sent;
-use self::stock::Stock;
+use self::accepted::Accepted;
+use self::fetcher::Fetcher;
+use self::inventory::Inventory;
 use crate::bucket::Bucket;
 use crate::controller::Controller;
 use crate::controller::Pass;
 use crate::fence;
 use crate::fence::Gate;
-use crate::leases::Guard;
+use crate::leases::PoolLeases;
 use crate::metrics::Metrics;
 use crate::metrics::Outcome;
 use crate::placement;
 use crate::placement::Plan;
 
 /// Connects to an engine.
-pub trait Dial: Send + Sync + 'static {
-    /// A connected engine.
+pub trait Connector: Send + Sync + 'static {
+    /// The engine's client.
     type Engine: Engine;
 
-    /// The engine at `address`.
-    fn dial(&self, address: SocketAddr) -> Self::Engine;
+    /// Returns a client of the engine at `address`.
+    fn connect(&self, address: SocketAddr) -> Self::Engine;
 }
 
-/// Settings of the controller of orders.
+/// Settings of [`Orders`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// The zone whose engines get orders.
     pub zone: id::Zone,
-    /// The longest time that an order may take to its engine.
-    pub flight: Duration,
-    /// How long a withdrawn version stays loaded, so that what runs on it may finish.
+    /// Maximum time that an order may take to reach its engine.
+    pub order_timeout: Duration,
+    /// How long a withdrawn version stays loaded, so that requests running on it can finish.
     pub drain: Duration,
-    /// The most versions that an engine holds.
-    pub room: usize,
-    /// Time between two calls to the weight store.
-    pub interval: Duration,
-    /// Calls to the weight store that may come at once.
-    pub burst: u32,
+    /// Maximum number of versions that an engine holds.
+    pub max_versions: usize,
+    /// Interval between calls to the weight store.
+    pub fetch_interval: Duration,
+    /// Number of calls to the weight store that may exceed the interval in a burst.
+    pub fetch_burst: u32,
 }
 
-/// What the controller talks to.
+/// What the controller uses.
 #[derive(Debug)]
-pub struct Parts<G, V, W, D> {
-    /// Leases.
-    pub guard: G,
+pub struct Dependencies<G, V, W, D> {
+    /// Leases on the orders to pools.
+    pub leases: G,
     /// The list of VMs.
     pub list: V,
     /// The weight store.
     pub store: W,
-    /// Engines.
-    pub dial: D,
+    /// Connects to engines.
+    pub connector: D,
 }
 
-/// Engines that get an order at once. One that hangs must not hold up the rest; and loading slows
-/// an engine down, so that not all of them do it together.
-const AT_ONCE: usize = 2;
+/// Maximum number of orders in flight. More than one, so that an engine that hangs does not delay
+/// the others; few, because loading slows an engine down and not all should load at the same time.
+const MAX_CONCURRENT_ORDERS: usize = 2;
 
-/// The controller of orders.
+/// The controller that sends orders to engines.
 #[derive(Debug)]
 pub struct Orders<G, V, W, D> {
     settings: Settings,
-    guard: G,
+    leases: G,
     list: V,
-    dial: D,
-    carrier: Carrier<W>,
+    connector: D,
+    fetcher: Fetcher<W>,
     state: watch::Receiver<Arc<State>>,
     metrics: Metrics,
-    stock: Stock,
-    sent: Sent,
+    inventory: Inventory,
+    accepted: Accepted,
 }
 
-/// An engine that answered.
-struct Live<E> {
+/// An engine that responded to the load query.
+struct LiveEngine<E> {
     engine: E,
     load: Load,
-    measured: Instant,
+    measured_at: Instant,
 }
 
-impl<G: Guard, V: List, W: Store, D: Dial> Orders<G, V, W, D> {
-    /// A controller that has ordered nothing yet.
+impl<G: PoolLeases, V: List, W: Store, D: Connector> Orders<G, V, W, D> {
+    /// A controller that has sent no orders yet.
     pub fn new(
         settings: Settings,
-        parts: Parts<G, V, W, D>,
+        dependencies: Dependencies<G, V, W, D>,
         state: watch::Receiver<Arc<State>>,
         metrics: Metrics,
     ) -> Self {
-        let bucket = Bucket::new(settings.interval, settings.burst);
-        let stock = Stock::new(bucket, settings.drain);
-        let carrier = Carrier::new(parts.store, settings.zone.clone());
+        let bucket = Bucket::new(settings.fetch_interval, settings.fetch_burst);
+        let inventory = Inventory::new(bucket, settings.drain);
+        let fetcher = Fetcher::new(dependencies.store, settings.zone.clone());
         Self {
             settings,
-            guard: parts.guard,
-            list: parts.list,
-            dial: parts.dial,
-            carrier,
+            leases: dependencies.leases,
+            list: dependencies.list,
+            connector: dependencies.connector,
+            fetcher,
             state,
             metrics,
-            stock,
-            sent: Sent::default(),
+            inventory,
+            accepted: Accepted::default(),
         }
     }
 
     fn gate(&self, pool: &id::Pool, fencing: Fencing) -> Gate {
-        let held = self.guard.held(pool);
-        fence::gate(held, fencing, self.settings.flight, Instant::now())
+        let held = self.leases.held(pool);
+        fence::gate(held, fencing, self.settings.order_timeout, Instant::now())
     }
 
-    /// One pool: what is at hand is ordered, what is missing is fetched for a later pass.
-    async fn pool(&mut self, state: &State, pool: &id::Pool, vms: &[Vm]) -> Pass {
+    /// Reconciles one pool: orders versions whose weights are in the zone, and fetches missing ones
+    /// for a later pass.
+    async fn reconcile_pool(&mut self, state: &State, pool: &id::Pool, vms: &[Vm]) -> Pass {
         let fencing = state.pool(pool).map_or(Fencing::Ignores, |p| p.fencing);
         if !matches!(self.gate(pool, fencing), Gate::Open(_)) {
             return Pass::Idle;
         }
         let demands = placement::demands(state, pool);
         if demands.is_empty() {
-            // Never order an engine to hold nothing: a state without versions is more likely
-            // incomplete than meant.
+            // Engines are never ordered to hold no versions: a state without versions is more
+            // likely incomplete than intended.
             return Pass::Idle;
         }
         let engines = self.engines(pool, vms).await;
         let reports: Vec<placement::Engine> = engines.iter().map(report).collect();
-        let keep = self.stock.draining(state, pool, Instant::now());
-        let plans = placement::assign(&reports, &demands, &keep, self.settings.room);
-        self.stock.hold(reports.iter().flat_map(|r| &r.held));
+        let retained = self.inventory.draining(state, pool, Instant::now());
+        let plans = placement::assign(&reports, &demands, &retained, self.settings.max_versions);
+        self.inventory.add(reports.iter().flat_map(|r| &r.held));
         let mut due = Vec::new();
         for (live, plan) in engines.iter().zip(&plans) {
-            let versions = self.stock.at_hand(&plan.versions);
-            if !self.sent.settled(&live.load, live.measured, &versions) {
+            let versions = self.inventory.available(&plan.versions);
+            if !self
+                .accepted
+                .is_satisfied(&live.load, live.measured_at, &versions)
+            {
                 due.push((live, versions));
             }
         }
-        let acted = self.give(pool, fencing, due).await;
-        let fetching = self.fetch(pool, fencing, &plans);
+        let acted = self.send_orders(pool, fencing, due).await;
+        let fetching = self.start_fetch(pool, fencing, &plans);
         if acted || fetching {
             Pass::Acted
         } else {
@@ -170,14 +174,14 @@
         }
     }
 
-    /// Gives orders to engines, a few at once; whether any was given.
-    async fn give(
+    /// Sends orders to engines, [`MAX_CONCURRENT_ORDERS`] at a time. Returns whether any was sent.
+    async fn send_orders(
         &mut self,
         pool: &id::Pool,
         fencing: Fencing,
-        due: Vec<(&Live<D::Engine>, Vec<id::Version>)>,
+        due: Vec<(&LiveEngine<D::Engine>, Vec<id::Version>)>,
     ) -> bool {
-        let slots = Semaphore::new(AT_ONCE);
+        let slots = Semaphore::new(MAX_CONCURRENT_ORDERS);
         let orders = due.into_iter().map(|(live, versions)| {
             let (this, slots) = (&*self, &slots);
             async move {
@@ -185,40 +189,40 @@
                 let Gate::Open(number) = this.gate(pool, fencing) else {
                     return None;
                 };
-                let done = this.order(live, versions.clone(), number).await;
-                Some((live, versions, done))
+                let accepted_at = this.send_order(live, versions.clone(), number).await;
+                Some((live, versions, accepted_at))
             }
         });
-        let given: Vec<_> = join_all(orders).await.into_iter().flatten().collect();
-        let acted = !given.is_empty();
-        for (live, versions, done) in given {
-            if let Some(answered) = done {
-                self.sent.note(&live.load, answered, versions);
+        let sent: Vec<_> = join_all(orders).await.into_iter().flatten().collect();
+        let acted = !sent.is_empty();
+        for (live, versions, accepted_at) in sent {
+            if let Some(accepted_at) = accepted_at {
+                self.accepted.record(&live.load, accepted_at, versions);
             }
         }
         acted
     }
 
-    /// Engines of a pool in this zone that answer and are not leaving, sorted by name.
-    async fn engines(&self, pool: &id::Pool, vms: &[Vm]) -> Vec<Live<D::Engine>> {
+    /// Engines of a pool in this zone that respond and are not leaving, sorted by name.
+    async fn engines(&self, pool: &id::Pool, vms: &[Vm]) -> Vec<LiveEngine<D::Engine>> {
         let wanted = |vm: &&Vm| {
-            let mine = vm.zone == self.settings.zone && !vm.leaving;
-            mine && vm.role == Role::Engine(pool.clone())
+            let in_zone = vm.zone == self.settings.zone && !vm.leaving;
+            in_zone && vm.role == Role::Engine(pool.clone())
         };
         let addresses = vms
             .iter()
             .filter(wanted)
             .filter_map(|vm| vm.address.parse().ok());
         let calls = addresses.map(|address| async move {
-            let engine = self.dial.dial(address);
-            let asked = Instant::now();
+            let engine = self.connector.connect(address);
+            let asked_at = Instant::now();
             let load = engine.load().await.ok()?;
             let age = Duration::from_millis(load.age_ms);
-            let measured = asked.checked_sub(age).unwrap_or(asked);
-            Some(Live {
+            let measured_at = asked_at.checked_sub(age).unwrap_or(asked_at);
+            Some(LiveEngine {
                 engine,
                 load,
-                measured,
+                measured_at,
             })
         });
         let answers = join_all(calls).await.into_iter().flatten();
@@ -227,102 +231,105 @@
         engines
     }
 
-    /// Gives one order; when it was answered, if it was carried out.
-    async fn order(
+    /// Sends one order. Returns when the engine's acceptance arrived, if it accepted.
+    async fn send_order(
         &self,
-        live: &Live<D::Engine>,
+        live: &LiveEngine<D::Engine>,
         versions: Vec<id::Version>,
         number: u64,
     ) -> Option<Instant> {
         let endpoint = &live.load.endpoint;
         let count = versions.len();
         let call = live.engine.order(Order::Versions(versions), Some(number));
-        let answer = tokio::time::timeout(self.settings.flight, call).await;
+        let answer = tokio::time::timeout(self.settings.order_timeout, call).await;
         match answer.unwrap_or(Err(Fault::Timeout)) {
             Ok(reply) if reply.accepted => {
-                log::info!("orders: {endpoint} holds {count} versions now");
-                self.metrics.order(Outcome::Done);
+                log::info!("orders: {endpoint} accepted an order to hold {count} versions.");
+                self.metrics.record_order(Outcome::Done);
                 Some(Instant::now())
             }
             Ok(reply) => {
                 let newest = reply.fencing;
-                log::warn!("orders: {endpoint} refused number {number}, newest is {newest:?}");
-                self.metrics.order(Outcome::Refused);
+                log::warn!(
+                    "orders: {endpoint} refused fencing number {number}; its newest is {newest:?}."
+                );
+                self.metrics.record_order(Outcome::Refused);
                 None
             }
             Err(fault) => {
-                log::warn!("orders: order to {endpoint} in doubt: {fault}");
-                self.metrics.order(Outcome::Lost);
+                log::warn!("orders: An order to {endpoint} may have failed: {fault}.");
+                self.metrics.record_order(Outcome::Unknown);
                 None
             }
         }
     }
 
-    /// Starts to bring a missing version to the zone, within the store's rate.
-    fn fetch(&mut self, pool: &id::Pool, fencing: Fencing, plans: &[Plan]) -> bool {
+    /// Starts to fetch a missing version into the zone, within the store's rate limit. Returns
+    /// whether a fetch was started.
+    fn start_fetch(&mut self, pool: &id::Pool, fencing: Fencing, plans: &[Plan]) -> bool {
         let planned = plans.iter().flat_map(|plan| &plan.versions);
-        let Some(version) = self.stock.missing(planned) else {
+        let Some(version) = self.inventory.first_missing(planned) else {
             return false;
         };
-        if self.carrier.busy() || !self.stock.permit(Instant::now()) {
+        if self.fetcher.is_fetching() || !self.inventory.try_acquire_fetch(Instant::now()) {
             return false;
         }
         if !matches!(self.gate(pool, fencing), Gate::Open(_)) {
             return false;
         }
-        log::info!("orders: fetching weights of {version}");
-        self.carrier.start(version);
+        log::info!("orders: Fetching the weights of {version}.");
+        self.fetcher.start(version);
         true
     }
 
-    /// Takes note of a fetch that has ended.
-    async fn unload(&mut self) {
-        let Some((version, result)) = self.carrier.ended().await else {
+    /// Records the result of a finished fetch.
+    async fn collect_fetch(&mut self) {
+        let Some((version, result)) = self.fetcher.take_finished().await else {
             return;
         };
         match result {
             Ok(()) => {
-                self.metrics.fetch(Outcome::Done);
-                self.stock.hold([&version]);
+                self.metrics.record_fetch(Outcome::Done);
+                self.inventory.add([&version]);
             }
             Err(weights::Error::Refused { after }) => {
-                self.metrics.fetch(Outcome::Refused);
-                self.stock.block(Instant::now(), after);
+                self.metrics.record_fetch(Outcome::Refused);
+                self.inventory.block(Instant::now(), after);
             }
             Err(error) => {
-                log::warn!("orders: weights of {version} in doubt: {error}");
-                self.metrics.fetch(Outcome::Lost);
+                log::warn!("orders: Fetching the weights of {version} may have failed: {error}.");
+                self.metrics.record_fetch(Outcome::Unknown);
             }
         }
     }
 }
 
-fn report<E>(live: &Live<E>) -> placement::Engine {
+fn report<E>(live: &LiveEngine<E>) -> placement::Engine {
     placement::Engine {
         endpoint: live.load.endpoint.clone(),
         held: live.load.versions.clone(),
     }
 }
 
-impl<G: Guard, V: List, W: Store, D: Dial> Controller for Orders<G, V, W, D> {
+impl<G: PoolLeases, V: List, W: Store, D: Connector> Controller for Orders<G, V, W, D> {
     type Error = vms::Error;
 
     const NAME: &'static str = "orders";
 
     async fn pass(&mut self) -> Result<Pass, vms::Error> {
-        self.unload().await;
+        self.collect_fetch().await;
         let state = Arc::clone(&self.state.borrow());
         let mut pools: Vec<id::Pool> = state.versions().map(|v| v.pool.clone()).collect();
         pools.sort();
         pools.dedup();
-        pools.retain(|pool| self.guard.held(pool).is_some());
+        pools.retain(|pool| self.leases.held(pool).is_some());
         if pools.is_empty() {
             return Ok(Pass::Idle);
         }
         let vms = self.list.list().await?.vms;
         let mut pass = Pass::Idle;
         for pool in pools {
-            if self.pool(&state, &pool, &vms).await == Pass::Acted {
+            if self.reconcile_pool(&state, &pool, &vms).await == Pass::Acted {
                 pass = Pass::Acted;
             }
         }
--- a/crates/control/src/orders/stock.rs
+++ b/crates/control/src/orders/inventory.rs
@@ -1,4 +1,4 @@
-//! Versions whose weights are in the zone, the rate of the weight store, and versions that drain.
+//! Versions whose weights are in the zone, the weight store's rate limit, and draining versions.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 
 use crate::bucket::Bucket;
 
-/// What is at hand in the zone.
+/// The zone's inventory of weights.
 #[derive(Debug)]
-pub(super) struct Stock {
+pub(super) struct Inventory {
     start: Instant,
     bucket: Bucket,
     drain: Duration,
-    /// Sorted.
-    held: Vec<id::Version>,
-    /// When each withdrawn version was first seen so, sorted by version.
+    /// Versions in the zone, sorted.
+    available: Vec<id::Version>,
+    /// When each withdrawn version was first seen as withdrawn, sorted by version.
     withdrawn: Vec<(id::Version, Instant)>,
 }
 
-impl Stock {
+impl Inventory {
     pub(super) fn new(bucket: Bucket, drain: Duration) -> Self {
         Self {
             start: Instant::now(),
             bucket,
             drain,
-            held: Vec::new(),
+            available: Vec::new(),
             withdrawn: Vec::new(),
         }
     }
@@ -37,44 +37,44 @@
         Moment::ZERO + now.saturating_duration_since(self.start)
     }
 
-    /// Notes versions that are in the zone: an engine holds them or they were fetched.
-    pub(super) fn hold<'a>(&mut self, versions: impl IntoIterator<Item = &'a id::Version>) {
+    /// Adds versions that are in the zone, since an engine holds them or they were fetched.
+    pub(super) fn add<'a>(&mut self, versions: impl IntoIterator<Item = &'a id::Version>) {
         for version in versions {
-            if let Err(at) = self.held.binary_search(version) {
-                self.held.insert(at, version.clone());
+            if let Err(at) = self.available.binary_search(version) {
+                self.available.insert(at, version.clone());
             }
         }
     }
 
     /// Those of `versions` that are in the zone.
-    pub(super) fn at_hand(&self, versions: &[id::Version]) -> Vec<id::Version> {
-        let held = |version: &&id::Version| self.held.binary_search(version).is_ok();
-        versions.iter().filter(held).cloned().collect()
+    pub(super) fn available(&self, versions: &[id::Version]) -> Vec<id::Version> {
+        let available = |version: &&id::Version| self.available.binary_search(version).is_ok();
+        versions.iter().filter(available).cloned().collect()
     }
 
     /// The first of `versions` that is not in the zone.
-    pub(super) fn missing<'a>(
+    pub(super) fn first_missing<'a>(
         &self,
         mut versions: impl Iterator<Item = &'a id::Version>,
     ) -> Option<id::Version> {
-        let version = versions.find(|version| self.held.binary_search(version).is_err())?;
+        let version = versions.find(|version| self.available.binary_search(version).is_err())?;
         Some(version.clone())
     }
 
-    /// Takes a permit for a call to the weight store, if there is one.
-    pub(super) fn permit(&mut self, now: Instant) -> bool {
+    /// Acquires a permit for a call to the weight store. Returns whether there was one.
+    pub(super) fn try_acquire_fetch(&mut self, now: Instant) -> bool {
         let now = self.moment(now);
-        self.bucket.take(now).is_ok()
+        self.bucket.try_acquire(now).is_ok()
     }
 
-    /// The store said to come back after `after`.
+    /// Blocks fetches for `after`, as the store asked.
     pub(super) fn block(&mut self, now: Instant, after: Duration) {
         let now = self.moment(now);
         self.bucket.block(now, after);
     }
 
-    /// Withdrawn versions of a pool that still drain. What runs on a version when it is withdrawn
-    /// may finish, so that engines must not drop it at once.
+    /// Withdrawn versions of a pool that are still draining. Requests that run on a version when it
+    /// is withdrawn may finish, so engines must not drop it immediately.
     pub(super) fn draining(
         &mut self,
         state: &State,
@@ -88,16 +88,16 @@
             version.as_ref().is_some_and(withdrawn)
         });
         for version in state.versions().filter(withdrawn) {
-            let place = self
+            let position = self
                 .withdrawn
                 .binary_search_by(|(id, _)| id.cmp(&version.id));
-            if let Err(at) = place {
+            if let Err(at) = position {
                 self.withdrawn.insert(at, (version.id.clone(), now));
             }
         }
         let draining = self.withdrawn.iter().filter(|(id, since)| {
-            let here = state.version(id).is_some_and(|v| v.pool == *pool);
-            here && now.saturating_duration_since(*since) < self.drain
+            let in_pool = state.version(id).is_some_and(|v| v.pool == *pool);
+            in_pool && now.saturating_duration_since(*since) < self.drain
         });
         draining.map(|(id, _)| id.clone()).collect()
     }
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -1,8 +1,10 @@
-//! Which versions each engine of a pool should hold, sans-IO.
+//! Assigns versions to the engines of a pool, sans-IO.
 //!
-//! A settled version goes to every engine, one that is being rolled in to as many as its next stage
-//! needs, a halted one to one engine for the sessions that are on it. What an engine holds already
-//! stays while there is room: loading costs the weight store's rate and evicts cached prefixes.
+//! A version without a roll-out, or whose roll-out is done, goes to every engine. A version that is
+//! being rolled out goes to as many engines as its next stage needs. A version whose roll-out was
+//! halted goes to one engine, for the sessions that still use it. Versions already loaded stay
+//! where they are while there is capacity: loading uses up the weight store's rate limit and evicts
+//! cached prefixes.
 
 use pimento_contract::Rollout;
 use pimento_contract::State;
@@ -16,31 +18,31 @@
 /// An engine of one pool in one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Engine {
-    /// Which.
+    /// Its name.
     pub endpoint: id::Endpoint,
     /// Versions that it holds, sorted.
     pub held: Vec<id::Version>,
 }
 
-/// How widely a version should be held.
+/// The share of engines that should hold a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Demand {
-    /// Which.
+    /// The version.
     pub version: id::Version,
-    /// The share of the zone's engines; at least one engine whatever it is.
+    /// Share of the zone's engines, rounded up to at least one engine.
     pub share: Share,
 }
 
-/// What one engine should hold.
+/// The versions that one engine should hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// Which engine.
+    /// The engine.
     pub endpoint: id::Endpoint,
     /// Versions, sorted.
     pub versions: Vec<id::Version>,
 }
 
-/// Demands of a pool, sorted by version: versions that take new work and that a contract allows.
+/// Demands of a pool, sorted by version: versions that are in service and that a contract allows.
 #[must_use]
 pub fn demands(state: &State, pool: &id::Pool) -> Vec<Demand> {
     let wanted = |version: &&pimento_contract::Version| {
@@ -70,83 +72,89 @@
     }
 }
 
-/// The next stage's weight: engines must hold the version before sessions move to it.
+/// Weight of the next stage, since engines must hold the version before sessions move to it.
 fn next_weight(rollout: &Rollout) -> Share {
     let next = rollout.stages.get(rollout.stage + 1);
     next.copied().unwrap_or(Share::ONE)
 }
 
-/// Assigns versions to engines. `keep` are versions without demand that stay where they are held
-/// while there is room; `room` is the most versions that an engine holds.
+/// Assigns versions to engines. `retained` lists versions without demand that stay where they are
+/// loaded while there is capacity; `capacity` is the maximum number of versions per engine.
 ///
-/// Carried out and computed anew, an assignment stays as it is: else versions would be loaded back
-/// and forth for ever where room is short.
+/// The result is a fixed point: with the assignment applied, the function returns the same plans.
+/// Otherwise engines short of capacity would load and unload versions endlessly.
 #[must_use]
 pub fn assign(
     engines: &[Engine],
     demands: &[Demand],
-    keep: &[id::Version],
-    room: usize,
+    retained: &[id::Version],
+    capacity: usize,
 ) -> Vec<Plan> {
-    let mut board = Board::new(engines, demands, keep, room);
-    board.trim();
-    // One engine for each version first, so that a pool short of room starves no version.
+    let mut assignment = Assignment::new(engines, demands, retained, capacity);
+    assignment.evict_excess();
+    // Each version gets one engine first, so that none is starved in a pool short of capacity.
     for demand in demands {
-        board.raise(&demand.version, 1, 1);
+        assignment.add_replicas(&demand.version, 1, 1);
     }
     for demand in demands {
-        let wanted = board.wanted(&demand.version);
-        board.raise(&demand.version, wanted, 0);
+        let target = assignment.target(&demand.version);
+        assignment.add_replicas(&demand.version, target, 0);
     }
-    board.plans
+    assignment.plans
 }
 
 /// An assignment under construction.
-struct Board {
+struct Assignment {
     plans: Vec<Plan>,
-    /// Engines wanted for each version, sorted by version; none for those kept without demand.
-    wants: Vec<(id::Version, usize)>,
-    room: usize,
+    /// Target number of engines for each version, sorted by version; 0 for retained versions.
+    targets: Vec<(id::Version, usize)>,
+    capacity: usize,
 }
 
-impl Board {
-    /// Begins with what the engines hold and may go on holding.
-    fn new(engines: &[Engine], demands: &[Demand], keep: &[id::Version], room: usize) -> Self {
-        let kept = keep.iter().map(|version| (version.clone(), 0));
-        let demanded = demands.iter().map(|demand| {
-            let wanted = replicas(demand.share, engines.len());
-            (demand.version.clone(), wanted)
+impl Assignment {
+    /// Starts from the versions that the engines hold now, less those neither demanded nor
+    /// retained.
+    fn new(
+        engines: &[Engine],
+        demands: &[Demand],
+        retained: &[id::Version],
+        capacity: usize,
+    ) -> Self {
+        let retained_targets = retained.iter().map(|version| (version.clone(), 0));
+        let demanded_targets = demands.iter().map(|demand| {
+            let target = target_replicas(demand.share, engines.len());
+            (demand.version.clone(), target)
         });
-        let mut wants: Vec<_> = kept.chain(demanded).collect();
-        wants.sort();
-        let known = |version: &&id::Version| wants.iter().any(|(other, _)| other == *version);
+        let mut targets: Vec<_> = retained_targets.chain(demanded_targets).collect();
+        targets.sort();
+        let known = |version: &&id::Version| targets.iter().any(|(other, _)| other == *version);
         let plan = |engine: &Engine| Plan {
             endpoint: engine.endpoint.clone(),
             versions: engine.held.iter().filter(known).cloned().collect(),
         };
         Self {
             plans: engines.iter().map(plan).collect(),
-            wants,
-            room,
+            targets,
+            capacity,
         }
     }
 
-    fn wanted(&self, version: &id::Version) -> usize {
-        let mut wants = self.wants.iter();
-        wants
+    fn target(&self, version: &id::Version) -> usize {
+        let mut targets = self.targets.iter();
+        targets
             .find(|(other, _)| other == version)
-            .map_or(0, |(_, wanted)| *wanted)
+            .map_or(0, |(_, target)| *target)
     }
 
-    fn placed(&self, version: &id::Version) -> usize {
+    fn replicas(&self, version: &id::Version) -> usize {
         self.plans.iter().filter(|plan| plan.has(version)).count()
     }
 
-    /// Drops versions from engines that hold more than they should, most dispensable first.
-    fn trim(&mut self) {
+    /// Evicts versions from engines over capacity, those furthest above their target first.
+    fn evict_excess(&mut self) {
         for at in 0..self.plans.len() {
-            while self.plans[at].versions.len() > self.room {
-                let Some(version) = self.dispensable(at, |_, _| true) else {
+            while self.plans[at].versions.len() > self.capacity {
+                let Some(version) = self.eviction_candidate(at, |_, _| true) else {
                     break;
                 };
                 self.plans[at].remove(&version);
@@ -154,56 +162,67 @@
         }
     }
 
-    /// The version on an engine that exceeds its wanted number most, of those that `may` go by
-    /// their placed and wanted numbers.
-    fn dispensable(&self, at: usize, may: impl Fn(usize, usize) -> bool) -> Option<id::Version> {
+    /// The version on an engine that exceeds its target most. `may_evict` filters the candidates by
+    /// their current and target numbers of engines.
+    fn eviction_candidate(
+        &self,
+        at: usize,
+        may_evict: impl Fn(usize, usize) -> bool,
+    ) -> Option<id::Version> {
         let plan = &self.plans[at];
         let counts = plan.versions.iter().map(|version| {
-            let (placed, wanted) = (self.placed(version), self.wanted(version));
-            (version, placed, wanted)
+            let (placed, target) = (self.replicas(version), self.target(version));
+            (version, placed, target)
         });
-        let candidates = counts.filter(|(_, placed, wanted)| may(*placed, *wanted));
-        let most = candidates.max_by_key(|(version, placed, wanted)| {
+        let candidates = counts.filter(|(_, placed, target)| may_evict(*placed, *target));
+        let selected = candidates.max_by_key(|(version, placed, target)| {
             let rank = rendezvous(&plan.endpoint, version);
-            (placed.saturating_sub(*wanted), *placed, rank)
+            (placed.saturating_sub(*target), *placed, rank)
         });
-        most.map(|(version, _, _)| version.clone())
+        selected.map(|(version, _, _)| version.clone())
     }
 
-    /// Adds a version to engines until `wanted` of them have it: where there is room, or in place
-    /// of a version that is placed more often than wanted. If `spare` is set, a version that keeps
-    /// that many engines may go too.
-    fn raise(&mut self, version: &id::Version, wanted: usize, spare: usize) {
-        while self.placed(version) < wanted {
-            let Some((at, out)) = self.place(version, spare) else {
+    /// Adds a version to engines until `target` of them have it: where there is capacity, or in
+    /// place of a version that is above its target. If `min_remaining` is not 0, a version may also
+    /// be evicted that stays on at least that many engines.
+    fn add_replicas(&mut self, version: &id::Version, target: usize, min_remaining: usize) {
+        while self.replicas(version) < target {
+            let Some((at, evicted)) = self.best_engine(version, min_remaining) else {
                 return;
             };
-            if let Some(out) = out {
-                self.plans[at].remove(&out);
+            if let Some(evicted) = evicted {
+                self.plans[at].remove(&evicted);
             }
             self.plans[at].add(version);
         }
     }
 
-    /// The best engine for one more replica, and what must go for it. Ties are broken by rendezvous
-    /// hash, so that all instances choose alike.
-    fn place(&self, version: &id::Version, spare: usize) -> Option<(usize, Option<id::Version>)> {
-        let rest = (0..self.plans.len()).filter(|at| !self.plans[*at].has(version));
+    /// The best engine for one more replica, and the version to evict there. A rendezvous hash
+    /// breaks ties, so that all instances choose the same.
+    fn best_engine(
+        &self,
+        version: &id::Version,
+        min_remaining: usize,
+    ) -> Option<(usize, Option<id::Version>)> {
+        let candidates = (0..self.plans.len()).filter(|at| !self.plans[*at].has(version));
         let rank = |at: &usize| {
             let plan = &self.plans[*at];
             (plan.versions.len(), rendezvous(&plan.endpoint, version))
         };
-        let best = rest.clone().min_by_key(rank)?;
-        if self.plans[best].versions.len() < self.room {
+        let best = candidates.clone().min_by_key(rank)?;
+        if self.plans[best].versions.len() < self.capacity {
             return Some((best, None));
         }
-        let may = |placed: usize, wanted: usize| placed > wanted || (spare > 0 && placed > spare);
-        rest.into_iter()
-            .find_map(|at| Some((at, Some(self.dispensable(at, may)?))))
+        let may_evict = |placed: usize, target: usize| {
+            placed > target || (min_remaining > 0 && placed > min_remaining)
+        };
+        candidates
+            .into_iter()
+            .find_map(|at| Some((at, Some(self.eviction_candidate(at, may_evict)?))))
     }
 }
 
-fn replicas(share: Share, engines: usize) -> usize {
+fn target_replicas(share: Share, engines: usize) -> usize {
     let engines = engines as u64;
     let parts = u64::from(share.parts()) * engines;
     let wanted = parts.div_ceil(u64::from(PARTS)).clamp(1, engines.max(1));
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,7 +1,7 @@
-//! Roll-outs: the next stage by evidence, or the end.
+//! Roll-outs: advances or halts each one by the evidence of the entry VMs.
 
 pub mod controller;
 pub mod decide;
 
-pub use controller::Parts;
+pub use controller::Dependencies;
 pub use controller::Rollouts;
--- a/crates/control/src/rollout/controller.rs
+++ b/crates/control/src/rollout/controller.rs
@@ -1,9 +1,9 @@
-//! Gathers evidence from the entry VMs and proposes the next step of each roll-out.
+//! Collects evidence from the entry VMs and proposes the next step of each roll-out.
 //!
-//! No leader is needed: a step is a change with a base revision, and the first in the log wins. An
-//! instance that dies between two steps leaves the roll-out at its stage, where any other takes it
-//! up, since all that matters stands in the log and with the entry VMs. The turn that one instance
-//! has at a time only saves the others' work; two that both think it theirs do no harm.
+//! No leader is needed: a step is a change with a base revision, and the first one in the log wins.
+//! If an instance dies between two steps, the roll-out stays at its stage and any other instance
+//! continues it, since all state is in the log and on the entry VMs. The lease on roll-outs only
+//! saves duplicate work; two instances that both believe they hold it do no harm.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,130 +34,135 @@
 use super::decide::proposals;
 use crate::controller::Controller;
 use crate::controller::Pass;
-use crate::leases::Turn;
+use crate::leases::RolloutLease;
 
-/// What the controller talks to.
+/// What the controller uses.
 #[derive(Debug)]
-pub struct Parts<L, O, T> {
+pub struct Dependencies<L, O, T> {
     /// The log.
     pub log: L,
     /// The entry VMs.
     pub entries: Vec<O>,
-    /// Whose turn it is.
-    pub turn: T,
+    /// The lease on roll-outs.
+    pub lease: T,
 }
 
 /// The controller of roll-outs.
 #[derive(Debug)]
 pub struct Rollouts<L, O, T> {
     node: id::Node,
-    parts: Parts<L, O, T>,
+    dependencies: Dependencies<L, O, T>,
     state: watch::Receiver<Arc<State>>,
-    /// When this instance first saw each running roll-out's revision, sorted by version. A stage's
-    /// dwell begins anew with each instance, which errs on the slow side.
-    seen: Vec<(id::Version, Revision, Instant)>,
+    /// When this instance first saw each roll-out's revision, sorted by version. A stage's dwell
+    /// time starts again with each instance, which can only slow a roll-out down.
+    first_seen: Vec<(id::Version, Revision, Instant)>,
 }
 
-impl<L: Log, O: Operators, T: Turn> Rollouts<L, O, T> {
+impl<L: Log, O: Operators, T: RolloutLease> Rollouts<L, O, T> {
     /// A controller that proposes as `node`.
     pub const fn new(
         node: id::Node,
-        parts: Parts<L, O, T>,
+        dependencies: Dependencies<L, O, T>,
         state: watch::Receiver<Arc<State>>,
     ) -> Self {
         Self {
             node,
-            parts,
+            dependencies,
             state,
-            seen: Vec::new(),
+            first_seen: Vec::new(),
         }
     }
 
-    async fn gather(&self) -> Vec<operators::State> {
-        let answers = join_all(self.parts.entries.iter().map(Operators::state)).await;
+    async fn collect_evidence(&self) -> Vec<operators::State> {
+        let answers = join_all(self.dependencies.entries.iter().map(Operators::state)).await;
         let mut states = Vec::with_capacity(answers.len());
         for answer in answers {
             match answer {
                 Ok(state) => states.push(state),
-                Err(error) => ::log::debug!("rollout: no evidence from an entry VM: {error}"),
+                Err(error) => ::log::debug!("rollout: No evidence from an entry VM: {error}."),
             }
         }
         states
     }
 
-    fn note(&mut self, state: &State) {
+    fn track_revisions(&mut self, state: &State) {
         let running: Vec<(id::Version, Revision)> = state
             .rollouts()
             .map(|rollout| (rollout.to.clone(), revision(state, rollout)))
             .collect();
-        self.seen.retain(|(to, revision, _)| {
+        self.first_seen.retain(|(to, revision, _)| {
             running
                 .binary_search_by(|(other, _)| other.cmp(to))
                 .is_ok_and(|at| running[at].1 == *revision)
         });
         for (to, revision) in running {
-            if let Err(at) = self.seen.binary_search_by(|(other, _, _)| other.cmp(&to)) {
-                self.seen.insert(at, (to, revision, Instant::now()));
+            if let Err(at) = self
+                .first_seen
+                .binary_search_by(|(other, _, _)| other.cmp(&to))
+            {
+                self.first_seen.insert(at, (to, revision, Instant::now()));
             }
         }
     }
 
-    fn in_stage(&self, to: &id::Version) -> Duration {
-        let place = self.seen.binary_search_by(|(other, _, _)| other.cmp(to));
-        place.map_or(Duration::ZERO, |at| self.seen[at].2.elapsed())
+    fn time_in_stage(&self, to: &id::Version) -> Duration {
+        let position = self
+            .first_seen
+            .binary_search_by(|(other, _, _)| other.cmp(to));
+        position.map_or(Duration::ZERO, |at| self.first_seen[at].2.elapsed())
     }
 
     async fn propose(&self, proposals: Vec<Proposal>) -> Result<(), log::Error> {
         let records = proposals
             .into_iter()
-            .filter_map(|proposal| self.record(proposal))
+            .filter_map(|proposal| self.encode(proposal))
             .collect();
-        self.parts
+        self.dependencies
             .log
             .append(Stream::Configuration, records)
             .await?;
         Ok(())
     }
 
-    fn record(&self, proposal: Proposal) -> Option<String> {
+    fn encode(&self, proposal: Proposal) -> Option<String> {
         let change = Change {
             id: id::Record(Uuid::now_v7()),
             subject: proposal.subject,
             base: proposal.base,
             value: Some(proposal.value),
             by: self.node.as_str().into(),
-            at: now(),
+            at: wall_now(),
         };
         serde_json::to_string(&Entry::Change(change)).ok()
     }
 }
 
-impl<L: Log, O: Operators, T: Turn> Controller for Rollouts<L, O, T> {
+impl<L: Log, O: Operators, T: RolloutLease> Controller for Rollouts<L, O, T> {
     type Error = log::Error;
 
     const NAME: &'static str = "rollout";
 
     async fn pass(&mut self) -> Result<Pass, log::Error> {
         let state = Arc::clone(&self.state.borrow());
-        self.note(&state);
+        self.track_revisions(&state);
         let running =
             |rollout: &&Rollout| rollout.status == pimento_contract::rollout::Status::Running;
-        if !self.parts.turn.mine() || state.rollouts().find(running).is_none() {
+        if !self.dependencies.lease.is_held() || state.rollouts().find(running).is_none() {
             return Ok(Pass::Idle);
         }
-        let nodes = self.gather().await;
+        let nodes = self.collect_evidence().await;
         let mut pass = Pass::Idle;
         for rollout in state.rollouts().filter(running) {
-            let in_stage = self.in_stage(&rollout.to);
-            let Some(step) = decide(&state, rollout, &nodes, in_stage) else {
+            let time_in_stage = self.time_in_stage(&rollout.to);
+            let Some(step) = decide(&state, rollout, &nodes, time_in_stage) else {
                 continue;
             };
-            // Someone else may have been first while this instance was asking.
+            // Another instance or an operator may have changed it while the evidence was collected.
             let current = self.state.borrow().revision(&subject(rollout));
             if current != revision(&state, rollout) {
                 continue;
             }
-            report(rollout, step);
+            log_step(rollout, step);
             self.propose(proposals(&state, rollout, step)).await?;
             pass = Pass::Acted;
         }
@@ -173,20 +178,20 @@
     state.revision(&subject(rollout))
 }
 
-fn report(rollout: &Rollout, step: Step) {
+fn log_step(rollout: &Rollout, step: Step) {
     let (to, stage) = (&rollout.to, rollout.stage);
     match step {
-        Step::Advance => ::log::info!("rollout: {to} passes stage {stage}, next one proposed"),
+        Step::Advance => ::log::info!("rollout: {to} passed stage {stage}; proposing the next."),
         Step::Withdraw(cause) => {
-            ::log::warn!("rollout: {to} withdrawn in stage {stage}: {cause:?}");
+            ::log::warn!("rollout: Proposing to withdraw {to} in stage {stage}: {cause:?}.");
         }
-        Step::Halt => ::log::warn!("rollout: {to} is withdrawn, halt of its roll-out proposed"),
+        Step::Halt => ::log::warn!("rollout: {to} is withdrawn; proposing to halt its roll-out."),
     }
 }
 
-fn now() -> Wall {
-    let since = SystemTime::now()
+fn wall_now() -> Wall {
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    Wall::from_millis(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
+    Wall::from_millis(u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/control/src/rollout/decide.rs
+++ b/crates/control/src/rollout/decide.rs
@@ -1,4 +1,4 @@
-//! What to do about a roll-out, sans-IO.
+//! Decides on the next step of a roll-out, sans-IO.
 
 use std::time::Duration;
 
@@ -20,32 +20,32 @@
 /// A step of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// To the next stage, or to the end after the last.
+    /// Moves to the next stage, or to the end after the last one.
     Advance,
-    /// The evidence speaks against the version: it is withdrawn and its roll-out halted.
+    /// Withdraws the version and halts its roll-out, because the evidence is against the version.
     Withdraw(Cause),
-    /// The version was withdrawn by somebody else while its roll-out still ran.
+    /// Halts the roll-out, because an operator or another instance withdrew the version.
     Halt,
 }
 
-/// A new value of one subject, with the revision that it stands on.
+/// A new value of one subject, with its base revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// Which.
+    /// The subject.
     pub subject: Subject,
-    /// The revision that the decision was made on.
+    /// Revision that the decision is based on.
     pub base: Revision,
     /// The new value.
     pub value: Value,
 }
 
-/// Decides on one running roll-out. None if there is nothing to do yet.
+/// Decides on one roll-out. Returns `None` if it is not running or there is nothing to do yet.
 #[must_use]
 pub fn decide(
     state: &State,
     rollout: &Rollout,
     nodes: &[operators::State],
-    in_stage: Duration,
+    time_in_stage: Duration,
 ) -> Option<Step> {
     if rollout.status != Status::Running {
         return None;
@@ -61,39 +61,40 @@
     let new = evidence(nodes, &rollout.to, revision);
     let old = evidence(nodes, &rollout.from, revision);
     log::debug!(
-        "rollout: {} in stage {}: {} of {} samples",
+        "rollout: {} in stage {} has {} of {} samples.",
         rollout.to,
         rollout.stage,
         new.ratings(),
         rollout.gate.samples
     );
-    match evaluate(&new, &old, &rollout.gate, in_stage) {
+    match evaluate(&new, &old, &rollout.gate, time_in_stage) {
         Verdict::Wait => None,
         Verdict::Advance => Some(Step::Advance),
         Verdict::Withdraw(cause) => Some(Step::Withdraw(cause)),
     }
 }
 
-/// Adds up what the nodes saw of a version in the stage in force. A node that has not read the
-/// stage's revision yet still counts the stage before, so it is left out.
+/// Sums up the nodes' evidence on a version in the current stage. A node that has not read the
+/// stage's revision yet still counts the previous stage, so it is left out.
 fn evidence(nodes: &[operators::State], version: &id::Version, revision: Revision) -> Evidence {
     let mut sum = Evidence::default();
-    let current = nodes.iter().filter(|node| node.offset.0 >= revision.0);
-    let found = current.flat_map(|node| node.evidence.iter().filter(|e| e.version == *version));
-    for evidence in found {
+    let up_to_date = nodes.iter().filter(|node| node.offset.0 >= revision.0);
+    let reports =
+        up_to_date.flat_map(|node| node.evidence.iter().filter(|e| e.version == *version));
+    for evidence in reports {
         sum.merge(&Evidence::from(Counts {
             rated: evidence.rated,
             passed: evidence.passed,
             attempts: evidence.attempts,
             failed: evidence.failed,
-            // An entry VM that has too few samples for a percentile says 0.
+            // An entry VM with too few samples for a percentile reports 0.
             mean_time: (evidence.latency_ms > 0).then(|| f64::from(evidence.latency_ms)),
         }));
     }
     sum
 }
 
-/// The changes that carry out a step.
+/// The changes that apply a step.
 #[must_use]
 pub fn proposals(state: &State, rollout: &Rollout, step: Step) -> Vec<Proposal> {
     match step {
--- a/crates/control/tests/all/decisions.rs
+++ b/crates/control/tests/all/decisions.rs
@@ -1,4 +1,4 @@
-//! The pure decisions: fencing gate, weight store's bucket, placement.
+//! The pure decisions: the fencing gate, the weight store's token bucket and placement.
 
 use std::time::Duration;
 
@@ -21,12 +21,13 @@
 
 use crate::fakes::name;
 
-/// Seconds since the lease was taken; whether it was; what the pool's engines do; the gate.
+/// Each row: seconds since the lease was acquired, the lease, the engines' fencing, the expected
+/// gate.
 #[test]
-fn an_order_is_given_only_while_it_is_safe() {
+fn an_order_is_sent_only_while_it_is_safe() {
     let start = Instant::now();
     let at = |seconds: u64| start + Duration::from_secs(seconds);
-    let flight = Duration::from_secs(30);
+    let order_timeout = Duration::from_secs(30);
     let held = lease::Fencing {
         number: Offset(7),
         until: at(100),
@@ -37,27 +38,27 @@
         (0, Some(held), refuses, Gate::Open(7)),
         (99, Some(held), refuses, Gate::Open(7)),
         (100, Some(held), refuses, Gate::Closed),
-        (0, Some(held), ignores, Gate::Settling(at(30))),
-        (29, Some(held), ignores, Gate::Settling(at(30))),
+        (0, Some(held), ignores, Gate::WaitUntil(at(30))),
+        (29, Some(held), ignores, Gate::WaitUntil(at(30))),
         (30, Some(held), ignores, Gate::Open(7)),
         (100, Some(held), ignores, Gate::Closed),
         (0, None, refuses, Gate::Closed),
         (0, None, ignores, Gate::Closed),
     ];
     for (seconds, held, fencing, expected) in table {
-        let found = gate(held, fencing, flight, at(seconds));
+        let found = gate(held, fencing, order_timeout, at(seconds));
         assert_eq!(found, expected, "{seconds} s, {fencing:?}");
     }
 }
 
 #[test]
-fn a_store_that_says_no_is_left_alone_for_as_long_as_it_says() {
+fn a_refusal_blocks_the_bucket_for_its_duration() {
     let mut bucket = Bucket::new(Duration::from_secs(10), 2);
     let now = Moment::from_millis(1_000);
-    assert_eq!(bucket.take(now), Ok(()));
+    assert_eq!(bucket.try_acquire(now), Ok(()));
     bucket.block(now, Duration::from_mins(1));
-    assert_eq!(bucket.take(now), Err(Duration::from_mins(1)));
-    assert_eq!(bucket.take(now + Duration::from_mins(1)), Ok(()));
+    assert_eq!(bucket.try_acquire(now), Err(Duration::from_mins(1)));
+    assert_eq!(bucket.try_acquire(now + Duration::from_mins(1)), Ok(()));
 }
 
 fn engines(held: &[Vec<usize>]) -> Vec<Engine> {
@@ -86,52 +87,52 @@
 }
 
 proptest! {
-    /// Whatever comes when, any stretch of time sees at most the burst and one for each interval.
+    /// Any period grants at most the burst plus one permit per interval, whenever calls come.
     #[test]
-    fn the_bucket_keeps_its_rate(gaps in vec(0_u64..30_000, 1..200), burst in 1_u32..5) {
+    fn the_bucket_never_exceeds_its_rate(gaps in vec(0_u64..30_000, 1..200), burst in 1_u32..5) {
         let interval = Duration::from_secs(10);
         let mut bucket = Bucket::new(interval, burst);
         let mut now = Moment::from_millis(0);
-        let mut taken: Vec<Moment> = Vec::new();
+        let mut acquired: Vec<Moment> = Vec::new();
         for gap in gaps {
             now = now + Duration::from_millis(gap);
-            match bucket.take(now) {
-                Ok(()) => taken.push(now),
-                Err(wait) => assert_eq!(bucket.clone().take(now + wait), Ok(()), "the wait is true"),
+            match bucket.try_acquire(now) {
+                Ok(()) => acquired.push(now),
+                Err(wait) => assert_eq!(bucket.clone().try_acquire(now + wait), Ok(()), "the wait is long enough"),
             }
         }
-        for (first, begin) in taken.iter().enumerate() {
-            for (last, end) in taken.iter().enumerate().skip(first) {
-                let most = u128::from(burst) + end.since(*begin).as_nanos() / interval.as_nanos();
-                assert!((last - first + 1) as u128 <= most);
+        for (first, begin) in acquired.iter().enumerate() {
+            for (last, end) in acquired.iter().enumerate().skip(first) {
+                let max = u128::from(burst) + end.since(*begin).as_nanos() / interval.as_nanos();
+                assert!((last - first + 1) as u128 <= max);
             }
         }
     }
 
-    /// Each version is held somewhere while there is room for all, by as many as its share asks if
-    /// there is room; no engine holds more than it can; and an assignment carried out is stable, or
-    /// versions would be loaded back and forth for ever.
+    /// If the pool has capacity for all versions, each one is on some engine. If every engine has,
+    /// each one is on as many engines as its share demands. No engine exceeds its capacity. An
+    /// applied assignment is stable; otherwise versions would be loaded and unloaded endlessly.
     #[test]
-    fn placement_serves_each_version_and_comes_to_rest(
+    fn placement_serves_each_version_and_converges(
         held in vec(vec(0_usize..12, 0..8), 1..8),
         shares in vec(any::<u32>(), 1..10),
-        room in 1_usize..12,
+        capacity in 1_usize..12,
     ) {
         let shares: Vec<u32> = shares.iter().map(|s| s % 1_000_001).collect();
         let (engines, demands) = (engines(&held), demands(&shares));
-        let plans = assign(&engines, &demands, &[], room);
+        let plans = assign(&engines, &demands, &[], capacity);
         for plan in &plans {
-            assert!(plan.versions.len() <= room);
+            assert!(plan.versions.len() <= capacity);
             assert!(plan.versions.is_sorted());
         }
         for demand in &demands {
-            let places = plans.iter().filter(|p| p.versions.contains(&demand.version)).count();
-            if engines.len() * room >= demands.len() {
-                assert!(places >= 1);
+            let replicas = plans.iter().filter(|p| p.versions.contains(&demand.version)).count();
+            if engines.len() * capacity >= demands.len() {
+                assert!(replicas >= 1);
             }
-            if room >= demands.len() {
+            if capacity >= demands.len() {
                 let parts = u64::from(demand.share.parts()) * engines.len() as u64;
-                assert!(places as u64 >= parts.div_ceil(1_000_000));
+                assert!(replicas as u64 >= parts.div_ceil(1_000_000));
             }
         }
         let after: Vec<Engine> = plans
@@ -141,6 +142,6 @@
                 held: plan.versions.clone(),
             })
             .collect();
-        assert_eq!(assign(&after, &demands, &[], room), plans);
+        assert_eq!(assign(&after, &demands, &[], capacity), plans);
     }
 }
--- a/crates/control/tests/all/fakes.rs
+++ b/crates/control/tests/all/fakes.rs
@@ -1,4 +1,4 @@
-//! Fakes at the interfaces: a configuration, a lease, engines, the VM list and the weight store.
+//! Fakes of a configuration, a lease, engines, the VM list and the weight store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 use pimento_contract::raw::Configuration;
 use pimento_contract::raw::File;
 use pimento_contract::raw::Source;
-use pimento_control::leases::Guard;
-use pimento_control::orders::Dial;
+use pimento_control::leases::PoolLeases;
+use pimento_control::orders::Connector;
 use pimento_coordination::lease::Fencing;
 use pimento_coordination::vms;
 use pimento_coordination::weights;
@@ -47,19 +47,19 @@
     include_str!("../../../../examples/nyabarongo/contracts.toml"),
 ];
 
-/// A name of any kind.
+/// Parses a name of any kind.
 pub fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
     text.parse().expect("the name is valid")
 }
 
-/// Names of versions, sorted.
+/// Parses and sorts names of versions.
 pub fn versions(names: &[&str]) -> Vec<id::Version> {
     let mut versions: Vec<id::Version> = names.iter().map(|text| name(text)).collect();
     versions.sort();
     versions
 }
 
-/// The example's configuration.
+/// The configuration of the example.
 pub fn example() -> State {
     let file = |text: &str| File {
         name: "example".into(),
@@ -69,7 +69,7 @@
         files: &FILES.map(file),
         known: &State::default(),
     };
-    let values = Configuration::try_from(source).expect("the example is whole");
+    let values = Configuration::try_from(source).expect("the example is valid");
     let mut state = State::default();
     for value in values.values {
         put(&mut state, value);
@@ -77,7 +77,7 @@
     state
 }
 
-/// Puts a value in force.
+/// Applies a value to the state.
 pub fn put(state: &mut State, value: Value) {
     let change = Change {
         id: id::Record(Uuid::now_v7()),
@@ -98,13 +98,13 @@
     put(state, Value::Version(value));
 }
 
-/// A lease that a test gives and takes.
+/// A lease that a test grants.
 #[derive(Debug, Clone, Default)]
-pub struct Hold(Arc<Mutex<Option<Fencing>>>);
+pub struct FakeLease(Arc<Mutex<Option<Fencing>>>);
 
-impl Hold {
-    /// Gives the lease from now on.
-    pub fn give(&self, number: u64, span: Duration) {
+impl FakeLease {
+    /// Grants the lease for `span` from now on.
+    pub fn grant(&self, number: u64, span: Duration) {
         let since = Instant::now();
         let fencing = Fencing {
             number: Offset(number),
@@ -115,32 +115,32 @@
     }
 }
 
-impl Guard for Hold {
+impl PoolLeases for FakeLease {
     fn held(&self, _: &id::Pool) -> Option<Fencing> {
         let held = *self.0.lock().expect("no test panics in here");
         held.filter(|fencing| Instant::now() < fencing.until)
     }
 }
 
-/// What an engine does with the next order or report.
+/// How an engine handles orders and reports.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Habit {
-    /// Refuses old fencing numbers.
-    pub refuses: bool,
-    /// The next order lands so long after it was sent, whether its sender still waits or not.
-    pub flight: Duration,
-    /// The answer to the next order is lost.
-    pub lost: bool,
-    /// The next report takes so long.
-    pub slow: Duration,
-    /// Reports are so old.
-    pub lag: Duration,
+pub struct Behavior {
+    /// It refuses old fencing numbers.
+    pub refuses_old_numbers: bool,
+    /// Time until the next order is carried out, whether or not its sender still waits.
+    pub delay: Duration,
+    /// The response to the next order is lost.
+    pub response_lost: bool,
+    /// Time until the next report is sent.
+    pub report_delay: Duration,
+    /// Age of the reports.
+    pub report_lag: Duration,
 }
 
 /// An order that an engine carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Done {
-    /// When.
+pub struct CarriedOut {
+    /// When it was carried out.
     pub at: Instant,
     /// Its fencing number.
     pub number: u64,
@@ -151,15 +151,15 @@
 #[derive(Debug)]
 struct Inner {
     name: id::Endpoint,
-    habit: Habit,
-    first: Vec<id::Version>,
+    behavior: Behavior,
+    initial: Vec<id::Version>,
     held: Vec<id::Version>,
-    done: Vec<Done>,
+    carried_out: Vec<CarriedOut>,
     received: usize,
     newest: u64,
 }
 
-/// An engine.
+/// A fake engine.
 #[derive(Debug, Clone)]
 pub struct Engine(Arc<Mutex<Inner>>);
 
@@ -168,10 +168,10 @@
     pub fn new(endpoint: &str, held: &[&str]) -> Self {
         Self(Arc::new(Mutex::new(Inner {
             name: name(endpoint),
-            habit: Habit::default(),
-            first: versions(held),
+            behavior: Behavior::default(),
+            initial: versions(held),
             held: versions(held),
-            done: Vec::new(),
+            carried_out: Vec::new(),
             received: 0,
             newest: 0,
         })))
@@ -181,9 +181,9 @@
         self.0.lock().expect("no test panics in here")
     }
 
-    /// Changes its habits.
-    pub fn set(&self, change: impl FnOnce(&mut Habit)) {
-        change(&mut self.inner().habit);
+    /// Changes its behavior.
+    pub fn set(&self, change: impl FnOnce(&mut Behavior)) {
+        change(&mut self.inner().behavior);
     }
 
     /// Versions held.
@@ -192,8 +192,8 @@
     }
 
     /// Orders carried out.
-    pub fn done(&self) -> Vec<Done> {
-        self.inner().done.clone()
+    pub fn carried_out(&self) -> Vec<CarriedOut> {
+        self.inner().carried_out.clone()
     }
 
     /// Orders received, carried out or not.
@@ -203,15 +203,15 @@
 
     /// Orders of an earlier holder that were carried out after one of a later holder.
     pub fn overtaken(&self) -> usize {
-        let done = self.done();
-        let pairs = done.windows(2);
+        let carried_out = self.carried_out();
+        let pairs = carried_out.windows(2);
         pairs.filter(|pair| pair[1].number < pair[0].number).count()
     }
 
-    fn land(&self, versions: Vec<id::Version>, number: u64) -> Reply {
+    fn carry_out(&self, versions: Vec<id::Version>, number: u64) -> Reply {
         let mut inner = self.inner();
         inner.received += 1;
-        if inner.habit.refuses && number < inner.newest {
+        if inner.behavior.refuses_old_numbers && number < inner.newest {
             return Reply {
                 accepted: false,
                 fencing: Some(inner.newest),
@@ -219,7 +219,7 @@
         }
         inner.newest = inner.newest.max(number);
         inner.held.clone_from(&versions);
-        inner.done.push(Done {
+        inner.carried_out.push(CarriedOut {
             at: Instant::now(),
             number,
             versions,
@@ -251,19 +251,25 @@
     }
 
     async fn load(&self) -> Result<Load, Fault> {
-        let slow = std::mem::take(&mut self.inner().habit.slow);
-        tokio::time::sleep(slow).await;
+        let report_delay = std::mem::take(&mut self.inner().behavior.report_delay);
+        tokio::time::sleep(report_delay).await;
         let inner = self.inner();
-        let measured = Instant::now() - inner.habit.lag;
-        let before = inner.done.iter().rev().find(|done| done.at <= measured);
-        let versions = before.map_or(&inner.first, |done| &done.versions).clone();
+        let measured = Instant::now() - inner.behavior.report_lag;
+        let before = inner
+            .carried_out
+            .iter()
+            .rev()
+            .find(|carried_out| carried_out.at <= measured);
+        let versions = before
+            .map_or(&inner.initial, |carried_out| &carried_out.versions)
+            .clone();
         Ok(Load {
             endpoint: inner.name.clone(),
             incarnation: 1,
             running: 0,
             waiting: 0,
             batch: 8,
-            age_ms: u64::try_from(inner.habit.lag.as_millis()).expect("lags are short"),
+            age_ms: u64::try_from(inner.behavior.report_lag.as_millis()).expect("lags are short"),
             versions,
             leaving: false,
         })
@@ -273,35 +279,35 @@
         let Order::Versions(versions) = order else {
             return Err(Fault::Cancelled);
         };
-        let (flight, lost) = {
-            let habit = &mut self.inner().habit;
+        let (delay, response_lost) = {
+            let behavior = &mut self.inner().behavior;
             (
-                std::mem::take(&mut habit.flight),
-                std::mem::take(&mut habit.lost),
+                std::mem::take(&mut behavior.delay),
+                std::mem::take(&mut behavior.response_lost),
             )
         };
         let engine = self.clone();
-        // In a task of its own: an order on its way lands though its sender is gone.
-        let landing = tokio::spawn(async move {
-            tokio::time::sleep(flight).await;
-            engine.land(versions, fencing.expect("orders carry a number"))
+        // A separate task, since an order in flight is carried out even if its sender has stopped.
+        let carrying_out = tokio::spawn(async move {
+            tokio::time::sleep(delay).await;
+            engine.carry_out(versions, fencing.expect("orders carry a number"))
         });
-        let reply = landing.await.expect("landing does not panic");
-        if lost {
+        let reply = carrying_out.await.expect("the task does not panic");
+        if response_lost {
             return Err(Fault::Timeout);
         }
         Ok(reply)
     }
 }
 
-/// Engines by port, from 1 on.
+/// Engines by port, starting at 1.
 #[derive(Debug, Clone)]
 pub struct Fleet(pub Vec<Engine>);
 
-impl Dial for Fleet {
+impl Connector for Fleet {
     type Engine = Engine;
 
-    fn dial(&self, address: SocketAddr) -> Engine {
+    fn connect(&self, address: SocketAddr) -> Engine {
         self.0[usize::from(address.port()) - 1].clone()
     }
 }
@@ -320,18 +326,18 @@
     }
 }
 
-/// A weight store that counts calls and refuses those that come too soon.
+/// A weight store that counts calls and refuses those that come too early.
 #[derive(Debug, Clone, Default)]
 pub struct Weights {
     calls: Arc<Mutex<Vec<(Instant, id::Version)>>>,
     refusals: Arc<Mutex<usize>>,
     interval: Duration,
     /// How long a fetch takes.
-    pub slow: Duration,
+    pub fetch_delay: Duration,
 }
 
 impl Weights {
-    /// A store that takes one call each `interval`.
+    /// A store that accepts one call per `interval`.
     pub fn new(interval: Duration) -> Self {
         Self {
             interval,
@@ -339,13 +345,13 @@
         }
     }
 
-    /// Versions fetched, in order.
+    /// Fetched versions, in order.
     pub fn fetched(&self) -> Vec<id::Version> {
         let calls = self.calls.lock().expect("no test panics in here");
         calls.iter().map(|(_, version)| version.clone()).collect()
     }
 
-    /// Calls refused.
+    /// Number of refused calls.
     pub fn refusals(&self) -> usize {
         *self.refusals.lock().expect("no test panics in here")
     }
@@ -353,13 +359,15 @@
 
 impl weights::Store for Weights {
     async fn fetch(&self, fetch: Fetch) -> Result<(), weights::Error> {
-        tokio::time::sleep(self.slow).await;
+        tokio::time::sleep(self.fetch_delay).await;
         let mut calls = self.calls.lock().expect("no test panics in here");
         let now = Instant::now();
-        let free = calls.last().map(|(at, _)| *at + self.interval);
-        if let Some(free) = free.filter(|free| now < *free) {
+        let free_at = calls.last().map(|(at, _)| *at + self.interval);
+        if let Some(free_at) = free_at.filter(|free_at| now < *free_at) {
             *self.refusals.lock().expect("no test panics in here") += 1;
-            return Err(weights::Error::Refused { after: free - now });
+            return Err(weights::Error::Refused {
+                after: free_at - now,
+            });
         }
         calls.push((now, fetch.version));
         Ok(())
--- a/crates/control/tests/all/main.rs
+++ b/crates/control/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! All tests of the controllers, in one program, so that they share their fakes.
+//! Tests of the controllers, in one program, so that they share their fakes.
 
 mod daemon;
 mod decisions;
--- a/crates/control/tests/all/rollouts.rs
+++ b/crates/control/tests/all/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs by several instances at once over one log, with operators among them.
+//! Roll-outs by several concurrent instances and operators over one log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 use pimento_contract::version;
 use pimento_control::controller::Controller;
 use pimento_control::controller::Pass;
-use pimento_control::leases::Turn;
-use pimento_control::rollout::Parts;
+use pimento_control::leases::RolloutLease;
+use pimento_control::rollout::Dependencies;
 use pimento_control::rollout::Rollouts;
 use pimento_coordination::log::Log;
 use pimento_coordination::operators;
@@ -40,37 +40,37 @@
 const TO: &str = "pimento-mini@2";
 const FROM: &str = "pimento-mini@1";
 
-/// An entry VM that reports what the test says.
+/// An entry VM whose report the test sets.
 #[derive(Debug, Clone)]
-struct Entries(watch::Receiver<Option<Node>>);
+struct EntryVm(watch::Receiver<Option<Node>>);
 
-impl Operators for Entries {
+impl Operators for EntryVm {
     async fn state(&self) -> Result<Node, operators::Error> {
         let state = self.0.borrow().clone();
-        let reason = "cut off, as the test asked".into();
+        let reason = "disconnected by the test".into();
         state.ok_or(operators::Error { reason })
     }
 }
 
-/// Each instance thinks it its turn: the worst case for the log.
+/// Every instance believes that it holds the lease, which is the worst case for the log.
 #[derive(Debug)]
-struct Always;
+struct AlwaysHeld;
 
-impl Turn for Always {
-    fn mine(&self) -> bool {
+impl RolloutLease for AlwaysHeld {
+    fn is_held(&self) -> bool {
         true
     }
 }
 
-/// A log, the state that all have read, one entry VM, and instances of the controller.
-struct Bench {
+/// A log, the state that all readers have, one entry VM, and controllers.
+struct Fixture {
     log: Memory,
     state: State,
-    spread: watch::Sender<Arc<State>>,
+    readers: watch::Sender<Arc<State>>,
     node: watch::Sender<Option<Node>>,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         let mut state = example();
         let rollout = Rollout {
@@ -89,30 +89,30 @@
         };
         put(&mut state, Value::Rollout(rollout));
         let log = Memory::default();
-        // The log's offsets go on where the example's state ends.
+        // The log's offsets continue where the example's state ends.
         for _ in 0..state.offset.0 {
             log.push("{}".into());
         }
-        let (spread, _) = watch::channel(Arc::new(state.clone()));
+        let (readers, _) = watch::channel(Arc::new(state.clone()));
         let (node, _) = watch::channel(None);
         Self {
             log,
             state,
-            spread,
+            readers,
             node,
         }
     }
 
-    fn controller(&self, node: &str) -> Rollouts<Memory, Entries, Always> {
-        let parts = Parts {
+    fn controller(&self, node: &str) -> Rollouts<Memory, EntryVm, AlwaysHeld> {
+        let dependencies = Dependencies {
             log: self.log.clone(),
-            entries: vec![Entries(self.node.subscribe())],
-            turn: Always,
+            entries: vec![EntryVm(self.node.subscribe())],
+            lease: AlwaysHeld,
         };
-        Rollouts::new(name(node), parts, self.spread.subscribe())
+        Rollouts::new(name(node), dependencies, self.readers.subscribe())
     }
 
-    /// Has the entry VM report counts of both versions, as of `offset`.
+    /// Sets the entry VM's report of both versions, as of `offset`.
     fn report(&self, offset: Offset, new: Evidence, old: Evidence) {
         self.node.send_replace(Some(Node {
             node: name("entry-1"),
@@ -124,8 +124,8 @@
         }));
     }
 
-    /// Has everybody read what is on the log.
-    async fn spread(&mut self) {
+    /// Delivers all records of the log to all readers.
+    async fn deliver_log(&mut self) {
         let from = self.state.offset;
         let batch = self
             .log
@@ -137,7 +137,7 @@
                 self.state.apply(record.offset, &change);
             }
         }
-        self.spread.send_replace(Arc::new(self.state.clone()));
+        self.readers.send_replace(Arc::new(self.state.clone()));
     }
 
     fn rollout(&self) -> &Rollout {
@@ -145,13 +145,13 @@
         rollouts.next().expect("there is a roll-out")
     }
 
-    fn version(&self) -> version::Status {
+    fn version_status(&self) -> version::Status {
         let version = self.state.version(&name(TO));
         version.expect("the version exists").status
     }
 
-    /// An operator's change of the roll-out, on the state that all have read.
-    async fn operate(&self, edit: impl FnOnce(&mut Rollout)) {
+    /// Appends an operator's change of the roll-out, based on the state that all readers have.
+    async fn operator_change(&self, edit: impl FnOnce(&mut Rollout)) {
         let mut rollout = self.rollout().clone();
         edit(&mut rollout);
         let subject = Subject::Rollout(rollout.to.clone());
@@ -165,7 +165,7 @@
         };
         let record = serde_json::to_string(&Entry::Change(change)).expect("plain JSON");
         let appended = self.log.append(Stream::Configuration, vec![record]).await;
-        appended.expect("the log takes it");
+        appended.expect("the log accepts the record");
     }
 }
 
@@ -189,7 +189,8 @@
     evidence(version, 100, 30, 100, 0)
 }
 
-/// Evidence and what must come of it: stage, status of the roll-out, status of the version.
+/// Each row: the evidence, then the expected stage, status of the roll-out and status of the
+/// version.
 #[tokio::test(start_paused = true)]
 async fn a_step_follows_from_the_evidence() {
     let few = |version: &str| evidence(version, 10, 9, 10, 0);
@@ -207,159 +208,159 @@
         ("slow", slow, 0, Status::Halted, withdrawn),
     ];
     for (case, new, stage, status, version) in table {
-        let mut bench = Bench::new();
-        bench.report(bench.state.offset, new, good(FROM));
-        let mut controller = bench.controller("entry-1");
-        controller.pass().await.expect("the log takes it");
-        bench.spread().await;
-        assert_eq!(bench.rollout().stage, stage, "{case}");
-        assert_eq!(bench.rollout().status, status, "{case}");
-        assert_eq!(bench.version(), version, "{case}");
+        let mut fixture = Fixture::new();
+        fixture.report(fixture.state.offset, new, good(FROM));
+        let mut controller = fixture.controller("entry-1");
+        controller.pass().await.expect("the log accepts the record");
+        fixture.deliver_log().await;
+        assert_eq!(fixture.rollout().stage, stage, "{case}");
+        assert_eq!(fixture.rollout().status, status, "{case}");
+        assert_eq!(fixture.version_status(), version, "{case}");
     }
 }
 
-/// An entry VM has too few samples to tell the old version's latency and says 0. The new version must
-/// not seem slow beside that.
+/// An entry VM has too few samples for the old version's latency and reports 0. The new version
+/// must not count as slow in comparison.
 #[tokio::test(start_paused = true)]
 async fn an_unknown_latency_is_no_evidence() {
-    let mut bench = Bench::new();
+    let mut fixture = Fixture::new();
     let unknown = Evidence {
         latency_ms: 0,
         ..good(FROM)
     };
-    bench.report(bench.state.offset, good(TO), unknown);
-    let mut controller = bench.controller("entry-1");
-    controller.pass().await.expect("the log takes it");
-    bench.spread().await;
-    assert_eq!(bench.version(), version::Status::Serving);
-    assert_eq!(bench.rollout().stage, 1);
+    fixture.report(fixture.state.offset, good(TO), unknown);
+    let mut controller = fixture.controller("entry-1");
+    controller.pass().await.expect("the log accepts the record");
+    fixture.deliver_log().await;
+    assert_eq!(fixture.version_status(), version::Status::Serving);
+    assert_eq!(fixture.rollout().stage, 1);
 }
 
-/// Three instances see the same good evidence at once. Each proposes the next stage on the same
-/// revision; the first in the log wins and the roll-out moves by one stage only.
+/// Three instances see the same good evidence at the same time. Each proposes the next stage on the
+/// same revision; the first one in the log wins and the roll-out advances by one stage only.
 #[tokio::test(start_paused = true)]
-async fn instances_at_once_move_one_stage() {
-    let mut bench = Bench::new();
-    let mut controllers = ["entry-1", "entry-2", "entry-3"].map(|node| bench.controller(node));
+async fn concurrent_instances_advance_one_stage() {
+    let mut fixture = Fixture::new();
+    let mut controllers = ["entry-1", "entry-2", "entry-3"].map(|node| fixture.controller(node));
     for stage in [1, 2] {
-        bench.report(bench.state.offset, good(TO), good(FROM));
+        fixture.report(fixture.state.offset, good(TO), good(FROM));
         for controller in &mut controllers {
-            let pass = controller.pass().await.expect("the log takes it");
+            let pass = controller.pass().await.expect("the log accepts the record");
             assert_eq!(pass, Pass::Acted);
         }
-        bench.spread().await;
-        assert_eq!(bench.rollout().stage, stage);
+        fixture.deliver_log().await;
+        assert_eq!(fixture.rollout().stage, stage);
     }
-    bench.report(bench.state.offset, good(TO), good(FROM));
+    fixture.report(fixture.state.offset, good(TO), good(FROM));
     for controller in &mut controllers {
-        controller.pass().await.expect("the log takes it");
+        controller.pass().await.expect("the log accepts the record");
     }
-    bench.spread().await;
-    assert_eq!(bench.rollout().status, Status::Done);
+    fixture.deliver_log().await;
+    assert_eq!(fixture.rollout().status, Status::Done);
 }
 
-/// A stage was just begun and the entry VM has not read it yet: its good evidence is of the stage
-/// before. Counted again, it would carry the roll-out through all stages in seconds.
+/// A stage has just started and the entry VM has not read it yet, so its good evidence is from the
+/// previous stage. If that counted again, the roll-out would pass all stages within seconds.
 #[tokio::test(start_paused = true)]
 async fn evidence_of_an_earlier_stage_does_not_count() {
-    let mut bench = Bench::new();
-    let before = bench.state.offset;
-    bench.report(before, good(TO), good(FROM));
-    let mut controller = bench.controller("entry-1");
-    controller.pass().await.expect("the log takes it");
-    bench.spread().await;
+    let mut fixture = Fixture::new();
+    let before = fixture.state.offset;
+    fixture.report(before, good(TO), good(FROM));
+    let mut controller = fixture.controller("entry-1");
+    controller.pass().await.expect("the log accepts the record");
+    fixture.deliver_log().await;
     assert_eq!(controller.pass().await, Ok(Pass::Idle));
-    bench.spread().await;
-    assert_eq!(bench.rollout().stage, 1);
+    fixture.deliver_log().await;
+    assert_eq!(fixture.rollout().stage, 1);
 }
 
-/// The instance that moved the roll-out dies, also with its answer lost. It stands at its stage
-/// until another one goes on from there.
+/// The instance that advanced the roll-out dies, with or without the log's response. The roll-out
+/// stays at its stage until another instance continues it.
 #[tokio::test(start_paused = true)]
-async fn another_instance_goes_on_where_one_died() {
+async fn another_instance_continues_after_a_crash() {
     for fault in [
         Fault::None,
         Fault::LoseAnswer,
         Fault::LoseCall,
         Fault::Refuse,
     ] {
-        let mut bench = Bench::new();
-        bench.report(bench.state.offset, good(TO), good(FROM));
-        bench.log.fail(&[fault]);
-        let mut first = bench.controller("entry-1");
+        let mut fixture = Fixture::new();
+        fixture.report(fixture.state.offset, good(TO), good(FROM));
+        fixture.log.fail(&[fault]);
+        let mut first = fixture.controller("entry-1");
         let result = first.pass().await;
         assert_eq!(result.is_ok(), fault == Fault::None, "{fault:?}");
         drop(first);
-        bench.spread().await;
-        let mut second = bench.controller("entry-2");
-        while bench.rollout().status == Status::Running {
-            bench.report(bench.state.offset, good(TO), good(FROM));
-            let pass = second.pass().await.expect("the log takes it");
+        fixture.deliver_log().await;
+        let mut second = fixture.controller("entry-2");
+        while fixture.rollout().status == Status::Running {
+            fixture.report(fixture.state.offset, good(TO), good(FROM));
+            let pass = second.pass().await.expect("the log accepts the record");
             assert_eq!(pass, Pass::Acted, "{fault:?}");
-            bench.spread().await;
+            fixture.deliver_log().await;
         }
-        assert_eq!(bench.rollout().status, Status::Done, "{fault:?}");
+        assert_eq!(fixture.rollout().status, Status::Done, "{fault:?}");
     }
 }
 
-/// An operator halts the roll-out in the same moment as the evidence does. Whoever is first in the
-/// log, the roll-out ends halted and the version withdrawn, and stays so.
+/// An operator and a controller halt the roll-out at the same time. Whichever change is first in
+/// the log, the roll-out stays halted and the version withdrawn.
 #[tokio::test(start_paused = true)]
 async fn halted_by_evidence_and_by_an_operator_at_once() {
     for operator_first in [true, false] {
-        let mut bench = Bench::new();
-        bench.report(bench.state.offset, bad(TO), good(FROM));
-        let mut controller = bench.controller("entry-1");
+        let mut fixture = Fixture::new();
+        fixture.report(fixture.state.offset, bad(TO), good(FROM));
+        let mut controller = fixture.controller("entry-1");
         let halt = |rollout: &mut Rollout| rollout.status = Status::Halted;
         if operator_first {
-            bench.operate(halt).await;
+            fixture.operator_change(halt).await;
         }
-        controller.pass().await.expect("the log takes it");
+        controller.pass().await.expect("the log accepts the record");
         if !operator_first {
-            bench.operate(halt).await;
+            fixture.operator_change(halt).await;
         }
-        bench.spread().await;
-        assert_eq!(bench.rollout().status, Status::Halted);
-        assert_eq!(bench.version(), version::Status::Withdrawn);
+        fixture.deliver_log().await;
+        assert_eq!(fixture.rollout().status, Status::Halted);
+        assert_eq!(fixture.version_status(), version::Status::Withdrawn);
         assert_eq!(controller.pass().await, Ok(Pass::Idle));
     }
 }
 
-/// An operator halts while an instance that has not read it proposes the next stage. The halt is
-/// first in the log, so that the proposal stands on an old revision and must not undo it.
+/// An operator halts while an instance that has not read the halt proposes the next stage. The halt
+/// is first in the log, so the proposal is based on an old revision and must not undo it.
 #[tokio::test(start_paused = true)]
 async fn an_advance_does_not_undo_a_halt() {
-    let mut bench = Bench::new();
-    bench.report(bench.state.offset, good(TO), good(FROM));
-    let mut controller = bench.controller("entry-1");
-    bench
-        .operate(|rollout| rollout.status = Status::Halted)
+    let mut fixture = Fixture::new();
+    fixture.report(fixture.state.offset, good(TO), good(FROM));
+    let mut controller = fixture.controller("entry-1");
+    fixture
+        .operator_change(|rollout| rollout.status = Status::Halted)
         .await;
     assert_eq!(controller.pass().await, Ok(Pass::Acted));
-    bench.spread().await;
-    assert_eq!(bench.rollout().status, Status::Halted);
-    assert_eq!(bench.rollout().stage, 0);
+    fixture.deliver_log().await;
+    assert_eq!(fixture.rollout().status, Status::Halted);
+    assert_eq!(fixture.rollout().stage, 0);
 }
 
-/// An operator withdraws the version itself; its roll-out would go on sending sessions to it.
+/// An operator withdraws the version itself; a running roll-out would keep sending sessions to it.
 #[tokio::test(start_paused = true)]
 async fn a_withdrawn_versions_rollout_is_halted() {
-    let mut bench = Bench::new();
-    withdraw(&mut bench.state, TO);
-    bench.log.push("{}".into());
-    bench.spread().await;
-    let mut controller = bench.controller("entry-1");
-    controller.pass().await.expect("the log takes it");
-    bench.spread().await;
-    assert_eq!(bench.rollout().status, Status::Halted);
+    let mut fixture = Fixture::new();
+    withdraw(&mut fixture.state, TO);
+    fixture.log.push("{}".into());
+    fixture.deliver_log().await;
+    let mut controller = fixture.controller("entry-1");
+    controller.pass().await.expect("the log accepts the record");
+    fixture.deliver_log().await;
+    assert_eq!(fixture.rollout().status, Status::Halted);
 }
 
-/// No entry VM can be reached: nothing is known, so nothing moves.
+/// No entry VM can be reached, so there is no evidence and the roll-out does not advance.
 #[tokio::test(start_paused = true)]
-async fn without_evidence_a_rollout_stands_still() {
-    let mut bench = Bench::new();
-    let mut controller = bench.controller("entry-1");
+async fn without_evidence_a_rollout_does_not_advance() {
+    let mut fixture = Fixture::new();
+    let mut controller = fixture.controller("entry-1");
     assert_eq!(controller.pass().await, Ok(Pass::Idle));
-    bench.spread().await;
-    assert_eq!(bench.rollout().stage, 0);
+    fixture.deliver_log().await;
+    assert_eq!(fixture.rollout().stage, 0);
 }
--- a/crates/control/tests/all/settings.rs
+++ b/crates/control/tests/all/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the program: all findings together, and values as given.
+//! The program's settings: defaults, and errors that are reported together.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use pimento_control::config::Findings;
 use pimento_control::config::command;
 
-const GOOD: [&str; 11] = [
+const REQUIRED: [&str; 11] = [
     "pimento-control",
     "--node",
     "control-1",
@@ -21,20 +21,20 @@
 ];
 
 fn config(more: &[&str]) -> Result<Config, Findings> {
-    let arguments = GOOD.iter().chain(more);
+    let arguments = REQUIRED.iter().chain(more);
     let matches = command().try_get_matches_from(arguments);
     Config::try_from(&matches.expect("the flags exist"))
 }
 
 #[test]
-fn defaults_are_whole() {
-    let config = config(&[]).expect("the settings are good");
+fn defaults_are_valid() {
+    let config = config(&[]).expect("the settings are valid");
     assert_eq!(config.lease.span.duration(), Duration::from_secs(15));
     assert!(config.lease.margin * 2 <= config.lease.span.duration());
 }
 
 #[test]
-fn all_findings_come_together() {
+fn all_findings_are_reported_together() {
     let flags = [
         ("--period", "0s"),
         ("--lease", "3s"),
@@ -50,7 +50,7 @@
         .flat_map(|(flag, value)| [*flag, *value])
         .collect();
     let findings = config(&more)
-        .expect_err("seven settings are bad")
+        .expect_err("seven settings are invalid")
         .to_string();
     let place = |line: &str| line.split_once(':').map(|(flag, _)| flag.to_owned());
     let mut places: Vec<String> = findings.lines().filter_map(place).collect();
