--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -29,12 +29,12 @@
 pub enum Pass {
     /// There is nothing left to do for now.
     Idle,
-    /// The pass changed something; the next one may find more to do immediately.
+    /// The pass did something; the next one may find more to do immediately.
     Acted,
 }
 
 /// Runs passes until `token` is cancelled: one per `period`, one immediately when `changed` signals
-/// a new configuration, and one [`RECHECK_DELAY`] after a pass that acted.
+/// a new configuration, and one shortly after a pass that acted.
 pub async fn run<C: Controller, T>(
     mut controller: C,
     period: Duration,
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// If the library refuses a name.
+    /// If the library refuses a name, which any test of the controllers would detect.
     pub fn new() -> Result<Self, Error> {
         let metrics = Self {
             registry: Registry::new(),
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -66,7 +66,7 @@
     pub max_versions: usize,
     /// Interval between calls to the weight store.
     pub fetch_interval: Duration,
-    /// Number of calls to the weight store that may exceed the interval in a burst.
+    /// Number of calls to the weight store that may come in a burst.
     pub fetch_burst: u32,
 }
 
--- a/crates/control/src/orders/accepted.rs
+++ b/crates/control/src/orders/accepted.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Records an accepted order. Loading takes an engine a while, and its reports may lag behind
-    /// its response.
+    /// Records an accepted order. Loading takes an engine a while, so a report measured until its
+    /// response may not show the result of the order.
     pub(super) fn record(&mut self, load: &Load, accepted_at: Instant, versions: Vec<id::Version>) {
         let entry = Entry {
             endpoint: load.endpoint.clone(),
--- a/crates/endpoint/examples/assemble.rs
+++ b/crates/endpoint/examples/assemble.rs
@@ -1,5 +1,5 @@
-//! The assembler over somebody's own stream: events come in any order, twice, and with a break in
-//! the middle; pieces go out once and in order.
+//! Uses the assembler with a custom stream. Events arrive out of order, twice and with an
+//! interruption; chunks are delivered once and in order.
 //!
 //! `cargo run -p pimento-endpoint --example assemble`
 
@@ -53,12 +53,12 @@
     feed(&mut assembler, &[1, 0, 0, 3])?;
     let after = assembler.last_delivered();
     println!(
-        "\n-- cut; resume after piece {after:?}, whole: {}",
+        "\n-- interrupted; resume after chunk {after:?}, complete: {}",
         assembler.is_complete()
     );
     feed(&mut assembler, &[2, 3, 4, 5])?;
     println!(
-        "\n-- whole: {}, duplicates: {}",
+        "\n-- complete: {}, duplicates: {}",
         assembler.is_complete(),
         assembler.duplicates()
     );
--- a/crates/endpoint/src/assemble.rs
+++ b/crates/endpoint/src/assemble.rs
@@ -1,8 +1,9 @@
-//! Puts the events of a streamed answer in order and knows whether the answer is whole.
+//! Puts the events of a streamed response in order and tells whether the response is complete.
 //!
-//! Events may come late, twice, out of order, or not at all. A caller gets each piece once and in
-//! order, and a clean end only if every piece up to the last was there. No clock and no connection:
-//! events go in by [`Assembler::accept`], pieces come out by [`Assembler::next`].
+//! Events may arrive late, twice, out of order, or not at all. A caller gets each chunk once and in
+//! order, and a regular end only if every chunk up to the last one arrived. The assembler uses no
+//! clock and no connection: [`Assembler::accept`] takes events and [`Assembler::next`] returns
+//! chunks.
 
 use compact_str::CompactString;
 use compact_str::format_compact;
@@ -11,12 +12,13 @@
 use crate::engine::Event;
 use crate::fault::Fault;
 
-/// Pieces that may wait for an earlier one. Reordering on one connection comes from an engine's
-/// own batching and spans a few pieces; more than this is a lost piece, which only resuming mends.
+/// Maximum number of chunks buffered while an earlier one is missing. An engine's batching reorders
+/// only a few chunks on one connection. A larger gap means a lost chunk, which only resuming
+/// recovers.
 pub const WINDOW: usize = 64;
 
-/// The state of one streamed answer. It outlives connections: after a cut, resume the attempt
-/// after [`Assembler::last_delivered`] and go on feeding the same assembler.
+/// The state of one streamed response. It outlives connections: after an interruption, resume the
+/// attempt after [`Assembler::last_delivered`] and pass the events to the same assembler.
 #[derive(Debug, Clone)]
 pub struct Assembler {
     model: CompactString,
@@ -29,7 +31,7 @@
 }
 
 impl Assembler {
-    /// An empty answer that must come from the version `model`.
+    /// An empty response, which must come from the version `model`.
     #[must_use]
     pub fn new(model: impl Into<CompactString>) -> Self {
         Self {
@@ -43,24 +45,24 @@
         }
     }
 
-    /// Takes an event as it came.
+    /// Accepts an event in order of arrival.
     ///
     /// # Errors
     ///
-    /// [`Fault::Invalid`] if the piece is of another stream or version, lies past the end, or is
-    /// further ahead than [`WINDOW`]; the attempt is then of no use.
+    /// [`Fault::Invalid`] if the chunk is from another stream or version, is beyond the end, or if
+    /// [`WINDOW`] chunks are already buffered; the attempt can't be continued.
     pub fn accept(&mut self, event: Event) -> Result<(), Fault> {
         match event {
             Event::Done { .. } => {
                 self.ended = true;
                 Ok(())
             }
-            Event::Chunk { sequence, chunk } => self.piece(sequence, chunk),
+            Event::Chunk { sequence, chunk } => self.accept_chunk(sequence, chunk),
         }
     }
 
-    fn piece(&mut self, sequence: u64, chunk: Chunk) -> Result<(), Fault> {
-        self.check(sequence, &chunk)?;
+    fn accept_chunk(&mut self, sequence: u64, chunk: Chunk) -> Result<(), Fault> {
+        self.check_chunk(sequence, &chunk)?;
         if sequence < self.next_sequence {
             self.duplicates += 1;
             return Ok(());
@@ -71,45 +73,45 @@
         {
             Ok(_) => self.duplicates += 1,
             Err(_) if self.out_of_order.len() == WINDOW => {
-                return nonsense(format_compact!(
-                    "{WINDOW} pieces wait for piece {}",
+                return invalid(format_compact!(
+                    "{WINDOW} chunks are buffered, but chunk {} is missing",
                     self.next_sequence
                 ));
             }
-            Err(place) => {
-                if finished(&chunk) {
-                    // A later piece that waits already would go out after the last one.
-                    if place < self.out_of_order.len() {
-                        return nonsense(format_compact!("piece {sequence} is not the last one"));
+            Err(position) => {
+                if is_final(&chunk) {
+                    // A later chunk in the buffer would be delivered after the last one.
+                    if position < self.out_of_order.len() {
+                        return invalid(format_compact!("chunk {sequence} is not the last one"));
                     }
                     self.last_sequence = Some(sequence);
                 }
-                self.out_of_order.insert(place, (sequence, chunk));
+                self.out_of_order.insert(position, (sequence, chunk));
             }
         }
         Ok(())
     }
 
-    /// An answer that is late for another request, or of another version, must not get into this
-    /// one: the id and the version stay the same over all pieces.
-    fn check(&mut self, sequence: u64, chunk: &Chunk) -> Result<(), Fault> {
+    /// Checks that all chunks have the same id and version, so that a late response to another
+    /// request or from another version is not mixed into this one.
+    fn check_chunk(&mut self, sequence: u64, chunk: &Chunk) -> Result<(), Fault> {
         if chunk.model != self.model {
-            return nonsense(format_compact!("a piece is from version {}", chunk.model));
+            return invalid(format_compact!("a chunk is from version {}", chunk.model));
         }
-        let stream = self.response_id.get_or_insert_with(|| chunk.id.clone());
-        if *stream != chunk.id {
-            return nonsense(format_compact!("a piece is from the answer {}", chunk.id));
+        let response_id = self.response_id.get_or_insert_with(|| chunk.id.clone());
+        if *response_id != chunk.id {
+            return invalid(format_compact!("a chunk is from response {}", chunk.id));
         }
         if self.last_sequence.is_some_and(|end| sequence > end) {
-            return nonsense(format_compact!("piece {sequence} lies past the last one"));
+            return invalid(format_compact!("chunk {sequence} is beyond the last one"));
         }
         Ok(())
     }
 
-    /// The next piece in order, if it is there.
+    /// Returns the next chunk in order, if it has arrived.
     #[expect(
         clippy::should_implement_trait,
-        reason = "none means not yet, which an iterator's end does not"
+        reason = "`None` means not yet, unlike an iterator's end"
     )]
     pub fn next(&mut self) -> Option<Chunk> {
         if self.out_of_order.first()?.0 != self.next_sequence {
@@ -119,13 +121,13 @@
         Some(self.out_of_order.remove(0).1)
     }
 
-    /// The last piece given out, after which to resume.
+    /// The last chunk delivered, after which to resume.
     #[must_use]
     pub const fn last_delivered(&self) -> Option<u64> {
         self.next_sequence.checked_sub(1)
     }
 
-    /// The piece that is missing while later ones or the end mark are there.
+    /// The chunk that is missing while later ones or the end mark have arrived.
     #[must_use]
     pub fn missing(&self) -> Option<u64> {
         let later = !self.out_of_order.is_empty() && self.out_of_order[0].0 > self.next_sequence;
@@ -133,32 +135,32 @@
         (later || ended_early).then_some(self.next_sequence)
     }
 
-    /// Whether the end mark came and every piece up to the last was given out.
+    /// Whether the end mark has arrived and every chunk up to the last one was delivered.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.ended && self.last_sequence.is_some() && self.last_delivered() == self.last_sequence
     }
 
-    /// Whether the end mark came, with or without all pieces.
+    /// Whether the end mark has arrived, with or without all chunks.
     #[must_use]
     pub const fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// Pieces that came more than once.
+    /// Number of duplicate chunks.
     #[must_use]
     pub const fn duplicates(&self) -> u64 {
         self.duplicates
     }
 }
 
-fn finished(chunk: &Chunk) -> bool {
+fn is_final(chunk: &Chunk) -> bool {
     chunk
         .choices
         .iter()
         .any(|choice| choice.finish_reason.is_some())
 }
 
-fn nonsense<T>(reason: CompactString) -> Result<T, Fault> {
+fn invalid<T>(reason: CompactString) -> Result<T, Fault> {
     Err(Fault::Invalid { reason })
 }
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -1,7 +1,7 @@
-//! One pool of HTTP connections to endpoints, and what a failed exchange means.
+//! A pool of HTTP connections to endpoints, and the classification of failed exchanges.
 //!
-//! Every failure is told apart by one question: can a byte of the request have been sent? Only a
-//! connection that was never made proves that it was not.
+//! A failure is classified by whether a byte of the request may have been sent. Only a connection
+//! that was never established proves that none was.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,24 +27,24 @@
 
 use crate::fault::Fault;
 
-/// Sizes and times of a [`Pool`].
+/// Limits and timeouts of a [`Pool`].
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// How long making a connection may take. Zones are several milliseconds apart and a lost SYN
-    /// is sent again after a second, so that one loss is borne.
-    pub connect: Duration,
+    /// Timeout for establishing a connection. Zones are several milliseconds apart and a lost SYN
+    /// is retransmitted after a second, so the timeout tolerates one loss.
+    pub connect_timeout: Duration,
     /// How long an idle connection is kept.
-    pub idle: Duration,
-    /// The largest answer taken, in bytes.
-    pub body: usize,
+    pub idle_timeout: Duration,
+    /// Maximum size of a response body, in bytes.
+    pub max_body: usize,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(1_500),
-            idle: Duration::from_secs(30),
-            body: 32 << 20,
+            connect_timeout: Duration::from_millis(1_500),
+            idle_timeout: Duration::from_secs(30),
+            max_body: 32 << 20,
         }
     }
 }
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone)]
 pub struct Pool {
     client: legacy::Client<HttpConnector, Full<Bytes>>,
-    body: usize,
+    max_body: usize,
 }
 
 impl Default for Pool {
@@ -63,23 +63,23 @@
 }
 
 impl Pool {
-    /// A pool without connections yet.
+    /// An empty pool.
     #[must_use]
     pub fn new(config: Config) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(config.connect));
+        connector.set_connect_timeout(Some(config.connect_timeout));
         connector.set_nodelay(true);
         let client = legacy::Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(config.idle)
+            .pool_idle_timeout(config.idle_timeout)
             .build(connector);
         Self {
             client,
-            body: config.body,
+            max_body: config.max_body,
         }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     pub(crate) async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -90,28 +90,32 @@
             Ok(Err(error)) if error.is_connect() => Err(Fault::Unreachable {
                 reason: error.to_compact_string(),
             }),
-            Ok(Err(error)) => Err(cut(&error)),
+            Ok(Err(error)) => Err(interrupted(&error)),
             Err(_) => Err(Fault::Timeout),
         }
     }
 
-    /// Reads a whole body of bounded size.
-    pub(crate) async fn read(&self, body: Incoming, timeout: Duration) -> Result<Bytes, Fault> {
-        let whole = Limited::new(body, self.body).collect();
-        match tokio::time::timeout(timeout, whole).await {
+    /// Reads a whole body, up to the maximum size.
+    pub(crate) async fn read_body(
+        &self,
+        body: Incoming,
+        timeout: Duration,
+    ) -> Result<Bytes, Fault> {
+        let collect = Limited::new(body, self.max_body).collect();
+        match tokio::time::timeout(timeout, collect).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes()),
             Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
                 Err(Fault::Invalid {
-                    reason: format_compact!("the body is over {} bytes", self.body),
+                    reason: format_compact!("the body is over {} bytes", self.max_body),
                 })
             }
-            Ok(Err(error)) => Err(cut(&error)),
+            Ok(Err(error)) => Err(interrupted(&error)),
             Err(_) => Err(Fault::Timeout),
         }
     }
 }
 
-fn cut(error: &impl ToString) -> Fault {
+fn interrupted(error: &impl ToString) -> Fault {
     Fault::Interrupted {
         reason: CompactString::from(error.to_string()),
     }
@@ -119,21 +123,21 @@
 
 /// The URI of `path` at an address.
 pub(crate) fn uri(address: SocketAddr, path: &str) -> Result<Uri, Fault> {
-    let built = Uri::builder()
+    let uri = Uri::builder()
         .scheme("http")
         .authority(address.to_string())
         .path_and_query(path)
         .build();
-    // Nothing was sent, so the call can't have run.
-    built.map_err(|error| Fault::Unreachable {
+    // Nothing was sent, so the call can't have been started.
+    uri.map_err(|error| Fault::Unreachable {
         reason: error.to_compact_string(),
     })
 }
 
-/// The fault of a status that is no success. Only an endpoint's own `run: not_run` on 429 or 503
-/// proves that it did not start the call.
-pub(crate) fn fault(status: StatusCode, headers: &HeaderMap) -> Fault {
-    if refused(status, headers) {
+/// The fault for a status other than success. Only `run: not_run` from the endpoint with status 429
+/// or 503 proves that it did not start the call.
+pub(crate) fn status_fault(status: StatusCode, headers: &HeaderMap) -> Fault {
+    if is_refused(status, headers) {
         let after = headers
             .get(header::RETRY_AFTER)
             .and_then(|value| value.to_str().ok()?.parse().ok())
@@ -148,12 +152,12 @@
     }
 }
 
-/// Whether an answer says that the call was not started.
-pub(crate) fn refused(status: StatusCode, headers: &HeaderMap) -> bool {
+/// Whether a response states that the call was not started.
+pub(crate) fn is_refused(status: StatusCode, headers: &HeaderMap) -> bool {
     let status =
         status == StatusCode::TOO_MANY_REQUESTS || status == StatusCode::SERVICE_UNAVAILABLE;
-    let said = headers
+    let not_run = headers
         .get(header::RUN)
         .is_some_and(|value| value == "not_run");
-    status && said
+    status && not_run
 }
--- a/crates/endpoint/src/engine.rs
+++ b/crates/endpoint/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines.
+//! The interface of model engines and its `hyper` client.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 use tokio::time::Instant;
 
 use crate::client::Pool;
-use crate::client::fault;
+use crate::client::status_fault;
 use crate::client::uri;
 use crate::events::Events;
 use crate::fault::Fault;
@@ -36,45 +36,45 @@
 /// A call to an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// This attempt.
+    /// Id of this attempt.
     pub attempt: id::Attempt,
-    /// The conversation, `model` being the version.
+    /// The conversation; its `model` is the version.
     pub chat: Chat,
-    /// Lower goes first.
+    /// Priority; lower values run first.
     pub priority: u8,
-    /// How long the whole answer may take.
+    /// Timeout of the whole response.
     pub timeout: Duration,
 }
 
-/// An event of a stream, as it came.
+/// An event of a stream, in order of arrival.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A numbered piece.
+    /// A numbered chunk.
     Chunk {
-        /// Its number, from 0.
+        /// Its number, starting at 0.
         sequence: u64,
-        /// The piece.
+        /// The chunk.
         chunk: Chunk,
     },
-    /// The end mark; `sequence` is the number of pieces before it.
+    /// The end mark.
     Done {
-        /// The number of pieces of the whole stream.
+        /// Number of chunks before the end mark.
         sequence: u64,
     },
 }
 
 /// A model engine at an address.
 pub trait Engine: Clone + Send + Sync + 'static {
-    /// A streamed answer.
+    /// The events of a streamed response.
     type Events: Stream<Item = Result<Event, Fault>> + Send + Unpin + 'static;
 
-    /// Asks for a whole answer.
+    /// Requests a whole response.
     fn complete(&self, call: Call) -> impl Future<Output = Result<Completion, Fault>> + Send;
 
-    /// Asks for a streamed answer; returns once the engine has begun.
+    /// Requests a streamed response. Returns when its head has arrived.
     fn stream(&self, call: Call) -> impl Future<Output = Result<Self::Events, Fault>> + Send;
 
-    /// Resumes a stream of the same engine after event `after`.
+    /// Resumes a stream at the same engine after event `after`.
     fn resume(
         &self,
         attempt: id::Attempt,
@@ -84,10 +84,10 @@
     /// Cancels an attempt.
     fn cancel(&self, attempt: id::Attempt) -> impl Future<Output = Result<(), Fault>> + Send;
 
-    /// What the engine says of itself.
+    /// Queries the engine's load report.
     fn load(&self) -> impl Future<Output = Result<Load, Fault>> + Send;
 
-    /// Gives an order with a fencing number.
+    /// Sends an order with a fencing number.
     fn order(
         &self,
         order: Order,
@@ -102,11 +102,11 @@
     address: SocketAddr,
 }
 
-/// How long calls other than an answer may take: they carry a few hundred bytes.
-const BRIEF: Duration = Duration::from_secs(2);
+/// Timeout of calls other than completions and orders, which transfer a few hundred bytes.
+const SHORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an order may take: an engine answers it after it has loaded a version.
-const ORDER: Duration = Duration::from_mins(1);
+/// Timeout of an order. An engine responds only after it has loaded the version.
+const ORDER_TIMEOUT: Duration = Duration::from_mins(1);
 
 impl Remote {
     /// The engine at `address`, over shared connections.
@@ -115,7 +115,7 @@
         Self { pool, address }
     }
 
-    /// Where it is.
+    /// The engine's address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
@@ -132,7 +132,7 @@
         })
     }
 
-    async fn begin(&self, call: &Call) -> Result<Response<Incoming>, Fault> {
+    async fn send_chat(&self, call: &Call) -> Result<Response<Incoming>, Fault> {
         let request = self
             .post("/v1/chat/completions", &call.chat)?
             .header(header::ATTEMPT, &call.attempt.to_string())
@@ -142,20 +142,20 @@
                 &call.timeout.as_secs_f64().to_string(),
             )
             .build()?;
-        succeed(self.pool.send(request, call.timeout).await?)
+        check_status(self.pool.send(request, call.timeout).await?)
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn fetch<T: DeserializeOwned>(
         &self,
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<T, Fault> {
-        let response = succeed(self.pool.send(request, timeout).await?)?;
-        let body = self.pool.read(response.into_body(), timeout).await?;
-        parse(&body)
+        let response = check_status(self.pool.send(request, timeout).await?)?;
+        let body = self.pool.read_body(response.into_body(), timeout).await?;
+        decode(&body)
     }
 
-    fn bare(&self, method: Method, path: &str) -> Result<Builder, Fault> {
+    fn empty(&self, method: Method, path: &str) -> Result<Builder, Fault> {
         let request = Request::builder()
             .method(method)
             .uri(uri(self.address, path)?);
@@ -165,15 +165,15 @@
         })
     }
 
-    /// Changes of the engine's prefix cache after event `after`.
+    /// Queries the changes of the engine's prefix cache after event `after`.
     ///
     /// # Errors
     ///
     /// Any [`Fault`].
     pub async fn cache(&self, after: u64) -> Result<Cache, Fault> {
         let path = format!("/cache?after={after}");
-        let request = self.bare(Method::GET, &path)?.build()?;
-        self.ask(request, BRIEF).await
+        let request = self.empty(Method::GET, &path)?.build()?;
+        self.fetch(request, SHORT_TIMEOUT).await
     }
 }
 
@@ -181,40 +181,40 @@
     type Events = Events;
 
     async fn complete(&self, call: Call) -> Result<Completion, Fault> {
-        let begun = Instant::now();
-        let response = self.begin(&call).await?;
-        let left = call.timeout.saturating_sub(begun.elapsed());
-        let body = self.pool.read(response.into_body(), left).await?;
-        let completion: Completion = parse(&body)?;
+        let started = Instant::now();
+        let response = self.send_chat(&call).await?;
+        let remaining = call.timeout.saturating_sub(started.elapsed());
+        let body = self.pool.read_body(response.into_body(), remaining).await?;
+        let completion: Completion = decode(&body)?;
         if completion.model != call.chat.model {
-            return Err(foreign(&completion.model));
+            return Err(wrong_version(&completion.model));
         }
         Ok(completion)
     }
 
     async fn stream(&self, call: Call) -> Result<Events, Fault> {
-        let response = self.begin(&call).await?;
+        let response = self.send_chat(&call).await?;
         Events::new(response)
     }
 
     async fn resume(&self, attempt: id::Attempt, after: u64) -> Result<Events, Fault> {
         let request = self
-            .bare(Method::GET, &format!("/v1/attempts/{attempt}"))?
+            .empty(Method::GET, &format!("/v1/attempts/{attempt}"))?
             .header(header::LAST_EVENT, &after.to_string())
             .build()?;
-        let response = self.pool.send(request, BRIEF).await?;
-        Events::new(succeed(response)?)
+        let response = self.pool.send(request, SHORT_TIMEOUT).await?;
+        Events::new(check_status(response)?)
     }
 
     async fn cancel(&self, attempt: id::Attempt) -> Result<(), Fault> {
         let path = format!("/v1/attempts/{attempt}");
-        let request = self.bare(Method::DELETE, &path)?.build()?;
-        succeed(self.pool.send(request, BRIEF).await?).map(drop)
+        let request = self.empty(Method::DELETE, &path)?.build()?;
+        check_status(self.pool.send(request, SHORT_TIMEOUT).await?).map(drop)
     }
 
     async fn load(&self) -> Result<Load, Fault> {
-        let request = self.bare(Method::GET, "/load")?.build()?;
-        self.ask(request, BRIEF).await
+        let request = self.empty(Method::GET, "/load")?.build()?;
+        self.fetch(request, SHORT_TIMEOUT).await
     }
 
     async fn order(&self, order: Order, fencing: Option<u64>) -> Result<Reply, Fault> {
@@ -222,11 +222,11 @@
         if let Some(number) = fencing {
             request = request.header(header::FENCING, &number.to_string());
         }
-        self.ask(request.build()?, ORDER).await
+        self.fetch(request.build()?, ORDER_TIMEOUT).await
     }
 }
 
-/// A request under construction. Whatever fails here fails before a byte is sent.
+/// A request under construction. A failure here means that no byte was sent.
 struct Builder {
     request: hyper::http::request::Builder,
     body: Bytes,
@@ -246,23 +246,23 @@
     }
 }
 
-fn succeed(response: Response<Incoming>) -> Result<Response<Incoming>, Fault> {
+fn check_status(response: Response<Incoming>) -> Result<Response<Incoming>, Fault> {
     if response.status().is_success() {
         return Ok(response);
     }
-    Err(fault(response.status(), response.headers()))
+    Err(status_fault(response.status(), response.headers()))
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Fault> {
+fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Fault> {
     serde_json::from_slice(body).map_err(|error| Fault::Invalid {
         reason: error.to_compact_string(),
     })
 }
 
-/// An engine that answers from another version than it was asked for would serve a customer from
-/// a version that its contract may not allow.
-fn foreign(model: &str) -> Fault {
+/// The fault for a response from another version than the requested one. The customer's contract
+/// may not allow that version.
+fn wrong_version(model: &str) -> Fault {
     Fault::Invalid {
-        reason: format_compact!("the answer is from {model}, which was not asked"),
+        reason: format_compact!("the response is from {model}, which was not requested"),
     }
 }
--- a/crates/endpoint/src/events.rs
+++ b/crates/endpoint/src/events.rs
@@ -1,4 +1,4 @@
-//! A streamed answer as it comes from the connection.
+//! Decodes a streamed response from a connection.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -21,33 +21,34 @@
 use crate::engine::Event;
 use crate::fault::Fault;
 
-/// The events of one attempt. Dropping it closes the connection, so that nothing that still comes
-/// for a cancelled attempt can be read by anyone.
+/// The events of one attempt. Dropping it closes the connection, so that late data of a cancelled
+/// attempt is never read.
 pub struct Events {
     inner: EventStream<BodyDataStream<Incoming>>,
-    /// One past the highest number seen.
-    pieces: u64,
+    /// One more than the highest chunk number received.
+    chunk_count: u64,
 }
 
 impl Events {
     pub(crate) fn new(response: Response<Incoming>) -> Result<Self, Fault> {
         let content = response.headers().get(CONTENT_TYPE);
-        let streamed = content.is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"));
-        if !streamed {
+        let is_event_stream =
+            content.is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"));
+        if !is_event_stream {
             return Err(Fault::Invalid {
-                reason: CompactString::const_new("the answer is not an event stream"),
+                reason: CompactString::const_new("the response is not an event stream"),
             });
         }
         Ok(Self {
             inner: EventStream::new(BodyDataStream::new(response.into_body())),
-            pieces: 0,
+            chunk_count: 0,
         })
     }
 
-    fn read(&mut self, event: &eventsource_stream::Event) -> Result<Event, Fault> {
+    fn decode(&mut self, event: &eventsource_stream::Event) -> Result<Event, Fault> {
         if event.data == DONE {
             return Ok(Event::Done {
-                sequence: self.pieces,
+                sequence: self.chunk_count,
             });
         }
         let sequence: u64 = event.id.parse().map_err(|_| Fault::Invalid {
@@ -56,7 +57,7 @@
         let chunk: Chunk = serde_json::from_str(&event.data).map_err(|error| Fault::Invalid {
             reason: error.to_compact_string(),
         })?;
-        self.pieces = self.pieces.max(sequence.saturating_add(1));
+        self.chunk_count = self.chunk_count.max(sequence.saturating_add(1));
         Ok(Event::Chunk { sequence, chunk })
     }
 }
@@ -67,7 +68,7 @@
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let item = match ready!(Pin::new(&mut self.inner).poll_next(cx)) {
             None => None,
-            Some(Ok(event)) => Some(self.read(&event)),
+            Some(Ok(event)) => Some(self.decode(&event)),
             Some(Err(EventStreamError::Transport(error))) => Some(Err(Fault::Interrupted {
                 reason: error.to_compact_string(),
             })),
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -1,8 +1,8 @@
 //! Clients of model engines and plain services, and the stream assembler.
 //!
 //! [`engine::Engine`] and [`service::Service`] are the interfaces, each with a `hyper` client. The
-//! assembler puts a stream's events in order, drops duplicates, finds gaps and knows whether the
-//! stream is whole. Every error says whether the endpoint can have started the call.
+//! assembler puts a stream's events in order, drops duplicates, detects gaps and tells whether the
+//! stream is complete. Every error tells whether the endpoint may have started the call.
 
 pub mod assemble;
 pub mod client;
--- a/crates/endpoint/src/probe.rs
+++ b/crates/endpoint/src/probe.rs
@@ -1,4 +1,4 @@
-//! Whether anybody listens at an endpoint's address.
+//! Probes whether a program listens at an endpoint's address.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 
 use tokio::net::TcpStream;
 
-/// Whether a new connection is refused, as it is where the program that listened has ended. Where no
-/// answer comes within `bound`, that may be a cut as well.
-pub async fn is_refused(address: SocketAddr, bound: Duration) -> bool {
-    match tokio::time::timeout(bound, TcpStream::connect(address)).await {
+/// Whether a new connection is refused, which shows that the listening program has stopped. Returns
+/// false if there is no response within `timeout`, since the network may be partitioned instead.
+pub async fn is_refused(address: SocketAddr, timeout: Duration) -> bool {
+    match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(_)) | Err(_) => false,
     }
--- a/crates/endpoint/src/service.rs
+++ b/crates/endpoint/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services.
+//! The interface of plain services and its `hyper` client.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,36 +17,36 @@
 use tokio::time::Instant;
 
 use crate::client::Pool;
-use crate::client::fault;
-use crate::client::refused;
+use crate::client::is_refused;
+use crate::client::status_fault;
 use crate::client::uri;
 use crate::fault::Fault;
 
-/// A call to a plain service, passed through.
+/// A call to a plain service, forwarded from a caller.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// This attempt.
+    /// Id of this attempt.
     pub attempt: id::Attempt,
-    /// The caller's request id, sent along.
+    /// The caller's request id, sent as the idempotency key.
     pub request: id::Request,
     /// Method.
     pub method: Method,
     /// Path and query below the service's name, with the leading slash.
     pub path: String,
-    /// The caller's headers, without those of the hop.
+    /// The caller's headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// How long the answer may take.
+    /// Timeout of the response.
     pub timeout: Duration,
 }
 
-/// The service's answer.
+/// The service's response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// Status.
     pub status: StatusCode,
-    /// Headers, without those of the hop.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
@@ -54,8 +54,8 @@
 
 /// A plain service at an address.
 pub trait Service: Clone + Send + Sync + 'static {
-    /// Makes the call. An answer with status 429 or 503 and `run: not_run` is a
-    /// [`Fault::Refused`]; any other answer is the caller's.
+    /// Makes the call. A response with status 429 or 503 and `run: not_run` becomes
+    /// [`Fault::Refused`]; any other response is passed to the caller.
     fn call(&self, call: Call) -> impl Future<Output = Result<Answer, Fault>> + Send;
 }
 
@@ -95,15 +95,15 @@
 
 impl Service for Remote {
     async fn call(&self, call: Call) -> Result<Answer, Fault> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let request = self.request(&call)?;
         let response = self.pool.send(request, call.timeout).await?;
         let (head, body) = response.into_parts();
-        if refused(head.status, &head.headers) {
-            return Err(fault(head.status, &head.headers));
+        if is_refused(head.status, &head.headers) {
+            return Err(status_fault(head.status, &head.headers));
         }
-        let left = call.timeout.saturating_sub(begun.elapsed());
-        let body = self.pool.read(body, left).await?;
+        let remaining = call.timeout.saturating_sub(started.elapsed());
+        let body = self.pool.read_body(body, remaining).await?;
         Ok(Answer {
             status: head.status,
             headers: end_to_end(&head.headers),
@@ -112,9 +112,8 @@
     }
 }
 
-/// Headers that belong to one connection and are never passed on, and those that the client sets
-/// itself.
-const HOP: [&str; 10] = [
+/// Hop-by-hop headers, which are never forwarded, and headers that the client sets itself.
+const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "content-length",
     "host",
@@ -127,24 +126,24 @@
     "upgrade",
 ];
 
-/// The headers that are passed on: all but those of one connection.
+/// Returns the headers to forward: all but hop-by-hop headers and those that the client sets.
 #[must_use]
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named = headers
+    let listed = headers
         .get(CONNECTION)
         .and_then(|value| value.to_str().ok());
-    let named = named.unwrap_or_default();
-    let hop = |name: &str| {
-        HOP.contains(&name)
-            || named
+    let listed = listed.unwrap_or_default();
+    let is_hop_by_hop = |name: &str| {
+        HOP_BY_HOP.contains(&name)
+            || listed
                 .split(',')
                 .any(|n| n.trim().eq_ignore_ascii_case(name))
     };
-    let mut kept = HeaderMap::new();
+    let mut forwarded = HeaderMap::new();
     for (name, value) in headers {
-        if !hop(name.as_str()) {
-            kept.append(name.clone(), value.clone());
+        if !is_hop_by_hop(name.as_str()) {
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
--- a/crates/endpoint/tests/all/assemble.rs
+++ b/crates/endpoint/tests/all/assemble.rs
@@ -1,5 +1,5 @@
-//! The assembler: whatever comes in whatever order, pieces go out once and in order, and an answer
-//! is whole only if all of it was there.
+//! The assembler: whatever the order of events, chunks are delivered once and in order, and a
+//! response is complete only if all of it arrived.
 
 use pimento_endpoint::Assembler;
 use pimento_endpoint::Fault;
@@ -17,8 +17,8 @@
 
 const MODEL: &str = "pimento-mini@1";
 
-fn chunk(sequence: u64, pieces: u64) -> Chunk {
-    let last = sequence + 1 == pieces;
+fn chunk(sequence: u64, chunks: u64) -> Chunk {
+    let last = sequence + 1 == chunks;
     Chunk {
         id: "chatcmpl-1".into(),
         object: "chat.completion.chunk".into(),
@@ -36,13 +36,13 @@
     }
 }
 
-fn event(sequence: u64, pieces: u64) -> Event {
-    if sequence == pieces {
+fn event(sequence: u64, chunks: u64) -> Event {
+    if sequence == chunks {
         return Event::Done { sequence };
     }
     Event::Chunk {
         sequence,
-        chunk: chunk(sequence, pieces),
+        chunk: chunk(sequence, chunks),
     }
 }
 
@@ -53,12 +53,13 @@
         .collect()
 }
 
-/// What comes of a stream of five pieces and its end mark (number 5), given in this order.
+/// Expected results for a stream of five chunks and its end mark (number 5), received in this
+/// order.
 struct Case {
-    what: &'static str,
+    name: &'static str,
     order: &'static [u64],
-    out: &'static [&'static str],
-    whole: bool,
+    delivered: &'static [&'static str],
+    complete: bool,
     gap: Option<u64>,
     duplicates: u64,
 }
@@ -67,66 +68,66 @@
 
 const CASES: &[Case] = &[
     Case {
-        what: "in order",
+        name: "in order",
         order: &[0, 1, 2, 3, 4, 5],
-        out: ALL,
-        whole: true,
+        delivered: ALL,
+        complete: true,
         gap: None,
         duplicates: 0,
     },
     Case {
-        what: "reordered and twice",
+        name: "reordered and twice",
         order: &[1, 0, 1, 4, 3, 2, 2, 5],
-        out: ALL,
-        whole: true,
+        delivered: ALL,
+        complete: true,
         gap: None,
         duplicates: 2,
     },
     Case {
-        what: "the end mark first",
+        name: "the end mark first",
         order: &[5, 0, 1, 2, 3, 4],
-        out: ALL,
-        whole: true,
+        delivered: ALL,
+        complete: true,
         gap: None,
         duplicates: 0,
     },
     Case {
-        what: "cut",
+        name: "interrupted",
         order: &[0, 1, 2],
-        out: &["0", "1", "2"],
-        whole: false,
+        delivered: &["0", "1", "2"],
+        complete: false,
         gap: None,
         duplicates: 0,
     },
     Case {
-        what: "without the end mark",
+        name: "without the end mark",
         order: &[0, 1, 2, 3, 4],
-        out: ALL,
-        whole: false,
+        delivered: ALL,
+        complete: false,
         gap: None,
         duplicates: 0,
     },
     Case {
-        what: "with a gap",
+        name: "with a gap",
         order: &[0, 1, 3, 4, 5],
-        out: &["0", "1"],
-        whole: false,
+        delivered: &["0", "1"],
+        complete: false,
         gap: Some(2),
         duplicates: 0,
     },
     Case {
-        what: "without its last piece",
+        name: "without its last chunk",
         order: &[0, 1, 2, 3, 5],
-        out: &["0", "1", "2", "3"],
-        whole: false,
+        delivered: &["0", "1", "2", "3"],
+        complete: false,
         gap: Some(4),
         duplicates: 0,
     },
     Case {
-        what: "just the end mark",
+        name: "just the end mark",
         order: &[5],
-        out: &[],
-        whole: false,
+        delivered: &[],
+        complete: false,
         gap: Some(0),
         duplicates: 0,
     },
@@ -136,26 +137,26 @@
 fn cases() {
     for case in CASES {
         let mut assembler = Assembler::new(MODEL);
-        let mut out = Vec::new();
+        let mut delivered = Vec::new();
         for number in case.order {
             assembler.accept(event(*number, 5)).unwrap();
-            out.extend(drain(&mut assembler));
+            delivered.extend(drain(&mut assembler));
         }
-        assert_eq!(out, case.out, "{}", case.what);
-        assert_eq!(assembler.is_complete(), case.whole, "{}", case.what);
-        assert_eq!(assembler.missing(), case.gap, "{}", case.what);
-        assert_eq!(assembler.duplicates(), case.duplicates, "{}", case.what);
+        assert_eq!(delivered, case.delivered, "{}", case.name);
+        assert_eq!(assembler.is_complete(), case.complete, "{}", case.name);
+        assert_eq!(assembler.missing(), case.gap, "{}", case.name);
+        assert_eq!(assembler.duplicates(), case.duplicates, "{}", case.name);
     }
 }
 
-/// A late piece of another answer, or of a version that was not asked, must not get in.
+/// Chunks of another response, or of a version that was not requested, must be refused.
 #[test]
 fn pieces_of_another_answer_are_refused() {
     let mut other = chunk(1, 5);
     other.id = "chatcmpl-2".into();
-    let mut foreign = chunk(1, 5);
-    foreign.model = "pimento-large@1".into();
-    for chunk in [other, foreign, chunk(9, 10)] {
+    let mut wrong_version = chunk(1, 5);
+    wrong_version.model = "pimento-large@1".into();
+    for chunk in [other, wrong_version, chunk(9, 10)] {
         let mut assembler = Assembler::new(MODEL);
         for number in 0..5 {
             if number != 1 {
@@ -174,71 +175,72 @@
 }
 
 #[test]
-fn pieces_that_wait_are_bounded() {
+fn the_buffer_is_bounded() {
     let mut assembler = Assembler::new(MODEL);
-    let most = WINDOW as u64;
-    for number in 1..=most {
+    let window = WINDOW as u64;
+    for number in 1..=window {
         assembler.accept(event(number, 1_000)).unwrap();
     }
-    let refused = assembler.accept(event(most + 1, 1_000));
+    let refused = assembler.accept(event(window + 1, 1_000));
     assert!(matches!(refused, Err(Fault::Invalid { .. })));
 }
 
-/// Numbers of pieces within a window's reach of their place, some of them twice.
+/// A number of chunks, and the event numbers in random order, some of them twice. Fewer
+/// than 60 chunks, so that they fit into the window.
 fn orders() -> impl Strategy<Value = (u64, Vec<u64>)> {
-    (1u64..60).prop_flat_map(|pieces| {
-        let numbers: Vec<u64> = (0..=pieces).collect();
-        let twice = vec(0..=pieces, 0..10);
+    (1u64..60).prop_flat_map(|chunks| {
+        let numbers: Vec<u64> = (0..=chunks).collect();
+        let twice = vec(0..=chunks, 0..10);
         let shuffled = twice.prop_flat_map(move |twice| {
             let mut all = numbers.clone();
             all.extend(twice);
             Just(all).prop_shuffle()
         });
-        (Just(pieces), shuffled)
+        (Just(chunks), shuffled)
     })
 }
 
 proptest! {
     #[test]
-    fn any_order_gives_the_whole_answer((pieces, order) in orders()) {
+    fn any_order_gives_the_whole_answer((chunks, order) in orders()) {
         let mut assembler = Assembler::new(MODEL);
-        let mut out = Vec::new();
+        let mut delivered = Vec::new();
         for number in order {
-            assembler.accept(event(number, pieces)).unwrap();
-            out.extend(drain(&mut assembler));
+            assembler.accept(event(number, chunks)).unwrap();
+            delivered.extend(drain(&mut assembler));
         }
-        let wanted: Vec<String> = (0..pieces).map(|n| n.to_string()).collect();
-        prop_assert_eq!(out, wanted);
+        let expected: Vec<String> = (0..chunks).map(|n| n.to_string()).collect();
+        prop_assert_eq!(delivered, expected);
         prop_assert!(assembler.is_complete());
     }
 
     #[test]
-    fn a_missing_event_is_never_whole((pieces, order) in orders(), missing in 0u64..60) {
-        let missing = missing % (pieces + 1);
+    fn a_missing_event_is_never_whole((chunks, order) in orders(), missing in 0u64..60) {
+        let missing = missing % (chunks + 1);
         let mut assembler = Assembler::new(MODEL);
         for number in order.into_iter().filter(|number| *number != missing) {
-            assembler.accept(event(number, pieces)).unwrap();
+            assembler.accept(event(number, chunks)).unwrap();
             drain(&mut assembler);
         }
         prop_assert!(!assembler.is_complete());
     }
 
-    /// A stream is cut anywhere and resumed after the last piece given out; the engine may send
-    /// earlier ones again.
+    /// A stream is interrupted anywhere and resumed after the last delivered chunk. The engine may
+    /// send earlier chunks again.
     #[test]
-    fn resuming_after_the_last_piece_completes_it(pieces in 1u64..60, cut in 0u64..60, back in 0u64..5) {
+    fn resuming_after_the_last_chunk_completes_it(chunks in 1u64..60, interruption in 0u64..60, resent in 0u64..5) {
         let mut assembler = Assembler::new(MODEL);
-        let mut out = Vec::new();
-        for number in 0..cut.min(pieces) {
-            assembler.accept(event(number, pieces)).unwrap();
-            out.extend(drain(&mut assembler));
+        let mut delivered = Vec::new();
+        for number in 0..interruption.min(chunks) {
+            assembler.accept(event(number, chunks)).unwrap();
+            delivered.extend(drain(&mut assembler));
         }
         let next = assembler.last_delivered().map_or(0, |last| last + 1);
-        for number in next.saturating_sub(back)..=pieces {
-            assembler.accept(event(number, pieces)).unwrap();
-            out.extend(drain(&mut assembler));
+        for number in next.saturating_sub(resent)..=chunks {
+            assembler.accept(event(number, chunks)).unwrap();
+            delivered.extend(drain(&mut assembler));
         }
-        prop_assert_eq!(out.len() as u64, pieces);
+        prop_assert_eq!(delivered.len() as u64, chunks);
         prop_assert!(assembler.is_complete());
     }
 }
--- a/crates/endpoint/tests/all/engine.rs
+++ b/crates/endpoint/tests/all/engine.rs
@@ -1,5 +1,5 @@
-//! The engines' client, fault by fault: what it reports, and that `not_run` is true by the engine's
-//! own count.
+//! The engine client: the fault that it reports for each failure, and that `not_run` agrees with
+//! the engine's own count.
 
 use std::time::Duration;
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// An action, the fault that it must be, and whether that says "not run".
+/// An action, a check of the expected fault, and whether the fault means that the call was not run.
 type Case = (Action, fn(&Fault) -> bool, bool);
 
 fn cases() -> Vec<Case> {
@@ -136,16 +136,16 @@
 }
 
 #[tokio::test]
-async fn nobody_there_is_not_run() {
-    let remote = Remote::new(Pool::default(), raw::nobody().await);
+async fn a_refused_connection_is_not_run() {
+    let remote = Remote::new(Pool::default(), raw::unused_address().await);
     let fault = remote.complete(call(false)).await.unwrap_err();
     assert!(matches!(fault, Fault::Unreachable { .. }), "{fault}");
     assert!(fault.not_run());
 }
 
-/// Answers that no engine should give are the engine's fault and never a caller's answer.
+/// Responses that no engine should send are reported as faults and never reach a caller.
 #[tokio::test]
-async fn nonsense_is_an_endpoint_fault() {
+async fn an_invalid_response_is_a_fault() {
     type Answer = (&'static str, fn(&Fault) -> bool);
     const OK: &str =
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
@@ -174,16 +174,16 @@
         assert!(expected(&fault), "{answer:?}: {fault}");
         assert!(!fault.not_run(), "{answer:?}: {fault}");
     }
-    // A stream that ends without its mark gives no `Done`.
+    // A stream that ends without its end mark yields no `Done`.
     let remote = Remote::new(Pool::default(), raw::start(OK).await);
     assert_eq!(read(&remote, call(true)).await, Ok(Vec::new()));
 }
 
 #[tokio::test]
-async fn an_answer_over_the_limit_is_nonsense() {
+async fn an_answer_over_the_limit_is_invalid() {
     let engine = standin().await;
     let pool = Pool::new(client::Config {
-        body: 50,
+        max_body: 50,
         ..client::Config::default()
     });
     let remote = Remote::new(pool, engine.address);
@@ -232,7 +232,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_of_another_version_is_nonsense() {
+async fn an_answer_of_another_version_is_invalid() {
     let answer = concat!(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\n\r\n",
         r#"{"id":"1","object":"chat.completion","created":1,"model":"other@1","#,
--- a/crates/endpoint/tests/all/main.rs
+++ b/crates/endpoint/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Contract tests of the clients against the stand-ins and small servers, and of the assembler.
+//! Tests of the clients against the stand-ins and small servers, and of the assembler.
 
 mod assemble;
 mod engine;
--- a/crates/endpoint/tests/all/raw.rs
+++ b/crates/endpoint/tests/all/raw.rs
@@ -1,4 +1,4 @@
-//! A server that answers each connection with fixed bytes, for answers that no library would send.
+//! A server that sends fixed bytes on each connection, for responses that no library would send.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-/// Answers every connection with `answer` once a request has come, then closes it.
+/// Sends `answer` on every connection when a request has arrived, then closes it.
 pub async fn start(answer: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -21,7 +21,7 @@
 }
 
 /// An address on which nothing listens.
-pub async fn nobody() -> SocketAddr {
+pub async fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
 }
--- a/crates/endpoint/tests/all/service.rs
+++ b/crates/endpoint/tests/all/service.rs
@@ -1,4 +1,4 @@
-//! The plain services' client.
+//! The client of plain services.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// An action and what the caller must be told: a fault that says whether it ran, or an answer.
+/// An action and the expected result: the status of a response, or a check of the fault.
 type Case = (Action, Result<u16, fn(&Fault) -> bool>);
 
 fn refuse(status: u16, run: Option<Run>) -> Action {
@@ -103,14 +103,14 @@
 }
 
 #[tokio::test]
-async fn nobody_there_is_not_run() {
-    let remote = Remote::new(Pool::default(), raw::nobody().await);
+async fn a_refused_connection_is_not_run() {
+    let remote = Remote::new(Pool::default(), raw::unused_address().await);
     let fault = remote.call(call()).await.unwrap_err();
     assert!(fault.not_run(), "{fault}");
 }
 
 #[test]
-fn headers_of_the_hop_are_left_out() {
+fn hop_by_hop_headers_are_removed() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "close, x-hop"),
--- a/crates/endpoint/tests/fuzz.rs
+++ b/crates/endpoint/tests/fuzz.rs
@@ -1,8 +1,8 @@
-//! Streamed answers from engines that do anything: the assembler over arbitrary events, and the
-//! reader over arbitrary bytes of a connection.
+//! Streamed responses from faulty engines: the assembler with arbitrary events, and the client with
+//! arbitrary bytes from a connection.
 //!
-//! What the caller sees is always a beginning of the engine's text, in order and each piece once. It
-//! is called whole only if all of it was there.
+//! The caller always gets a prefix of the engine's text, in order and each chunk once. The response
+//! is complete only if all of it arrived.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -60,12 +60,13 @@
     }
 }
 
-/// The pieces of an answer.
+/// The texts of a response's chunks.
 fn pieces() -> impl Strategy<Value = Vec<String>> {
     vec(any::<String>(), 1..12)
 }
 
-/// What a caller gets: pieces are taken out after each event, as they would be sent on.
+/// What a caller receives. Chunks are taken from the assembler after each event, as an entry VM
+/// does.
 #[derive(Default)]
 struct Caller {
     text: String,
@@ -74,13 +75,13 @@
 }
 
 impl Caller {
-    fn take(&mut self, assembler: &mut Assembler) -> Result<(), TestCaseError> {
+    fn drain(&mut self, assembler: &mut Assembler) -> Result<(), TestCaseError> {
         loop {
-            let whole = assembler.is_complete();
+            let complete = assembler.is_complete();
             let Some(chunk) = assembler.next() else { break };
-            // Whoever was told that the answer is whole has ended it.
-            prop_assert!(!whole, "more came after it was whole");
-            prop_assert!(!self.last, "more came after the last piece");
+            // A caller ends the response as soon as it is complete.
+            prop_assert!(!complete, "a chunk arrived after the response was complete");
+            prop_assert!(!self.last, "a chunk arrived after the last one");
             self.count += 1;
             for choice in chunk.choices {
                 self.text += &choice.delta.content.unwrap_or_default();
@@ -89,44 +90,44 @@
         }
         prop_assert!(
             !assembler.is_complete() || self.last,
-            "whole without its last piece"
+            "complete without the last chunk"
         );
         Ok(())
     }
 }
 
-/// Numbers as an engine would use them, and those where counting ends.
+/// Sequence numbers as engines use them, and those at the end of the range.
 fn sequences() -> impl Strategy<Value = u64> {
     prop_oneof![4 => 0_u64..12, 1 => select(&[u64::MAX - 1, u64::MAX][..]), 1 => any::<u64>()]
 }
 
 proptest! {
-    /// Events of one answer come in any order, some twice, some never.
+    /// Events of one response arrive in any order, some twice, some never.
     #[test]
     fn text_is_a_beginning_of_the_answer(pieces in pieces(), order in vec(any::<Index>(), 0..40)) {
         let mut assembler = Assembler::new(MODEL);
         let mut caller = Caller::default();
         let end = pieces.len();
-        let mut came = vec![false; end + 1];
+        let mut arrived = vec![false; end + 1];
         for place in order {
             let place = place.index(end + 1);
-            came[place] = true;
+            arrived[place] = true;
             let sequence = place as u64;
             let event = match pieces.get(place) {
                 Some(text) => Event::Chunk { sequence, chunk: chunk(text, place + 1 == end) },
                 None => Event::Done { sequence },
             };
             prop_assert!(assembler.accept(event).is_ok());
-            caller.take(&mut assembler)?;
+            caller.drain(&mut assembler)?;
         }
-        let there = came.iter().take(end).take_while(|came| **came).count();
-        prop_assert_eq!(&caller.text, &pieces[..there].concat());
-        prop_assert_eq!(assembler.is_complete(), came.iter().all(|came| *came));
+        let received = arrived.iter().take(end).take_while(|arrived| **arrived).count();
+        prop_assert_eq!(&caller.text, &pieces[..received].concat());
+        prop_assert_eq!(assembler.is_complete(), arrived.iter().all(|arrived| *arrived));
     }
 
-    /// An engine that numbers and ends its pieces at random.
+    /// An engine numbers and ends its chunks at random.
     #[test]
-    fn a_lying_engine_gives_no_whole_answer_with_holes(events in vec((sequences(), any::<bool>(), any::<bool>()), 0..40)) {
+    fn random_numbers_never_complete_an_answer_with_gaps(events in vec((sequences(), any::<bool>(), any::<bool>()), 0..40)) {
         let mut assembler = Assembler::new(MODEL);
         let mut caller = Caller::default();
         for (sequence, last, done) in events {
@@ -138,14 +139,14 @@
             if assembler.accept(event).is_err() {
                 break;
             }
-            caller.take(&mut assembler)?;
+            caller.drain(&mut assembler)?;
         }
         let next = assembler.last_delivered().map_or(0, |last| last + 1);
         prop_assert_eq!(caller.count, next);
     }
 }
 
-/// Answers one connection with these parts, one after the other, and closes it.
+/// Sends these parts on one connection, one after the other, and closes it.
 async fn serve(parts: Vec<Vec<u8>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -154,7 +155,7 @@
         let mut request = [0; 4_096];
         let _ = stream.read(&mut request).await;
         for part in parts {
-            // The client may have gone after bytes that it can't read.
+            // The client may have disconnected after bytes that it can't decode.
             let _ = stream.write_all(&part).await;
             let _ = stream.flush().await;
             tokio::task::yield_now().await;
@@ -178,7 +179,7 @@
     }
 }
 
-/// Reads an answer from a connection, as an entry VM does, up to its end or first fault.
+/// Reads a response from a connection, as an entry VM does, up to its end or first fault.
 fn read(parts: Vec<Vec<u8>>) -> Result<(Caller, bool), TestCaseError> {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
@@ -190,23 +191,23 @@
         };
         while let Some(Ok(event)) = events.next().await {
             if let Err(fault) = assembler.accept(event) {
-                let nonsense = matches!(fault, Fault::Invalid { .. });
-                prop_assert!(nonsense);
+                let invalid = matches!(fault, Fault::Invalid { .. });
+                prop_assert!(invalid);
                 break;
             }
-            caller.take(&mut assembler)?;
+            caller.drain(&mut assembler)?;
         }
         Ok((caller, assembler.is_complete()))
     })
 }
 
-/// What may stand as an event's number.
+/// Valid and invalid event ids.
 fn numbers() -> impl Strategy<Value = String> {
     let number = sequences().prop_map(|number| number.to_string());
     prop_oneof![4 => number, 1 => any::<String>()]
 }
 
-/// What may stand as an event's data.
+/// Valid and invalid event data.
 fn data() -> impl Strategy<Value = String> {
     let piece = any::<(String, bool)>().prop_map(|(text, last)| chunk(&text, last));
     let piece = piece.prop_map(|chunk| serde_json::to_string(&chunk).unwrap());
@@ -216,7 +217,7 @@
 const HEAD: &str =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
 
-/// The events of an answer with line ends of the engine's choice.
+/// Encodes the events of a response with the given line ending.
 fn events(pieces: &[String], line: &str) -> Vec<u8> {
     let mut text = String::new();
     for (number, piece) in pieces.iter().enumerate() {
@@ -228,14 +229,14 @@
         )
         .unwrap();
     }
-    // A CR at the very end might be the first half of a CR LF, so that the reader waits for what
-    // follows. The comment stands for that.
+    // A CR at the very end might be the first half of a CR LF, so the parser waits for the next
+    // byte. The trailing comment provides it.
     write!(text, "data: [DONE]{line}{line}:{line}").unwrap();
     text.into_bytes()
 }
 
-/// Cuts bytes at places, sorted and within them.
-fn cut(bytes: &[u8], places: &[Index]) -> Vec<Vec<u8>> {
+/// Splits bytes at the given places.
+fn split(bytes: &[u8], places: &[Index]) -> Vec<Vec<u8>> {
     let mut places: Vec<usize> = places.iter().map(|p| p.index(bytes.len() + 1)).collect();
     places.extend([0, bytes.len()]);
     places.sort_unstable();
@@ -246,49 +247,49 @@
 }
 
 proptest! {
-    // Each case makes a connection.
+    // Each case opens a connection.
     #![proptest_config(Config::with_cases(64))]
 
-    /// However the network cuts the bytes up, the answer is the same.
+    /// The response is the same however the network splits its bytes.
     #[test]
     fn an_answer_in_any_parts_is_whole(pieces in pieces(), line in select(&["\n", "\r\n", "\r"][..]), places in vec(any::<Index>(), 0..8)) {
-        let mut parts = cut(&events(&pieces, line), &places);
+        let mut parts = split(&events(&pieces, line), &places);
         parts.insert(0, HEAD.into());
-        let (caller, whole) = read(parts)?;
+        let (caller, complete) = read(parts)?;
         prop_assert_eq!(caller.text, pieces.concat());
-        prop_assert!(whole);
+        prop_assert!(complete);
     }
 
-    /// The connection ends somewhere: what came is a beginning, and not whole unless all came.
+    /// The connection ends early: the caller gets a prefix, which is not complete.
     #[test]
     fn an_answer_that_ends_early_is_not_whole(pieces in pieces(), place in any::<Index>()) {
         let mut bytes = events(&pieces, "\n");
         bytes.truncate(bytes.len() - ":\n".len());
-        let kept = place.index(bytes.len());
-        let (caller, whole) = read(vec![HEAD.into(), bytes[..kept].to_vec()])?;
+        let length = place.index(bytes.len());
+        let (caller, complete) = read(vec![HEAD.into(), bytes[..length].to_vec()])?;
         prop_assert!(pieces.concat().starts_with(&caller.text));
-        // The last byte is the empty line's end, without which the end mark is not there.
-        prop_assert!(!whole);
+        // Without the last byte, the empty line that ends the end mark is missing.
+        prop_assert!(!complete);
     }
 
-    /// Events with whatever number and data, among them pieces of the right kind.
+    /// Events with arbitrary ids and data, some of them valid chunks.
     #[test]
     fn any_events_are_read_or_refused(events in vec((numbers(), data()), 0..12), rest in vec(any::<u8>(), 0..20)) {
         let lines = events.iter().map(|(number, data)| format!("id: {number}\ndata: {data}\n\n"));
         let text: String = lines.collect();
-        let (caller, whole) = read(vec![HEAD.into(), text.into(), rest])?;
-        let marked = events.iter().any(|(_, data)| data == DONE);
-        prop_assert!(!whole || marked && caller.last);
+        let (caller, complete) = read(vec![HEAD.into(), text.into(), rest])?;
+        let has_end_mark = events.iter().any(|(_, data)| data == DONE);
+        prop_assert!(!complete || has_end_mark && caller.last);
     }
 
-    /// A byte changed on its way: no network does that unseen, but an engine may write nonsense.
+    /// One byte is changed. No network does that undetected, but an engine may send invalid data.
     #[test]
     fn an_answer_with_a_changed_byte_does_no_harm(pieces in pieces(), place in any::<Index>(), byte in any::<u8>()) {
         let mut bytes = events(&pieces, "\n");
         let place = place.index(bytes.len());
         bytes[place] = byte;
-        let (caller, whole) = read(vec![HEAD.into(), bytes])?;
+        let (caller, complete) = read(vec![HEAD.into(), bytes])?;
         prop_assert!(caller.count <= pieces.len() as u64);
-        prop_assert!(!whole || caller.count == pieces.len() as u64);
+        prop_assert!(!complete || caller.count == pieces.len() as u64);
     }
 }
