--- a/crates/control/src/rollout/controller.rs
+++ b/crates/control/src/rollout/controller.rs
@@ -86,16 +86,16 @@
     }
 
     fn track_revisions(&mut self, state: &State) {
-        let running: Vec<(id::Version, Revision)> = state
+        let current: Vec<(id::Version, Revision)> = state
             .rollouts()
             .map(|rollout| (rollout.to.clone(), revision(state, rollout)))
             .collect();
         self.first_seen.retain(|(to, revision, _)| {
-            running
+            current
                 .binary_search_by(|(other, _)| other.cmp(to))
-                .is_ok_and(|at| running[at].1 == *revision)
+                .is_ok_and(|at| current[at].1 == *revision)
         });
-        for (to, revision) in running {
+        for (to, revision) in current {
             if let Err(at) = self
                 .first_seen
                 .binary_search_by(|(other, _, _)| other.cmp(&to))
--- a/crates/control/tests/all/fakes.rs
+++ b/crates/control/tests/all/fakes.rs
@@ -111,13 +111,13 @@
             until: since + span,
             since,
         };
-        *self.0.lock().expect("no test panics in here") = Some(fencing);
+        *self.0.lock().expect("the lock is not poisoned") = Some(fencing);
     }
 }
 
 impl PoolLeases for FakeLease {
     fn held(&self, _: &id::Pool) -> Option<Fencing> {
-        let held = *self.0.lock().expect("no test panics in here");
+        let held = *self.0.lock().expect("the lock is not poisoned");
         held.filter(|fencing| Instant::now() < fencing.until)
     }
 }
@@ -156,7 +156,7 @@
     held: Vec<id::Version>,
     carried_out: Vec<CarriedOut>,
     received: usize,
-    newest: u64,
+    newest_number: u64,
 }
 
 /// A fake engine.
@@ -164,7 +164,7 @@
 pub struct Engine(Arc<Mutex<Inner>>);
 
 impl Engine {
-    /// An engine that holds `versions`.
+    /// An engine that holds the versions `held`.
     pub fn new(endpoint: &str, held: &[&str]) -> Self {
         Self(Arc::new(Mutex::new(Inner {
             name: name(endpoint),
@@ -173,12 +173,12 @@
             held: versions(held),
             carried_out: Vec::new(),
             received: 0,
-            newest: 0,
+            newest_number: 0,
         })))
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.0.lock().expect("no test panics in here")
+        self.0.lock().expect("the lock is not poisoned")
     }
 
     /// Changes its behavior.
@@ -201,7 +201,8 @@
         self.inner().received
     }
 
-    /// Orders of an earlier holder that were carried out after one of a later holder.
+    /// Number of orders of an earlier holder that were carried out right after one of a later
+    /// holder.
     pub fn overtaken(&self) -> usize {
         let carried_out = self.carried_out();
         let pairs = carried_out.windows(2);
@@ -211,13 +212,13 @@
     fn carry_out(&self, versions: Vec<id::Version>, number: u64) -> Reply {
         let mut inner = self.inner();
         inner.received += 1;
-        if inner.behavior.refuses_old_numbers && number < inner.newest {
+        if inner.behavior.refuses_old_numbers && number < inner.newest_number {
             return Reply {
                 accepted: false,
-                fencing: Some(inner.newest),
+                fencing: Some(inner.newest_number),
             };
         }
-        inner.newest = inner.newest.max(number);
+        inner.newest_number = inner.newest_number.max(number);
         inner.held.clone_from(&versions);
         inner.carried_out.push(CarriedOut {
             at: Instant::now(),
@@ -347,24 +348,24 @@
 
     /// Fetched versions, in order.
     pub fn fetched(&self) -> Vec<id::Version> {
-        let calls = self.calls.lock().expect("no test panics in here");
+        let calls = self.calls.lock().expect("the lock is not poisoned");
         calls.iter().map(|(_, version)| version.clone()).collect()
     }
 
     /// Number of refused calls.
     pub fn refusals(&self) -> usize {
-        *self.refusals.lock().expect("no test panics in here")
+        *self.refusals.lock().expect("the lock is not poisoned")
     }
 }
 
 impl weights::Store for Weights {
     async fn fetch(&self, fetch: Fetch) -> Result<(), weights::Error> {
         tokio::time::sleep(self.fetch_delay).await;
-        let mut calls = self.calls.lock().expect("no test panics in here");
+        let mut calls = self.calls.lock().expect("the lock is not poisoned");
         let now = Instant::now();
         let free_at = calls.last().map(|(at, _)| *at + self.interval);
         if let Some(free_at) = free_at.filter(|free_at| now < *free_at) {
-            *self.refusals.lock().expect("no test panics in here") += 1;
+            *self.refusals.lock().expect("the lock is not poisoned") += 1;
             return Err(weights::Error::Refused {
                 after: free_at - now,
             });
