--- a/crates/endpoint/examples/assemble.rs
+++ b/crates/endpoint/examples/assemble.rs
@@ -1,5 +1,5 @@
-//! The assembler over somebody's own stream: events come in any order, twice, and with a break in
-//! the middle; pieces go out once and in order.
+//! Uses the assembler with a custom stream. Events arrive out of order, twice and with an
+//! interruption; chunks are delivered once and in order.
 //!
 //! `cargo run -p pimento-endpoint --example assemble`
 
@@ -51,15 +51,15 @@
 fn main() -> Result<(), Fault> {
     let mut assembler = Assembler::new("pimento-mini@1");
     feed(&mut assembler, &[1, 0, 0, 3])?;
-    let after = assembler.last();
+    let after = assembler.last_delivered();
     println!(
-        "\n-- cut; resume after piece {after:?}, whole: {}",
-        assembler.whole()
+        "\n-- interrupted; resume after chunk {after:?}, complete: {}",
+        assembler.is_complete()
     );
     feed(&mut assembler, &[2, 3, 4, 5])?;
     println!(
-        "\n-- whole: {}, duplicates: {}",
-        assembler.whole(),
+        "\n-- complete: {}, duplicates: {}",
+        assembler.is_complete(),
         assembler.duplicates()
     );
     Ok(())
