--- a/crates/endpoint/tests/all/engine.rs
+++ b/crates/endpoint/tests/all/engine.rs
@@ -11,8 +11,8 @@
 use pimento_endpoint::engine::Engine;
 use pimento_endpoint::engine::Event;
 use pimento_endpoint::engine::Remote;
+use pimento_standin::Handler;
 use pimento_standin::Running;
-use pimento_standin::Site;
 use pimento_standin::engine;
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
@@ -120,13 +120,13 @@
 async fn each_fault_is_told_apart_for_whole_and_streamed_calls() {
     for (action, expected, not_run) in cases() {
         let engine = standin().await;
-        engine.faults.rules([Rule::new(action.clone())]);
+        engine.faults.set_rules([Rule::new(action.clone())]);
         let whole = remote(&engine).complete(call(false)).await.unwrap_err();
         let streamed = read(&remote(&engine), call(true)).await.unwrap_err();
         for fault in [whole, streamed] {
             assert!(expected(&fault), "{action:?}: {fault}");
             assert_eq!(fault.not_run(), not_run, "{action:?}: {fault}");
-            assert!(!fault.not_run() || engine.site.stats().started == 0);
+            assert!(!fault.not_run() || engine.handler.stats().started == 0);
         }
     }
 }
@@ -207,7 +207,7 @@
 #[tokio::test]
 async fn load_cache_and_orders() {
     let engine = standin().await;
-    engine.site.change(|settings| {
+    engine.handler.change(|settings| {
         settings.load_lag_ms = 0;
         settings.order_ms = 0;
         settings.fencing = engine::Fencing::Refuses;
--- a/crates/endpoint/tests/all/service.rs
+++ b/crates/endpoint/tests/all/service.rs
@@ -65,7 +65,7 @@
         let desk = service::start(config, CancellationToken::new())
             .await
             .unwrap();
-        desk.faults.rules([Rule::new(action.clone())]);
+        desk.faults.set_rules([Rule::new(action.clone())]);
         let call = call();
         let key = call.request.to_string();
         let result = Remote::new(Pool::default(), desk.address).call(call).await;
@@ -74,9 +74,9 @@
             (Err(fault), Err(expected)) => assert!(expected(fault), "{action:?}: {fault}"),
             _ => panic!("{action:?}: {result:?}"),
         }
-        assert!(desk.site.runs(&key) <= 1, "{action:?}");
+        assert!(desk.handler.runs(&key) <= 1, "{action:?}");
         let not_run = result.is_err_and(|fault| fault.not_run());
-        assert!(!not_run || desk.site.runs(&key) == 0, "{action:?}");
+        assert!(!not_run || desk.handler.runs(&key) == 0, "{action:?}");
     }
 }
 
--- a/crates/entry/tests/all/faults.rs
+++ b/crates/entry/tests/all/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of engines and of the log, and what callers receive.
 
 use hyper::StatusCode;
-use pimento_standin::Site;
+use pimento_standin::Handler;
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
 use pimento_wire::api::Run;
@@ -116,8 +116,11 @@
     let expected = entry.chat(PROMPT, false).send().await.completion();
     let expected = expected.choices[0].message.content.clone();
     // The same prompt is sent to the same engine first, for its prefix cache.
-    let engine = fixture.engines.iter().find(|e| e.site.stats().started == 1);
-    engine.unwrap().faults.rules(rules);
+    let engine = fixture
+        .engines
+        .iter()
+        .find(|e| e.handler.stats().started == 1);
+    engine.unwrap().faults.set_rules(rules);
     let answer = entry.chat(PROMPT, stream).send().await;
     assert_eq!(
         answer.status,
@@ -143,7 +146,7 @@
     let fixture = Fixture::start(2).await;
     let entry = fixture.entry("entry-1").await;
     for engine in &fixture.engines {
-        engine.faults.rules([
+        engine.faults.set_rules([
             Rule::new(Action::Cut { after: 3 }).on("POST", CHAT),
             Rule::new(Action::Drop).on("GET", ATTEMPTS),
         ]);
@@ -174,7 +177,7 @@
     let fixture = Fixture::start(2).await;
     let entry = fixture.entry("entry-1").await;
     for engine in &fixture.engines {
-        engine.faults.rules([refuse(Some(Run::NotRun))]);
+        engine.faults.set_rules([refuse(Some(Run::NotRun))]);
     }
     // The request waits for an engine that accepts it, until its time is short. The refusal comes
     // from the queue or from the engines.
@@ -186,7 +189,7 @@
     assert_ne!(answer.header("retry-after"), "");
     assert_eq!(fixture.started(), 0);
     for engine in &fixture.engines {
-        engine.faults.rules([refuse(None)]);
+        engine.faults.set_rules([refuse(None)]);
     }
     let answer = entry.chat(PROMPT, false).send().await;
     assert_eq!(answer.failure().error.run, Run::Unknown, "{answer:?}");
@@ -205,7 +208,9 @@
             retry_after: Some(3_600),
             run: Some(Run::NotRun),
         };
-        engine.faults.rules([Rule::new(refuse).on("POST", CHAT)]);
+        engine
+            .faults
+            .set_rules([Rule::new(refuse).on("POST", CHAT)]);
     }
     let request = entry.chat(PROMPT, false).header("request-timeout", "600");
     let answer = tokio::time::timeout(TIMEOUT, request.send()).await.unwrap();
@@ -220,7 +225,7 @@
 #[tokio::test]
 async fn the_attempt_of_a_disconnected_caller_is_cancelled() {
     let fixture = Fixture::start(1).await;
-    fixture.engines[0].site.change(|settings| {
+    fixture.engines[0].handler.change(|settings| {
         settings.token_us = 20_000;
         settings.linger_ms = 600_000;
     });
@@ -230,7 +235,7 @@
     wait_until("the engine has started", || fixture.started() == 1).await;
     pending.abort();
     wait_until("the attempt is cancelled", || {
-        fixture.engines[0].site.stats().cancelled == 1
+        fixture.engines[0].handler.stats().cancelled == 1
     })
     .await;
     assert!(fixture.bills().is_empty());
@@ -251,8 +256,8 @@
     }
     fixture.engines[0]
         .faults
-        .rules([Rule::new(Action::Hang).on("POST", CHAT)]);
-    let before = fixture.engines[1].site.stats().started;
+        .set_rules([Rule::new(Action::Hang).on("POST", CHAT)]);
+    let before = fixture.engines[1].handler.stats().started;
     let mut count = 0;
     // The prefix of a prompt selects its engine; some prompts select the hung one.
     while fixture.engines[0].faults.table().rules[0].hits == 0 {
@@ -262,7 +267,7 @@
         assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
         count += 1;
     }
-    assert_eq!(fixture.engines[1].site.stats().started, before + count);
+    assert_eq!(fixture.engines[1].handler.stats().started, before + count);
 }
 
 /// One engine hangs. A long request is not hedged. Without a first chunk for much longer than
@@ -280,7 +285,7 @@
     }
     fixture.engines[0]
         .faults
-        .rules([Rule::new(Action::Hang).on("POST", CHAT)]);
+        .set_rules([Rule::new(Action::Hang).on("POST", CHAT)]);
     let mut count = 0;
     while fixture.engines[0].faults.table().rules[0].hits == 0 {
         let long = "drum ".repeat(6_000);
@@ -300,7 +305,7 @@
     let fixture = Fixture::start(2).await;
     let entry = fixture.entry("entry-1").await;
     for engine in &fixture.engines {
-        engine.faults.rules(once(Action::Cut { after: 7 }));
+        engine.faults.set_rules(once(Action::Cut { after: 7 }));
     }
     let body = serde_json::json!({
         "model": "stock",
@@ -311,7 +316,7 @@
     let answer = entry.chat(PROMPT, true).body(body.to_string()).send().await;
     assert!(answer.whole_stream(), "{:?}", answer.events());
     assert_eq!(fixture.started(), 1);
-    let stats = fixture.engines.iter().map(|engine| engine.site.stats());
+    let stats = fixture.engines.iter().map(|engine| engine.handler.stats());
     assert_eq!(stats.map(|stats| stats.resumed).sum::<u64>(), 1);
 }
 
@@ -330,7 +335,7 @@
     fixture
         .log
         .faults
-        .rules([Rule::new(refused).on("POST", "/streams/usage")]);
+        .set_rules([Rule::new(refused).on("POST", "/streams/usage")]);
     for stream in [true, false] {
         let answer = entry.chat(PROMPT, stream).send().await;
         assert!(!answer.whole_stream());
--- a/crates/entry/tests/all/leaving.rs
+++ b/crates/entry/tests/all/leaving.rs
@@ -1,7 +1,7 @@
 //! Endpoints that leave, and a VM list that is suddenly empty.
 
 use hyper::StatusCode;
-use pimento_standin::Site;
+use pimento_standin::Handler;
 
 use crate::support::Entry;
 use crate::support::Fixture;
@@ -26,18 +26,18 @@
     let settings = [("peers", seed.as_str()), ("poll-interval", "1h")];
     let second = fixture.entry_with("entry-2", &settings).await;
     fixture.engines[0]
-        .site
+        .handler
         .change(|settings| settings.leaving = true);
     wait_until("the first VM knows", || !usable(&first, "engine-0")).await;
     wait_until("the second VM knows", || !usable(&second, "engine-0")).await;
     assert!(usable(&second, "engine-1"));
-    let before = fixture.engines[0].site.stats().started;
+    let before = fixture.engines[0].handler.stats().started;
     for number in 0..10 {
         let prompt = format!("question {number}: answer in 3 tokens");
         let answer = second.chat(&prompt, false).send().await;
         assert_eq!(answer.status, StatusCode::OK);
     }
-    assert_eq!(fixture.engines[0].site.stats().started, before);
+    assert_eq!(fixture.engines[0].handler.stats().started, before);
 }
 
 /// The list is empty for a while, as a faulty store may return it. Requests are still served.
@@ -45,7 +45,7 @@
 async fn an_empty_list_does_not_stop_the_service() {
     let fixture = Fixture::start(1).await;
     let entry = fixture.entry("entry-1").await;
-    fixture.vms.site.change(Vec::clear);
+    fixture.vms.handler.change(Vec::clear);
     wait_until("the list is distrusted", || {
         entry.running.node.registry.table().distrusts_list()
     })
--- a/crates/entry/tests/all/model.rs
+++ b/crates/entry/tests/all/model.rs
@@ -6,7 +6,7 @@
 use pimento_entry::filter::bill;
 use pimento_ledger::record::Item;
 use pimento_ledger::usage::Fold;
-use pimento_standin::Site;
+use pimento_standin::Handler;
 use pimento_wire::api::Chat;
 use pimento_wire::api::Models;
 
@@ -101,7 +101,7 @@
 async fn a_cascade_steps_up_and_bills_only_the_released_answer() {
     let fixture = Fixture::start(1).await;
     fixture.publish(Value::Contract(contract(&[LARGE, SMALL], 0.95)));
-    fixture.engines[0].site.change(|settings| {
+    fixture.engines[0].handler.change(|settings| {
         settings.quality = vec![
             pimento_standin::engine::Quality {
                 version: name(SMALL),
@@ -124,7 +124,7 @@
     assert_eq!(bills.len(), 1);
     assert_eq!(bills[0].item, Item::Version(name(LARGE)));
     assert!(bills[0].cost > bills[0].charge, "{:?}", bills[0]);
-    assert_eq!(fixture.engines[0].site.stats().versions.len(), 2);
+    assert_eq!(fixture.engines[0].handler.stats().versions.len(), 2);
 }
 
 #[tokio::test]
--- a/crates/entry/tests/all/poison.rs
+++ b/crates/entry/tests/all/poison.rs
@@ -34,17 +34,17 @@
     Rule::new(Action::Crash {
         back_ms: DOWNTIME_MS,
     })
-    .holding(MARKER)
+    .containing(MARKER)
 }
 
 /// Three entry VMs that know each other; engines and replicas crash on a marked request.
 async fn start_fleet() -> (Fixture, Vec<Entry>) {
     let fixture = Fixture::start(6).await;
     for engine in &fixture.engines {
-        engine.faults.rules([crash_rule()]);
+        engine.faults.set_rules([crash_rule()]);
     }
     for desk in &fixture.desks {
-        desk.faults.rules([crash_rule()]);
+        desk.faults.set_rules([crash_rule()]);
     }
     let first = fixture.entry("entry-1").await;
     let seed = first.running.node.mesh.address().to_string();
@@ -110,7 +110,7 @@
     fixture
         .desks
         .iter()
-        .for_each(|desk| desk.faults.rules([rule.clone()]));
+        .for_each(|desk| desk.faults.set_rules([rule.clone()]));
     loop {
         assert!(started.elapsed() < TIMEOUT, "{} crashes", crashes(&fixture));
         let answer = entries[0].request(Method::GET, path).send().await;
@@ -159,7 +159,7 @@
     fixture
         .engines
         .iter()
-        .for_each(|e| e.faults.rules([lose()]));
+        .for_each(|e| e.faults.set_rules([lose()]));
     let struck = || {
         fixture
             .engines
--- a/crates/entry/tests/all/refusals.rs
+++ b/crates/entry/tests/all/refusals.rs
@@ -177,7 +177,7 @@
 async fn work_that_cannot_start_in_time_is_refused_at_once() {
     let fixture = Fixture::start(1).await;
     fixture.engines[0]
-        .site
+        .handler
         .change(|settings| settings.token_us = 50_000);
     let entry = fixture.entry("entry-1").await;
     let pool = entry.running.node.scheduler.pool(&name("pimento-llm"));
--- a/crates/entry/tests/all/service.rs
+++ b/crates/entry/tests/all/service.rs
@@ -85,7 +85,7 @@
     let entry = fixture.entry("entry-1").await;
     for desk in &fixture.desks {
         desk.faults
-            .rules([Rule::new(Action::LoseAnswer).on("POST", "/")]);
+            .set_rules([Rule::new(Action::LoseAnswer).on("POST", "/")]);
     }
     let key = Uuid::now_v7().to_string();
     let lost = entry.order(&key).send().await;
@@ -107,7 +107,7 @@
     let fixture = Fixture::start(1).await;
     let entry = fixture.entry("entry-1").await;
     for desk in &fixture.desks {
-        desk.faults.rules([Rule::new(Action::Refuse {
+        desk.faults.set_rules([Rule::new(Action::Refuse {
             status: 503,
             retry_after: Some(1),
             run: Some(Run::NotRun),
@@ -140,7 +140,7 @@
     // Gets the first grant while the log is available.
     let warm = entry.request(Method::GET, "/services/order-desk/stock");
     assert_eq!(warm.send().await.status, StatusCode::OK);
-    fixture.log.faults.rules([Rule::new(Action::Refuse {
+    fixture.log.faults.set_rules([Rule::new(Action::Refuse {
         status: 503,
         retry_after: Some(1),
         run: None,
--- a/crates/entry/tests/all/shutdown.rs
+++ b/crates/entry/tests/all/shutdown.rs
@@ -11,7 +11,7 @@
 async fn requests_in_flight_are_finished_and_billed() {
     let fixture = Fixture::start(2).await;
     for engine in &fixture.engines {
-        engine.site.change(|settings| settings.token_us = 10_000);
+        engine.handler.change(|settings| settings.token_us = 10_000);
     }
     let entry = fixture.entry_with("entry-1", &[("grace", "300ms")]).await;
     let send = || entry.chat("answer in 100 tokens", true).send();
@@ -41,7 +41,7 @@
 async fn the_last_bound_cuts_without_a_clean_end() {
     let fixture = Fixture::start(1).await;
     fixture.engines[0]
-        .site
+        .handler
         .change(|settings| settings.token_us = 200_000);
     let settings = [("grace", "0ms"), ("last-bound", "300ms")];
     let entry = fixture.entry_with("entry-1", &settings).await;
--- a/crates/entry/tests/all/support.rs
+++ b/crates/entry/tests/all/support.rs
@@ -34,8 +34,8 @@
 use pimento_entry::Running;
 use pimento_entry::config::Raw;
 use pimento_ledger::Bill;
+use pimento_standin::Handler;
 use pimento_standin::Running as Standin;
-use pimento_standin::Site;
 use pimento_standin::engine;
 use pimento_standin::engine::Engine;
 use pimento_standin::log;
@@ -257,13 +257,13 @@
             role,
             leaving: false,
         };
-        self.vms.site.change(|vms| vms.push(vm));
+        self.vms.handler.change(|vms| vms.push(vm));
     }
 
     /// The configuration state after all records of the log.
     pub fn state(&self) -> State {
         let mut state = State::default();
-        for entry in self.log.site.records("configuration") {
+        for entry in self.log.handler.records("configuration") {
             match serde_json::from_str(&entry.record) {
                 Ok(change::Entry::Change(change)) => {
                     state.apply(entry.offset, &change);
@@ -287,7 +287,7 @@
             at: Wall::from_millis(0),
         };
         let record = serde_json::to_string(&change::Entry::Change(change)).unwrap();
-        let _ = self.log.site.append("configuration", vec![record]);
+        let _ = self.log.handler.append("configuration", vec![record]);
     }
 
     pub fn withdraw(&self, id: &str) {
@@ -297,7 +297,7 @@
     }
 
     pub fn bills(&self) -> Vec<Bill> {
-        let records = self.log.site.records("usage");
+        let records = self.log.handler.records("usage");
         let bills = records
             .iter()
             .filter_map(|e| serde_json::from_str(&e.record).ok());
@@ -306,12 +306,12 @@
 
     /// Calls started at all engines, as the engines count them.
     pub fn started(&self) -> u64 {
-        self.engines.iter().map(|e| e.site.stats().started).sum()
+        self.engines.iter().map(|e| e.handler.stats().started).sum()
     }
 
     /// How often the replicas of the service ran a request id.
     pub fn runs(&self, key: &str) -> u64 {
-        self.desks.iter().map(|desk| desk.site.runs(key)).sum()
+        self.desks.iter().map(|desk| desk.handler.runs(key)).sum()
     }
 
     pub fn settings(&self, node: &str) -> Vec<(&'static str, String)> {
--- a/crates/entry/tests/all/versions.rs
+++ b/crates/entry/tests/all/versions.rs
@@ -3,7 +3,7 @@
 use hyper::StatusCode;
 use pimento_contract::Value;
 use pimento_endpoint::engine::Engine;
-use pimento_standin::Site;
+use pimento_standin::Handler;
 use pimento_wire::api::Run;
 
 use crate::support::Fixture;
@@ -15,7 +15,7 @@
 use crate::support::wait_until;
 
 fn started(fixture: &Fixture, version: &str) -> u64 {
-    let stats = fixture.engines.iter().map(|engine| engine.site.stats());
+    let stats = fixture.engines.iter().map(|engine| engine.handler.stats());
     let started = |stats: pimento_standin::engine::Stats| {
         let found = stats
             .versions
@@ -31,7 +31,7 @@
 #[tokio::test]
 async fn work_that_waits_is_not_sent_to_a_version_withdrawn_meanwhile() {
     let fixture = Fixture::start(1).await;
-    fixture.engines[0].site.change(|settings| {
+    fixture.engines[0].handler.change(|settings| {
         settings.token_us = 20_000;
         settings.batch = 4;
     });
@@ -111,7 +111,7 @@
     fixture.publish(Value::Contract(contract(&[LARGE, SMALL], 0.99)));
     fixture.publish(Value::Rollout(rollout(0.5)));
     for engine in &fixture.engines {
-        engine.site.change(|settings| {
+        engine.handler.change(|settings| {
             settings.quality = vec![
                 pimento_standin::engine::Quality {
                     version: name(SMALL),
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -32,8 +32,8 @@
 use crate::server;
 use crate::server::Answer;
 use crate::server::Call;
+use crate::server::Handler;
 use crate::server::Running;
-use crate::server::Site;
 use crate::shared::Shared;
 use crate::tally::Tally;
 use crate::text;
@@ -93,14 +93,14 @@
         fencing: None,
         reports: Vec::new(),
     };
-    let site = Engine {
+    let handler = Engine {
         name: config.name,
         state: Shared::new(state),
         batch: Batch::default(),
         token: token.clone(),
     };
-    site.report();
-    server::start(site, config.listen, token).await
+    handler.report();
+    server::start(handler, config.listen, token).await
 }
 
 impl State {
@@ -323,7 +323,7 @@
     }
 }
 
-impl Site for Engine {
+impl Handler for Engine {
     type Stats = Stats;
     type Settings = Settings;
 
@@ -365,7 +365,7 @@
         self.change(|current| *current = settings);
     }
 
-    fn begin_again(&self) {
+    fn restart(&self) {
         let lost = self.state.with(|state| {
             state.incarnation += 1;
             state.cache = Cache::default();
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -12,7 +12,7 @@
 use crate::server;
 use crate::server::Answer;
 use crate::server::Call;
-use crate::server::Site;
+use crate::server::Handler;
 
 impl Engine {
     /// Carries an order out, unless its fencing number is old and looked at.
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -163,7 +163,7 @@
 
     /// Only calls whose body holds `text`.
     #[must_use]
-    pub fn holding(mut self, text: &str) -> Self {
+    pub fn containing(mut self, text: &str) -> Self {
         self.body = text.into();
         self
     }
@@ -226,14 +226,14 @@
     }
 
     /// Replaces the rules and keeps the seed.
-    pub fn rules(&self, rules: impl IntoIterator<Item = Rule>) {
+    pub fn set_rules(&self, rules: impl IntoIterator<Item = Rule>) {
         let rules = rules.into_iter().collect();
         self.0.with(|table| table.rules = rules);
     }
 
     /// Removes all rules.
     pub fn clear(&self) {
-        self.rules([]);
+        self.set_rules([]);
     }
 
     /// The table with its counters.
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -25,5 +25,5 @@
 pub mod weights;
 
 pub use fault::Faults;
+pub use server::Handler;
 pub use server::Running;
-pub use server::Site;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -30,8 +30,8 @@
 use crate::server;
 use crate::server::Answer;
 use crate::server::Call;
+use crate::server::Handler;
 use crate::server::Running;
-use crate::server::Site;
 use crate::shared::Shared;
 
 /// Records of one answer if the reader does not say how many it wants.
@@ -142,8 +142,8 @@
 ///
 /// If the address can't be bound.
 pub async fn start(config: Config, token: CancellationToken) -> io::Result<Running<Log>> {
-    let site = Log::new(config.settings);
-    server::start(site, config.listen, token).await
+    let handler = Log::new(config.settings);
+    server::start(handler, config.listen, token).await
 }
 
 impl Stream {
@@ -307,7 +307,7 @@
     }
 }
 
-impl Site for Log {
+impl Handler for Log {
     type Stats = Stats;
     type Settings = Settings;
 
--- a/crates/standin/src/rating.rs
+++ b/crates/standin/src/rating.rs
@@ -21,8 +21,8 @@
 use crate::server;
 use crate::server::Answer;
 use crate::server::Call;
+use crate::server::Handler;
 use crate::server::Running;
-use crate::server::Site;
 use crate::shared::Shared;
 use crate::text::Mark;
 use crate::text::PASS;
@@ -96,8 +96,8 @@
         settings: config.settings,
         stats: Stats::default(),
     };
-    let site = Rater(Shared::new(state));
-    server::start(site, config.listen, token).await
+    let handler = Rater(Shared::new(state));
+    server::start(handler, config.listen, token).await
 }
 
 fn grade(answer: &str, settings: &Settings) -> Share {
@@ -125,7 +125,7 @@
     }
 }
 
-impl Site for Rater {
+impl Handler for Rater {
     type Stats = Stats;
     type Settings = Settings;
 
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -30,7 +30,7 @@
 use crate::fault::Plan;
 
 /// What one stand-in does.
-pub trait Site: Clone + Send + Sync + 'static {
+pub trait Handler: Clone + Send + Sync + 'static {
     /// Counters shown at `GET /stats`.
     type Stats: Serialize;
     /// Settings shown at `GET /settings` and replaced by `PUT /settings`.
@@ -49,7 +49,7 @@
     fn set(&self, settings: Self::Settings);
 
     /// Begins another life, which knows nothing of what ran in the one before.
-    fn begin_again(&self) {}
+    fn restart(&self) {}
 }
 
 /// An answer.
@@ -105,7 +105,7 @@
     /// Its fault table.
     pub faults: Faults,
     /// The stand-in itself, to be read and changed without HTTP.
-    pub site: S,
+    pub handler: S,
     /// Told how long the stand-in is to be gone.
     crash: watch::Sender<Duration>,
 }
@@ -118,15 +118,15 @@
     }
 }
 
-/// Starts a server for `site`.
+/// Starts a server for `handler`.
 ///
 /// Cancelling `token` closes the socket and cuts all connections, as the loss of a VM would.
 ///
 /// # Errors
 ///
 /// If the address can't be bound.
-pub async fn start<S: Site>(
-    site: S,
+pub async fn start<S: Handler>(
+    handler: S,
     listen: SocketAddr,
     token: CancellationToken,
 ) -> io::Result<Running<S>> {
@@ -134,7 +134,7 @@
     let running = Running {
         address: listener.local_addr()?,
         faults: Faults::default(),
-        site,
+        handler,
         crash: watch::Sender::new(Duration::ZERO),
     };
     tokio::spawn(live(listener, running.clone(), token));
@@ -142,7 +142,7 @@
 }
 
 /// One life after the other, until the token is cancelled.
-async fn live<S: Site>(listener: TcpListener, running: Running<S>, token: CancellationToken) {
+async fn live<S: Handler>(listener: TcpListener, running: Running<S>, token: CancellationToken) {
     let address = running.address;
     let mut listener = listener;
     loop {
@@ -157,7 +157,7 @@
             () = token.cancelled() => return,
             () = tokio::time::sleep(back) => {}
         }
-        running.site.begin_again();
+        running.handler.restart();
         listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
             Err(error) => return log::error!("standin: Not back at {address}: {error}."),
@@ -165,7 +165,7 @@
     }
 }
 
-async fn accept<S: Site>(listener: TcpListener, running: Running<S>, token: CancellationToken) {
+async fn accept<S: Handler>(listener: TcpListener, running: Running<S>, token: CancellationToken) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
@@ -187,7 +187,7 @@
 /// Pause after a failed accept. Running out of file descriptors would otherwise spin the loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-async fn connection<S: Site>(stream: TcpStream, running: Running<S>) {
+async fn connection<S: Handler>(stream: TcpStream, running: Running<S>) {
     // Without it each event of a stream would wait for the acknowledgement of the one before.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
@@ -203,7 +203,7 @@
     }
 }
 
-async fn serve<S: Site>(
+async fn serve<S: Handler>(
     running: &Running<S>,
     request: hyper::Request<Incoming>,
 ) -> io::Result<Answer> {
@@ -223,7 +223,7 @@
     carry(running, call, plan).await
 }
 
-async fn carry<S: Site>(running: &Running<S>, call: Call, plan: Plan) -> io::Result<Answer> {
+async fn carry<S: Handler>(running: &Running<S>, call: Call, plan: Plan) -> io::Result<Answer> {
     tokio::time::sleep(plan.delay).await;
     match plan.instead {
         Some(Instead::Refuse {
@@ -249,7 +249,7 @@
         }
         None => {}
     }
-    let answer = running.site.answer(call).await;
+    let answer = running.handler.answer(call).await;
     tokio::time::sleep(plan.late).await;
     if plan.lose {
         return Err(io::Error::other("answer lost by the fault table"));
@@ -261,13 +261,13 @@
 }
 
 /// Calls that steer the stand-in itself; no fault strikes them.
-fn steer<S: Site>(running: &Running<S>, call: &Call) -> Option<Answer> {
+fn steer<S: Handler>(running: &Running<S>, call: &Call) -> Option<Answer> {
     let answer = match (call.method.as_str(), call.path.as_str()) {
         ("GET", "/faults") => json(StatusCode::OK, &running.faults.table()),
         ("PUT", "/faults") => put(call, |table| running.faults.set(table)),
-        ("GET", "/stats") => json(StatusCode::OK, &running.site.stats()),
-        ("GET", "/settings") => json(StatusCode::OK, &running.site.settings()),
-        ("PUT", "/settings") => put(call, |settings| running.site.set(settings)),
+        ("GET", "/stats") => json(StatusCode::OK, &running.handler.stats()),
+        ("GET", "/settings") => json(StatusCode::OK, &running.handler.settings()),
+        ("PUT", "/settings") => put(call, |settings| running.handler.set(settings)),
         _ => return None,
     };
     Some(answer)
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -20,8 +20,8 @@
 use crate::server;
 use crate::server::Answer;
 use crate::server::Call;
+use crate::server::Handler;
 use crate::server::Running;
-use crate::server::Site;
 use crate::shared::Shared;
 use crate::tally::Count;
 use crate::tally::Tally;
@@ -130,11 +130,11 @@
         settings: config.settings,
         ..State::default()
     };
-    let site = Service {
+    let handler = Service {
         name: config.name,
         state: Shared::new(state),
     };
-    server::start(site, config.listen, token).await
+    server::start(handler, config.listen, token).await
 }
 
 /// Ends a run when its caller leaves or its work is done.
@@ -181,7 +181,7 @@
     }
 }
 
-impl Site for Service {
+impl Handler for Service {
     type Stats = Stats;
     type Settings = Settings;
 
--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -18,8 +18,8 @@
 use crate::server;
 use crate::server::Answer;
 use crate::server::Call;
+use crate::server::Handler;
 use crate::server::Running;
-use crate::server::Site;
 use crate::shared::Shared;
 
 /// Settings of the list.
@@ -83,8 +83,8 @@
         history: vec![(Instant::now(), config.vms)],
         stats: Stats::default(),
     };
-    let site = Vms(Shared::new(state));
-    server::start(site, config.listen, token).await
+    let handler = Vms(Shared::new(state));
+    server::start(handler, config.listen, token).await
 }
 
 impl State {
@@ -161,7 +161,7 @@
     }
 }
 
-impl Site for Vms {
+impl Handler for Vms {
     type Stats = Stats;
     type Settings = Settings;
 
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -17,8 +17,8 @@
 use crate::server;
 use crate::server::Answer;
 use crate::server::Call;
+use crate::server::Handler;
 use crate::server::Running;
-use crate::server::Site;
 use crate::shared::Shared;
 
 /// Settings of the store.
@@ -95,8 +95,8 @@
         settings,
         stats: Stats::default(),
     };
-    let site = Weights(Shared::new(state));
-    server::start(site, config.listen, token).await
+    let handler = Weights(Shared::new(state));
+    server::start(handler, config.listen, token).await
 }
 
 impl Weights {
@@ -124,7 +124,7 @@
     }
 }
 
-impl Site for Weights {
+impl Handler for Weights {
     type Stats = Stats;
     type Settings = Settings;
 
--- a/crates/standin/tests/all/engine.rs
+++ b/crates/standin/tests/all/engine.rs
@@ -3,8 +3,8 @@
 use eventsource_stream::Eventsource;
 use futures::StreamExt;
 use hyper::Method;
+use pimento_standin::Handler;
 use pimento_standin::Running;
-use pimento_standin::Site;
 use pimento_standin::engine;
 use pimento_standin::engine::Engine;
 use pimento_standin::engine::Fencing;
@@ -99,7 +99,7 @@
     let ids: Vec<&str> = events.iter().map(|(id, _)| id.as_str()).collect();
     assert_eq!(ids[..2], ["3", "4"]);
     assert_eq!(events[2].1, DONE);
-    assert_eq!(engine.site.runs("a"), 1, "resuming starts nothing");
+    assert_eq!(engine.handler.runs("a"), 1, "resuming starts nothing");
     assert_eq!(status(get(&engine, "/v1/attempts/b").await), 404);
 }
 
@@ -112,16 +112,16 @@
     .await;
     let other = engine.clone();
     let slow = tokio::spawn(async move { ask(&other, "slow", chat("hi", false, 9)).await });
-    until("the attempt began", || engine.site.runs("slow") == 1).await;
+    until("the attempt began", || engine.handler.runs("slow") == 1).await;
     let cancelled = call(&engine, Method::DELETE, "/v1/attempts/slow", &[], "").await;
     assert_eq!(status(cancelled), 204);
     assert_eq!(status(slow.await.unwrap()), 500);
-    engine.site.change(|s| s.token_us = 100);
+    engine.handler.change(|s| s.token_us = 100);
     assert_eq!(
         status(ask(&engine, "next", chat("hi", false, 2)).await),
         200
     );
-    let stats = engine.site.stats();
+    let stats = engine.handler.stats();
     assert_eq!((stats.started, stats.finished, stats.cancelled), (2, 1, 1));
 }
 
@@ -135,13 +135,13 @@
     .await;
     let other = engine.clone();
     tokio::spawn(async move { ask(&other, "slow", chat("hi", false, 9)).await });
-    until("the attempt began", || engine.site.runs("slow") == 1).await;
+    until("the attempt began", || engine.handler.runs("slow") == 1).await;
     let (status, headers, _) = ask(&engine, "second", chat("hi", false, 9)).await.unwrap();
     assert_eq!(
         (status.as_u16(), headers["run"].to_str().unwrap()),
         (429, "not_run")
     );
-    assert_eq!(engine.site.runs("second"), 0);
+    assert_eq!(engine.handler.runs("second"), 0);
 }
 
 #[tokio::test]
@@ -153,9 +153,9 @@
     .await;
     let other = engine.clone();
     let slow = tokio::spawn(async move { ask(&other, "slow", chat("hi", true, 9)).await });
-    until("the attempt began", || engine.site.runs("slow") == 1).await;
+    until("the attempt began", || engine.handler.runs("slow") == 1).await;
     slow.abort();
-    until("it was cancelled", || engine.site.stats().cancelled == 1).await;
+    until("it was cancelled", || engine.handler.stats().cancelled == 1).await;
 }
 
 #[tokio::test]
@@ -178,7 +178,7 @@
                 .unwrap();
             sender.send(name).unwrap();
         });
-        until("it arrived", || engine.site.stats().started == started).await;
+        until("it arrived", || engine.handler.stats().started == started).await;
     }
     let order = [ended.recv().await, ended.recv().await, ended.recv().await];
     assert_eq!(order.map(Option::unwrap), ["first", "soon", "late"]);
@@ -193,9 +193,9 @@
     .await;
     let other = engine.clone();
     tokio::spawn(async move { ask(&other, "slow", chat("hi", false, 9)).await });
-    until("the attempt began", || engine.site.runs("slow") == 1).await;
+    until("the attempt began", || engine.handler.runs("slow") == 1).await;
     let old: Load = read(get(&engine, "/load").await);
-    engine.site.change(|s| s.load_lag_ms = 0);
+    engine.handler.change(|s| s.load_lag_ms = 0);
     let new: Load = read(get(&engine, "/load").await);
     assert_eq!((old.running, new.running), (0, 1));
 }
@@ -206,7 +206,7 @@
     for attempt in ["a", "b"] {
         ask(&engine, attempt, chat("hi", false, 1)).await.unwrap();
     }
-    let stats = engine.site.stats();
+    let stats = engine.handler.stats();
     assert_eq!(
         (stats.prompt, stats.cached),
         (6, 4),
@@ -246,14 +246,14 @@
         .await;
         assert!(order(&engine, &["new@1"], "7").await.accepted);
         assert_eq!(order(&engine, &["old@1"], "6").await.accepted, accepted);
-        assert_eq!(engine.site.versions(), [held.parse().unwrap()]);
+        assert_eq!(engine.handler.versions(), [held.parse().unwrap()]);
     }
 }
 
 #[tokio::test]
 async fn a_version_that_is_not_held_is_refused_as_not_run() {
     let engine = start(|_| {}).await;
-    engine.site.change(|s| s.leaving = true);
+    engine.handler.change(|s| s.leaving = true);
     let body = String::from_utf8(chat("hi", false, 1)).unwrap();
     let other = body.replace("m@1", "m@2").into_bytes();
     let (code, headers, _) = ask(&engine, "a", other).await.unwrap();
@@ -262,7 +262,7 @@
         (503, "not_run")
     );
     ask(&engine, "b", body.into_bytes()).await.unwrap();
-    let stats = engine.site.stats();
+    let stats = engine.handler.stats();
     assert_eq!((stats.refused, stats.started, stats.leaving), (1, 1, 1));
 }
 
@@ -276,10 +276,10 @@
     let other = service.clone();
     let slow =
         tokio::spawn(async move { call(&other, Method::POST, "/orders", &headers, "1").await });
-    until("it began", || service.site.runs("k") == 1).await;
+    until("it began", || service.handler.runs("k") == 1).await;
     slow.abort();
-    until("its caller left", || service.site.stats().cancelled == 1).await;
-    service.site.set(service::Settings {
+    until("its caller left", || service.handler.stats().cancelled == 1).await;
+    service.handler.set(service::Settings {
         work_ms: 0,
         ..service::Settings::default()
     });
@@ -287,11 +287,11 @@
         read(call(&service, Method::POST, "/orders", &headers, "1").await);
     assert_eq!((receipt.runs, receipt.key.as_deref()), (2, Some("k")));
     assert_eq!(receipt.path, "/orders");
-    service.site.set(service::Settings {
+    service.handler.set(service::Settings {
         capacity: 0,
         ..service::Settings::default()
     });
     let refused = call(&service, Method::POST, "/orders", &headers, "1").await;
     assert_eq!(refused.unwrap().1["run"], "not_run");
-    assert_eq!(service.site.runs("k"), 2);
+    assert_eq!(service.handler.runs("k"), 2);
 }
--- a/crates/standin/tests/all/faults.rs
+++ b/crates/standin/tests/all/faults.rs
@@ -79,7 +79,7 @@
         let seen = struck.as_ref().ok().map(|(status, _, _)| status.as_u16());
         assert_eq!(seen, case.status, "{:?}", case.action);
         assert_eq!(
-            log.site.records("a").len(),
+            log.handler.records("a").len(),
             case.effect,
             "{:?}",
             case.action
@@ -103,7 +103,7 @@
     set(&log, vec![Rule::new(Action::Hang)]).await;
     let hung = tokio::time::timeout(Duration::from_millis(200), append(&log)).await;
     assert!(hung.is_err());
-    assert!(log.site.records("a").is_empty());
+    assert!(log.handler.records("a").is_empty());
 }
 
 #[tokio::test]
@@ -155,7 +155,7 @@
     config.settings.token_us = 100;
     let token = CancellationToken::new();
     let engine: Running<Engine> = engine::start(config, token).await.unwrap();
-    engine.faults.rules([Rule::new(action)]);
+    engine.faults.set_rules([Rule::new(action)]);
     let address = engine.address.to_string();
     let mut message = pimento_standin::load::client::Message::get("/v1/chat/completions");
     message.method = Method::POST;
--- a/crates/standin/tests/all/load.rs
+++ b/crates/standin/tests/all/load.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use indicatif::ProgressBar;
+use pimento_standin::Handler;
 use pimento_standin::Running;
-use pimento_standin::Site;
 use pimento_standin::engine;
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
@@ -42,7 +42,7 @@
         .unwrap()
 }
 
-async fn run<S: Site>(running: &Running<S>, lines: &str, versions: &str) -> Report {
+async fn run<S: Handler>(running: &Running<S>, lines: &str, versions: &str) -> Report {
     let mut allowed = Allowed::default();
     let contract = format!(
         "[[contract]]\ncustomer = \"garage\"\n[[contract.class]]\nname = \"m@1\"\nversions = [{versions}]\n"
@@ -108,7 +108,7 @@
     for (line, action, versions, wanted) in cases {
         let engine = engine().await;
         let name = format!("{line} {action:?}");
-        engine.faults.rules(action.map(Rule::new));
+        engine.faults.set_rules(action.map(Rule::new));
         let report = run(&engine, line, versions).await;
         assert_eq!(ended(&report), wanted, "{name}");
     }
@@ -117,8 +117,8 @@
 #[tokio::test]
 async fn a_refusal_without_the_documented_body_is_a_breach() {
     let engine = engine().await;
-    engine.site.change(|s| s.batch = 0);
-    engine.site.change(|s| s.waiting = 0);
+    engine.handler.change(|s| s.batch = 0);
+    engine.handler.change(|s| s.waiting = 0);
     let report = run(&engine, WHOLE, "\"m@1\"").await;
     assert_eq!(ended(&report), "broken: error body");
 }
@@ -135,7 +135,7 @@
         report,
         bills: vec![bills(1)],
         engines: Vec::new(),
-        services: vec![service.site.stats()],
+        services: vec![service.handler.stats()],
         withdrawn: Vec::new(),
         overload: false,
         struck: 0,
@@ -157,7 +157,7 @@
 async fn a_false_not_run_is_found() {
     let engine = engine().await;
     let mut report = run(&engine, WHOLE, "\"m@1\"").await;
-    let engines = vec![engine.site.stats()];
+    let engines = vec![engine.handler.stats()];
     let prompt = engines[0].prompts[0].key.clone();
     report.not_run = vec!["0000000000000000".into()];
     let mut evidence = Evidence {
@@ -189,7 +189,7 @@
     let mut evidence = Evidence {
         report,
         bills: vec![bills(1)],
-        engines: vec![engine.site.stats()],
+        engines: vec![engine.handler.stats()],
         services: Vec::new(),
         withdrawn: Vec::new(),
         overload: true,
@@ -239,7 +239,7 @@
 #[tokio::test]
 async fn latency_counts_from_the_intended_moment_and_is_plotted() {
     let engine = engine().await;
-    engine.site.change(|s| {
+    engine.handler.change(|s| {
         s.batch = 1;
         s.token_us = 10_000;
     });
--- a/crates/standin/tests/all/platform.rs
+++ b/crates/standin/tests/all/platform.rs
@@ -61,11 +61,11 @@
     let reader = log.clone();
     let poll = tokio::spawn(async move { get(&reader, "/streams/a?from=0&wait_ms=60000").await });
     crate::support::until("the read began", || {
-        use pimento_standin::Site;
-        log.site.stats().reads == 1
+        use pimento_standin::Handler;
+        log.handler.stats().reads == 1
     })
     .await;
-    assert_eq!(log.site.append("a", vec!["x".to_owned()]), Offset(0));
+    assert_eq!(log.handler.append("a", vec!["x".to_owned()]), Offset(0));
     let batch: Batch = read(poll.await.unwrap());
     assert_eq!(batch.records.len(), 1);
     let empty: Batch = read(get(&log, "/streams/a?from=1&wait_ms=1").await);
@@ -79,7 +79,7 @@
     config.settings.keep = 2;
     let log = log::start(config, token).await.unwrap();
     let _ = log
-        .site
+        .handler
         .append("a", (0..5).map(|n| n.to_string()).collect());
     let (status, _, body) = get(&log, "/streams/a?from=0").await.unwrap();
     let gone: Gone = serde_json::from_slice(&body).unwrap();
@@ -94,7 +94,7 @@
     let mut config = log::Config::default();
     config.settings.keep_ms = 1;
     let log = log::start(config, token).await.unwrap();
-    let _ = log.site.append("a", vec!["old".to_owned()]);
+    let _ = log.handler.append("a", vec!["old".to_owned()]);
     tokio::time::sleep(Duration::from_millis(20)).await;
     assert_eq!(status(get(&log, "/streams/a?from=0").await), 410);
 }
@@ -122,7 +122,7 @@
             .unwrap()
             > 0
     );
-    assert_eq!(log.site.records("a").len(), 1);
+    assert_eq!(log.handler.records("a").len(), 1);
 }
 
 fn entry(name: &str) -> Vm {
@@ -146,7 +146,7 @@
         status(send(&list, Method::PUT, "/vms/two", &entry("two")).await),
         204
     );
-    list.site.leave("one");
+    list.handler.leave("one");
     let seen: Vms = read(get(&list, "/vms").await);
     assert_eq!(seen.vms, [entry("one")]);
     let settings = vms::Settings { lag_ms: 0 };
--- a/crates/standin/tests/all/support.rs
+++ b/crates/standin/tests/all/support.rs
@@ -6,8 +6,8 @@
 use hyper::HeaderMap;
 use hyper::Method;
 use hyper::StatusCode;
+use pimento_standin::Handler;
 use pimento_standin::Running;
-use pimento_standin::Site;
 use pimento_standin::load::client::Client;
 use pimento_standin::load::client::Message;
 use pimento_standin::load::client::Reason;
@@ -19,7 +19,7 @@
 
 pub type Outcome = Result<(StatusCode, HeaderMap, Bytes), Reason>;
 
-pub async fn call<S: Site>(
+pub async fn call<S: Handler>(
     running: &Running<S>,
     method: Method,
     path: &str,
@@ -40,11 +40,11 @@
         .expect("an answer or an end in time")
 }
 
-pub async fn get<S: Site>(running: &Running<S>, path: &str) -> Outcome {
+pub async fn get<S: Handler>(running: &Running<S>, path: &str) -> Outcome {
     call(running, Method::GET, path, &[], "").await
 }
 
-pub async fn send<S: Site>(
+pub async fn send<S: Handler>(
     running: &Running<S>,
     method: Method,
     path: &str,
--- a/tests/all/control.rs
+++ b/tests/all/control.rs
@@ -9,8 +9,8 @@
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
 use pimento_standin::log;
+use pimento_standin::server::Handler;
 use pimento_standin::server::Running;
-use pimento_standin::server::Site;
 use pimento_standin::vms;
 use pimento_standin::weights;
 use pimento_units::id;
@@ -70,7 +70,7 @@
             let engine = engine.expect("a port is free");
             // Does nothing but count the reports that are asked for.
             let reports = Rule::new(Action::Delay { ms: 0 }).on("GET", "/load");
-            engine.faults.rules([reports]);
+            engine.faults.set_rules([reports]);
             let vm = Vm {
                 name: "engine-a".into(),
                 zone: name(ZONE),
@@ -141,7 +141,7 @@
     }
 
     fn holds(&self, version: &str) -> bool {
-        let held = self.engine.site.versions();
+        let held = self.engine.handler.versions();
         held.binary_search(&name(version)).is_ok()
     }
 }
@@ -203,7 +203,7 @@
         "no late order undid the successor's"
     );
     assert_eq!(
-        bench.engine.site.stats().fenced,
+        bench.engine.handler.stats().fenced,
         0,
         "no late order was given at all"
     );
--- a/tests/all/ctl.rs
+++ b/tests/all/ctl.rs
@@ -63,7 +63,7 @@
     assert_eq!(published.status.code(), Some(0));
     // Appends wait long enough for both to have read.
     let delay = Rule::new(Action::Delay { ms: 3_000 }).on("POST", "/streams");
-    log.faults.rules([delay]);
+    log.faults.set_rules([delay]);
     let roll_in = |by: &str, stages: &str| {
         let arguments = [
             "version",
@@ -117,7 +117,7 @@
     let lose = Rule::new(Action::LoseAnswer)
         .on("POST", "/streams")
         .times(1);
-    log.faults.rules([lose]);
+    log.faults.set_rules([lose]);
     let published = run(log.address, &["publish", FILES[0], FILES[1]]);
     assert_eq!(published.status.code(), Some(0));
     let history = run(log.address, &["history", "--output", "json"]);
@@ -135,7 +135,8 @@
         retry_after: Some(1),
         run: None,
     };
-    log.faults.rules([Rule::new(refuse).on("POST", "/streams")]);
+    log.faults
+        .set_rules([Rule::new(refuse).on("POST", "/streams")]);
     let published = run(log.address, &["publish", FILES[0], "--timeout", "3s"]);
     assert_eq!(published.status.code(), Some(4));
     let shown = run(log.address, &["show", "--output", "json"]);
@@ -150,7 +151,7 @@
     let lose = Rule::new(Action::LoseAnswer)
         .on("POST", "/streams")
         .times(2);
-    log.faults.rules([lose]);
+    log.faults.set_rules([lose]);
     let remote = Remote::new(log.address, Duration::from_secs(5));
     let bills: Vec<String> = (0..50).map(bill).collect();
     let append = |records: Vec<String>| {
--- a/tests/all/fleet/mod.rs
+++ b/tests/all/fleet/mod.rs
@@ -265,12 +265,12 @@
 
     /// Runs of an order at all replicas of the service, by their own count.
     pub fn runs(&self, key: &str) -> u64 {
-        self.desks.iter().map(|desk| desk.site.runs(key)).sum()
+        self.desks.iter().map(|desk| desk.handler.runs(key)).sum()
     }
 
     /// Bills on the log.
     pub fn bills(&self) -> Vec<Bill> {
-        let records = self.log.site.records("usage");
+        let records = self.log.handler.records("usage");
         let bills = records
             .iter()
             .map(|entry| serde_json::from_str(&entry.record));
--- a/tests/all/kills.rs
+++ b/tests/all/kills.rs
@@ -65,7 +65,7 @@
         let half = Share::from_parts(500_000);
         let before = Rule::new(Action::Delay { ms: WORK }).share(half);
         let after = Rule::new(Action::Late { ms: WORK }).share(half);
-        desk.faults.rules([before, after]);
+        desk.faults.set_rules([before, after]);
     }
     let outcomes = run_with_kills(&mut fleet).await;
     let placed = outcomes.iter().filter(|outcome| outcome.placed).count();
@@ -156,14 +156,14 @@
     fleet
         .log
         .faults
-        .rules([Rule::new(Action::Late { ms: 1_500 })]);
+        .set_rules([Rule::new(Action::Late { ms: 1_500 })]);
     // Reads that were waiting before the fault was set still answer at once; they end in a second.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let frozen = &fleet.nodes[0];
     let claimed = async {
         eventually("the claim is on the log", async || claims(&fleet, &key)).await;
         frozen.signal("STOP");
-        fleet.log.faults.rules([]);
+        fleet.log.faults.set_rules([]);
         tokio::time::sleep(Duration::from_secs(4)).await;
         let elsewhere = fleet.caller.order(&fleet.nodes[2], &key).await;
         frozen.signal("CONT");
@@ -191,7 +191,7 @@
 fn claims(fleet: &Fleet, key: &str) -> bool {
     let id: Uuid = key.parse().expect("a UUID");
     let name = id.to_string();
-    let records = fleet.log.site.records("claims");
+    let records = fleet.log.handler.records("claims");
     records.iter().any(|entry| entry.record.contains(&name))
 }
 
--- a/tests/all/path.rs
+++ b/tests/all/path.rs
@@ -1,6 +1,6 @@
 //! The whole path through the built programs.
 
-use pimento_standin::Site;
+use pimento_standin::Handler;
 
 use crate::fleet::Fleet;
 use crate::fleet::caller;
@@ -44,12 +44,12 @@
 
 async fn refusals(fleet: &Fleet) {
     let started = |fleet: &Fleet| -> u64 {
-        let engines = fleet.engines.iter().map(|e| e.site.stats().started);
+        let engines = fleet.engines.iter().map(|e| e.handler.stats().started);
         engines.sum::<u64>()
             + fleet
                 .desks
                 .iter()
-                .map(|d| d.site.stats().started)
+                .map(|d| d.handler.stats().started)
                 .sum::<u64>()
     };
     let before = started(fleet);
--- a/tests/all/spread.rs
+++ b/tests/all/spread.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use pimento_standin::Site;
+use pimento_standin::Handler;
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
 use pimento_units::Offset;
@@ -17,7 +17,7 @@
     let text = contracts().replace("weight = 1", &format!("weight = {weight}"));
     let published = fleet.publish(&text);
     assert!(published.status.success(), "{published:?}");
-    let records = fleet.log.site.records("configuration");
+    let records = fleet.log.handler.records("configuration");
     records.last().expect("published").offset.next()
 }
 
@@ -79,7 +79,7 @@
         retry_after: Some(1),
         run: None,
     };
-    fleet.log.faults.rules([Rule::new(out)]);
+    fleet.log.faults.set_rules([Rule::new(out)]);
     for number in [0, 3, 4] {
         fleet.nodes[number].kill();
         fleet.nodes[number].start();
@@ -92,7 +92,7 @@
         assert!(state.offset >= before, "{} went back", state.node);
         fleet.ready(number).await;
     }
-    fleet.log.faults.rules([]);
+    fleet.log.faults.set_rules([]);
     let after = amend(&fleet, 3);
     let mut seen = [before; ALL.len()];
     eventually("all have the next change", async || {
@@ -114,7 +114,10 @@
 async fn a_withdrawn_version_gets_no_new_work() {
     let fleet = Fleet::start().await;
     let started = || -> u64 {
-        let work = fleet.engines.iter().flat_map(|e| e.site.stats().versions);
+        let work = fleet
+            .engines
+            .iter()
+            .flat_map(|e| e.handler.stats().versions);
         work.filter(|w| w.version.as_str() == "pimento-mini@1")
             .map(|w| w.started)
             .sum()
@@ -140,7 +143,7 @@
         assert!(started() > 0, "the cheaper version is used before");
         let withdrawn = fleet.ctl(&["version", "withdraw", "pimento-mini@1"]);
         assert!(withdrawn.status.success(), "{withdrawn:?}");
-        let records = fleet.log.site.records("configuration");
+        let records = fleet.log.handler.records("configuration");
         let offset = records.last().expect("published").offset.next();
         in_force(&fleet, &ALL, offset).await;
         // A call that was sent before may reach its engine a moment later.
