--- a/crates/standin/src/cli.rs
+++ b/crates/standin/src/cli.rs
@@ -223,7 +223,7 @@
     let deployment = findings.value(matches, "deployment");
     let base: Option<u16> = findings.value(matches, "port-base");
     if base.is_some_and(|base| base > u16::MAX - deployment::PORTS) {
-        findings.note("port-base", "leaves too few ports above it");
+        findings.add("port-base", "leaves too few ports above it");
     }
     if name == "layout" {
         return Some(Job::Layout(deployment?, base?));
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -108,7 +108,7 @@
         self.stats.started += 1;
         self.stats.leaving += u64::from(self.settings.leaving);
         self.attempts.add(&attempt.id);
-        self.prompts.add(&text::hex(attempt.mark.of));
+        self.prompts.add(&text::hex(attempt.mark.prompt));
         let versions = &mut self.stats.versions;
         let place = versions.binary_search_by(|work| work.version.cmp(&attempt.version));
         let place = place.unwrap_or_else(|at| {
--- a/crates/standin/src/engine/reply.rs
+++ b/crates/standin/src/engine/reply.rs
@@ -16,7 +16,7 @@
 /// The whole answer of an attempt.
 #[must_use]
 pub fn completion(attempt: &Attempt) -> Completion {
-    let pieces = (0..attempt.total).map(|n| text::piece(&attempt.mark, n, attempt.total));
+    let pieces = (0..attempt.total).map(|n| text::token_text(&attempt.mark, n, attempt.total));
     let message = Message {
         role: "assistant".into(),
         content: pieces.collect(),
@@ -51,7 +51,7 @@
             index: 0,
             delta: Delta {
                 role: (number == 0).then(|| "assistant".into()),
-                content: Some(text::piece(&attempt.mark, number, attempt.total)),
+                content: Some(text::token_text(&attempt.mark, number, attempt.total)),
             },
             finish_reason: last.then(|| attempt.reason().into()),
         }],
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -93,8 +93,8 @@
     Hang,
     /// No effect; the connection is closed.
     Drop,
-    /// The stand-in ends under the call, with all its connections, and is back at its address after a
-    /// while as another life of itself.
+    /// The stand-in ends under the call, with all its connections, and is back at its address after
+    /// a while as another life of itself.
     Crash {
         /// Milliseconds until it is back.
         back_ms: u64,
--- a/crates/standin/src/load/allowed.rs
+++ b/crates/standin/src/load/allowed.rs
@@ -1,7 +1,7 @@
-//! Which versions the contracts allow, read from the operators' files.
+//! The versions that contracts allow, read from the operators' files.
 //!
-//! Reads only what it needs and nothing of the product's own reading of these files, so that a
-//! fault there does not hide itself.
+//! This parser reads only the fields that it needs and shares no code with the router, so that a
+//! fault in the router's parser can't hide itself.
 
 use pimento_units::id;
 use serde::Deserialize;
@@ -25,16 +25,16 @@
     versions: Vec<id::Version>,
 }
 
-/// Versions by customer and class, sorted.
+/// Allowed versions by customer and class, sorted.
 #[derive(Debug, Clone, Default)]
-pub struct Allowed(Vec<(id::Customer, id::Class, Vec<id::Version>)>);
+pub struct AllowedVersions(Vec<(id::Customer, id::Class, Vec<id::Version>)>);
 
-impl Allowed {
-    /// Adds the contracts of a file.
+impl AllowedVersions {
+    /// Adds the contracts in a file.
     ///
     /// # Errors
     ///
-    /// What the reader of the file found.
+    /// If the text can't be parsed.
     pub fn add(&mut self, text: &str) -> Result<(), toml::de::Error> {
         let file: File = toml::from_str(text)?;
         for contract in file.contract {
@@ -47,13 +47,13 @@
         Ok(())
     }
 
-    /// Whether no contract is known.
+    /// Whether no contract was added.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether a class of a customer may be answered by a version; none if the class is unknown.
+    /// Whether a version may answer calls to a customer's class; none if the class is unknown.
     #[must_use]
     pub fn allows(
         &self,
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call: what is sent for an arrival, and what its answer amounts to.
+//! A call: builds the request for an arrival, and reads and checks its answer.
 
 use std::time::Duration;
 
@@ -21,16 +21,16 @@
 use pimento_wire::api::Chunk;
 use pimento_wire::api::DONE;
 use pimento_wire::api::ErrorBody;
-use pimento_wire::api::Message as Turn;
+use pimento_wire::api::Message as ChatMessage;
 use pimento_wire::header;
 use serde::Serialize;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::load::allowed::Allowed;
+use crate::load::allowed::AllowedVersions;
 use crate::load::check;
-use crate::load::check::Breach;
-use crate::load::check::Text;
+use crate::load::check::ModelAnswer;
+use crate::load::check::Violation;
 use crate::load::client;
 use crate::load::client::Message;
 use crate::load::result::Outcome;
@@ -38,13 +38,13 @@
 use crate::load::trace::Target;
 use crate::text;
 
-/// A call that is ready to be sent.
+/// A call that is ready to send.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// What is sent.
+    /// The request.
     pub message: Message,
     /// The request id.
-    pub key: Option<CompactString>,
+    pub request_id: Option<CompactString>,
     content: Content,
 }
 
@@ -61,19 +61,19 @@
     },
 }
 
-/// What came back.
+/// The answer to a call.
 #[derive(Debug, Clone)]
-pub struct Reading {
-    /// How the call ended.
+pub struct Answer {
+    /// The outcome of the call.
     pub outcome: Outcome,
-    /// When the first byte of content came.
-    pub first: Option<Instant>,
-    /// When each piece of a stream came.
-    pub pieces: Vec<Instant>,
-    /// The session token, if one came.
-    pub token: Option<HeaderValue>,
-    /// Whole seconds after which to ask again.
-    pub after: Option<u64>,
+    /// When the first byte of content arrived.
+    pub first_byte: Option<Instant>,
+    /// When each chunk of a stream arrived.
+    pub chunks: Vec<Instant>,
+    /// The session token, if the answer has one.
+    pub session_token: Option<HeaderValue>,
+    /// `retry-after` in seconds.
+    pub retry_after: Option<u64>,
 }
 
 #[derive(Serialize)]
@@ -84,23 +84,23 @@
 }
 
 impl Call {
-    /// Makes the call for an arrival. The number makes its prompt unlike all others.
+    /// Builds the call for an arrival. `number` makes its prompt unique.
     ///
     /// # Errors
     ///
-    /// If the key can't stand in a header or the body can't be written.
+    /// If a key is not a valid header value or the body can't be encoded.
     pub fn new(
         arrival: &Arrival,
         number: usize,
-        secret: &str,
-        key: Option<CompactString>,
+        api_key: &str,
+        request_id: Option<CompactString>,
     ) -> Result<Self, CompactString> {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        headers.insert(AUTHORIZATION, value(&format!("Bearer {secret}"))?);
-        if let Some(key) = &key {
+        headers.insert(AUTHORIZATION, value(&format!("Bearer {api_key}"))?);
+        if let Some(id) = &request_id {
             let name = HeaderName::from_static(header::IDEMPOTENCY_KEY);
-            headers.insert(name, value(key)?);
+            headers.insert(name, value(id)?);
         }
         let (path, body, content) = match &arrival.target {
             Target::Class(class) => model(arrival, class, number)?,
@@ -114,18 +114,18 @@
         };
         Ok(Self {
             message,
-            key,
+            request_id,
             content,
         })
     }
 
-    /// Puts the session's token on the call.
+    /// Sets the session token.
     pub fn session(&mut self, token: HeaderValue) {
         let name = HeaderName::from_static(header::SESSION_TOKEN);
         self.message.headers.insert(name, token);
     }
 
-    /// Says how long the caller waits for the whole answer.
+    /// Sets the `request-timeout` header.
     pub fn timeout(&mut self, timeout: Duration) {
         let name = HeaderName::from_static(header::REQUEST_TIMEOUT);
         let seconds = format!("{:.3}", timeout.as_secs_f64());
@@ -134,13 +134,13 @@
         }
     }
 
-    /// Whether it goes to a plain service.
+    /// Whether the target is a plain service.
     #[must_use]
     pub const fn service(&self) -> bool {
         matches!(self.content, Content::Service { .. })
     }
 
-    /// The hash of its prompt, for calls to models.
+    /// The hash of the prompt; none for calls to services.
     #[must_use]
     pub fn prompt(&self) -> Option<u64> {
         match &self.content {
@@ -150,48 +150,48 @@
     }
 
     /// Reads and checks the answer.
-    pub async fn read(&self, response: Response<Incoming>, allowed: &Allowed) -> Reading {
+    pub async fn read(&self, response: Response<Incoming>, allowed: &AllowedVersions) -> Answer {
         let name = HeaderName::from_static(header::SESSION_TOKEN);
-        let mut reading = Reading {
+        let mut answer = Answer {
             outcome: Outcome::Failed("no answer".into()),
-            first: None,
-            pieces: Vec::new(),
-            token: response.headers().get(name).cloned(),
-            after: check::after(response.headers()),
+            first_byte: None,
+            chunks: Vec::new(),
+            session_token: response.headers().get(name).cloned(),
+            retry_after: check::retry_after(response.headers()),
         };
         let good = response.status().is_success();
-        reading.outcome = match &self.content {
+        answer.outcome = match &self.content {
             Content::Model { stream: true, .. } if good => {
-                self.stream(response, allowed, &mut reading).await
+                self.stream(response, allowed, &mut answer).await
             }
-            _ => self.whole(response, allowed, &mut reading).await,
+            _ => self.whole(response, allowed, &mut answer).await,
         };
-        reading
+        answer
     }
 
     async fn whole(
         &self,
         response: Response<Incoming>,
-        allowed: &Allowed,
-        reading: &mut Reading,
+        allowed: &AllowedVersions,
+        answer: &mut Answer,
     ) -> Outcome {
         let (status, headers, body) = match client::collect(response).await {
             Ok(answer) => answer,
             Err(reason) => return Outcome::Failed(reason),
         };
-        reading.first = Some(Instant::now());
+        answer.first_byte = Some(Instant::now());
         if !status.is_success() {
             return refused(status, &headers, &body);
         }
         match &self.content {
-            Content::Model { .. } => match Text::whole(&headers, &body) {
-                Ok(text) => self.judge(&text, allowed),
-                Err(breach) => Outcome::Broken(breach),
+            Content::Model { .. } => match ModelAnswer::parse(&headers, &body) {
+                Ok(text) => self.check(&text, allowed),
+                Err(violation) => Outcome::Broken(violation),
             },
             Content::Service { body: sent } => {
-                match check::receipt(&body, *sent, self.key.as_deref()) {
+                match check::receipt(&body, *sent, self.request_id.as_deref()) {
                     Ok(()) => Outcome::Served(None),
-                    Err(breach) => Outcome::Broken(breach),
+                    Err(violation) => Outcome::Broken(violation),
                 }
             }
         }
@@ -200,13 +200,13 @@
     async fn stream(
         &self,
         response: Response<Incoming>,
-        allowed: &Allowed,
-        reading: &mut Reading,
+        allowed: &AllowedVersions,
+        answer: &mut Answer,
     ) -> Outcome {
-        let mut text = Text {
+        let mut text = ModelAnswer {
             content: String::new(),
             model: String::new(),
-            header: check::named(response.headers()),
+            header: check::version_header(response.headers()),
             tokens: 0,
         };
         let mut events = response.into_body().into_data_stream().eventsource();
@@ -215,7 +215,7 @@
                 return Outcome::Failed("stream cut off".into());
             };
             if event.data == DONE {
-                return self.judge(&text, allowed);
+                return self.check(&text, allowed);
             }
             if let Ok(failure) = serde_json::from_str::<ErrorBody>(&event.data) {
                 return Outcome::Refused {
@@ -225,15 +225,15 @@
                 };
             }
             let Ok(chunk) = serde_json::from_str::<Chunk>(&event.data) else {
-                return Outcome::Broken(Breach::Body);
+                return Outcome::Broken(Violation::Body);
             };
-            take(chunk, &mut text, reading);
+            add_chunk(chunk, &mut text, answer);
         }
-        // A clean end without the end mark passes off part of an answer as all of it.
-        Outcome::Broken(Breach::Partial)
+        // A stream that ends cleanly without the end mark presents a partial answer as complete.
+        Outcome::Broken(Violation::Partial)
     }
 
-    fn judge(&self, text: &Text, allowed: &Allowed) -> Outcome {
+    fn check(&self, text: &ModelAnswer, allowed: &AllowedVersions) -> Outcome {
         let Content::Model {
             customer,
             class,
@@ -241,9 +241,9 @@
             ..
         } = &self.content
         else {
-            return Outcome::Broken(Breach::Body);
+            return Outcome::Broken(Violation::Body);
         };
-        // Without contracts at hand any version passes.
+        // Without contracts, any version is allowed.
         let allows = |version: &id::Version| {
             allowed
                 .allows(customer, class, version)
@@ -251,12 +251,12 @@
         };
         match check::answer(text, prompt, allows) {
             Ok(version) => Outcome::Served(Some(version)),
-            Err(breach) => Outcome::Broken(breach),
+            Err(violation) => Outcome::Broken(violation),
         }
     }
 }
 
-fn take(chunk: Chunk, text: &mut Text, reading: &mut Reading) {
+fn add_chunk(chunk: Chunk, text: &mut ModelAnswer, answer: &mut Answer) {
     let now = Instant::now();
     text.model = chunk.model.into();
     if let Some(usage) = chunk.usage {
@@ -267,8 +267,8 @@
         if piece.is_empty() {
             continue;
         }
-        reading.first.get_or_insert(now);
-        reading.pieces.push(now);
+        answer.first_byte.get_or_insert(now);
+        answer.chunks.push(now);
         text.content.push_str(&piece);
     }
 }
@@ -280,13 +280,13 @@
             code: error.code,
             run: error.run,
         },
-        Err(breach) => Outcome::Broken(breach),
+        Err(violation) => Outcome::Broken(violation),
     }
 }
 
 fn value(text: &str) -> Result<HeaderValue, CompactString> {
     let value = HeaderValue::from_str(text);
-    value.map_err(|_| "a key can't stand in a header".into())
+    value.map_err(|_| "a key is no valid header value".into())
 }
 
 fn model(
@@ -298,7 +298,7 @@
     let output = arrival.output.0;
     let mut prompt = format!("question {number} of {customer}: answer in {output} tokens");
     for word in 0..arrival.prompt.0 {
-        prompt.push_str(PAD[usize::try_from(word).unwrap_or(0) % PAD.len()]);
+        prompt.push_str(FILLER[usize::try_from(word).unwrap_or(0) % FILLER.len()]);
     }
     let system =
         format!("You answer {class} requests for {customer}, briefly and in one language.");
@@ -319,17 +319,17 @@
     Ok(("/v1/chat/completions".to_owned(), body.into(), content))
 }
 
-/// Words that bring a prompt to its length.
-const PAD: [&str; 4] = [" degreaser", " gasket", " bearing", " rinse"];
+/// Filler words for prompts.
+const FILLER: [&str; 4] = [" degreaser", " gasket", " bearing", " rinse"];
 
-fn turn(role: &str, content: String) -> Turn {
-    Turn {
+fn turn(role: &str, content: String) -> ChatMessage {
+    ChatMessage {
         role: role.into(),
         content,
     }
 }
 
-/// A call sent again on the same id has the same body, since it is made from the same label.
+/// The body depends only on the label and the size, so a repeat with the same id has the same body.
 fn order(
     arrival: &Arrival,
     service: &id::Service,
--- a/crates/standin/src/load/check.rs
+++ b/crates/standin/src/load/check.rs
@@ -1,4 +1,4 @@
-//! Checks of each answer against what was asked.
+//! Checks each answer against its call.
 
 use std::fmt;
 
@@ -17,31 +17,31 @@
 use crate::text;
 use crate::text::Mark;
 
-/// A promise that an answer broke.
+/// Why an answer failed its check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Breach {
-    /// Part of an answer was passed off as a whole one.
+pub enum Violation {
+    /// A partial answer was presented as complete.
     Partial,
     /// The answer belongs to another request.
     Foreign,
     /// The contract does not allow the version that answered.
     Version,
-    /// The answer's places that name the version differ.
+    /// The mark, the body and the header name different versions.
     Label,
-    /// The body of an error is not of the documented form.
+    /// The body of an error does not have the documented format.
     ErrorBody,
-    /// Header and body of an error say different things about whether the call ran.
+    /// Header and body of an error differ on whether the call ran.
     RunHeader,
-    /// A refusal for load without `retry-after`.
+    /// A 429 with `not_run` has no `retry-after`.
     RetryAfter,
-    /// A body that is not of the documented form.
+    /// The body does not have the documented format.
     Body,
-    /// A plain service ran one id more than once.
+    /// A plain service ran one request id more than once.
     Doubled,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
             Self::Partial => "partial",
@@ -57,114 +57,114 @@
     }
 }
 
-/// A model's answer, put together.
+/// A model's complete answer, assembled from its chunks if it was streamed.
 #[derive(Debug, Clone)]
-pub struct Text {
+pub struct ModelAnswer {
     /// The text.
     pub content: String,
-    /// The version that the body names.
+    /// The version named in the body.
     pub model: String,
-    /// The version that the header names.
+    /// The version named in the header.
     pub header: Option<String>,
-    /// Tokens that the answer says it has.
+    /// The number of tokens stated in the answer.
     pub tokens: u64,
 }
 
-impl Text {
-    /// The text of a whole answer.
+impl ModelAnswer {
+    /// Parses an answer that was not streamed.
     ///
     /// # Errors
     ///
-    /// [`Breach::Body`].
-    pub fn whole(headers: &HeaderMap, body: &[u8]) -> Result<Self, Breach> {
-        let completion: Completion = serde_json::from_slice(body).map_err(|_| Breach::Body)?;
+    /// [`Violation::Body`].
+    pub fn parse(headers: &HeaderMap, body: &[u8]) -> Result<Self, Violation> {
+        let completion: Completion = serde_json::from_slice(body).map_err(|_| Violation::Body)?;
         let [choice] = completion.choices.as_slice() else {
-            return Err(Breach::Body);
+            return Err(Violation::Body);
         };
         Ok(Self {
             content: choice.message.content.clone(),
             model: completion.model.into(),
-            header: named(headers),
+            header: version_header(headers),
             tokens: completion.usage.completion_tokens,
         })
     }
 }
 
-/// The version that the headers name.
+/// The version named in the headers.
 #[must_use]
-pub fn named(headers: &HeaderMap) -> Option<String> {
+pub fn version_header(headers: &HeaderMap) -> Option<String> {
     let value = headers.get(header::MODEL_VERSION)?;
     value.to_str().ok().map(str::to_owned)
 }
 
-/// Checks a model's answer to `prompt`, and gives the version that answered.
+/// Checks a model's answer to `prompt` and returns the version that answered.
 ///
 /// # Errors
 ///
-/// The promise that it broke.
+/// The violation found.
 pub fn answer(
-    text: &Text,
+    text: &ModelAnswer,
     prompt: &str,
     allowed: impl FnOnce(&id::Version) -> bool,
-) -> Result<id::Version, Breach> {
-    let mark: Mark = text.content.parse().map_err(|_| Breach::Partial)?;
-    if mark.of != text::digest(prompt) {
-        return Err(Breach::Foreign);
+) -> Result<id::Version, Violation> {
+    let mark: Mark = text.content.parse().map_err(|_| Violation::Partial)?;
+    if mark.prompt != text::digest(prompt) {
+        return Err(Violation::Foreign);
     }
-    if !text::whole(&text.content, &mark, text.tokens) {
-        return Err(Breach::Partial);
+    if !text::is_complete(&text.content, &mark, text.tokens) {
+        return Err(Violation::Partial);
     }
-    let same = |name: &str| name == mark.by.as_str();
-    if !same(&text.model) || !text.header.as_deref().is_none_or(same) {
-        return Err(Breach::Label);
+    let matches = |name: &str| name == mark.version.as_str();
+    if !matches(&text.model) || !text.header.as_deref().is_none_or(matches) {
+        return Err(Violation::Label);
     }
-    if !allowed(&mark.by) {
-        return Err(Breach::Version);
+    if !allowed(&mark.version) {
+        return Err(Violation::Version);
     }
-    Ok(mark.by)
+    Ok(mark.version)
 }
 
-/// Checks a plain service's answer to a call with this body and key.
+/// Checks a plain service's answer to a call with this body hash and request id.
 ///
 /// # Errors
 ///
-/// The promise that it broke.
-pub fn receipt(body: &[u8], sent: u64, key: Option<&str>) -> Result<(), Breach> {
-    let receipt: Receipt = serde_json::from_slice(body).map_err(|_| Breach::Body)?;
+/// The violation found.
+pub fn receipt(body: &[u8], sent: u64, key: Option<&str>) -> Result<(), Violation> {
+    let receipt: Receipt = serde_json::from_slice(body).map_err(|_| Violation::Body)?;
     if receipt.body != sent || receipt.key.as_deref() != key {
-        return Err(Breach::Foreign);
+        return Err(Violation::Foreign);
     }
     if receipt.runs > 1 {
-        return Err(Breach::Doubled);
+        return Err(Violation::Doubled);
     }
     Ok(())
 }
 
-/// Checks an error, and gives what it says.
+/// Checks an error response and returns the error.
 ///
 /// # Errors
 ///
-/// The promise that it broke.
-pub fn error(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Result<Error, Breach> {
-    let failure: ErrorBody = serde_json::from_slice(body).map_err(|_| Breach::ErrorBody)?;
+/// The violation found.
+pub fn error(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Result<Error, Violation> {
+    let failure: ErrorBody = serde_json::from_slice(body).map_err(|_| Violation::ErrorBody)?;
     let error = failure.error;
     if error.code.is_empty() || error.kind.is_empty() || error.message.is_empty() {
-        return Err(Breach::ErrorBody);
+        return Err(Violation::ErrorBody);
     }
     let run = headers.get(header::RUN).and_then(|run| run.to_str().ok());
     if run != Some(error.run.as_str()) {
-        return Err(Breach::RunHeader);
+        return Err(Violation::RunHeader);
     }
-    let busy = status == StatusCode::TOO_MANY_REQUESTS;
-    if busy && error.run == Run::NotRun && after(headers).is_none() {
-        return Err(Breach::RetryAfter);
+    let too_many = status == StatusCode::TOO_MANY_REQUESTS;
+    if too_many && error.run == Run::NotRun && retry_after(headers).is_none() {
+        return Err(Violation::RetryAfter);
     }
     Ok(error)
 }
 
-/// Whole seconds after which a refused caller should ask again.
+/// The `retry-after` header in whole seconds.
 #[must_use]
-pub fn after(headers: &HeaderMap) -> Option<u64> {
+pub fn retry_after(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(header::RETRY_AFTER)?;
     value.to_str().ok()?.parse().ok()
 }
--- a/crates/standin/src/load/cli.rs
+++ b/crates/standin/src/load/cli.rs
@@ -1,7 +1,7 @@
 //! The command line of `pimento-load`.
 //!
-//! Exit codes: 0 if all is well, 1 if a promise was broken or an answer failed its check, 2 for bad
-//! settings or files, 3 if a file or an address can't be had.
+//! Exit codes: 0 on success, 1 if a promise was broken or an answer failed its check, 2 for invalid
+//! settings or files, 3 if a file or an address can't be accessed.
 
 use std::fs;
 use std::process::ExitCode;
@@ -14,11 +14,11 @@
 use pimento_units::Span;
 use pimento_units::id;
 
-use crate::load::allowed::Allowed;
+use crate::load::allowed::AllowedVersions;
 use crate::load::compare;
 use crate::load::compare::sum;
 use crate::load::drive;
-use crate::load::files::Stop;
+use crate::load::files::Failure;
 use crate::load::files::json;
 use crate::load::files::read;
 use crate::load::gather;
@@ -33,11 +33,11 @@
 use crate::settings::Findings;
 use crate::settings::flag;
 
-/// A promise was broken, or an answer failed its check.
+/// Exit code if a promise was broken or an answer failed its check.
 pub const EXIT_BROKEN: u8 = 1;
-/// Bad settings, bad files or bad usage.
+/// Exit code for invalid settings, invalid files and wrong usage.
 pub const EXIT_USAGE: u8 = 2;
-/// A file or an address can't be had.
+/// Exit code if a file or an address can't be accessed.
 pub const EXIT_IO: u8 = 3;
 
 /// Runs the program.
@@ -55,12 +55,12 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Stop::Broken) => ExitCode::from(EXIT_BROKEN),
-        Err(Stop::Io(reason)) => {
+        Err(Failure::Broken) => ExitCode::from(EXIT_BROKEN),
+        Err(Failure::Io(reason)) => {
             eprintln!("pimento-load: {reason}");
             ExitCode::from(EXIT_IO)
         }
-        Err(Stop::Findings(findings)) => {
+        Err(Failure::Findings(findings)) => {
             for finding in findings.lines() {
                 eprintln!("pimento-load: {finding}");
             }
@@ -69,11 +69,11 @@
     }
 }
 
-/// The command line's definition.
+/// The definition of the command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("pimento-load")
-        .about("Sends requests in an open loop, checks each answer and measures")
+        .about("Sends requests in an open loop, checks each answer and measures latency")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
         .arg_required_else_help(true)
@@ -82,51 +82,51 @@
         .subcommand(
             Command::new("draw")
                 .about("Draws the arrivals of a mix and prints them as a trace")
-                .arg(mix().required(true))
-                .arg(seed()),
+                .arg(mix_flag().required(true))
+                .arg(seed_flag()),
         )
         .subcommand(
             Command::new("compare")
-                .about("Shows two result files beside each other")
-                .arg(files("result", "Two result files").num_args(2)),
+                .about("Shows two result files side by side")
+                .arg(file_arg("result", "Two result files").num_args(2)),
         )
         .subcommand(
             Command::new("plot")
                 .about("Plots first-byte latency of result files as SVG on standard output")
-                .arg(files("result", "Result files").num_args(1..)),
+                .arg(file_arg("result", "Result files").num_args(1..)),
         )
         .subcommand(judge_command())
 }
 
 fn run_command() -> Command {
     Command::new("run")
-        .about("Sends the calls of a mix or trace")
+        .about("Sends the calls of a mix or a trace")
         .arg(
             flag(
                 "targets",
                 "PIMENTO_LOAD_TARGETS",
-                "Entry VMs' addresses, between commas",
+                "Entry VMs' addresses, comma-separated",
             )
             .required(true),
         )
         .arg(flag(
             "operators",
             "PIMENTO_LOAD_OPERATORS",
-            "Operators' addresses of the same entry VMs: those not ready get no calls",
+            "Operators' addresses of the same entry VMs; those not ready are tried last",
         ))
-        .arg(mix())
+        .arg(mix_flag())
         .arg(flag("trace", "PIMENTO_LOAD_TRACE", "Trace file").conflicts_with("mix"))
-        .arg(seed())
+        .arg(seed_flag())
         .arg(flag(
             "contracts",
             "PIMENTO_LOAD_CONTRACTS",
-            "Files with the contracts, between commas; without them any version passes",
+            "Files with the contracts, comma-separated; without them any version is allowed",
         ))
         .arg(
             flag(
                 "key-prefix",
                 "PIMENTO_LOAD_KEY_PREFIX",
-                "What stands before a customer's name in its API key",
+                "Prefix of API keys; the customer's name follows it",
             )
             .default_value("demo-key-"),
         )
@@ -134,7 +134,7 @@
             flag(
                 "timeout",
                 "PIMENTO_LOAD_TIMEOUT",
-                "Longest wait for an answer",
+                "Value of the request-timeout header",
             )
             .default_value("30s"),
         )
@@ -142,7 +142,7 @@
             flag(
                 "retries",
                 "PIMENTO_LOAD_RETRIES",
-                "Share of refused calls that are sent again after retry-after",
+                "Share of refused calls that are retried after retry-after",
             )
             .default_value("0"),
         )
@@ -150,7 +150,7 @@
             flag(
                 "patience",
                 "PIMENTO_LOAD_PATIENCE",
-                "Longest retry-after that is waited for",
+                "Longest retry-after that is waited for; calls with a longer one are not retried",
             )
             .default_value("30s"),
         )
@@ -159,8 +159,8 @@
 
 fn judge_command() -> Command {
     Command::new("judge")
-        .about("Holds a result against bills and endpoints; exit code 1 if a promise was broken")
-        .arg(files("result", "Result file").num_args(1))
+        .about("Compares a result with bills and endpoints; exit code 1 if a promise was broken")
+        .arg(file_arg("result", "Result file").num_args(1))
         .arg(
             flag(
                 "bills",
@@ -173,7 +173,7 @@
             flag(
                 "engines",
                 "PIMENTO_LOAD_ENGINES",
-                "Stand-in engines' addresses, between commas",
+                "Stand-in engines' addresses, comma-separated",
             )
             .required(true),
         )
@@ -181,55 +181,60 @@
             flag(
                 "services",
                 "PIMENTO_LOAD_SERVICES",
-                "Stand-in services' addresses, between commas",
+                "Stand-in services' addresses, comma-separated",
             )
             .required(true),
         )
         .arg(flag(
             "platform",
             "PIMENTO_LOAD_PLATFORM",
-            "Stand-ins of the platform whose faults excuse refusals, between commas",
+            "Addresses of platform stand-ins whose faults permit refusals, comma-separated",
         ))
         .arg(flag(
             "withdrawn",
             "PIMENTO_LOAD_WITHDRAWN",
-            "VERSION=MILLISECONDS since the Unix epoch, between commas",
+            "Versions withdrawn, as VERSION=MILLISECONDS since the Unix epoch, comma-separated",
         ))
         .arg(flag(
             "quiet",
             "PIMENTO_LOAD_QUIET",
-            "Overload is expected; customers who must be served all the same, between commas",
+            "Expects an overload; customers that must still be served, comma-separated",
         ))
 }
 
-fn mix() -> Arg {
+fn mix_flag() -> Arg {
     flag("mix", "PIMENTO_LOAD_MIX", "Mix file")
 }
 
-fn seed() -> Arg {
-    flag("seed", "PIMENTO_LOAD_SEED", "Draws the arrivals of a mix").default_value("1")
+fn seed_flag() -> Arg {
+    flag(
+        "seed",
+        "PIMENTO_LOAD_SEED",
+        "Seed for drawing the arrivals of a mix",
+    )
+    .default_value("1")
 }
 
-fn files(name: &'static str, help: &'static str) -> Arg {
+fn file_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).required(true).value_name("FILE").help(help)
 }
 
-fn checked(findings: Findings) -> Result<(), Stop> {
+fn ensure_none(findings: Findings) -> Result<(), Failure> {
     if findings.lines().is_empty() {
         Ok(())
     } else {
-        Err(Stop::Findings(findings))
+        Err(Failure::Findings(findings))
     }
 }
 
-fn reports(matches: &ArgMatches) -> Result<Vec<(String, Report)>, Stop> {
+fn reports(matches: &ArgMatches) -> Result<Vec<(String, Report)>, Failure> {
     let paths = matches.get_many::<String>("result").into_iter().flatten();
     paths.map(|path| Ok((path.clone(), json(path)?))).collect()
 }
 
-fn arrivals(matches: &ArgMatches, findings: &mut Findings) -> Result<Vec<Arrival>, Stop> {
+fn arrivals(matches: &ArgMatches, findings: &mut Findings) -> Result<Vec<Arrival>, Failure> {
     let seed = findings.value(matches, "seed").unwrap_or(0);
-    // Only `run` takes a trace, and asking for a flag that a command lacks would panic.
+    // Only `run` has this flag, and `get_one` panics for a flag that the command does not define.
     let trace = matches.try_get_one::<String>("trace").ok().flatten();
     if let Some(path) = trace {
         return Ok(trace::parse(&read(path)?).unwrap_or_else(|found| {
@@ -240,7 +245,7 @@
         }));
     }
     let Some(path) = matches.get_one::<String>("mix") else {
-        findings.note("mix", "either this or --trace is needed");
+        findings.add("mix", "either this or --trace is needed");
         return Ok(Vec::new());
     };
     let mix: Mix = match toml::from_str(&read(path)?) {
@@ -258,8 +263,8 @@
     }))
 }
 
-fn allowed(matches: &ArgMatches, findings: &mut Findings) -> Result<Allowed, Stop> {
-    let mut allowed = Allowed::default();
+fn allowed(matches: &ArgMatches, findings: &mut Findings) -> Result<AllowedVersions, Failure> {
+    let mut allowed = AllowedVersions::default();
     let paths: Vec<String> = findings.list(matches, "contracts");
     for path in paths {
         if let Err(error) = allowed.add(&read(&path)?) {
@@ -269,43 +274,44 @@
     Ok(allowed)
 }
 
-fn run(matches: &ArgMatches) -> Result<(), Stop> {
+fn run(matches: &ArgMatches) -> Result<(), Failure> {
     let mut findings = Findings::default();
     let arrivals = arrivals(matches, &mut findings)?;
     let timeout: Option<Span> = findings.value(matches, "timeout");
-    let patience: Option<Span> = findings.value(matches, "patience");
+    let max_retry_after: Option<Span> = findings.value(matches, "patience");
     let config = drive::Config {
         targets: findings.list(matches, "targets"),
         operators: findings.list(matches, "operators"),
-        prefix: matches.get_one("key-prefix").cloned().unwrap_or_default(),
+        key_prefix: matches.get_one("key-prefix").cloned().unwrap_or_default(),
         allowed: allowed(matches, &mut findings)?,
         timeout: timeout.unwrap_or_default().duration(),
         retries: findings.value(matches, "retries").unwrap_or_default(),
-        patience: patience.unwrap_or_default().duration(),
+        max_retry_after: max_retry_after.unwrap_or_default().duration(),
     };
     if config.targets.is_empty() {
-        findings.note("targets", "at least one address is needed");
+        findings.add("targets", "at least one address is needed");
     }
     if !config.operators.is_empty() && config.operators.len() != config.targets.len() {
-        findings.note("operators", "as many addresses as targets are needed");
+        findings.add("operators", "as many addresses as targets are needed");
     }
-    checked(findings)?;
+    ensure_none(findings)?;
     let progress = progress(arrivals.len());
     let report = runtime()?.block_on(drive::drive(config, &arrivals, &progress));
     progress.finish_and_clear();
     println!("{}", compare::table(&report));
     if let Some(path) = matches.get_one::<String>("out") {
-        let text = serde_json::to_string(&report).map_err(|error| Stop::Io(error.to_string()))?;
-        fs::write(path, text).map_err(|error| Stop::Io(format!("{path}: {error}")))?;
+        let text =
+            serde_json::to_string(&report).map_err(|error| Failure::Io(error.to_string()))?;
+        fs::write(path, text).map_err(|error| Failure::Io(format!("{path}: {error}")))?;
     }
     let broken: u64 = report.rows.iter().map(|row| sum(&row.broken)).sum();
     if broken > 0 {
-        return Err(Stop::Broken);
+        return Err(Failure::Broken);
     }
     Ok(())
 }
 
-/// Shows itself on a terminal only.
+/// A progress bar, which is shown on terminals only.
 fn progress(calls: usize) -> ProgressBar {
     let bar = ProgressBar::new(calls as u64);
     let template = "{bar:40} {pos}/{len} calls answered, {elapsed}";
@@ -315,53 +321,53 @@
     }
 }
 
-fn runtime() -> Result<tokio::runtime::Runtime, Stop> {
-    tokio::runtime::Runtime::new().map_err(|error| Stop::Io(error.to_string()))
+fn runtime() -> Result<tokio::runtime::Runtime, Failure> {
+    tokio::runtime::Runtime::new().map_err(|error| Failure::Io(error.to_string()))
 }
 
-fn draw(matches: &ArgMatches) -> Result<(), Stop> {
+fn draw(matches: &ArgMatches) -> Result<(), Failure> {
     let mut findings = Findings::default();
     let arrivals = arrivals(matches, &mut findings)?;
-    checked(findings)?;
+    ensure_none(findings)?;
     print!("{}", trace::write(&arrivals));
     Ok(())
 }
 
-fn compare(matches: &ArgMatches) -> Result<(), Stop> {
+fn compare(matches: &ArgMatches) -> Result<(), Failure> {
     if let [(_, before), (_, after)] = reports(matches)?.as_slice() {
         println!("{}", compare::compare(before, after));
     }
     Ok(())
 }
 
-fn plot(matches: &ArgMatches) -> Result<(), Stop> {
-    let svg = plot::draw(&reports(matches)?).map_err(Stop::Io)?;
+fn plot(matches: &ArgMatches) -> Result<(), Failure> {
+    let svg = plot::draw(&reports(matches)?).map_err(Failure::Io)?;
     println!("{svg}");
     Ok(())
 }
 
-fn judge(matches: &ArgMatches) -> Result<(), Stop> {
+fn judge(matches: &ArgMatches) -> Result<(), Failure> {
     let mut findings = Findings::default();
     let withdrawn = findings.list(matches, "withdrawn");
-    let quiet: Vec<id::Customer> = findings.list(matches, "quiet");
+    let quiet_customers: Vec<id::Customer> = findings.list(matches, "quiet");
     let engines: Vec<String> = findings.list(matches, "engines");
     let services: Vec<String> = findings.list(matches, "services");
     let platform: Vec<String> = findings.list(matches, "platform");
-    checked(findings)?;
+    ensure_none(findings)?;
     let Some((_, report)) = reports(matches)?.pop() else {
         return Ok(());
     };
     let bills = matches.get_one::<String>("bills");
     let bills = json(bills.map_or("", String::as_str))?;
     let gather = async {
-        let mut struck = gather::faults(&engines).await?;
-        struck += gather::faults(&services).await?;
-        let platform = gather::faults(&platform).await?;
+        let mut endpoint_faults = gather::faults(&engines).await?;
+        endpoint_faults += gather::faults(&services).await?;
+        let platform_faults = gather::faults(&platform).await?;
         let engines = gather::stats(&engines).await?;
         let services = gather::stats(&services).await?;
-        Ok((engines, services, struck, platform))
+        Ok((engines, services, endpoint_faults, platform_faults))
     };
-    let (engines, services, struck, platform) = runtime()?.block_on(gather)?;
+    let (engines, services, endpoint_faults, platform_faults) = runtime()?.block_on(gather)?;
     let evidence = Evidence {
         report,
         bills,
@@ -369,9 +375,9 @@
         services,
         withdrawn,
         overload: matches.get_one::<String>("quiet").is_some(),
-        struck,
-        platform,
-        quiet,
+        endpoint_faults,
+        platform_faults,
+        quiet_customers,
     };
     println!("{}\n", evidence.table());
     println!("{}\n", evidence.figures().join("\n"));
@@ -382,6 +388,6 @@
     if promises.iter().all(Promise::kept) {
         Ok(())
     } else {
-        Err(Stop::Broken)
+        Err(Failure::Broken)
     }
 }
--- a/crates/standin/src/load/client.rs
+++ b/crates/standin/src/load/client.rs
@@ -19,31 +19,32 @@
 use hyper_util::rt::TokioTimer;
 use serde::de::DeserializeOwned;
 
-/// A client with its connection pool. Clones share it.
+/// An HTTP client with a connection pool, which clones share.
 #[derive(Debug, Clone)]
 pub struct Client(legacy::Client<HttpConnector, Full<Bytes>>);
 
-/// Why there was no answer, in a few words that are the same for the same cause.
+/// Why there was no answer. The text is the same for the same cause, so that it can be counted.
 pub type Reason = CompactString;
 
-/// How long an idle connection is kept. Shorter than a server's usual limit, so that a call does
-/// not go out on a connection that is just being closed.
-const IDLE: Duration = Duration::from_secs(20);
+/// How long an idle connection stays in the pool. Shorter than the usual idle timeout of a server,
+/// so that a call is not sent on a connection that is being closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Default for Client {
     fn default() -> Self {
         let mut connector = HttpConnector::new();
-        // Small requests would otherwise wait for the acknowledgement of the one before.
+        // Without it, Nagle's algorithm delays small requests until the previous one is
+        // acknowledged.
         connector.set_nodelay(true);
         let client = legacy::Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .build(connector);
         Self(client)
     }
 }
 
-/// A request that can be sent more than once.
+/// A request, which can be sent more than once.
 #[derive(Debug, Clone)]
 pub struct Message {
     /// Method.
@@ -70,13 +71,13 @@
 }
 
 impl Client {
-    /// Sends a request to the first of `addresses` that takes the connection, and waits for the
-    /// head of the answer. As a balancer does, it goes on to the next address only if no
-    /// connection was made, so that nothing is ever sent twice.
+    /// Sends a request to the first of `addresses` that accepts a connection, and waits for the
+    /// head of the response. Like a load balancer, it tries the next address only if no connection
+    /// was made, so that a request is never sent twice.
     ///
     /// # Errors
     ///
-    /// Why there is no answer.
+    /// Why there is no response.
     pub async fn send(
         &self,
         message: &Message,
@@ -98,12 +99,12 @@
         Err(last)
     }
 
-    /// Sends a request to one address and reads the whole answer.
+    /// Sends a request to one address and reads the whole response.
     ///
     /// # Errors
     ///
-    /// Why there is no answer.
-    pub async fn whole(
+    /// Why there is no response.
+    pub async fn fetch(
         &self,
         message: &Message,
         address: &str,
@@ -112,13 +113,17 @@
         collect(response).await
     }
 
-    /// Reads JSON from one address.
+    /// Gets JSON from one address.
     ///
     /// # Errors
     ///
-    /// Why it can't be had.
-    pub async fn json<T: DeserializeOwned>(&self, path: &str, address: &str) -> Result<T, Reason> {
-        let (status, _, body) = self.whole(&Message::get(path), address).await?;
+    /// Why it could not be read.
+    pub async fn get_json<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        address: &str,
+    ) -> Result<T, Reason> {
+        let (status, _, body) = self.fetch(&Message::get(path), address).await?;
         if status != StatusCode::OK {
             return Err(format_compact!("status {status}"));
         }
@@ -126,11 +131,11 @@
     }
 }
 
-/// Reads the whole body of an answer.
+/// Reads the whole body of a response.
 ///
 /// # Errors
 ///
-/// Why it can't be had.
+/// Why it could not be read.
 pub async fn collect(
     response: Response<Incoming>,
 ) -> Result<(StatusCode, HeaderMap, Bytes), Reason> {
--- a/crates/standin/src/load/compare.rs
+++ b/crates/standin/src/load/compare.rs
@@ -1,4 +1,4 @@
-//! Results as tables: one run, or two beside each other.
+//! Results as tables: one run, or two side by side.
 
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
@@ -9,13 +9,13 @@
 use crate::load::result::Row;
 use crate::tally::Count;
 
-/// Quantiles that tables show, with their names.
+/// Quantiles shown in tables, with their names.
 pub const QUANTILES: [(&str, f64); 3] = [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)];
 
 /// A table of one run.
 #[must_use]
 pub fn table(report: &Report) -> Table {
-    let mut table = empty();
+    let mut table = new_table();
     table.set_header([
         "customer",
         "target",
@@ -33,9 +33,9 @@
             row.target.to_string(),
             row.sent.to_string(),
             row.served.to_string(),
-            listed(&row.refused),
-            listed(&row.failed),
-            listed(&row.broken),
+            list(&row.refused),
+            list(&row.failed),
+            list(&row.broken),
             quantiles(&row.first),
             quantiles(&row.last),
         ]);
@@ -43,10 +43,10 @@
     table
 }
 
-/// A table of two runs: each cell shows the first run's figure and the second's.
+/// A table of two runs. Each cell shows the value in the first run and in the second.
 #[must_use]
 pub fn compare(before: &Report, after: &Report) -> Table {
-    let mut table = empty();
+    let mut table = new_table();
     table.set_header([
         "customer",
         "target",
@@ -69,21 +69,21 @@
         table.add_row([
             key.0.to_owned(),
             key.1.to_owned(),
-            both(one, two, |row| row.sent.to_string()),
-            both(one, two, |row| row.served.to_string()),
-            both(one, two, |row| sum(&row.refused).to_string()),
-            both(one, two, |row| sum(&row.failed).to_string()),
-            both(one, two, |row| sum(&row.broken).to_string()),
-            both(one, two, |row| quantile(&row.first, 0.5)),
-            both(one, two, |row| quantile(&row.first, 0.95)),
-            both(one, two, |row| quantile(&row.first, 0.99)),
-            both(one, two, |row| quantile(&row.last, 0.95)),
+            pair(one, two, |row| row.sent.to_string()),
+            pair(one, two, |row| row.served.to_string()),
+            pair(one, two, |row| sum(&row.refused).to_string()),
+            pair(one, two, |row| sum(&row.failed).to_string()),
+            pair(one, two, |row| sum(&row.broken).to_string()),
+            pair(one, two, |row| quantile(&row.first, 0.5)),
+            pair(one, two, |row| quantile(&row.first, 0.95)),
+            pair(one, two, |row| quantile(&row.first, 0.99)),
+            pair(one, two, |row| quantile(&row.last, 0.95)),
         ]);
     }
     table
 }
 
-fn empty() -> Table {
+fn new_table() -> Table {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
     table
@@ -93,7 +93,7 @@
     (row.customer.as_str(), row.target.as_str())
 }
 
-fn both(one: Option<&Row>, two: Option<&Row>, show: impl Fn(&Row) -> String) -> String {
+fn pair(one: Option<&Row>, two: Option<&Row>, show: impl Fn(&Row) -> String) -> String {
     let show = |row: Option<&Row>| row.map_or_else(|| "-".to_owned(), &show);
     format!("{} -> {}", show(one), show(two))
 }
@@ -104,7 +104,7 @@
     counts.iter().map(|count| count.count).sum()
 }
 
-fn listed(counts: &[Count]) -> String {
+fn list(counts: &[Count]) -> String {
     if counts.is_empty() {
         return "0".to_owned();
     }
--- a/crates/standin/src/load/drive.rs
+++ b/crates/standin/src/load/drive.rs
@@ -1,6 +1,6 @@
-//! The open loop: each call goes out at its intended moment, however many are still unanswered,
-//! and its latency counts from that moment on. A system that falls behind can't hide it by making
-//! its callers wait before they ask.
+//! Open-loop load: each call is sent at its scheduled time, no matter how many are still
+//! unanswered, and its latency is measured from that time. A system that falls behind therefore
+//! can't hide it by delaying the next calls (coordinated omission).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,49 +21,51 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::clock;
-use crate::load::allowed::Allowed;
+use crate::load::allowed::AllowedVersions;
 use crate::load::balancer::Balancer;
+use crate::load::call::Answer;
 use crate::load::call::Call;
-use crate::load::call::Reading;
 use crate::load::client::Client;
 use crate::load::client::Reason;
 use crate::load::result::Collector;
-use crate::load::result::Move;
 use crate::load::result::Outcome;
 use crate::load::result::Report;
 use crate::load::result::Sample;
+use crate::load::result::VersionChange;
 use crate::load::trace::Arrival;
 use crate::shared::Shared;
 
-/// How much longer than announced a caller waits. A refusal at the very end is still an answer.
-const LATE: Duration = Duration::from_secs(2);
+/// How much longer a caller waits than its `request-timeout` says, so that a refusal sent right at
+/// the deadline still counts as an answer.
+const ANSWER_MARGIN: Duration = Duration::from_secs(2);
 
-/// What a run needs besides its arrivals.
+/// Settings of a run.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Addresses of the entry VMs, taken in turns.
+    /// Addresses of the entry VMs, used round-robin.
     pub targets: Vec<String>,
-    /// Operators' addresses of the same entry VMs, to see which are ready; empty to take all.
+    /// Operators' addresses of the same entry VMs, polled for readiness. Empty treats all as ready.
     pub operators: Vec<String>,
-    /// What stands before the customer's name in its API key.
-    pub prefix: String,
-    /// Versions that the contracts allow.
-    pub allowed: Allowed,
-    /// How long callers say that they wait, in the `request-timeout` header.
+    /// Prefix of API keys; the customer's name follows it.
+    pub key_prefix: String,
+    /// Versions allowed by the contracts.
+    pub allowed: AllowedVersions,
+    /// The value of the `request-timeout` header.
     pub timeout: Duration,
-    /// The share of refused calls that are sent again after `retry-after`.
+    /// The share of refused calls that are retried after `retry-after`.
     pub retries: Share,
-    /// The longest `retry-after` that is waited for.
-    pub patience: Duration,
+    /// Calls with a longer `retry-after` are not retried.
+    pub max_retry_after: Duration,
 }
 
-/// A session as the caller knows it: its token, and the versions that answered under it.
+/// A session as the caller sees it: its latest token, and the latest version of each model that
+/// answered in it.
 #[derive(Debug, Clone)]
 struct Session {
     customer: id::Customer,
     number: u32,
     token: HeaderValue,
-    pins: Vec<id::Version>,
+    versions: Vec<id::Version>,
 }
 
 #[derive(Debug)]
@@ -73,14 +75,14 @@
     balancer: Balancer,
     start: Instant,
     sessions: Shared<Vec<Session>>,
-    keys: Vec<(CompactString, CompactString)>,
+    request_ids: Vec<(CompactString, CompactString)>,
 }
 
-/// Makes the calls and adds up what came of them.
+/// Sends the calls and aggregates their results.
 pub async fn drive(config: Config, arrivals: &[Arrival], progress: &ProgressBar) -> Report {
-    let began = clock::now();
+    let started = clock::now();
     let token = CancellationToken::new();
-    // Ends the watch with this function, also if its future is dropped half-way.
+    // Stops the readiness polling when this function ends, also if its future is dropped early.
     let _watch = token.clone().drop_guard();
     let balancer = Balancer::new(config.targets.clone());
     tokio::spawn(balancer.clone().watch(config.operators.clone(), token));
@@ -90,7 +92,7 @@
         balancer,
         start: Instant::now(),
         sessions: Shared::new(Vec::new()),
-        keys: keys(arrivals),
+        request_ids: request_ids(arrivals),
     });
     let mut collector = Collector::default();
     let mut running = JoinSet::new();
@@ -101,7 +103,7 @@
             tokio::select! {
                 () = &mut due => break,
                 Some(sample) = running.join_next() => {
-                    take(&sample, &mut collector, progress);
+                    record(&sample, &mut collector, progress);
                 }
             }
         }
@@ -109,23 +111,24 @@
         running.spawn(async move { driver.call(number, &arrival).await });
     }
     while let Some(sample) = running.join_next().await {
-        take(&sample, &mut collector, progress);
+        record(&sample, &mut collector, progress);
     }
-    collector.report(began, driver.start.elapsed())
+    collector.report(started, driver.start.elapsed())
 }
 
-fn take(sample: &Result<Sample, JoinError>, collector: &mut Collector, progress: &ProgressBar) {
+fn record(sample: &Result<Sample, JoinError>, collector: &mut Collector, progress: &ProgressBar) {
     progress.inc(1);
     match sample {
         Ok(sample) => collector.add(sample),
-        // A call whose task panicked is missing from the sums, which the judgement compares with
+        // A call whose task panicked is missing from the counts, which the judgement compares with
         // what was sent.
-        Err(error) => log::error!("load: a call was lost: {error}"),
+        Err(error) => log::error!("load: the task of a call failed: {error}"),
     }
 }
 
-/// A fresh request id for each label. They are version 7 UUIDs, so that their age can be read.
-fn keys(arrivals: &[Arrival]) -> Vec<(CompactString, CompactString)> {
+/// A new request id for each customer and label, sorted. They are version 7 UUIDs, so that their
+/// age can be read from them.
+fn request_ids(arrivals: &[Arrival]) -> Vec<(CompactString, CompactString)> {
     let labels = arrivals.iter().filter_map(|arrival| {
         let label = arrival.idempotency.as_ref()?;
         Some(CompactString::from(format!("{} {label}", arrival.customer)))
@@ -133,30 +136,30 @@
     let mut labels: Vec<CompactString> = labels.collect();
     labels.sort();
     labels.dedup();
-    let key = |label| (label, Uuid::now_v7().to_string().into());
-    labels.into_iter().map(key).collect()
+    let id = |label| (label, Uuid::now_v7().to_string().into());
+    labels.into_iter().map(id).collect()
 }
 
 impl Driver {
     async fn call(&self, number: usize, arrival: &Arrival) -> Sample {
-        let intended = self.start + arrival.at;
+        let scheduled = self.start + arrival.at;
         let mut sample = Sample {
             customer: arrival.customer.clone(),
-            target: label(arrival),
+            target: row_label(arrival),
             at: arrival.at,
-            late: intended.elapsed(),
+            late: scheduled.elapsed(),
             first: None,
             last: None,
             gaps: Vec::new(),
             outcome: Outcome::Failed("not sent".into()),
-            key: self.key(arrival),
+            request_id: self.request_id(arrival),
             service: false,
             prompt: None,
-            moved: None,
+            version_change: None,
             retried: None,
         };
-        let secret = format!("{}{}", self.config.prefix, arrival.customer);
-        let mut call = match Call::new(arrival, number, &secret, sample.key.clone()) {
+        let api_key = format!("{}{}", self.config.key_prefix, arrival.customer);
+        let mut call = match Call::new(arrival, number, &api_key, sample.request_id.clone()) {
             Ok(call) => call,
             Err(reason) => {
                 sample.outcome = Outcome::Failed(reason);
@@ -170,45 +173,46 @@
         if let Some(session) = &session {
             call.session(session.token.clone());
         }
-        let reading = self.send(number, &call).await;
-        sample.last = Some(intended.elapsed());
-        sample.first = reading.first.map(|first| first - intended);
-        sample.gaps = reading.pieces.windows(2).map(|w| w[1] - w[0]).collect();
-        sample.outcome = reading.outcome.clone();
-        sample.moved = self.settle(arrival, session, &reading);
-        sample.retried = self.retry(number, &call, &reading).await;
+        let answer = self.send(number, &call).await;
+        sample.last = Some(scheduled.elapsed());
+        sample.first = answer.first_byte.map(|first| first - scheduled);
+        sample.gaps = answer.chunks.windows(2).map(|w| w[1] - w[0]).collect();
+        sample.outcome = answer.outcome.clone();
+        sample.version_change = self.update_session(arrival, session, &answer);
+        sample.retried = self.retry(number, &call, &answer).await;
         sample
     }
 
-    /// Sends a call; the answer must be there in time.
-    async fn send(&self, number: usize, call: &Call) -> Reading {
-        let turns = self.balancer.turns(number);
+    /// Sends a call and reads its answer, with a timeout.
+    async fn send(&self, number: usize, call: &Call) -> Answer {
+        let targets = self.balancer.order(number);
         let answer = async {
-            let response = self.client.send(&call.message, turns).await?;
+            let response = self.client.send(&call.message, targets).await?;
             Ok(call.read(response, &self.config.allowed).await)
         };
-        let answer: Result<Result<Reading, Reason>, _> =
-            tokio::time::timeout(self.config.timeout + LATE, answer).await;
+        let answer: Result<Result<Answer, Reason>, _> =
+            tokio::time::timeout(self.config.timeout + ANSWER_MARGIN, answer).await;
         let reason = match answer {
-            Ok(Ok(reading)) => return reading,
+            Ok(Ok(answer)) => return answer,
             Ok(Err(reason)) => reason,
             Err(_) => "no answer in time".into(),
         };
-        Reading {
+        Answer {
             outcome: Outcome::Failed(reason),
-            first: None,
-            pieces: Vec::new(),
-            token: None,
-            after: None,
+            first_byte: None,
+            chunks: Vec::new(),
+            session_token: None,
+            retry_after: None,
         }
     }
 
-    /// Sends a share of the refused calls again when they were told to, and says whether they were
-    /// served then. A call told `not_run` may always be sent again.
-    async fn retry(&self, number: usize, call: &Call, reading: &Reading) -> Option<bool> {
-        let after = Duration::from_secs(reading.after?);
+    /// Retries a share of the refused calls after `retry-after`, and returns whether the retry was
+    /// served; none without a retry. Only calls refused with `not_run` are retried: they are always
+    /// safe to repeat.
+    async fn retry(&self, number: usize, call: &Call, answer: &Answer) -> Option<bool> {
+        let after = Duration::from_secs(answer.retry_after?);
         let refused = matches!(
-            reading.outcome,
+            answer.outcome,
             Outcome::Refused {
                 run: Run::NotRun,
                 ..
@@ -216,20 +220,23 @@
         );
         let draw = xxh3_64_with_seed(&number.to_le_bytes(), 0) % u64::from(PARTS);
         let chosen = draw < u64::from(self.config.retries.parts());
-        // A keyed call is counted by what its callers were told, so that it is left alone here.
-        if !refused || !chosen || call.key.is_some() || after > self.config.patience {
+        // Calls with a request id are judged by all answers given for that id, so they are not
+        // retried.
+        if !refused || !chosen || call.request_id.is_some() || after > self.config.max_retry_after {
             return None;
         }
         tokio::time::sleep(after).await;
-        let again = self.send(number, call).await;
-        Some(matches!(again.outcome, Outcome::Served(_)))
+        let retry = self.send(number, call).await;
+        Some(matches!(retry.outcome, Outcome::Served(_)))
     }
 
-    fn key(&self, arrival: &Arrival) -> Option<CompactString> {
+    fn request_id(&self, arrival: &Arrival) -> Option<CompactString> {
         let label = arrival.idempotency.as_ref()?;
         let label = format!("{} {label}", arrival.customer);
-        let place = self.keys.binary_search_by(|(l, _)| l.as_str().cmp(&label));
-        Some(self.keys[place.ok()?].1.clone())
+        let place = self
+            .request_ids
+            .binary_search_by(|(l, _)| l.as_str().cmp(&label));
+        Some(self.request_ids[place.ok()?].1.clone())
     }
 
     fn session(&self, arrival: &Arrival) -> Option<Session> {
@@ -240,32 +247,34 @@
         })
     }
 
-    /// Keeps the token of the answer with the versions seen under it, and says whether the answer
-    /// came from another version of a model than the ones before.
-    fn settle(
+    /// Stores the session token of the answer and the version that sent it. Returns the change if
+    /// an earlier answer in the session came from another version of the same model.
+    fn update_session(
         &self,
         arrival: &Arrival,
-        before: Option<Session>,
-        reading: &Reading,
-    ) -> Option<Move> {
+        previous: Option<Session>,
+        answer: &Answer,
+    ) -> Option<VersionChange> {
         let number = arrival.session?;
-        let Outcome::Served(Some(version)) = &reading.outcome else {
+        let Outcome::Served(Some(version)) = &answer.outcome else {
             return None;
         };
-        let mut pins = before.map(|session| session.pins).unwrap_or_default();
-        let old = pins.iter().position(|pin| family(pin) == family(version));
-        let old = old.map(|place| pins.remove(place));
-        pins.push(version.clone());
-        if let Some(token) = &reading.token {
-            self.keep(Session {
+        let mut versions = previous.map(|session| session.versions).unwrap_or_default();
+        let old = versions
+            .iter()
+            .position(|known| model(known) == model(version));
+        let old = old.map(|place| versions.remove(place));
+        versions.push(version.clone());
+        if let Some(token) = &answer.session_token {
+            self.store_session(Session {
                 customer: arrival.customer.clone(),
                 number,
                 token: token.clone(),
-                pins,
+                versions,
             });
         }
         let from = old.filter(|old| old != version)?;
-        Some(Move {
+        Some(VersionChange {
             customer: arrival.customer.clone(),
             session: number,
             from,
@@ -273,7 +282,7 @@
         })
     }
 
-    fn keep(&self, session: Session) {
+    fn store_session(&self, session: Session) {
         self.sessions.with(|sessions| {
             sessions.retain(|s| s.number != session.number || s.customer != session.customer);
             sessions.push(session);
@@ -281,8 +290,9 @@
     }
 }
 
-/// Streamed and whole answers are counted apart: the first byte of a whole one is its last.
-fn label(arrival: &Arrival) -> CompactString {
+/// The target's name in results. Streamed answers get rows of their own, because the first byte of
+/// a whole answer arrives with its last.
+fn row_label(arrival: &Arrival) -> CompactString {
     let target = &arrival.target;
     if arrival.stream {
         format_compact!("{target} streamed")
@@ -291,8 +301,8 @@
     }
 }
 
-/// The model that a version belongs to: what stands before the `@`.
-fn family(version: &id::Version) -> &str {
+/// The model of a version: the part before the `@`.
+fn model(version: &id::Version) -> &str {
     let name = version.as_str();
-    name.split_once('@').map_or(name, |(family, _)| family)
+    name.split_once('@').map_or(name, |(model, _)| model)
 }
--- a/crates/standin/src/load/files.rs
+++ b/crates/standin/src/load/files.rs
@@ -1,4 +1,4 @@
-//! Files that the commands read, and why a command stops.
+//! Input files of the commands, and the reasons for which a command fails.
 
 use std::fs;
 
@@ -6,29 +6,29 @@
 
 use crate::settings::Findings;
 
-/// Why the program ends without a good result.
+/// Why a command failed.
 #[derive(Debug)]
-pub(super) enum Stop {
+pub(super) enum Failure {
     /// Settings or files are wrong.
     Findings(Findings),
-    /// A file or an address can't be had.
+    /// A file could not be read or written, or an address did not answer.
     Io(String),
-    /// A promise was broken.
+    /// A promise was broken, or an answer failed its check.
     Broken,
 }
 
 /// Reads a file.
-pub(super) fn read(path: &str) -> Result<String, Stop> {
-    fs::read_to_string(path).map_err(|error| Stop::Io(format!("{path}: {error}")))
+pub(super) fn read(path: &str) -> Result<String, Failure> {
+    fs::read_to_string(path).map_err(|error| Failure::Io(format!("{path}: {error}")))
 }
 
-/// Reads a file of JSON.
-pub(super) fn json<T: DeserializeOwned>(path: &str) -> Result<T, Stop> {
+/// Reads a JSON file.
+pub(super) fn json<T: DeserializeOwned>(path: &str) -> Result<T, Failure> {
     serde_json::from_str(&read(path)?).map_err(|error| finding(path, error))
 }
 
-fn finding(path: &str, finding: impl std::fmt::Display) -> Stop {
+fn finding(path: &str, finding: impl std::fmt::Display) -> Failure {
     let mut findings = Findings::default();
     findings.file(path, finding);
-    Stop::Findings(findings)
+    Failure::Findings(findings)
 }
--- a/crates/standin/src/load/histogram.rs
+++ b/crates/standin/src/load/histogram.rs
@@ -1,4 +1,4 @@
-//! Latency histograms and their form in result files.
+//! Latency histograms and their representation in result files.
 
 use std::time::Duration;
 
@@ -6,31 +6,31 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Significant digits kept of each latency.
+/// Significant decimal digits of a recorded latency.
 const DIGITS: u8 = 3;
 
-/// The longest latency told apart, in microseconds: an hour. No call waits longer.
-const LONGEST: u64 = 3_600_000_000;
+/// The largest recorded latency, in microseconds: one hour, longer than any call waits.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 /// Latencies in microseconds.
 #[derive(Debug, Clone)]
 pub struct Latency(Histogram<u64>);
 
-/// A histogram as it stands in a result file: each recorded value in microseconds with its count.
+/// A histogram in a result file: each recorded value in microseconds with its count.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Bins(pub Vec<(u64, u64)>);
 
 impl Default for Latency {
     fn default() -> Self {
-        Self(empty())
+        Self(new_histogram())
     }
 }
 
 /// # Panics
 ///
-/// Never: the number of digits is one that the library takes.
-fn empty() -> Histogram<u64> {
+/// Never: the library accepts this number of digits.
+fn new_histogram() -> Histogram<u64> {
     Histogram::new(DIGITS).expect("digits between 0 and 5")
 }
 
@@ -40,7 +40,7 @@
         self.add(u64::try_from(latency.as_micros()).unwrap_or(u64::MAX), 1);
     }
 
-    /// Adds another one's latencies.
+    /// Adds the latencies of another histogram.
     pub fn merge(&mut self, other: &Bins) {
         for (micros, count) in &other.0 {
             self.add(*micros, *count);
@@ -49,29 +49,30 @@
 
     /// # Panics
     ///
-    /// Never: the histogram grows up to the longest latency.
+    /// Never: the histogram resizes itself up to the largest latency.
     fn add(&mut self, micros: u64, count: u64) {
-        let micros = micros.clamp(1, LONGEST);
-        // The library's saturating way of recording would not grow the histogram and cut
-        // latencies off at its first size.
+        let micros = micros.clamp(1, MAX_LATENCY_US);
+        // `saturating_record_n` would not resize the histogram, and would cap latencies at its
+        // initial range.
         self.0
             .record_n(micros, count)
             .expect("a histogram that grows");
     }
 
-    /// The latency below which this share lies, in milliseconds; none if there are no records.
+    /// The latency in milliseconds below which this share of the records lies; none without
+    /// records.
     #[must_use]
     pub fn quantile(&self, share: f64) -> Option<f64> {
         (!self.0.is_empty()).then(|| millis(self.0.value_at_quantile(share)))
     }
 
-    /// Records.
+    /// Number of recorded latencies.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The form in result files.
+    /// The representation in result files.
     #[must_use]
     pub fn bins(&self) -> Bins {
         let recorded = self.0.iter_recorded();
--- a/crates/standin/src/load/judge.rs
+++ b/crates/standin/src/load/judge.rs
@@ -1,5 +1,4 @@
-//! The judgement of a trial: what callers saw, what the bills say and what the endpoints counted,
-//! held against each other.
+//! Judges a trial by comparing what callers saw with the bills and the endpoints' counters.
 
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
@@ -12,31 +11,31 @@
 use crate::load::compare::sum;
 use crate::load::histogram::Latency;
 use crate::load::promise::Promise;
-use crate::load::result::Keyed;
+use crate::load::result::KeyedCalls;
 use crate::load::result::Report;
 use crate::load::result::Row;
 use crate::load::withdrawal::Withdrawal;
 use crate::service;
 use crate::tally::Count;
 
-/// How long after a withdrawal was accepted a call may still have begun on the version. The brief
-/// says "within seconds".
-pub const SETTLE_MS: u64 = 3_000;
+/// How long after a withdrawal was accepted calls may still start on the version, in milliseconds.
+/// The requirement says "within seconds".
+pub const WITHDRAWAL_GRACE_MS: u64 = 3_000;
 
-/// One customer's sums, as `pimentoctl bills --output json` prints them.
+/// One customer's totals, as printed by `pimentoctl bills --output json`.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Bills {
     /// The customer.
     pub customer: id::Customer,
-    /// Requests billed.
+    /// Number of requests billed.
     pub bills: u64,
-    /// Charged.
+    /// The amount charged.
     pub charge: Money,
-    /// What it cost us.
+    /// The cost of serving the requests.
     pub cost: Money,
 }
 
-/// All that is known after a trial.
+/// Everything known about a trial.
 #[derive(Debug, Clone)]
 pub struct Evidence {
     /// What callers saw.
@@ -49,39 +48,39 @@
     pub services: Vec<service::Stats>,
     /// Versions withdrawn.
     pub withdrawn: Vec<Withdrawal>,
-    /// Whether the trial offered more than the endpoints can carry, so that refusals are expected
-    /// and quiet customers are judged by themselves.
+    /// Whether the load exceeded the endpoints' capacity. Refusals are then expected, and quiet
+    /// customers are checked separately.
     pub overload: bool,
-    /// Calls that the endpoints' fault tables struck.
-    pub struck: u64,
-    /// Calls that the platform's fault tables struck. They excuse refusals, but none in doubt: a
-    /// call that the platform keeps from being sent has not run.
-    pub platform: u64,
-    /// Customers whose calls must be served all the same.
-    pub quiet: Vec<id::Customer>,
+    /// Calls affected by the fault tables of endpoints.
+    pub endpoint_faults: u64,
+    /// Calls affected by the fault tables of the platform. Such faults explain refusals, but none
+    /// with `run: unknown`: a call that is not sent because of the platform has not run.
+    pub platform_faults: u64,
+    /// Customers whose calls must be served even in an overload.
+    pub quiet_customers: Vec<id::Customer>,
 }
 
 impl Evidence {
-    /// Every promise with its verdict.
+    /// Every promise with its result.
     #[must_use]
     pub fn promises(&self) -> Vec<Promise> {
         let mut promises = vec![
-            self.whole(),
-            self.answered(),
-            self.sessions(),
-            self.billed(),
-            self.once(),
-            self.not_run(),
-            self.attempts(),
+            self.valid_answers(),
+            self.answered_calls(),
+            self.stable_sessions(),
+            self.billed_once(),
+            self.orders_run_once(),
+            self.true_not_run(),
+            self.attempts_run_once(),
         ];
         if !self.withdrawn.is_empty() {
-            promises.push(self.withdrawals());
+            promises.push(self.withdrawals_respected());
         }
         if self.overload {
-            promises.push(self.quiet());
+            promises.push(self.quiet_served());
         }
-        if self.troubled() {
-            promises.push(self.doubt());
+        if self.refusals_expected() {
+            promises.push(self.few_unknown());
         }
         promises
     }
@@ -105,12 +104,12 @@
             "last p50/p95/p99 ms",
         ]);
         for customer in self.customers() {
-            table.add_row(self.line(&customer));
+            table.add_row(self.table_row(&customer));
         }
         table
     }
 
-    /// Figures over all customers, a line each.
+    /// Totals over all customers, one per line.
     #[must_use]
     pub fn figures(&self) -> Vec<String> {
         let rows = || self.report.rows.iter();
@@ -131,22 +130,28 @@
                 "between tokens of streams, ms: {}",
                 compare::quantiles(&gaps.bins())
             ),
-            format!("sent again after retry-after: {retried}, served then: {served}"),
-            format!("calls struck by faults of endpoints: {}", self.struck),
-            format!("calls struck by faults of the platform: {}", self.platform),
+            format!("retried after retry-after: {retried}, then served: {served}"),
+            format!(
+                "calls affected by faults of endpoints: {}",
+                self.endpoint_faults
+            ),
+            format!(
+                "calls affected by faults of the platform: {}",
+                self.platform_faults
+            ),
         ]
     }
 
-    fn line(&self, customer: &id::Customer) -> Vec<String> {
+    fn table_row(&self, customer: &id::Customer) -> Vec<String> {
         let rows = || self.rows(customer);
         let served = total(rows(), |row| row.served);
         let versions = total(rows(), |row| sum(&row.versions));
         let wrong = total(rows(), |row| count(&row.broken, "version"));
-        // A call served on the second try is a request of its own.
+        // A call served on its retry is a separate request.
         let requests = total(rows(), |row| row.requests + row.retried_served);
         let bills = self.bills.iter().find(|bills| bills.customer == *customer);
         let billed = bills.map_or(0, |bills| bills.bills);
-        let doubled = self.doubled().filter(|key| key.customer == *customer);
+        let doubled = self.doubled_keys().filter(|key| key.customer == *customer);
         let mut first = Latency::default();
         let mut last = Latency::default();
         for row in rows() {
@@ -184,7 +189,7 @@
         rows.filter(move |row| row.customer == *customer)
     }
 
-    /// How often all replicas together ran a request id.
+    /// How often the replicas ran a request id in total.
     fn runs(&self, key: &str) -> u64 {
         let runs = |stats: &service::Stats| {
             let place = stats.keys.binary_search_by(|c| c.key.as_str().cmp(key));
@@ -193,12 +198,12 @@
         self.services.iter().map(runs).sum()
     }
 
-    fn doubled(&self) -> impl Iterator<Item = &Keyed> {
+    fn doubled_keys(&self) -> impl Iterator<Item = &KeyedCalls> {
         let keyed = self.report.keyed.iter();
         keyed.filter(|keyed| self.runs(&keyed.key) > 1)
     }
 
-    fn whole(&self) -> Promise {
+    fn valid_answers(&self) -> Promise {
         let rows = self.report.rows.iter();
         let broken = rows.flat_map(|row| {
             let name = format!("{} {}", row.customer, row.target);
@@ -209,47 +214,49 @@
         Promise {
             name: "each answer is whole, the caller's own and from an allowed version",
             cases: total(self.report.rows.iter(), |row| row.served),
-            against: broken.collect(),
+            violations: broken.collect(),
         }
     }
 
-    /// Without overload and faults nothing is refused but the second call on one request id.
-    fn answered(&self) -> Promise {
+    /// Without overload and faults, only the second call with a request id may be refused.
+    fn answered_calls(&self) -> Promise {
         let rows = self.report.rows.iter();
-        let against = rows.flat_map(|row| {
+        let violations = rows.flat_map(|row| {
             let name = format!("{} {}", row.customer, row.target);
             let refused = row
                 .refused
                 .iter()
-                .filter(|count| !self.expected(&count.key));
+                .filter(|count| !self.is_expected(&count.key));
             let counts = refused.chain(&row.failed);
             counts.map(move |c| format!("{name}: {} x {}", c.count, c.key))
         });
         Promise {
             name: "each call gets an answer or an expected refusal",
             cases: total(self.report.rows.iter(), |row| row.sent),
-            against: against.collect(),
+            violations: violations.collect(),
         }
     }
 
-    /// Whether refusals are to be expected.
-    const fn troubled(&self) -> bool {
-        self.overload || self.struck > 0 || self.platform > 0
+    /// Whether refusals for load are expected.
+    const fn refusals_expected(&self) -> bool {
+        self.overload || self.endpoint_faults > 0 || self.platform_faults > 0
     }
 
-    fn expected(&self, refusal: &str) -> bool {
-        let again = refusal.starts_with("409 ") && !refusal.ends_with(" not_run");
-        let full = refusal.starts_with("429 ") || refusal.starts_with("503 ");
-        // Refusals in doubt are bounded by a promise of their own.
-        let doubt = refusal.ends_with(" unknown");
-        again || (self.troubled() && (doubt || (full && refusal.ends_with(" not_run"))))
+    fn is_expected(&self, refusal: &str) -> bool {
+        let repeated = refusal.starts_with("409 ") && !refusal.ends_with(" not_run");
+        let for_load = refusal.starts_with("429 ") || refusal.starts_with("503 ");
+        // The number of refusals with `unknown` is limited by a separate promise.
+        let unknown = refusal.ends_with(" unknown");
+        repeated
+            || (self.refusals_expected()
+                && (unknown || (for_load && refusal.ends_with(" not_run"))))
     }
 
-    fn sessions(&self) -> Promise {
+    fn stable_sessions(&self) -> Promise {
         let withdrawn =
             |version: &id::Version| self.withdrawn.iter().any(|w| w.version == *version);
         let moves = self.report.moves.iter().filter(|m| !withdrawn(&m.from));
-        let against = moves.map(|m| {
+        let violations = moves.map(|m| {
             format!(
                 "{} session {}: from {} to {}",
                 m.customer, m.session, m.from, m.to
@@ -258,36 +265,36 @@
         Promise {
             name: "a session keeps its version unless that is withdrawn",
             cases: total(self.report.rows.iter(), |row| sum(&row.versions)),
-            against: against.collect(),
+            violations: violations.collect(),
         }
     }
 
-    fn billed(&self) -> Promise {
-        let mut against = Vec::new();
+    fn billed_once(&self) -> Promise {
+        let mut violations = Vec::new();
         for customer in self.customers() {
-            let figure = |row: &Row| row.requests + row.retried_served;
-            let wanted = total(self.rows(&customer), figure);
+            let value = |row: &Row| row.requests + row.retried_served;
+            let expected = total(self.rows(&customer), value);
             let bills = self.bills.iter().find(|bills| bills.customer == customer);
             let billed = bills.map_or(0, |bills| bills.bills);
-            if billed != wanted {
-                against.push(format!(
-                    "{customer}: {wanted} requests served, {billed} billed"
+            if billed != expected {
+                violations.push(format!(
+                    "{customer}: {expected} requests served, {billed} billed"
                 ));
             }
         }
         Promise {
             name: "each served request is billed once",
             cases: total(self.report.rows.iter(), |row| row.requests),
-            against,
+            violations,
         }
     }
 
-    fn once(&self) -> Promise {
-        let against = self.report.keyed.iter().filter_map(|keyed| {
+    fn orders_run_once(&self) -> Promise {
+        let violations = self.report.keyed.iter().filter_map(|keyed| {
             let runs = self.runs(&keyed.key);
             let lost = keyed.served > 0 && runs == 0;
             (runs > 1 || lost).then(|| {
-                let Keyed {
+                let KeyedCalls {
                     key,
                     customer,
                     served,
@@ -299,76 +306,80 @@
         Promise {
             name: "each order runs at most once, and once if it was answered",
             cases: self.report.keyed.len() as u64,
-            against: against.collect(),
+            violations: violations.collect(),
         }
     }
 
-    /// A key whose callers were all told `not_run` must not have run.
-    fn not_run(&self) -> Promise {
-        let told = || {
+    /// A request id whose calls were all answered `not_run`, or a prompt refused with it, must not
+    /// have run.
+    fn true_not_run(&self) -> Promise {
+        let refused = || {
             let keyed = self.report.keyed.iter();
             keyed.filter(|keyed| keyed.not_run > 0 && keyed.not_run == keyed.calls)
         };
-        let orders = told().filter(|keyed| self.runs(&keyed.key) > 0);
+        let orders = refused().filter(|keyed| self.runs(&keyed.key) > 0);
         let orders = orders.map(|keyed| format!("{} {}", keyed.customer, keyed.key));
         let prompts = self.report.not_run.iter();
-        let prompts = prompts.filter(|prompt| self.began(prompt));
-        let prompts = prompts.map(|prompt| format!("an engine began the prompt {prompt}"));
-        let cases = told().count() + self.report.not_run.len();
+        let prompts = prompts.filter(|prompt| self.engine_started(prompt));
+        let prompts = prompts.map(|prompt| format!("an engine started the prompt {prompt}"));
+        let cases = refused().count() + self.report.not_run.len();
         Promise {
             name: "a call told `not_run` did not run",
-            // Held without a case too: a trial without refusals has none.
+            // A trial without refusals has no case; the promise is kept then.
             cases: (cases as u64).max(1),
-            against: orders.chain(prompts).collect(),
+            violations: orders.chain(prompts).collect(),
         }
     }
 
-    /// Whether any engine began to answer a prompt.
-    fn began(&self, prompt: &str) -> bool {
-        let find = |stats: &engine::Stats| {
+    /// Whether any engine started to answer a prompt.
+    fn engine_started(&self, prompt: &str) -> bool {
+        let started = |stats: &engine::Stats| {
             stats
                 .prompts
                 .binary_search_by(|count| count.key.as_str().cmp(prompt))
                 .is_ok()
         };
-        self.engines.iter().any(find)
+        self.engines.iter().any(started)
     }
 
-    fn attempts(&self) -> Promise {
+    fn attempts_run_once(&self) -> Promise {
         let attempts = || self.engines.iter().flat_map(|stats| &stats.attempts);
-        let twice = attempts().filter(|attempt| attempt.count > 1);
-        let against = twice.map(|attempt| format!("{} ran {} times", attempt.key, attempt.count));
+        let repeated = attempts().filter(|attempt| attempt.count > 1);
+        let violations =
+            repeated.map(|attempt| format!("{} ran {} times", attempt.key, attempt.count));
         Promise {
             name: "each attempt runs at most once",
             cases: attempts().count() as u64,
-            against: against.collect(),
+            violations: violations.collect(),
         }
     }
 
-    fn withdrawals(&self) -> Promise {
-        let mut against = Vec::new();
+    fn withdrawals_respected(&self) -> Promise {
+        let mut violations = Vec::new();
         let mut cases = 0;
         for Withdrawal { version, at } in &self.withdrawn {
             let works = self.engines.iter().flat_map(|stats| &stats.versions);
             for work in works.filter(|work| work.version == *version) {
                 cases += 1;
                 let late = work.last.millis().saturating_sub(at.millis());
-                if late > SETTLE_MS {
-                    against.push(format!("{version} got work {late} ms after its withdrawal"));
+                if late > WITHDRAWAL_GRACE_MS {
+                    violations.push(format!(
+                        "{version} started a call {late} ms after its withdrawal"
+                    ));
                 }
             }
         }
         Promise {
             name: "a withdrawn version gets no new work after a few seconds",
             cases,
-            against,
+            violations,
         }
     }
 }
 
-/// The sum of a figure over rows.
-pub(super) fn total<'a>(rows: impl Iterator<Item = &'a Row>, figure: impl Fn(&Row) -> u64) -> u64 {
-    rows.map(figure).sum()
+/// Sums a value over rows.
+pub(super) fn total<'a>(rows: impl Iterator<Item = &'a Row>, value: impl Fn(&Row) -> u64) -> u64 {
+    rows.map(value).sum()
 }
 
 fn count(counts: &[Count], key: &str) -> u64 {
--- a/crates/standin/src/load/mix.rs
+++ b/crates/standin/src/load/mix.rs
@@ -1,4 +1,5 @@
-//! Mixes of load: flows of one customer to one target, from which arrivals are drawn.
+//! Load mixes. A mix consists of flows, each of one customer to one target, from which arrivals are
+//! drawn.
 //!
 //! ```toml
 //! seconds = 20
@@ -6,13 +7,13 @@
 //! [[flow]]
 //! customer = "garage-gatenga"
 //! target = "stock"     # or "service:order-desk"
-//! rate = 2.0           # calls a second, Poisson
-//! prompt = 60          # tokens on average, drawn between half and one and a half of it
+//! rate = 2.0           # calls per second, Poisson
+//! prompt = 60          # mean in tokens, drawn uniformly from half to one and a half of it
 //! output = 40
 //! stream = 0.5         # share of streamed answers
-//! sessions = 5         # sessions among which calls are spread; 0 for none
-//! twice = 0.2          # share of calls to a service that are sent twice on one id
-//! from = 0.0           # seconds; both may be left out
+//! sessions = 5         # number of sessions that calls are spread over; 0 for none
+//! twice = 0.2          # share of calls to a service that are sent twice with the same id
+//! from = 0.0           # seconds; `from` and `until` are optional
 //! until = 20.0
 //! ```
 
@@ -31,55 +32,55 @@
 use crate::load::trace::Arrival;
 use crate::load::trace::Target;
 
-/// A mix of load.
+/// A load mix.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mix {
-    /// How long calls are made.
+    /// Duration of the run, in seconds.
     pub seconds: f64,
     /// The flows.
     #[serde(rename = "flow")]
     pub flows: Vec<Flow>,
 }
 
-/// Calls of one customer to one target.
+/// The calls of one customer to one target.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Flow {
-    /// By whom.
+    /// The customer.
     pub customer: id::Customer,
-    /// To what: a class, or `service:` and a plain service.
+    /// A class, or `service:` followed by the name of a plain service.
     pub target: String,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// Tokens of a prompt, on average.
-    #[serde(default = "prompt")]
+    /// Mean number of tokens in a prompt.
+    #[serde(default = "default_prompt")]
     pub prompt: u64,
-    /// Tokens of an answer, on average.
+    /// Mean number of tokens in an answer.
     #[serde(default)]
     pub output: u64,
     /// Share of streamed answers.
     #[serde(default)]
     pub stream: Share,
-    /// Sessions among which calls are spread.
+    /// Number of sessions that calls are spread over.
     #[serde(default)]
     pub sessions: u32,
-    /// Share of calls to a service that are sent twice on one id.
+    /// Share of calls to a service that are sent twice with the same id.
     #[serde(default)]
     pub twice: Share,
-    /// When the flow begins, in seconds.
+    /// When the flow starts, in seconds.
     #[serde(default)]
     pub from: f64,
-    /// When it ends, in seconds; the end of the run if not set.
+    /// When the flow ends, in seconds; none for the end of the run.
     #[serde(default)]
     pub until: Option<f64>,
 }
 
-const fn prompt() -> u64 {
+const fn default_prompt() -> u64 {
     40
 }
 
-/// What is wrong with a mix.
+/// An error in a mix.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("flow {number} ({customer}): {reason}"))]
 pub struct Finding {
@@ -88,16 +89,16 @@
     reason: String,
 }
 
-/// How long after the first call the second one on the same id goes out, at most. Long enough that
-/// the first is sometimes still running and sometimes done.
-const AGAIN_MS: u64 = 400;
+/// Maximum delay of the second call with the same id, in milliseconds. Long enough that the first
+/// call is sometimes still running and sometimes done.
+const MAX_REPEAT_DELAY_MS: u64 = 400;
 
 impl Mix {
-    /// Draws the arrivals, in order.
+    /// Draws the arrivals, sorted by time.
     ///
     /// # Errors
     ///
-    /// All findings.
+    /// All errors found.
     pub fn arrivals(&self, seed: u64) -> Result<Vec<Arrival>, Vec<Finding>> {
         let mut arrivals = Vec::new();
         let mut findings = Vec::new();
@@ -144,8 +145,8 @@
         let until = self.until.unwrap_or(seconds).min(seconds);
         let mut at = self.from;
         for call in 0_u64.. {
-            // Exponential gaps make a Poisson process; the draw lies in [0, 1), so its logarithm
-            // is taken of a number above zero.
+            // A Poisson process has exponentially distributed gaps. The draw is in [0, 1), so the
+            // argument of the logarithm is above zero.
             at -= (1.0 - rng.random::<f64>()).ln() / self.rate;
             if at >= until {
                 return;
@@ -155,16 +156,16 @@
                 at: Duration::from_micros(micros(at)),
                 customer: self.customer.clone(),
                 target: target.clone(),
-                prompt: Tokens(spread(self.prompt, &mut rng)),
-                output: Tokens(spread(self.output, &mut rng)),
+                prompt: Tokens(draw_around(self.prompt, &mut rng)),
+                output: Tokens(draw_around(self.output, &mut rng)),
                 stream: !service && rng.random::<f64>() < self.stream.value(),
                 session: self.session(&mut rng),
                 idempotency: service.then(|| format_compact!("f{number}-{call}")),
             };
             if service && rng.random::<f64>() < self.twice.value() {
-                let mut again = arrival.clone();
-                again.at += Duration::from_millis(rng.random_range(0..AGAIN_MS));
-                arrivals.push(again);
+                let mut repeat = arrival.clone();
+                repeat.at += Duration::from_millis(rng.random_range(0..MAX_REPEAT_DELAY_MS));
+                arrivals.push(repeat);
             }
             arrivals.push(arrival);
         }
@@ -175,12 +176,12 @@
     }
 }
 
-// Runs last minutes, so that neither the sign nor the size of a double is lost.
+// Runs last minutes, so the value is positive and small enough.
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn micros(seconds: f64) -> u64 {
     (seconds * 1e6) as u64
 }
 
-fn spread(mean: u64, rng: &mut StdRng) -> u64 {
+fn draw_around(mean: u64, rng: &mut StdRng) -> u64 {
     rng.random_range(mean / 2..=mean + mean / 2).max(1)
 }
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! The load generator `pimento-load`: open-loop arrivals from a mix or a recorded trace, checks of
-//! every answer, results as files, tables and plots, and the judgement of a whole trial.
+//! The load generator `pimento-load`. It sends open-loop arrivals from a mix or a recorded trace,
+//! checks every answer, writes results as files, tables and plots, and judges a whole trial.
 
 pub mod allowed;
 pub mod balancer;
--- a/crates/standin/src/load/overload.rs
+++ b/crates/standin/src/load/overload.rs
@@ -1,49 +1,54 @@
-//! Promises that hold when more is offered than the endpoints can carry, or when they are faulty.
+//! Promises checked in trials with overload or faults.
 
 use crate::load::judge::Evidence;
 use crate::load::judge::total;
 use crate::load::promise::Promise;
 use crate::load::result::Row;
 
-/// In an overload at most one call in this many may be refused without knowing whether it ran.
-const DOUBT: u64 = 100;
+/// In an overload, at most one call in this exceeded may be refused with `run: unknown`.
+const CALLS_PER_UNKNOWN: u64 = 100;
 
 impl Evidence {
-    /// A call that had an attempt before no slot could be had, or whose one attempt met a fault, is
-    /// refused as `unknown`, which is true but leaves its caller in doubt. Admission has to keep the
-    /// former few, and there can't be more of the latter than faults struck.
-    pub(super) fn doubt(&self) -> Promise {
+    /// Few refusals say `unknown`. A call is refused that way if it found no slot after an earlier
+    /// attempt, or if its only attempt hit a fault: correct, but the caller can't know whether the
+    /// call ran. Admission has to keep the first kind rare, and the second can't exceed the number
+    /// of calls hit by faults.
+    pub(super) fn few_unknown(&self) -> Promise {
         let rows = || self.report.rows.iter();
         let sent = total(rows(), |row| row.sent);
         let refused = |row: &Row| {
-            let full = row
+            let for_load = row
                 .refused
                 .iter()
                 .filter(|count| !count.key.starts_with("409 "));
-            let unknown = full.filter(|count| count.key.ends_with(" unknown"));
+            let unknown = for_load.filter(|count| count.key.ends_with(" unknown"));
             unknown.map(|count| count.count).sum()
         };
         let unknown = total(rows(), refused);
-        let crowded = if self.overload { sent / DOUBT } else { 0 };
-        let many = unknown > crowded + self.struck;
+        let allowed = if self.overload {
+            sent / CALLS_PER_UNKNOWN
+        } else {
+            0
+        };
+        let exceeded = unknown > allowed + self.endpoint_faults;
         Promise {
             name: "few calls are refused in doubt",
             cases: sent,
-            against: many
+            violations: exceeded
                 .then(|| format!("{unknown} of {sent} calls"))
                 .into_iter()
                 .collect(),
         }
     }
 
-    /// Who asks for little is served whatever others ask for.
-    pub(super) fn quiet(&self) -> Promise {
+    /// Customers with little load are served regardless of the load of others.
+    pub(super) fn quiet_served(&self) -> Promise {
         let rows = || {
             let rows = self.report.rows.iter();
-            rows.filter(|row| self.quiet.contains(&row.customer))
+            rows.filter(|row| self.quiet_customers.contains(&row.customer))
         };
-        let short = rows().filter(|row| row.served < row.sent);
-        let against = short.map(|row| {
+        let unserved = rows().filter(|row| row.served < row.sent);
+        let violations = unserved.map(|row| {
             let Row {
                 customer,
                 target,
@@ -56,7 +61,7 @@
         Promise {
             name: "quiet customers' calls are served through the overload",
             cases: total(rows(), |row| row.sent),
-            against: against.collect(),
+            violations: violations.collect(),
         }
     }
 }
--- a/crates/standin/src/load/plot.rs
+++ b/crates/standin/src/load/plot.rs
@@ -16,33 +16,34 @@
 use crate::load::result::Report;
 
 const SIZE: (u32, u32) = (960, 600);
-const TEXT: &str = "sans-serif";
+const FONT: &str = "sans-serif";
 
-/// Percentiles as the number of nines: 0 is the smallest, 1 is 90 in 100, 3 is 999 in 1,000.
-const NINES: f64 = 3.0;
+/// The right end of the percentile axis, as a number of nines: 1 is p90, 3 is p99.9; 0 is the
+/// minimum.
+const MAX_NINES: f64 = 3.0;
 const STEPS: u32 = 60;
 
-/// Where the lines' names begin, from the upper left corner.
+/// Position of the legend from the upper left corner, in pixels.
 const LEGEND: (i32, i32) = (80, 50);
 const LEGEND_STEP: i32 = 16;
 
-/// A line of the plot.
+/// A line in the plot.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
-/// Draws first-byte latency of each target in each run. `runs` gives names and results.
+/// Draws the first-byte latency of each target in each run. `runs` holds names and results.
 ///
 /// # Errors
 ///
-/// What the drawing library found.
+/// If the drawing library fails.
 pub fn draw(runs: &[(String, Report)]) -> Result<String, String> {
     let lines: Vec<Line> = runs.iter().flat_map(lines).collect();
     let points = lines.iter().flat_map(|line| &line.points);
-    let top = points.map(|(_, millis)| *millis).fold(1.0, f64::max);
+    let max_millis = points.map(|(_, millis)| *millis).fold(1.0, f64::max);
     let mut svg = String::new();
-    render(&mut svg, &lines, top).map_err(|error| error.to_string())?;
+    render(&mut svg, &lines, max_millis).map_err(|error| error.to_string())?;
     Ok(svg)
 }
 
@@ -64,25 +65,25 @@
 }
 
 fn points(latency: &Latency) -> Vec<(f64, f64)> {
-    let steps = (0..=STEPS).map(|step| f64::from(step) / f64::from(STEPS) * NINES);
+    let steps = (0..=STEPS).map(|step| f64::from(step) / f64::from(STEPS) * MAX_NINES);
     steps
         .filter_map(|nines| Some((nines, latency.quantile(1.0 - 10_f64.powf(-nines))?)))
         .collect()
 }
 
-type Fault<'a> = plotters::drawing::DrawingAreaErrorKind<
+type DrawError<'a> = plotters::drawing::DrawingAreaErrorKind<
     <SVGBackend<'a> as plotters::backend::DrawingBackend>::ErrorType,
 >;
 
-fn render<'a>(svg: &'a mut String, lines: &[Line], top: f64) -> Result<(), Fault<'a>> {
+fn render<'a>(svg: &'a mut String, lines: &[Line], max_millis: f64) -> Result<(), DrawError<'a>> {
     let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(16)
-        .caption("first byte, from the intended moment", (TEXT, 18))
+        .caption("first byte, from the scheduled time", (FONT, 18))
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..NINES, 0.0..top * 1.05)?;
+        .build_cartesian_2d(0.0..MAX_NINES, 0.0..max_millis * 1.05)?;
     chart
         .configure_mesh()
         .x_desc("percentile")
@@ -98,7 +99,7 @@
         let text = plotters::element::Text::new(
             line.name.clone(),
             (LEGEND.0 + 26, y - 6),
-            (TEXT, 12).into_font().color(&BLACK),
+            (FONT, 12).into_font().color(&BLACK),
         );
         area.draw(&text)?;
     }
--- a/crates/standin/src/load/promise.rs
+++ b/crates/standin/src/load/promise.rs
@@ -1,23 +1,23 @@
-//! A promise of the product with the verdict of a trial.
+//! A promise of the product and the result of checking it in a trial.
 
 use std::fmt;
 
-/// A promise with what speaks against it; kept if nothing does.
+/// A promise with the violations found.
 #[derive(Debug, Clone)]
 pub struct Promise {
-    /// What was promised.
+    /// The promise.
     pub name: &'static str,
-    /// On how many cases it was looked at.
+    /// The number of cases checked.
     pub cases: u64,
-    /// What speaks against it.
-    pub against: Vec<String>,
+    /// Descriptions of the violations.
+    pub violations: Vec<String>,
 }
 
 impl Promise {
-    /// Whether it held. One that nothing put to the test did not.
+    /// Whether the promise was kept. It counts as broken if there was no case to check.
     #[must_use]
     pub fn kept(&self) -> bool {
-        self.against.is_empty() && self.cases > 0
+        self.violations.is_empty() && self.cases > 0
     }
 }
 
@@ -25,10 +25,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let word = if self.kept() { "kept  " } else { "BROKEN" };
         write!(f, "{word}  {} ({} cases)", self.name, self.cases)?;
-        for reason in self.against.iter().take(SHOWN) {
-            write!(f, "\n          {reason}")?;
+        for violation in self.violations.iter().take(MAX_SHOWN) {
+            write!(f, "\n          {violation}")?;
         }
-        let more = self.against.len().saturating_sub(SHOWN);
+        let more = self.violations.len().saturating_sub(MAX_SHOWN);
         if more > 0 {
             write!(f, "\n          and {more} more")?;
         }
@@ -36,5 +36,5 @@
     }
 }
 
-/// Reasons shown for one promise.
-const SHOWN: usize = 5;
+/// Violations printed per promise.
+const MAX_SHOWN: usize = 5;
--- a/crates/standin/src/load/result.rs
+++ b/crates/standin/src/load/result.rs
@@ -1,4 +1,4 @@
-//! Results of a run: one row for each customer and target, in a JSON file.
+//! The result of a run, written as a JSON file: one row per customer and target.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,52 +11,52 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::load::check::Breach;
+use crate::load::check::Violation;
 use crate::load::histogram::Bins;
 use crate::load::histogram::Latency;
 use crate::tally::Count;
 use crate::tally::Tally;
 use crate::text;
 
-/// What became of one call.
+/// The result of one call.
 #[derive(Debug, Clone)]
 pub struct Sample {
-    /// By whom.
+    /// The customer.
     pub customer: id::Customer,
-    /// To what.
+    /// The target, as named in results.
     pub target: CompactString,
-    /// When it was due, from the start of the run.
+    /// The scheduled time, from the start of the run.
     pub at: Duration,
-    /// How much later than intended it was sent.
+    /// How much later than scheduled it was sent.
     pub late: Duration,
-    /// From the intended moment to the first byte of the answer's content.
+    /// From the scheduled time to the first byte of the answer's content.
     pub first: Option<Duration>,
-    /// From the intended moment to the end of the answer.
+    /// From the scheduled time to the end of the answer.
     pub last: Option<Duration>,
-    /// Between the pieces of a stream.
+    /// Times between the chunks of a stream.
     pub gaps: Vec<Duration>,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The request id that was sent along.
-    pub key: Option<CompactString>,
+    /// The request id sent with the call.
+    pub request_id: Option<CompactString>,
     /// Whether the call went to a plain service.
     pub service: bool,
-    /// The hash of its prompt, for calls to models.
+    /// The hash of the prompt; none for calls to services.
     pub prompt: Option<u64>,
-    /// The session's version before and now, if it was moved.
-    pub moved: Option<Move>,
-    /// Whether the call was served when it was sent again after `retry-after`.
+    /// The change of the session's version, if there was one.
+    pub version_change: Option<VersionChange>,
+    /// Whether the retry after `retry-after` was served; none if the call was not retried.
     pub retried: Option<bool>,
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer to the call.
+    /// A complete and correct answer.
     Served(Option<id::Version>),
-    /// An error in the documented form.
+    /// An error of the documented format.
     Refused {
-        /// HTTP status; that of a stream's error event is 200.
+        /// The HTTP status; 200 for an error event in a stream.
         status: u16,
         /// The error's code.
         code: CompactString,
@@ -65,116 +65,117 @@
     },
     /// No answer, or a broken connection.
     Failed(CompactString),
-    /// An answer that breaks a promise.
-    Broken(Breach),
+    /// An answer that failed its check.
+    Broken(Violation),
 }
 
-/// A session that was moved to another version of the same model.
+/// A session that changed to another version of the same model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Move {
-    /// Whose.
+pub struct VersionChange {
+    /// The customer.
     pub customer: id::Customer,
-    /// Which.
+    /// The session number.
     pub session: u32,
-    /// The version before.
+    /// The previous version.
     pub from: id::Version,
-    /// The version now.
+    /// The new version.
     pub to: id::Version,
 }
 
 /// The result of a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// When the run began.
+    /// When the run started.
     pub began: Wall,
-    /// How long it took, in milliseconds.
+    /// The duration of the run, in milliseconds.
     pub took_ms: u64,
     /// Rows, sorted by customer and target.
     pub rows: Vec<Row>,
-    /// Calls to plain services by key, sorted.
-    pub keyed: Vec<Keyed>,
-    /// Sessions that were moved.
-    pub moves: Vec<Move>,
-    /// Hashes of the prompts of calls to models that were told `not_run` and not sent again.
+    /// Calls to plain services by request id, sorted.
+    pub keyed: Vec<KeyedCalls>,
+    /// Sessions that changed their version.
+    pub moves: Vec<VersionChange>,
+    /// Hashes of the prompts of calls to models that were refused with `not_run` and not retried.
     pub not_run: Vec<CompactString>,
-    /// The first calls that were not served, at most [`KEPT`], in the order in which they ended.
+    /// The first calls that were not served, at most [`MAX_UNSERVED`], in the order in which they
+    /// ended.
     pub unserved: Vec<Unserved>,
 }
 
-/// Calls listed in [`Report::unserved`].
-pub const KEPT: usize = 200;
+/// The maximum length of [`Report::unserved`].
+pub const MAX_UNSERVED: usize = 200;
 
 /// A call that was not served.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unserved {
-    /// When it was due, in milliseconds from the start of the run.
+    /// The scheduled time, in milliseconds from the start of the run.
     pub at_ms: u64,
-    /// When it ended, counted in the same way.
+    /// When it ended, in milliseconds from the start of the run.
     pub ended_ms: u64,
-    /// By whom.
+    /// The customer.
     pub customer: id::Customer,
-    /// To what.
+    /// The target, as named in results.
     pub target: CompactString,
-    /// How it ended.
+    /// The outcome.
     pub outcome: CompactString,
 }
 
-/// Calls of one customer to one target.
+/// The calls of one customer to one target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// By whom.
+    /// The customer.
     pub customer: id::Customer,
-    /// To what.
+    /// The target, as named in results.
     pub target: CompactString,
     /// Calls sent.
     pub sent: u64,
-    /// Calls answered in whole.
+    /// Calls answered completely and correctly.
     pub served: u64,
-    /// Answered calls, those on one request id counted once.
+    /// Served calls, with calls of the same request id counted once.
     pub requests: u64,
-    /// Refusals, as `status code run`.
+    /// Refusals by `status code run`.
     pub refused: Vec<Count>,
     /// Calls without an answer, by reason.
     pub failed: Vec<Count>,
-    /// Answers that break a promise.
+    /// Answers that failed their check, by violation.
     pub broken: Vec<Count>,
     /// Answers by version.
     pub versions: Vec<Count>,
-    /// Refused calls that were sent again after `retry-after`.
+    /// Refused calls that were retried after `retry-after`.
     pub retried: u64,
-    /// Those of them that were served.
+    /// Retried calls that were then served.
     pub retried_served: u64,
     /// Latency to the first byte of content, in microseconds.
     pub first: Bins,
     /// Latency to the end of the answer, in microseconds.
     pub last: Bins,
-    /// Time between the pieces of a stream, in microseconds.
+    /// Times between the chunks of streams, in microseconds.
     pub gaps: Bins,
-    /// How much later than intended calls were sent, in microseconds.
+    /// How much later than scheduled calls were sent, in microseconds.
     pub late: Bins,
 }
 
-/// What callers were told of one request id at a plain service.
+/// The answers to all calls to a plain service with one request id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Keyed {
+pub struct KeyedCalls {
     /// The request id.
     pub key: CompactString,
-    /// Whose.
+    /// The customer.
     pub customer: id::Customer,
-    /// Calls on it.
+    /// Calls with it.
     pub calls: u32,
     /// Calls that were answered.
     pub served: u32,
-    /// Calls that were told `not_run`.
+    /// Calls refused with `not_run`.
     pub not_run: u32,
-    /// Calls that were told `ran`.
+    /// Calls refused with `ran`.
     pub ran: u32,
-    /// Calls that were told `unknown` or nothing.
+    /// Calls refused with `unknown`, without an answer, or with an answer that failed its check.
     pub unknown: u32,
 }
 
 #[derive(Debug)]
-struct Sums {
+struct RowTotals {
     customer: id::Customer,
     target: CompactString,
     sent: u64,
@@ -192,12 +193,12 @@
     late: Latency,
 }
 
-/// Adds samples up.
+/// Aggregates samples.
 #[derive(Debug, Default)]
 pub struct Collector {
-    rows: Vec<Sums>,
-    keyed: Vec<Keyed>,
-    moves: Vec<Move>,
+    rows: Vec<RowTotals>,
+    keyed: Vec<KeyedCalls>,
+    moves: Vec<VersionChange>,
     not_run: Vec<CompactString>,
     unserved: Vec<Unserved>,
 }
@@ -208,22 +209,22 @@
             Self::Served(_) => f.write_str("served"),
             Self::Refused { status, code, run } => write!(f, "{status} {code} {run}"),
             Self::Failed(reason) => f.write_str(reason),
-            Self::Broken(breach) => write!(f, "{breach}"),
+            Self::Broken(violation) => write!(f, "{violation}"),
         }
     }
 }
 
 impl Sample {
-    /// The hash of the prompt, if the caller was told `not_run` and left it at that.
+    /// The hash of the prompt, if the call was refused with `not_run` and not retried.
     fn not_run(&self) -> Option<CompactString> {
-        let told = matches!(
+        let refused = matches!(
             self.outcome,
             Outcome::Refused {
                 run: Run::NotRun,
                 ..
             }
         );
-        let prompt = self.prompt.filter(|_| told && self.retried.is_none())?;
+        let prompt = self.prompt.filter(|_| refused && self.retried.is_none())?;
         Some(text::hex(prompt))
     }
 }
@@ -246,34 +247,36 @@
     /// Adds a sample.
     pub fn add(&mut self, sample: &Sample) {
         let served = matches!(sample.outcome, Outcome::Served(_));
-        if !served && self.unserved.len() < KEPT {
+        if !served && self.unserved.len() < MAX_UNSERVED {
             self.unserved.push(Unserved::new(sample));
         }
-        self.moves.extend(sample.moved.clone());
+        self.moves.extend(sample.version_change.clone());
         self.not_run.extend(sample.not_run());
         if sample.service {
-            self.key(sample);
+            self.add_keyed(sample);
         }
         self.row(sample).add(sample);
     }
 
-    fn row(&mut self, sample: &Sample) -> &mut Sums {
-        let wanted = (&sample.customer, &sample.target);
+    fn row(&mut self, sample: &Sample) -> &mut RowTotals {
+        let searched = (&sample.customer, &sample.target);
         let place = self
             .rows
-            .binary_search_by(|row| (&row.customer, &row.target).cmp(&wanted));
+            .binary_search_by(|row| (&row.customer, &row.target).cmp(&searched));
         let place = place.unwrap_or_else(|at| {
-            self.rows.insert(at, Sums::new(sample));
+            self.rows.insert(at, RowTotals::new(sample));
             at
         });
         &mut self.rows[place]
     }
 
-    fn key(&mut self, sample: &Sample) {
-        let Some(key) = &sample.key else { return };
+    fn add_keyed(&mut self, sample: &Sample) {
+        let Some(key) = &sample.request_id else {
+            return;
+        };
         let place = self.keyed.binary_search_by(|known| known.key.cmp(key));
         let place = place.unwrap_or_else(|at| {
-            let new = Keyed {
+            let new = KeyedCalls {
                 key: key.clone(),
                 customer: sample.customer.clone(),
                 calls: 0,
@@ -303,7 +306,7 @@
         Report {
             began,
             took_ms: u64::try_from(took.as_millis()).unwrap_or(u64::MAX),
-            rows: self.rows.into_iter().map(Sums::row).collect(),
+            rows: self.rows.into_iter().map(RowTotals::into_row).collect(),
             keyed: self.keyed,
             moves: self.moves,
             not_run: self.not_run,
@@ -312,7 +315,7 @@
     }
 }
 
-impl Sums {
+impl RowTotals {
     fn new(sample: &Sample) -> Self {
         Self {
             customer: sample.customer.clone(),
@@ -340,7 +343,7 @@
         self.retried_served += u64::from(sample.retried == Some(true));
         match &sample.outcome {
             Outcome::Served(version) => {
-                self.served(sample);
+                self.add_served(sample);
                 if let Some(version) = version {
                     self.versions.add(version.as_str());
                 }
@@ -357,9 +360,9 @@
         }
     }
 
-    fn served(&mut self, sample: &Sample) {
+    fn add_served(&mut self, sample: &Sample) {
         self.served += 1;
-        if let Some(key) = &sample.key {
+        if let Some(key) = &sample.request_id {
             self.keys.add(key);
         }
         if let Some(first) = sample.first {
@@ -373,15 +376,15 @@
         }
     }
 
-    fn row(self) -> Row {
+    fn into_row(self) -> Row {
         let keys = self.keys.counts();
-        let again: u64 = keys.iter().map(|key| key.count - 1).sum();
+        let repeats: u64 = keys.iter().map(|key| key.count - 1).sum();
         Row {
             customer: self.customer,
             target: self.target,
             sent: self.sent,
             served: self.served,
-            requests: self.served - again,
+            requests: self.served - repeats,
             refused: self.refused.counts().to_vec(),
             failed: self.failed.counts().to_vec(),
             broken: self.broken.counts().to_vec(),
--- a/crates/standin/src/load/trace.rs
+++ b/crates/standin/src/load/trace.rs
@@ -1,4 +1,4 @@
-//! Trace files: one arrival a line, in the order of arrival.
+//! Trace files: one arrival per line, in order of arrival time.
 //!
 //! ```text
 //! # arrival_ms customer target prompt output stream session idempotency
@@ -6,10 +6,10 @@
 //! 12.5 mine-rutongo service:order-desk 20 0 whole - drum-17
 //! ```
 //!
-//! The target is a class or `service:` and a plain service. Sizes are in tokens. Calls of one
-//! customer with the same session number go out with the session token of the answer before.
-//! Calls with the same idempotency label go out with the same `idempotency-key`; `-` is none. Empty
-//! lines and lines that begin with `#` are passed over.
+//! The target is a class, or `service:` followed by the name of a plain service. Sizes are in
+//! tokens. A call with a session number carries the session token of the customer's previous answer
+//! in that session. Calls with the same idempotency label carry the same `idempotency-key`. `-`
+//! means none. Empty lines and lines that start with `#` are ignored.
 
 use std::fmt;
 use std::str::FromStr;
@@ -21,84 +21,84 @@
 use snafu::OptionExt;
 use snafu::Snafu;
 
-/// One call that is to be made.
+/// A call to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// When, from the start of the run.
+    /// When it is sent, from the start of the run.
     pub at: Duration,
-    /// By whom.
+    /// The customer that sends it.
     pub customer: id::Customer,
-    /// To what.
+    /// The class or service it is sent to.
     pub target: Target,
-    /// Tokens of the prompt; for a service, words of the body.
+    /// Tokens in the prompt; for a service, words in the body.
     pub prompt: Tokens,
-    /// Tokens asked for.
+    /// Tokens requested.
     pub output: Tokens,
-    /// Whether the answer is streamed.
+    /// Whether a streamed answer is requested.
     pub stream: bool,
-    /// The customer's session.
+    /// The number of the customer's session.
     pub session: Option<u32>,
-    /// Calls with one label are the same call, sent again.
+    /// Calls with the same label are repeats of one call.
     pub idempotency: Option<CompactString>,
 }
 
-/// What a call goes to.
+/// The target of a call.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
-    /// A class of a contract.
+    /// A class in a contract.
     Class(id::Class),
     /// A plain service.
     Service(id::Service),
 }
 
-/// What is wrong with a line.
+/// An error in one line.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Not the eight columns.
-    #[snafu(display("a line has 8 columns, this one has {found}"))]
+    /// The line does not have eight columns.
+    #[snafu(display("expected 8 columns, found {found}"))]
     Columns {
-        /// Columns found.
+        /// Number of columns found.
         found: usize,
     },
-    /// A column that can't be read.
+    /// A column can't be parsed.
     #[snafu(display("{column}: {text:?} can't be read"))]
     Column {
         /// The column's name.
         column: &'static str,
-        /// What was found.
+        /// The text found.
         text: CompactString,
     },
-    /// An arrival before the one on the line above.
-    #[snafu(display("arrival_ms: arrivals must not go back"))]
+    /// The arrival is earlier than the previous one.
+    #[snafu(display("arrival_ms: earlier than the previous arrival"))]
     Order,
 }
 
-/// A finding with its line, from 1.
+/// An error with the number of its line.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("line {line}: {source}"))]
 pub struct Finding {
-    /// The line's number.
+    /// The line number, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// The error.
     pub source: Error,
 }
 
 const COLUMNS: usize = 8;
 const SERVICE: &str = "service:";
 
-/// Reads a trace.
+/// Parses a trace.
 ///
 /// # Errors
 ///
-/// All findings.
+/// All errors found, with their lines.
 pub fn parse(text: &str) -> Result<Vec<Arrival>, Vec<Finding>> {
     let mut arrivals: Vec<Arrival> = Vec::new();
     let mut findings = Vec::new();
     let lines = (1..).zip(text.lines().map(str::trim));
     for (line, text) in lines.filter(|(_, text)| !text.is_empty() && !text.starts_with('#')) {
-        let before = arrivals.last().map_or(Duration::ZERO, |last| last.at);
+        let previous = arrivals.last().map_or(Duration::ZERO, |last| last.at);
         match text.parse::<Arrival>() {
-            Ok(arrival) if arrival.at >= before => arrivals.push(arrival),
+            Ok(arrival) if arrival.at >= previous => arrivals.push(arrival),
             Ok(_) => findings.push(Finding {
                 line,
                 source: Error::Order,
@@ -113,12 +113,12 @@
     }
 }
 
-/// Writes a trace that [`parse`] reads back.
+/// Formats arrivals as a trace that [`parse`] accepts.
 #[must_use]
 pub fn write(arrivals: &[Arrival]) -> String {
-    let head = "# arrival_ms customer target prompt output stream session idempotency\n";
+    let header = "# arrival_ms customer target prompt output stream session idempotency\n";
     let lines = arrivals.iter().map(|arrival| format!("{arrival}\n"));
-    std::iter::once(head.to_owned()).chain(lines).collect()
+    std::iter::once(header.to_owned()).chain(lines).collect()
 }
 
 impl FromStr for Arrival {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Milliseconds with at most three decimals.
+/// Parses milliseconds with at most three decimals.
 fn millis(text: &str) -> Option<Duration> {
     let (whole, decimals) = text.split_once('.').unwrap_or((text, "0"));
     if decimals.len() > 3 || !decimals.bytes().all(|byte| byte.is_ascii_digit()) {
--- a/crates/standin/src/load/withdrawal.rs
+++ b/crates/standin/src/load/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Versions withdrawn during a trial, as `VERSION=MILLISECONDS`.
+//! Versions withdrawn during a trial, given as `VERSION=MILLISECONDS`.
 
 use std::str::FromStr;
 
@@ -19,20 +19,20 @@
 /// The text is not `VERSION=MILLISECONDS`.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{text:?} is not VERSION=MILLISECONDS since the Unix epoch"))]
-pub struct Unreadable {
+pub struct ParseError {
     text: CompactString,
 }
 
 impl FromStr for Withdrawal {
-    type Err = Unreadable;
-    fn from_str(text: &str) -> Result<Self, Unreadable> {
-        let read = || {
+    type Err = ParseError;
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let parse = || {
             let (version, at) = text.split_once('=')?;
             Some(Self {
                 version: version.parse().ok()?,
                 at: Wall::from_millis(at.parse().ok()?),
             })
         };
-        read().ok_or_else(|| Unreadable { text: text.into() })
+        parse().ok_or_else(|| ParseError { text: text.into() })
     }
 }
--- a/crates/standin/src/rating.rs
+++ b/crates/standin/src/rating.rs
@@ -1,7 +1,7 @@
 //! Stand-in of the service that rates answers: it reads the grade in the answer's mark.
 //!
-//! An answer without a mark gets 0. With `noise`, a share of ratings is drawn anew from the seed and
-//! the answer, so that the same answer always gets the same rating.
+//! An answer without a mark gets 0. With `noise`, a share of ratings is drawn anew from the seed
+//! and the answer, so that the same answer always gets the same rating.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -111,8 +111,8 @@
 }
 
 impl<S> Running<S> {
-    /// Ends the stand-in with all its connections. It is back at its address after `back`, as another
-    /// life of itself.
+    /// Ends the stand-in with all its connections. It is back at its address after `back`, as
+    /// another life of itself.
     pub fn crash(&self, back: Duration) {
         self.crash.send_replace(back);
     }
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the programs, read from flags and environment, with all findings together.
+//! Reads the programs' settings from flags and environment variables and collects all errors.
 
 use std::str::FromStr;
 
@@ -12,7 +12,7 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// A flag with its environment variable.
+/// Defines a flag and its environment variable.
 #[must_use]
 pub fn flag(name: &'static str, variable: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
@@ -22,17 +22,17 @@
         .value_name("VALUE")
 }
 
-/// What is wrong with the settings; empty if nothing is.
+/// Errors in the settings.
 #[derive(Debug, Default)]
 pub struct Findings(Vec<String>);
 
 impl Findings {
-    /// Notes a finding on a flag.
-    pub fn note(&mut self, flag: &str, finding: impl std::fmt::Display) {
+    /// Adds an error in a flag's value.
+    pub fn add(&mut self, flag: &str, finding: impl std::fmt::Display) {
         self.0.push(format!("--{flag}: {finding}"));
     }
 
-    /// Notes a finding in a file.
+    /// Adds an error in a file.
     pub fn file(&mut self, path: &str, finding: impl std::fmt::Display) {
         self.0.push(format!("{path}: {finding}"));
     }
@@ -45,11 +45,11 @@
     ) -> Option<T> {
         let text = matches.get_one::<String>(name)?;
         text.parse()
-            .map_err(|error| self.note(name, format!("{error} (found {text:?})")))
+            .map_err(|error| self.add(name, format!("{error} (found {text:?})")))
             .ok()
     }
 
-    /// The values of a flag with a list between commas.
+    /// The values of a flag that takes a comma-separated list.
     pub fn list<T: FromStr<Err: std::fmt::Display>>(
         &mut self,
         matches: &ArgMatches,
@@ -61,7 +61,7 @@
         for text in texts.filter(|text| !text.is_empty()) {
             match text.parse() {
                 Ok(value) => values.push(value),
-                Err(error) => self.note(name, format!("{error} (found {text:?})")),
+                Err(error) => self.add(name, format!("{error} (found {text:?})")),
             }
         }
         values
@@ -73,12 +73,13 @@
             return T::default();
         };
         serde_json::from_str(text).unwrap_or_else(|error| {
-            self.note(name, error);
+            self.add(name, error);
             T::default()
         })
     }
 
-    /// The value of a flag that takes JSON; what it leaves out is taken from `default`.
+    /// The value of a flag that takes a JSON object; fields that are left out are taken from
+    /// `default`.
     pub fn overlay<T: Serialize + DeserializeOwned>(
         &mut self,
         matches: &ArgMatches,
@@ -88,21 +89,21 @@
         let Some(text) = matches.get_one::<String>(name) else {
             return default;
         };
-        let merged = overlaid(text, &default).and_then(serde_json::from_value);
+        let merged = merge(text, &default).and_then(serde_json::from_value);
         merged.unwrap_or_else(|error| {
-            self.note(name, error);
+            self.add(name, error);
             default
         })
     }
 
-    /// The findings, one a line.
+    /// The errors, one per line.
     #[must_use]
     pub fn lines(&self) -> &[String] {
         &self.0
     }
 }
 
-fn overlaid(text: &str, default: &impl Serialize) -> serde_json::Result<Value> {
+fn merge(text: &str, default: &impl Serialize) -> serde_json::Result<Value> {
     let given: Map<String, Value> = serde_json::from_str(text)?;
     let mut value = serde_json::to_value(default)?;
     if let Value::Object(fields) = &mut value {
@@ -111,16 +112,16 @@
     Ok(value)
 }
 
-/// The flag that chooses how log lines look.
+/// The flag for the format of log lines.
 #[must_use]
 pub fn log_format() -> Arg {
-    flag("log-format", "PIMENTO_LOG_FORMAT", "Form of log lines")
+    flag("log-format", "PIMENTO_LOG_FORMAT", "Format of log lines")
         .value_parser(["text", "json"])
         .default_value("text")
         .global(true)
 }
 
-/// Sends log lines to standard error in the form that was asked for.
+/// Starts logging to standard error in the format chosen.
 pub fn log_to_stderr(matches: &ArgMatches) {
     let format = matches.get_one::<String>("log-format");
     let json = format.is_some_and(|format| format == "json");
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -1,7 +1,8 @@
-//! The text of answers: a mark that tells what was answered by whom and how well, filler, an end.
+//! The text of generated answers: a mark, filler words and an end.
 //!
-//! An answer reads `[of=9a1c… by=pimento-small@3 grade=0.871] word word … [end 42]`. The load
-//! generator checks `of`, `by` and the end; the rating stand-in reads the grade.
+//! An answer reads `[of=9a1c… by=pimento-small@3 grade=0.871] word word … [end 42]`. The mark holds
+//! the hash of the prompt, the version that answered and a grade. The load generator checks `of`,
+//! `by` and the end; the stand-in of the rating service reads the grade.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,39 +15,39 @@
 use xxhash_rust::xxh3::xxh3_64;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Grades from here on pass.
+/// The lowest grade that passes, in millionths.
 pub const PASS: u32 = PARTS / 2;
 
-/// What an answer says of itself.
+/// The mark at the start of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Mark {
     /// Hash of the last user message.
-    pub of: u64,
+    pub prompt: u64,
     /// The version that answered.
-    pub by: id::Version,
-    /// How good the answer is.
+    pub version: id::Version,
+    /// The quality of the answer.
     pub grade: Share,
 }
 
-/// The text carries no mark that can be read.
+/// The text has no valid mark.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unmarked;
+pub struct InvalidMark;
 
 impl Mark {
-    /// The mark of the answer to `prompt` by a version of this quality. The same seed, version and
-    /// prompt give the same grade; the share of prompts whose grade passes is the quality.
+    /// The mark of the answer to `prompt` by a version of this quality. The quality is the share of
+    /// prompts whose grade passes. The same seed, version and prompt always give the same grade.
     #[must_use]
     pub fn new(prompt: &str, version: &id::Version, quality: Share, seed: u64) -> Self {
-        let of = digest(prompt);
+        let hash = digest(prompt);
         let salt = xxh3_64_with_seed(version.as_str().as_bytes(), seed);
-        let draw = xxh3_64_with_seed(&of.to_le_bytes(), salt);
-        let lucky = draw % u64::from(PARTS) < u64::from(quality.parts());
-        // The upper half of the hash spreads the grade within the passed or the failed half.
+        let draw = xxh3_64_with_seed(&hash.to_le_bytes(), salt);
+        let passes = draw % u64::from(PARTS) < u64::from(quality.parts());
+        // The upper half of the hash chooses the grade within the passing or the failing range.
         let spread = u32::try_from((draw >> 32) % u64::from(PASS)).unwrap_or(0);
-        let grade = if lucky { PASS + spread } else { spread };
+        let grade = if passes { PASS + spread } else { spread };
         Self {
-            of,
-            by: version.clone(),
+            prompt: hash,
+            version: version.clone(),
             grade: Share::from_parts(grade),
         }
     }
@@ -54,33 +55,37 @@
 
 impl fmt::Display for Mark {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { of, by, grade } = self;
-        write!(f, "[of={of:016x} by={by} grade={grade}]")
+        let Self {
+            prompt,
+            version,
+            grade,
+        } = self;
+        write!(f, "[of={prompt:016x} by={version} grade={grade}]")
     }
 }
 
 impl FromStr for Mark {
-    type Err = Unmarked;
-    fn from_str(text: &str) -> Result<Self, Unmarked> {
-        let (_, rest) = text.split_once("[of=").ok_or(Unmarked)?;
-        let (of, rest) = rest.split_once(" by=").ok_or(Unmarked)?;
-        let (by, rest) = rest.split_once(" grade=").ok_or(Unmarked)?;
-        let (grade, _) = rest.split_once(']').ok_or(Unmarked)?;
+    type Err = InvalidMark;
+    fn from_str(text: &str) -> Result<Self, InvalidMark> {
+        let (_, rest) = text.split_once("[of=").ok_or(InvalidMark)?;
+        let (prompt, rest) = rest.split_once(" by=").ok_or(InvalidMark)?;
+        let (version, rest) = rest.split_once(" grade=").ok_or(InvalidMark)?;
+        let (grade, _) = rest.split_once(']').ok_or(InvalidMark)?;
         Ok(Self {
-            of: u64::from_str_radix(of, 16).map_err(|_| Unmarked)?,
-            by: by.parse().map_err(|_| Unmarked)?,
-            grade: grade.parse().map_err(|_| Unmarked)?,
+            prompt: u64::from_str_radix(prompt, 16).map_err(|_| InvalidMark)?,
+            version: version.parse().map_err(|_| InvalidMark)?,
+            grade: grade.parse().map_err(|_| InvalidMark)?,
         })
     }
 }
 
-/// The hash of a message by which an answer is known to belong to it.
+/// The hash of a prompt, by which its answer is recognised.
 #[must_use]
 pub fn digest(prompt: &str) -> u64 {
     xxh3_64(prompt.as_bytes())
 }
 
-/// A hash as it stands in marks and counters.
+/// A hash as written in marks and counters.
 #[must_use]
 pub fn hex(digest: u64) -> CompactString {
     format_compact!("{digest:016x}")
@@ -91,9 +96,9 @@
     "vapour", "store",
 ];
 
-/// The piece that stands for token `number` (from 0) of an answer of `total` tokens.
+/// The text of token `number` (from 0) in an answer of `total` tokens.
 #[must_use]
-pub fn piece(mark: &Mark, number: u64, total: u64) -> String {
+pub fn token_text(mark: &Mark, number: u64, total: u64) -> String {
     let last = number + 1 == total;
     let end = if last {
         format!(" [end {total}]")
@@ -103,18 +108,18 @@
     if number == 0 {
         return format!("{mark}{end}");
     }
-    let place = usize::try_from((mark.of ^ number) % WORDS.len() as u64).unwrap_or(0);
+    let place = usize::try_from((mark.prompt ^ number) % WORDS.len() as u64).unwrap_or(0);
     format!(" {}{end}", WORDS[place])
 }
 
-/// Whether a text is a whole answer: its mark, `tokens` pieces and its end.
+/// Whether a text is the complete answer of `tokens` tokens with this mark.
 #[must_use]
-pub fn whole(text: &str, mark: &Mark, tokens: u64) -> bool {
-    let made: String = (0..tokens).map(|n| piece(mark, n, tokens)).collect();
-    made == text
+pub fn is_complete(text: &str, mark: &Mark, tokens: u64) -> bool {
+    let expected: String = (0..tokens).map(|n| token_text(mark, n, tokens)).collect();
+    expected == text
 }
 
-/// Tokens of a text, counted as words. Good enough for stand-ins, and at least one.
+/// The number of tokens in a text, approximated by its words; at least one.
 #[must_use]
 pub fn tokens(text: &str) -> u64 {
     (text.split_whitespace().count() as u64).max(1)
--- a/crates/standin/tests/all/engine.rs
+++ b/crates/standin/tests/all/engine.rs
@@ -70,10 +70,10 @@
     let completion: Completion = read(ask(&engine, "a", chat("hello there", false, 12)).await);
     let text = &completion.choices[0].message.content;
     let mark: Mark = text.parse().unwrap();
-    assert_eq!(mark.of, text::digest("hello there"));
+    assert_eq!(mark.prompt, text::digest("hello there"));
     assert_eq!(completion.usage.completion_tokens, 12);
-    assert!(text::whole(text, &mark, 12));
-    assert!(!text::whole(&text[..text.len() - 1], &mark, 12));
+    assert!(text::is_complete(text, &mark, 12));
+    assert!(!text::is_complete(&text[..text.len() - 1], &mark, 12));
 }
 
 #[tokio::test]
--- a/crates/standin/tests/all/load.rs
+++ b/crates/standin/tests/all/load.rs
@@ -11,7 +11,7 @@
 use pimento_standin::engine;
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
-use pimento_standin::load::allowed::Allowed;
+use pimento_standin::load::allowed::AllowedVersions;
 use pimento_standin::load::drive;
 use pimento_standin::load::judge::Bills;
 use pimento_standin::load::judge::Evidence;
@@ -43,7 +43,7 @@
 }
 
 async fn run<S: Handler>(running: &Running<S>, lines: &str, versions: &str) -> Report {
-    let mut allowed = Allowed::default();
+    let mut allowed = AllowedVersions::default();
     let contract = format!(
         "[[contract]]\ncustomer = \"garage\"\n[[contract.class]]\nname = \"m@1\"\nversions = [{versions}]\n"
     );
@@ -51,11 +51,11 @@
     let config = drive::Config {
         targets: vec![running.address.to_string()],
         operators: Vec::new(),
-        prefix: "key-".to_owned(),
+        key_prefix: "key-".to_owned(),
         allowed,
         timeout: Duration::from_secs(20),
         retries: Share::ONE,
-        patience: Duration::from_secs(5),
+        max_retry_after: Duration::from_secs(5),
     };
     let arrivals = trace::parse(lines).unwrap();
     drive::drive(config, &arrivals, &ProgressBar::hidden()).await
@@ -138,9 +138,9 @@
         services: vec![service.handler.stats()],
         withdrawn: Vec::new(),
         overload: false,
-        struck: 0,
-        platform: 0,
-        quiet: Vec::new(),
+        endpoint_faults: 0,
+        platform_faults: 0,
+        quiet_customers: Vec::new(),
     };
     assert!(!kept(
         &evidence,
@@ -167,9 +167,9 @@
         services: Vec::new(),
         withdrawn: Vec::new(),
         overload: false,
-        struck: 0,
-        platform: 0,
-        quiet: Vec::new(),
+        endpoint_faults: 0,
+        platform_faults: 0,
+        quiet_customers: Vec::new(),
     };
     assert!(kept(&evidence, "a call told `not_run` did not run"));
     evidence.report.not_run = vec![prompt];
@@ -193,9 +193,9 @@
         services: Vec::new(),
         withdrawn: Vec::new(),
         overload: true,
-        struck: 0,
-        platform: 0,
-        quiet: vec!["garage".parse().unwrap()],
+        endpoint_faults: 0,
+        platform_faults: 0,
+        quiet_customers: vec!["garage".parse().unwrap()],
     };
     let answered = "each call gets an answer or an expected refusal";
     assert!(kept(&evidence, answered));
@@ -208,10 +208,10 @@
     ));
     evidence.overload = false;
     assert!(!kept(&evidence, answered));
-    evidence.platform = 1;
+    evidence.platform_faults = 1;
     assert!(!kept(&evidence, "few calls are refused in doubt"));
-    evidence.platform = 0;
-    evidence.struck = 1;
+    evidence.platform_faults = 0;
+    evidence.endpoint_faults = 1;
     assert!(kept(&evidence, answered));
     assert!(kept(&evidence, "few calls are refused in doubt"));
     evidence.report.rows[0].refused[0].count = 2;
--- a/crates/standin/tests/all/support.rs
+++ b/crates/standin/tests/all/support.rs
@@ -34,7 +34,7 @@
     }
     let address = running.address.to_string();
     let client = Client::default();
-    let answer = client.whole(&message, &address);
+    let answer = client.fetch(&message, &address);
     tokio::time::timeout(LONG, answer)
         .await
         .expect("an answer or an end in time")
