--- a/crates/standin/src/body.rs
+++ b/crates/standin/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole, or a stream of events to which faults can be done.
+//! Response bodies: whole, or a stream of events into which faults can be injected.
 
 use std::collections::VecDeque;
 use std::io;
@@ -12,82 +12,82 @@
 use hyper::body::SizeHint;
 use tokio::sync::mpsc;
 
-use crate::fault::Mangle;
+use crate::fault::StreamFaults;
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// All of it at once.
+    /// A body sent at once.
     Whole(Bytes),
-    /// Event by event.
+    /// A stream of events.
     Events(Events),
 }
 
-/// Events in the order in which they are made, with the faults done to them on the way.
+/// A stream of events with injected faults.
 #[derive(Debug)]
 pub struct Events {
     source: mpsc::Receiver<Bytes>,
-    mangle: Mangle,
+    faults: StreamFaults,
     number: u64,
     sent: u64,
     flushed: bool,
-    held: Option<Bytes>,
+    delayed: Option<Bytes>,
     ready: VecDeque<Bytes>,
 }
 
 impl Body {
-    /// A stream of the events that come by `source`.
+    /// A stream of the events received from `source`.
     #[must_use]
     pub fn events(source: mpsc::Receiver<Bytes>) -> Self {
         Self::Events(Events {
             source,
-            mangle: Mangle::default(),
+            faults: StreamFaults::default(),
             number: 0,
             sent: 0,
             flushed: false,
-            held: None,
+            delayed: None,
             ready: VecDeque::new(),
         })
     }
 
-    /// Does faults to the body. A whole one can only be cut, in its middle.
+    /// Injects faults into the body. The only fault for a whole body is a cut, in its middle.
     #[must_use]
-    pub fn mangled(self, mangle: Mangle) -> Self {
+    pub fn with_faults(self, faults: StreamFaults) -> Self {
         match self {
-            Self::Events(events) => Self::Events(Events { mangle, ..events }),
-            Self::Whole(bytes) if mangle.cut.is_some() => Self::half(&bytes),
+            Self::Events(events) => Self::Events(Events { faults, ..events }),
+            Self::Whole(bytes) if faults.cut.is_some() => Self::half(&bytes),
             whole @ Self::Whole(_) => whole,
         }
     }
 
     fn half(bytes: &Bytes) -> Self {
         let (sender, source) = mpsc::channel(1);
-        // The channel is new and has room for one.
+        // This can't fail: the channel is new and has capacity for one event.
         let _ = sender.try_send(bytes.slice(..bytes.len() / 2));
-        let mangle = Mangle {
+        let faults = StreamFaults {
             cut: Some(1),
-            ..Mangle::default()
+            ..StreamFaults::default()
         };
-        Self::events(source).mangled(mangle)
+        Self::events(source).with_faults(faults)
     }
 }
 
 impl Events {
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         loop {
-            if self.mangle.cut.is_some_and(|after| self.sent >= after) {
+            if self.faults.cut.is_some_and(|after| self.sent >= after) {
                 if self.flushed {
                     let error = io::Error::other("cut by the fault table");
                     return Poll::Ready(Some(Err(error)));
                 }
-                // An error makes the server drop what it has not written yet, so that it must get
-                // a turn to write the events before the cut.
+                // An error makes the server drop what it has not written yet. Yield once, so that
+                // it writes the events before the cut.
                 self.flushed = true;
                 context.waker().wake_by_ref();
                 return Poll::Pending;
             }
-            if self.mangle.stall.is_some_and(|event| self.sent >= event) {
-                // Nobody wakes this task again: the stream stands still until its reader leaves.
+            if self.faults.stall.is_some_and(|event| self.sent >= event) {
+                // Nothing wakes this task again, so the stream stalls until its reader disconnects.
                 return Poll::Pending;
             }
             if let Some(bytes) = self.ready.pop_front() {
@@ -95,31 +95,31 @@
                 return Poll::Ready(Some(Ok(bytes)));
             }
             let Some(bytes) = ready!(self.source.poll_recv(context)) else {
-                let Some(bytes) = self.held.take() else {
+                let Some(bytes) = self.delayed.take() else {
                     return Poll::Ready(None);
                 };
                 self.ready.push_back(bytes);
                 continue;
             };
-            self.take(bytes);
+            self.push(bytes);
         }
     }
 
-    fn take(&mut self, bytes: Bytes) {
+    fn push(&mut self, bytes: Bytes) {
         let number = self.number;
         self.number += 1;
-        if self.mangle.skip.contains(&number) {
+        if self.faults.skip.contains(&number) {
             return;
         }
-        if self.mangle.reorder.contains(&number) && self.held.is_none() {
-            self.held = Some(bytes);
+        if self.faults.reorder.contains(&number) && self.delayed.is_none() {
+            self.delayed = Some(bytes);
             return;
         }
-        if self.mangle.duplicate.contains(&number) {
+        if self.faults.duplicate.contains(&number) {
             self.ready.push_back(bytes.clone());
         }
         self.ready.push_back(bytes);
-        self.ready.extend(self.held.take());
+        self.ready.extend(self.delayed.take());
     }
 }
 
--- a/crates/standin/src/bucket.rs
+++ b/crates/standin/src/bucket.rs
@@ -1,19 +1,19 @@
-//! A token bucket, as the platform's services use it to limit their rate.
+//! A token bucket, with which stand-ins of the platform's services limit their rate.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// A token bucket that starts full.
+/// A token bucket. It starts full.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     size: f64,
     level: f64,
     at: Instant,
 }
 
-impl Bucket {
-    /// A bucket that lets `rate` calls a second through, and `burst` at once.
+impl TokenBucket {
+    /// A bucket that allows `rate` calls per second and bursts of `burst` calls.
     #[must_use]
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
         Self {
@@ -24,11 +24,11 @@
         }
     }
 
-    /// Takes one call.
+    /// Takes the token for one call.
     ///
     /// # Errors
     ///
-    /// How long until the next call would pass.
+    /// The time until a token is available.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
         self.at = now;
--- a/crates/standin/src/cli.rs
+++ b/crates/standin/src/cli.rs
@@ -24,11 +24,10 @@
 use crate::vms;
 use crate::weights;
 
-/// Exit code for bad settings, bad files and bad usage.
+/// Exit code for invalid settings, invalid files and wrong usage.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Port base of the demo, chosen outside the range from which systems take ports for outgoing
-/// connections.
+/// Base port of the demo, outside the usual range of ephemeral ports for outgoing connections.
 const DEFAULT_BASE: &str = "21000";
 
 /// Runs the program.
@@ -61,14 +60,14 @@
     }
 }
 
-/// The command line's definition.
+/// The definition of the command line.
 #[must_use]
 pub fn command() -> Command {
     let single = |name: &'static str, about: &'static str| {
         Command::new(name).about(about).arg(listen()).arg(flag(
             "settings",
             "PIMENTO_STANDIN_SETTINGS",
-            "Settings as JSON; those left out keep their defaults",
+            "Settings as JSON; omitted fields keep their defaults",
         ))
     };
     let name = || {
@@ -78,8 +77,8 @@
         .about("Stand-ins of the platform's services and of endpoints, for tests and trials")
         .long_about(
             "Stand-ins of the platform's services and of endpoints, for tests and trials. Each keeps \
-             all in memory and takes a fault table by PUT /faults, settings by PUT /settings, and \
-             shows its counters at GET /stats.",
+            its state in memory, accepts a fault table at PUT /faults and settings at PUT /settings, \
+            and returns its counters at GET /stats.",
         )
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
@@ -87,28 +86,28 @@
         .arg(settings::log_format())
         .subcommand(single("log", "The append-only log"))
         .subcommand(
-            single("vm-list", "The lagging list of VMs")
-                .arg(flag("vms", "PIMENTO_STANDIN_VMS", "The list as JSON, as PUT /vms takes it")),
+            single("vm-list", "The VM list, which lags behind")
+                .arg(flag("vms", "PIMENTO_STANDIN_VMS", "The list as JSON, in the format of PUT /vms")),
         )
         .subcommand(single("weights", "The rate-limited weight store"))
         .subcommand(single("rater", "The service that rates answers"))
         .subcommand(
             single("engine", "A model engine")
                 .arg(name())
-                .arg(flag("versions", "PIMENTO_STANDIN_VERSIONS", "Versions held, between commas"))
+                .arg(flag("versions", "PIMENTO_STANDIN_VERSIONS", "Versions loaded, comma-separated"))
                 .arg(
-                    flag("incarnation", "PIMENTO_STANDIN_INCARNATION", "Number of this life")
+                    flag("incarnation", "PIMENTO_STANDIN_INCARNATION", "Incarnation number")
                         .default_value("1"),
                 ),
         )
         .subcommand(single("service", "A replica of a plain service").arg(name()))
         .subcommand(
-            placed(Command::new("all").about("A whole small platform in one process"))
-                .arg(flag("seed", "PIMENTO_STANDIN_SEED", "Draws grades, gaps and noise").default_value("1"))
+            with_deployment(Command::new("all").about("A small but complete platform in one process"))
+                .arg(flag("seed", "PIMENTO_STANDIN_SEED", "Seed for drawing grades, gaps and noise").default_value("1"))
                 .arg(flag("engine-settings", "PIMENTO_STANDIN_ENGINE_SETTINGS", "Settings of every engine as JSON"))
                 .arg(flag("service-settings", "PIMENTO_STANDIN_SERVICE_SETTINGS", "Settings of every replica of the plain service as JSON")),
         )
-        .subcommand(placed(
+        .subcommand(with_deployment(
             Command::new("layout").about("Prints the addresses of `all` as KEY=value lines"),
         ))
 }
@@ -117,12 +116,12 @@
     flag(
         "listen",
         "PIMENTO_STANDIN_LISTEN",
-        "Address to listen on; port 0 takes any",
+        "Address to listen on; port 0 for any free port",
     )
     .default_value("127.0.0.1:0")
 }
 
-fn placed(command: Command) -> Command {
+fn with_deployment(command: Command) -> Command {
     command
         .arg(
             flag(
@@ -142,7 +141,7 @@
         )
 }
 
-/// What is to be run.
+/// The command to run.
 #[derive(Debug)]
 enum Job {
     Log(crate::log::Config),
@@ -223,18 +222,18 @@
     let deployment = findings.value(matches, "deployment");
     let base: Option<u16> = findings.value(matches, "port-base");
     if base.is_some_and(|base| base > u16::MAX - deployment::PORTS) {
-        findings.add("port-base", "leaves too few ports above it");
+        findings.add("port-base", "too few ports above it");
     }
     if name == "layout" {
         return Some(Job::Layout(deployment?, base?));
     }
     let seed = findings.value(matches, "seed");
-    // As the operators' files of both deployments say of their model pools.
-    let refuses = engine::Settings {
+    // The operators' files of both deployments declare this for their model pools.
+    let fenced = engine::Settings {
         fencing: engine::Fencing::Refuses,
         ..engine::Settings::default()
     };
-    let engine = findings.overlay(matches, "engine-settings", refuses);
+    let engine = findings.overlay(matches, "engine-settings", fenced);
     let service = findings.json(matches, "service-settings");
     Some(Job::All(deployment::Config {
         deployment: deployment?,
@@ -245,10 +244,10 @@
     }))
 }
 
-/// Why a stand-in ended.
+/// Why a stand-in failed.
 #[derive(Debug, Snafu)]
 enum Error {
-    /// A socket or signal could not be had.
+    /// A socket could not be bound or a signal handler could not be installed.
     #[snafu(context(false), display("{source}"))]
     System {
         /// The system's error.
@@ -257,7 +256,7 @@
     /// The platform could not be started.
     #[snafu(context(false), display("{source}"))]
     Platform {
-        /// What went wrong.
+        /// The error.
         source: deployment::Error,
     },
 }
@@ -278,7 +277,7 @@
             return Ok(());
         }
     };
-    // One line on standard output, so that a script can wait for it and learn the port.
+    // Scripts wait for this line on standard output and read the port from it.
     println!("READY={address}");
     let mut terminate = signal(SignalKind::terminate())?;
     tokio::select! {
--- a/crates/standin/src/clock.rs
+++ b/crates/standin/src/clock.rs
@@ -1,11 +1,11 @@
-//! The wall clock in the units of the wire.
+//! The wall clock.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
 use pimento_units::Wall;
 
-/// The present time; the epoch itself if the machine's clock stands before it.
+/// The current time; the Unix epoch if the machine's clock is earlier than that.
 #[must_use]
 pub fn now() -> Wall {
     let since = SystemTime::now()
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -1,8 +1,8 @@
-//! A whole small platform in one process, with the names of one of the two deployments.
+//! A small but complete platform in one process, with the names of one of the two deployments.
 //!
-//! All addresses follow from one base port, so that a script can start the other programs:
+//! All addresses are derived from one base port, so that a script can start the other programs:
 //!
-//! | port | what listens |
+//! | port | listener |
 //! |---|---|
 //! | base + 0 | log |
 //! | base + 1 | VM list |
@@ -50,7 +50,7 @@
 const OPERATORS: u16 = 60;
 const PEERS: u16 = 70;
 const CONTROLS: u16 = 80;
-/// Ports that a platform takes from its base on.
+/// Number of ports reserved for a platform, starting at its base port.
 pub const PORTS: u16 = 90;
 
 const ENGINE_COUNT: u16 = 12;
@@ -58,8 +58,8 @@
 const ENTRY_COUNT: u16 = 6;
 const ZONE_COUNT: u16 = 3;
 
-/// Versions with the share of good answers that the engines really give, in millionths. The
-/// operators' files expect the same.
+/// Versions with the share of good answers that the engines give, in millionths. The operators'
+/// files expect the same shares.
 const VERSIONS: [(&str, u32); 5] = [
     ("pimento-base@1", 930_000),
     ("pimento-base@2", 940_000),
@@ -67,8 +67,8 @@
     ("pimento-mini@1", 840_000),
     ("pimento-mini@2", 860_000),
 ];
-/// The version that no engine holds at first: it is rolled in.
-const INCOMING: &str = "pimento-mini@2";
+/// The version that no engine has loaded at the start, because trials roll it in.
+const ROLLED_IN: &str = "pimento-mini@2";
 
 /// One of the two deployments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -79,15 +79,15 @@
     Rybnikar,
 }
 
-/// The text names no deployment.
+/// The text is not the name of a deployment.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{text:?} is neither nyabarongo nor rybnikar"))]
-pub struct Unknown {
+pub struct UnknownDeployment {
     text: CompactString,
 }
 
 impl Deployment {
-    /// Its three zones.
+    /// The deployment's zones.
     #[must_use]
     pub const fn zones(self) -> [&'static str; 3] {
         match self {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Its pool of model engines.
+    /// The deployment's pool of model engines.
     #[must_use]
     pub const fn pool(self) -> &'static str {
         match self {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Its plain service, and the pool of that service's replicas.
+    /// The deployment's plain service, which is also the name of the pool of its replicas.
     #[must_use]
     pub const fn service(self) -> &'static str {
         match self {
@@ -125,12 +125,12 @@
 }
 
 impl FromStr for Deployment {
-    type Err = Unknown;
-    fn from_str(text: &str) -> Result<Self, Unknown> {
+    type Err = UnknownDeployment;
+    fn from_str(text: &str) -> Result<Self, UnknownDeployment> {
         match text {
             "nyabarongo" => Ok(Self::Nyabarongo),
             "rybnikar" => Ok(Self::Rybnikar),
-            _ => Err(Unknown { text: text.into() }),
+            _ => Err(UnknownDeployment { text: text.into() }),
         }
     }
 }
@@ -138,10 +138,10 @@
 /// Why a platform could not be started.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A name of the deployment is no identifier.
+    /// A name of the deployment is not a valid identifier.
     #[snafu(display("{source}"))]
     Name {
-        /// What is wrong with it.
+        /// The error.
         source: id::Error,
     },
     /// An address can't be bound.
@@ -154,16 +154,16 @@
     },
 }
 
-/// What a platform is started with.
+/// The configuration of a platform.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Whose names are used.
+    /// The deployment whose names are used.
     pub deployment: Deployment,
-    /// The first port on 127.0.0.1; 0 takes any free port for each stand-in.
+    /// The first port on 127.0.0.1; with 0, each stand-in uses any free port.
     pub base: u16,
-    /// Draws grades, gaps and noise.
+    /// Seed for drawing grades, gaps and noise.
     pub seed: u64,
-    /// Settings of every engine, but for seed and quality.
+    /// Settings of every engine, except for seed and quality.
     pub engine: engine::Settings,
     /// Settings of every replica of the plain service.
     pub service: service::Settings,
@@ -174,7 +174,7 @@
 pub struct Platform {
     /// The log.
     pub log: Running<Log>,
-    /// The VM list, which names engines, services and entry VMs.
+    /// The VM list, which contains engines, services and entry VMs.
     pub vms: Running<Vms>,
     /// The weight store.
     pub weights: Running<Weights>,
@@ -192,9 +192,9 @@
 ///
 /// If a port can't be bound.
 pub async fn start(config: &Config, token: &CancellationToken) -> Result<Platform, Error> {
-    let engines = engines(config, token).await?;
-    let services = services(config, token).await?;
-    let listed = list(config, &engines, &services)?;
+    let engines = start_engines(config, token).await?;
+    let services = start_services(config, token).await?;
+    let listed = list_vms(config, &engines, &services)?;
     let address = config.address(0);
     let log = log::Config {
         listen: address,
@@ -253,13 +253,13 @@
     }
 }
 
-async fn engines(
+async fn start_engines(
     config: &Config,
     token: &CancellationToken,
 ) -> Result<Vec<Running<Engine>>, Error> {
     let versions: Result<Vec<_>, _> = VERSIONS
         .iter()
-        .filter(|(version, _)| *version != INCOMING)
+        .filter(|(version, _)| *version != ROLLED_IN)
         .map(|(version, _)| id::Version::try_from(*version))
         .collect();
     let versions = versions.context(NameSnafu)?;
@@ -291,7 +291,7 @@
     VERSIONS.iter().map(quality).collect()
 }
 
-async fn services(
+async fn start_services(
     config: &Config,
     token: &CancellationToken,
 ) -> Result<Vec<Running<Service>>, Error> {
@@ -310,7 +310,7 @@
     Ok(running)
 }
 
-fn list(
+fn list_vms(
     config: &Config,
     engines: &[Running<Engine>],
     services: &[Running<Service>],
@@ -328,7 +328,7 @@
         let role = Role::Service(pool.clone());
         vms.push(vm(config, number, name, service.address, role)?);
     }
-    // With free ports nobody knows yet where entry VMs will listen.
+    // With base port 0, the addresses of entry VMs are not known yet.
     let entries = if config.base == 0 { 0 } else { ENTRY_COUNT };
     for number in 0..entries {
         let name = format_compact!("entry-{number}");
--- a/crates/standin/src/engine/attempt.rs
+++ b/crates/standin/src/engine/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: the tokens generated so far, and those who read them.
+//! An attempt: the tokens generated so far, and their readers.
 
 use std::time::Duration;
 
@@ -17,52 +17,53 @@
 use crate::shared::Shared;
 use crate::text::Mark;
 
-/// An attempt. Clones are the same attempt.
+/// An attempt. Clones share its state.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Its name.
+    /// The attempt id.
     pub id: String,
     /// The version that answers.
     pub version: id::Version,
-    /// The answer's mark.
+    /// The mark of the answer.
     pub mark: Mark,
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt: u64,
-    /// Tokens of the whole answer.
+    /// Tokens in the complete answer.
     pub total: u64,
-    /// Whether the answer ends because of the caller's limit.
-    pub limited: bool,
-    /// Seconds since the Unix epoch at which it was taken.
+    /// Whether the caller's token limit truncates the answer.
+    pub truncated: bool,
+    /// When it was accepted, in seconds since the Unix epoch.
     pub created: u64,
-    /// Ends it.
+    /// Cancels it.
     pub token: CancellationToken,
-    made: watch::Sender<u64>,
+    generated: watch::Sender<u64>,
     readers: Shared<u64>,
 }
 
-/// Tokens of an answer if the caller sets no limit.
+/// Tokens in an answer if the caller sets no limit.
 const DEFAULT_TOKENS: u64 = 32;
 
-/// What an attempt is made of.
+/// The parameters of an attempt.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Its name.
+    /// The attempt id.
     pub id: String,
     /// The version that answers.
     pub version: id::Version,
-    /// The answer's mark.
+    /// The mark of the answer.
     pub mark: Mark,
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt: u64,
-    /// Tokens of the whole answer.
+    /// Tokens in the complete answer.
     pub total: u64,
-    /// Whether the answer ends because of the caller's limit.
-    pub limited: bool,
-    /// Seconds since the Unix epoch at which it was taken.
+    /// Whether the caller's token limit truncates the answer.
+    pub truncated: bool,
+    /// When it was accepted, in seconds since the Unix epoch.
     pub created: u64,
 }
 
-/// Somebody who reads an attempt. If the last one leaves, the attempt is cancelled after a while.
+/// A reader of an attempt. When the last one is dropped before the answer is complete, the attempt
+/// is cancelled after `linger`.
 #[derive(Debug)]
 pub struct Reader {
     attempt: Attempt,
@@ -70,7 +71,7 @@
 }
 
 impl Attempt {
-    /// An attempt that has generated nothing.
+    /// An attempt that has generated no token yet.
     #[must_use]
     pub fn new(plan: Plan) -> Self {
         Self {
@@ -79,38 +80,39 @@
             mark: plan.mark,
             prompt: plan.prompt,
             total: plan.total,
-            limited: plan.limited,
+            truncated: plan.truncated,
             created: plan.created,
             token: CancellationToken::new(),
-            made: watch::Sender::new(0),
+            generated: watch::Sender::new(0),
             readers: Shared::new(0),
         }
     }
 
     /// Adds a token.
     pub fn push(&self) {
-        self.made.send_modify(|made| *made += 1);
+        self.generated.send_modify(|count| *count += 1);
     }
 
-    /// Whether all tokens are there.
+    /// Whether all tokens were generated.
     #[must_use]
-    pub fn done(&self) -> bool {
-        *self.made.borrow() >= self.total
+    pub fn is_complete(&self) -> bool {
+        *self.generated.borrow() >= self.total
     }
 
-    /// Waits until token `number` (from 0) is there; false if the attempt was cancelled.
-    pub async fn reached(&self, number: u64) -> bool {
-        let mut made = self.made.subscribe();
+    /// Waits until token `number` (from 0) is generated. Returns false if the attempt was
+    /// cancelled.
+    pub async fn wait_for(&self, number: u64) -> bool {
+        let mut count = self.generated.subscribe();
         tokio::select! {
             biased;
-            reached = made.wait_for(|made| *made > number) => reached.is_ok(),
+            generated = count.wait_for(|count| *count > number) => generated.is_ok(),
             () = self.token.cancelled() => false,
         }
     }
 
     /// Registers a reader.
     #[must_use]
-    pub fn reader(&self, linger: Duration) -> Reader {
+    pub fn add_reader(&self, linger: Duration) -> Reader {
         self.readers.with(|readers| *readers += 1);
         Reader {
             attempt: self.clone(),
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Tokens of the whole answer.
+    /// The token counts of the prompt and of the complete answer.
     #[must_use]
     pub fn usage(&self) -> Usage {
         Usage {
@@ -128,10 +130,10 @@
         }
     }
 
-    /// Why the answer ends.
+    /// The `finish_reason` of the answer.
     #[must_use]
-    pub fn reason(&self) -> &'static str {
-        if self.limited { "length" } else { "stop" }
+    pub fn finish_reason(&self) -> &'static str {
+        if self.truncated { "length" } else { "stop" }
     }
 }
 
@@ -141,7 +143,7 @@
             *readers -= 1;
             *readers
         });
-        if left > 0 || self.attempt.done() {
+        if left > 0 || self.attempt.is_complete() {
             return;
         }
         let attempt = self.attempt.clone();
@@ -155,27 +157,27 @@
     }
 }
 
-/// The attempt that a call asks for.
+/// Creates the attempt for a call.
 #[must_use]
 pub fn plan(call: &Call, chat: &Chat, version: id::Version, settings: &Settings) -> Attempt {
     let prompt = chat.messages.last().map_or("", |m| m.content.as_str());
-    let wanted = wanted(prompt);
+    let requested = requested_tokens(prompt);
     let limit = chat.max_tokens.unwrap_or(DEFAULT_TOKENS).max(1);
     let (_, size) = cache::sizes(&chat.messages);
     let mark = Mark::new(prompt, &version, settings.quality(&version), settings.seed);
     Attempt::new(Plan {
-        id: settings::attempt(call.header(header::ATTEMPT)).into(),
+        id: settings::attempt_id(call.header(header::ATTEMPT)).into(),
         version,
         mark,
         prompt: size,
-        total: wanted.unwrap_or(limit).clamp(1, limit),
-        limited: wanted.is_none_or(|wanted| wanted > limit),
+        total: requested.unwrap_or(limit).clamp(1, limit),
+        truncated: requested.is_none_or(|requested| requested > limit),
         created: clock::now().millis() / 1_000,
     })
 }
 
-/// Tokens that a prompt asks for, as `answer in N tokens`.
-fn wanted(prompt: &str) -> Option<u64> {
+/// The number of tokens that a prompt requests as `answer in N tokens`.
+fn requested_tokens(prompt: &str) -> Option<u64> {
     let (_, rest) = prompt.split_once("answer in ")?;
     rest.split_once(" tokens")?.0.parse().ok()
 }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,10 +1,10 @@
-//! The running batch and the calls that wait for it, by priority.
+//! The running batch and its queue of pending calls, ordered by priority.
 
 use tokio::sync::oneshot;
 
 use crate::shared::Shared;
 
-/// Places in the batch.
+/// The slots of the batch and their queue. Clones share the state.
 #[derive(Debug, Clone, Default)]
 pub struct Batch(Shared<State>);
 
@@ -13,50 +13,50 @@
     running: u32,
     next: u64,
     /// Sorted by priority, then by arrival.
-    queue: Vec<Waiter>,
+    queue: Vec<PendingCall>,
 }
 
 #[derive(Debug)]
-struct Waiter {
+struct PendingCall {
     priority: u8,
     number: u64,
     grant: oneshot::Sender<Slot>,
 }
 
-/// A place in the batch, given back when it is dropped.
+/// A slot in the batch, released when it is dropped.
 #[derive(Debug)]
 pub struct Slot(Option<Batch>);
 
-/// A claim on a place: had at once, or waited for.
+/// The result of requesting a slot.
 #[derive(Debug)]
 pub enum Ticket {
-    /// Had at once.
+    /// The slot was free.
     Slot(Slot),
-    /// Comes when a call before it ends.
+    /// The slot is sent when it becomes free.
     Queued(oneshot::Receiver<Slot>),
 }
 
 impl Batch {
-    /// Calls in the batch and calls that wait.
+    /// The numbers of running calls and of queued calls.
     #[must_use]
     pub fn load(&self) -> (u32, u32) {
         self.0.with(|state| {
-            state.queue.retain(|waiter| !waiter.grant.is_closed());
+            state.queue.retain(|pending| !pending.grant.is_closed());
             let waiting = u32::try_from(state.queue.len()).unwrap_or(u32::MAX);
             (state.running, waiting)
         })
     }
 
-    /// Asks for a place; none if the batch of `size` and the wait list of `room` are full.
+    /// Requests a slot. Returns none if `size` calls run and `queue_limit` calls are queued.
     #[must_use]
-    pub fn enter(&self, priority: u8, size: u32, room: u32) -> Option<Ticket> {
+    pub fn request(&self, priority: u8, size: u32, queue_limit: u32) -> Option<Ticket> {
         self.0.with(|state| {
-            state.queue.retain(|waiter| !waiter.grant.is_closed());
+            state.queue.retain(|pending| !pending.grant.is_closed());
             if state.running < size {
                 state.running += 1;
                 return Some(Ticket::Slot(Slot(Some(self.clone()))));
             }
-            if state.queue.len() >= room as usize {
+            if state.queue.len() >= queue_limit as usize {
                 return None;
             }
             let (grant, granted) = oneshot::channel();
@@ -66,18 +66,18 @@
             let place = state
                 .queue
                 .partition_point(|w| (w.priority, w.number) < key);
-            let waiter = Waiter {
+            let pending = PendingCall {
                 priority,
                 number,
                 grant,
             };
-            state.queue.insert(place, waiter);
+            state.queue.insert(place, pending);
             Some(Ticket::Queued(granted))
         })
     }
 
-    /// Passes a place on to the first that waits, or gives it back.
-    fn leave(self) {
+    /// Hands a slot to the first queued call, or frees it if none is queued.
+    fn release(self) {
         loop {
             let next = self.0.with(|state| {
                 if state.queue.is_empty() {
@@ -86,12 +86,12 @@
                 }
                 Some(state.queue.remove(0))
             });
-            let Some(waiter) = next else { return };
-            let Err(mut refused) = waiter.grant.send(Slot(Some(self.clone()))) else {
+            let Some(pending) = next else { return };
+            let Err(mut slot) = pending.grant.send(Slot(Some(self.clone()))) else {
                 return;
             };
-            // This waiter has left: its slot must not be given back, since it goes to the next.
-            refused.0 = None;
+            // This call was dropped. Disarm its slot, because the slot goes to the next call.
+            slot.0 = None;
         }
     }
 }
@@ -99,13 +99,13 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if let Some(batch) = self.0.take() {
-            batch.leave();
+            batch.release();
         }
     }
 }
 
 impl Ticket {
-    /// Waits for the place; none if the engine is gone.
+    /// Waits for the slot; none if the batch was dropped.
     pub async fn slot(self) -> Option<Slot> {
         match self {
             Self::Slot(slot) => Some(slot),
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache, whose changes are published late and with gaps.
+//! The prefix cache. Its changes are published with a delay and with gaps.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,19 +13,19 @@
 use crate::engine::settings::Settings;
 use crate::text;
 
-/// Events kept for readers that come late.
-const KEPT: usize = 4_096;
+/// Number of events retained for readers that are behind.
+const MAX_EVENTS: usize = 4_096;
 
 /// The prefix cache.
 #[derive(Debug, Default)]
 pub struct Cache {
-    /// Prefixes, least recently used first.
-    held: Vec<u64>,
+    /// Hashes of cached prefixes, least recently used first.
+    cached: Vec<u64>,
     events: Vec<(Instant, Event)>,
     sequence: u64,
 }
 
-/// Hash of the part of a conversation that comes again: all messages before the last one.
+/// The hash of a conversation's prefix, which is all messages before the last one.
 #[must_use]
 pub fn prefix(messages: &[Message]) -> Option<u64> {
     let (_, before) = messages.split_last()?;
@@ -36,7 +36,7 @@
     Some(xxh3_64(texts.join("\n").as_bytes()))
 }
 
-/// Prompt tokens of the prefix and of all messages.
+/// Tokens in the prefix and in all messages.
 #[must_use]
 pub fn sizes(messages: &[Message]) -> (u64, u64) {
     let size = |messages: &[Message]| messages.iter().map(|m| text::tokens(&m.content)).sum();
@@ -45,32 +45,33 @@
 }
 
 impl Cache {
-    /// Uses a prefix: whether it was held; it is held afterwards.
+    /// Looks up a prefix and marks it as used. Returns whether it was cached; if it was not, it is
+    /// inserted unless the capacity is 0.
     pub fn touch(&mut self, prefix: u64, settings: &Settings, now: Instant) -> bool {
-        let place = self.held.iter().position(|held| *held == prefix);
+        let place = self.cached.iter().position(|cached| *cached == prefix);
         if let Some(place) = place {
-            self.held.remove(place);
-            self.held.push(prefix);
+            self.cached.remove(place);
+            self.cached.push(prefix);
             return true;
         }
-        while !self.held.is_empty() && self.held.len() >= settings.cache {
-            let evicted = self.held.remove(0);
-            self.note(evicted, false, settings, now);
+        while !self.cached.is_empty() && self.cached.len() >= settings.cache {
+            let evicted = self.cached.remove(0);
+            self.record_event(evicted, false, settings, now);
         }
         if settings.cache > 0 {
-            self.held.push(prefix);
-            self.note(prefix, true, settings, now);
+            self.cached.push(prefix);
+            self.record_event(prefix, true, settings, now);
         }
         false
     }
 
-    fn note(&mut self, prefix: u64, added: bool, settings: &Settings, now: Instant) {
+    fn record_event(&mut self, prefix: u64, added: bool, settings: &Settings, now: Instant) {
         self.sequence += 1;
         let draw = xxh3_64_with_seed(&self.sequence.to_le_bytes(), settings.seed);
         if draw % u64::from(PARTS) < u64::from(settings.cache_gaps.parts()) {
             return;
         }
-        if self.events.len() == KEPT {
+        if self.events.len() == MAX_EVENTS {
             self.events.remove(0);
         }
         let event = Event {
@@ -81,17 +82,17 @@
         self.events.push((now, event));
     }
 
-    /// Events after `after` that are old enough to be published.
+    /// The events after sequence number `after` that are old enough to be published.
     #[must_use]
     pub fn published(&self, after: u64, settings: &Settings, now: Instant) -> engine::Cache {
         let lag = Duration::from_millis(settings.cache_lag_ms);
-        let out = |(at, event): &&(Instant, Event)| {
+        let visible = |(at, event): &&(Instant, Event)| {
             event.sequence > after && now.saturating_duration_since(*at) >= lag
         };
         let events: Vec<Event> = self
             .events
             .iter()
-            .filter(out)
+            .filter(visible)
             .map(|(_, event)| event.clone())
             .collect();
         engine::Cache {
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-in of a model engine: continuous batching, prefix cache, priorities, streams that can be
-//! resumed and cancelled, lagging load reports, and orders.
+//! Stand-in of a model engine. It has continuous batching, a prefix cache, priorities, streams that
+//! can be resumed and cancelled, delayed load reports, and orders.
 //!
-//! Speaks [`pimento_wire::engine`]. Its answers are those of [`crate::text`].
+//! It implements [`pimento_wire::engine`]; [`crate::text`] generates its answers.
 
 pub mod attempt;
 pub mod batch;
@@ -45,12 +45,12 @@
 pub use settings::Stats;
 pub use settings::Work;
 
-/// Attempts kept after their end, so that their streams can be resumed.
-const KEPT: usize = 1_024;
-/// Events that wait for a slow reader.
-const AHEAD: usize = 16;
-/// Bound on the reports kept for the lagging `/load`.
-const REPORTS: usize = 4_096;
+/// Number of recent attempts retained, so that their streams can be resumed.
+const MAX_RECENT: usize = 1_024;
+/// Events buffered for a slow reader of a stream.
+const STREAM_BUFFER: usize = 16;
+/// Maximum number of load reports retained for the delayed `/load`.
+const MAX_REPORTS: usize = 4_096;
 
 #[derive(Debug)]
 struct State {
@@ -99,12 +99,12 @@
         batch: Batch::default(),
         token: token.clone(),
     };
-    handler.report();
+    handler.record_load();
     server::start(handler, config.listen, token).await
 }
 
 impl State {
-    fn note(&mut self, attempt: &Attempt) {
+    fn record_start(&mut self, attempt: &Attempt) {
         self.stats.started += 1;
         self.stats.leaving += u64::from(self.settings.leaving);
         self.attempts.add(&attempt.id);
@@ -122,18 +122,18 @@
         });
         versions[place].started += 1;
         versions[place].last = clock::now();
-        if self.recent.len() == KEPT {
+        if self.recent.len() == MAX_RECENT {
             self.recent.remove(0);
         }
         self.recent.push(attempt.clone());
     }
 
-    /// Prompt tokens that must be read, the cache taken into account.
-    fn read(&mut self, chat: &Chat) -> u64 {
+    /// Looks up the prompt's prefix in the cache and returns the number of tokens left to prefill.
+    fn prefill_tokens(&mut self, chat: &Chat) -> u64 {
         let (before, all) = cache::sizes(&chat.messages);
-        let held = cache::prefix(&chat.messages)
+        let hit = cache::prefix(&chat.messages)
             .is_some_and(|prefix| self.cache.touch(prefix, &self.settings, Instant::now()));
-        let cached = if held { before } else { 0 };
+        let cached = if hit { before } else { 0 };
         self.stats.cached += cached;
         self.stats.prompt += all - cached;
         all - cached
@@ -141,36 +141,36 @@
 }
 
 impl Engine {
-    /// Changes some settings.
+    /// Changes settings.
     pub fn change(&self, change: impl FnOnce(&mut Settings)) {
         self.state.with(|state| change(&mut state.settings));
-        self.report();
+        self.record_load();
     }
 
-    /// Versions that it holds now.
+    /// The versions loaded now.
     #[must_use]
     pub fn versions(&self) -> Vec<id::Version> {
         self.state.with(|state| state.versions.clone())
     }
 
-    /// How often an attempt was taken.
+    /// How often an attempt was accepted.
     #[must_use]
     pub fn runs(&self, attempt: &str) -> u64 {
         self.state.with(|state| state.attempts.get(attempt))
     }
 
-    /// Keeps a report for the lagging `/load`.
-    fn report(&self) {
-        let load = self.truth();
+    /// Records the current load for the delayed `/load`.
+    fn record_load(&self) {
+        let load = self.current_load();
         self.state.with(|state| {
-            if state.reports.len() == REPORTS {
+            if state.reports.len() == MAX_REPORTS {
                 state.reports.remove(0);
             }
             state.reports.push((Instant::now(), load));
         });
     }
 
-    fn truth(&self) -> Load {
+    fn current_load(&self) -> Load {
         let (running, waiting) = self.batch.load();
         self.state.with(|state| Load {
             endpoint: self.name.clone(),
@@ -184,17 +184,17 @@
         })
     }
 
-    /// The newest report that is at least a lag old; the first one if all are newer.
-    fn lagging(&self) -> Option<Load> {
+    /// The newest report that is at least `load_lag_ms` old; the oldest one if all are newer.
+    fn delayed_load(&self) -> Option<Load> {
         let now = Instant::now();
         self.state.with(|state| {
             let lag = Duration::from_millis(state.settings.load_lag_ms);
-            let seen = |(at, _): &(Instant, Load)| now.saturating_duration_since(*at) >= lag;
-            let known = state.reports.iter().rposition(seen).unwrap_or(0);
-            state.reports.drain(..known);
+            let old_enough = |(at, _): &(Instant, Load)| now.saturating_duration_since(*at) >= lag;
+            let newest = state.reports.iter().rposition(old_enough).unwrap_or(0);
+            state.reports.drain(..newest);
             let (_, load) = state.reports.first()?;
             let mut load = load.clone();
-            // What was true a lag ago: the report itself may be far older than that.
+            // The report may be much older, but it still described the state `load_lag_ms` ago.
             load.age_ms = state.settings.load_lag_ms;
             Some(load)
         })
@@ -205,37 +205,41 @@
             Ok(chat) => chat,
             Err(answer) => return answer,
         };
-        let Some(version) = self.holds(&chat) else {
+        let Some(version) = self.requested_version(&chat) else {
             self.state.with(|state| state.stats.refused += 1);
             let after = Duration::from_secs(1);
-            let reason = "this version is not held";
+            let reason = "this version is not loaded";
             return server::refusal(StatusCode::SERVICE_UNAVAILABLE, after, reason);
         };
         let settings = self.settings();
         let priority = settings::priority(call.header(header::PRIORITY));
-        let Some(ticket) = self.batch.enter(priority, settings.batch, settings.waiting) else {
+        let Some(ticket) = self
+            .batch
+            .request(priority, settings.batch, settings.waiting)
+        else {
             self.state.with(|state| state.stats.refused += 1);
             let after = Duration::from_secs(1);
             return server::refusal(StatusCode::TOO_MANY_REQUESTS, after, "full");
         };
         let attempt = attempt::plan(call, &chat, version, &settings);
-        self.state.with(|state| state.note(&attempt));
-        self.report();
-        let reader = attempt.reader(Duration::from_millis(settings.linger_ms));
+        self.state.with(|state| state.record_start(&attempt));
+        self.record_load();
+        let reader = attempt.add_reader(Duration::from_millis(settings.linger_ms));
         tokio::spawn(self.clone().run(attempt.clone(), chat.clone(), ticket));
         if chat.stream {
             return self.stream(attempt, reader, 0);
         }
-        if attempt.reached(attempt.total - 1).await {
-            return self.signed(server::json(StatusCode::OK, &reply::completion(&attempt)));
+        if attempt.wait_for(attempt.total - 1).await {
+            return self
+                .with_incarnation(server::json(StatusCode::OK, &reply::completion(&attempt)));
         }
         server::text(StatusCode::INTERNAL_SERVER_ERROR, "cancelled")
     }
 
-    fn holds(&self, chat: &Chat) -> Option<id::Version> {
+    fn requested_version(&self, chat: &Chat) -> Option<id::Version> {
         let version: id::Version = chat.model.parse().ok()?;
-        let held = |state: &mut State| state.versions.binary_search(&version).is_ok();
-        self.state.with(held).then_some(version)
+        let is_loaded = |state: &mut State| state.versions.binary_search(&version).is_ok();
+        self.state.with(is_loaded).then_some(version)
     }
 
     async fn run(self, attempt: Attempt, chat: Chat, ticket: Ticket) {
@@ -248,7 +252,7 @@
             state.stats.finished += u64::from(finished);
             state.stats.cancelled += u64::from(!finished);
         });
-        self.report();
+        self.record_load();
     }
 
     async fn generate(&self, attempt: &Attempt, chat: &Chat, ticket: Ticket) {
@@ -256,12 +260,13 @@
             return;
         };
         let settings = self.settings();
-        let tokens = self.state.with(|state| state.read(chat));
+        let tokens = self.state.with(|state| state.prefill_tokens(chat));
         let mut at = tokio::time::Instant::now();
         at += Duration::from_micros(settings.prompt_us.saturating_mul(tokens));
         for _ in 0..attempt.total {
-            // Steps are counted from one moment on, so that a coarse timer does not add up.
-            at += self.step();
+            // Each token's time follows from the start, so that timer inaccuracy does not
+            // accumulate.
+            at += self.token_time();
             tokio::time::sleep_until(at).await;
             self.state.with(|state| state.stats.tokens += 1);
             attempt.push();
@@ -269,53 +274,53 @@
         drop(slot);
     }
 
-    /// Time of the next token: longer in a full batch.
-    fn step(&self) -> Duration {
+    /// The time that the next token takes, which grows with the number of running calls.
+    fn token_time(&self) -> Duration {
         let (running, _) = self.batch.load();
         let settings = self.settings();
         let others = u64::from(running.saturating_sub(1));
-        let room = u64::from(settings.batch.saturating_sub(1)).max(1);
-        let crowded = settings.token_us * settings.crowding * others / room / 100;
-        Duration::from_micros(settings.token_us + crowded)
+        let slots = u64::from(settings.batch.saturating_sub(1)).max(1);
+        let extra = settings.token_us * settings.crowding * others / slots / 100;
+        Duration::from_micros(settings.token_us + extra)
     }
 
     fn stream(&self, attempt: Attempt, reader: attempt::Reader, from: u64) -> Answer {
-        let (sender, source) = mpsc::channel(AHEAD);
+        let (sender, source) = mpsc::channel(STREAM_BUFFER);
         tokio::spawn(async move {
             tokio::select! {
-                () = reply::feed(&attempt, from, &sender) => {}
+                () = reply::send_events(&attempt, from, &sender) => {}
                 () = sender.closed() => {}
             }
             drop(reader);
         });
-        self.signed(server::events(Body::events(source)))
+        self.with_incarnation(server::events(Body::events(source)))
     }
 
-    fn signed(&self, answer: Answer) -> Answer {
+    fn with_incarnation(&self, answer: Answer) -> Answer {
         let incarnation = self.state.with(|state| state.incarnation);
-        server::with(answer, header::INCARNATION, &incarnation.to_string())
+        server::with_header(answer, header::INCARNATION, &incarnation.to_string())
     }
 
-    fn find(&self, id: &str) -> Option<Attempt> {
+    fn find_attempt(&self, id: &str) -> Option<Attempt> {
         self.state
             .with(|state| state.recent.iter().rev().find(|a| a.id == id).cloned())
     }
 
     fn resume(&self, id: &str, call: &Call) -> Answer {
-        let Some(attempt) = self.find(id) else {
+        let Some(attempt) = self.find_attempt(id) else {
             return server::text(StatusCode::NOT_FOUND, settings::NO_ATTEMPT);
         };
         let last: Option<u64> = call
             .header(header::LAST_EVENT)
             .and_then(|text| text.parse().ok());
         let linger = Duration::from_millis(self.settings().linger_ms);
-        let reader = attempt.reader(linger);
+        let reader = attempt.add_reader(linger);
         self.state.with(|state| state.stats.resumed += 1);
         self.stream(attempt, reader, last.map_or(0, |last| last + 1))
     }
 
     fn cancel(&self, id: &str) -> Answer {
-        let Some(attempt) = self.find(id) else {
+        let Some(attempt) = self.find_attempt(id) else {
             return server::text(StatusCode::NOT_FOUND, settings::NO_ATTEMPT);
         };
         attempt.token.cancel();
@@ -333,7 +338,7 @@
             (&Method::POST, "/v1/chat/completions", _) => self.chat(&call).await,
             (&Method::GET, _, Some(id)) => self.resume(id, &call),
             (&Method::DELETE, _, Some(id)) => self.cancel(id),
-            (&Method::GET, "/load", _) => server::json(StatusCode::OK, &self.lagging()),
+            (&Method::GET, "/load", _) => server::json(StatusCode::OK, &self.delayed_load()),
             (&Method::GET, "/cache", _) => {
                 let after = call.number("after").unwrap_or(0);
                 let cache = self.state.with(|state| {
@@ -366,15 +371,15 @@
     }
 
     fn restart(&self) {
-        let lost = self.state.with(|state| {
+        let cancelled = self.state.with(|state| {
             state.incarnation += 1;
             state.cache = Cache::default();
             state.reports.clear();
             std::mem::take(&mut state.recent)
         });
-        for attempt in lost {
+        for attempt in cancelled {
             attempt.token.cancel();
         }
-        self.report();
+        self.record_load();
     }
 }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders: which versions the engine holds, and what it makes of old fencing numbers.
+//! Orders, which set the versions that the engine loads, and their fencing numbers.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::server::Handler;
 
 impl Engine {
-    /// Carries an order out, unless its fencing number is old and looked at.
+    /// Carries out an order, unless fencing is on and its fencing number is too old.
     pub(super) async fn order(&self, call: &Call) -> Answer {
         let order: Order = match call.json() {
             Ok(order) => order,
@@ -24,14 +24,14 @@
         let number: Option<u64> = call
             .header(header::FENCING)
             .and_then(|text| text.parse().ok());
-        let reply = self.fence(number);
+        let reply = self.check_fencing(number);
         if reply.accepted {
-            self.obey(order).await;
+            self.apply(order).await;
         }
         server::json(StatusCode::OK, &reply)
     }
 
-    fn fence(&self, number: Option<u64>) -> Reply {
+    fn check_fencing(&self, number: Option<u64>) -> Reply {
         self.state.with(|state| {
             if state.settings.fencing == Fencing::Ignores {
                 state.stats.orders += 1;
@@ -51,17 +51,17 @@
         })
     }
 
-    async fn obey(&self, order: Order) {
+    async fn apply(&self, order: Order) {
         let Order::Versions(mut wanted) = order else {
             return;
         };
         wanted.sort();
-        let held = self.versions();
-        let new = wanted.iter().filter(|v| held.binary_search(v).is_err());
+        let loaded = self.versions();
+        let new = wanted.iter().filter(|v| loaded.binary_search(v).is_err());
         let new = u64::try_from(new.count()).unwrap_or(u64::MAX);
         let time = self.settings().order_ms.saturating_mul(new);
         tokio::time::sleep(Duration::from_millis(time)).await;
         self.state.with(|state| state.versions = wanted);
-        self.report();
+        self.record_load();
     }
 }
--- a/crates/standin/src/engine/reply.rs
+++ b/crates/standin/src/engine/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of an engine: whole, and event by event.
+//! Builds the answers of an engine, whole or as events.
 
 use bytes::Bytes;
 use pimento_wire::api::Choice;
@@ -29,17 +29,17 @@
         choices: vec![Choice {
             index: 0,
             message,
-            finish_reason: attempt.reason().into(),
+            finish_reason: attempt.finish_reason().into(),
         }],
         usage: attempt.usage(),
     }
 }
 
-/// Event `number` of an attempt, as it stands in the stream.
+/// Event `number` in the stream of an attempt.
 ///
 /// # Errors
 ///
-/// If the chunk can't be written as JSON.
+/// If the chunk can't be encoded as JSON.
 pub fn event(attempt: &Attempt, number: u64) -> Result<Bytes, serde_json::Error> {
     let last = number + 1 == attempt.total;
     let chunk = Chunk {
@@ -53,7 +53,7 @@
                 role: (number == 0).then(|| "assistant".into()),
                 content: Some(text::token_text(&attempt.mark, number, attempt.total)),
             },
-            finish_reason: last.then(|| attempt.reason().into()),
+            finish_reason: last.then(|| attempt.finish_reason().into()),
         }],
         usage: last.then(|| attempt.usage()),
     };
@@ -61,17 +61,17 @@
     Ok(format!("id: {number}\ndata: {data}\n\n").into())
 }
 
-/// The event that ends a whole stream.
+/// The end mark of a complete stream.
 #[must_use]
-pub fn end() -> Bytes {
+pub fn end_mark() -> Bytes {
     format!("data: {DONE}\n\n").into()
 }
 
-/// Sends the events of an attempt from number `from` on. A cancelled attempt's stream just ends,
-/// without its end mark.
-pub async fn feed(attempt: &Attempt, from: u64, sender: &mpsc::Sender<Bytes>) {
+/// Sends the events of an attempt, starting with number `from`. The stream of a cancelled attempt
+/// ends without the end mark.
+pub async fn send_events(attempt: &Attempt, from: u64, sender: &mpsc::Sender<Bytes>) {
     for number in from..attempt.total {
-        if !attempt.reached(number).await {
+        if !attempt.wait_for(number).await {
             return;
         }
         let Ok(event) = event(attempt, number) else {
@@ -81,6 +81,6 @@
             return;
         }
     }
-    // A reader that left does not need the end mark.
-    let _ = sender.send(end()).await;
+    // This fails only if the reader is gone, which then does not need the end mark.
+    let _ = sender.send(end_mark()).await;
 }
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -11,39 +11,40 @@
 
 use crate::tally::Count;
 
-/// Settings of an engine; all may be changed while it runs.
+/// Settings of an engine. All can be changed while it runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Draws grades and gaps.
+    /// Seed for drawing grades and gaps.
     pub seed: u64,
-    /// Calls in the batch.
+    /// Maximum number of calls in the batch.
     pub batch: u32,
-    /// Calls that wait for the batch; more are refused with 429 and `run: not_run`.
+    /// Maximum number of queued calls; more are refused with 429 and `run: not_run`.
     pub waiting: u32,
-    /// Time of a prompt token that is not in the prefix cache, in microseconds.
+    /// Prefill time per prompt token that is not in the prefix cache, in microseconds.
     pub prompt_us: u64,
-    /// Time of a generated token, in microseconds, when the batch holds one call.
+    /// Time per generated token while one call runs, in microseconds.
     pub token_us: u64,
-    /// How much longer a generated token takes in a full batch, in hundredths (50 is half again).
+    /// How much longer a generated token takes in a full batch, in percent.
     pub crowding: u64,
-    /// Prompts that the prefix cache holds.
+    /// Capacity of the prefix cache, in prefixes.
     pub cache: usize,
-    /// How late events of the cache are published, in milliseconds.
+    /// Delay before cache events are published, in milliseconds.
     pub cache_lag_ms: u64,
-    /// The share of events of the cache that is never published.
+    /// The share of cache events that are never published.
     pub cache_gaps: Share,
-    /// How old `/load` is, in milliseconds.
+    /// Age of the state that `/load` reports, in milliseconds.
     pub load_lag_ms: u64,
-    /// How long an order to hold other versions takes for each new one, in milliseconds.
+    /// How long an order takes for each version to load, in milliseconds.
     pub order_ms: u64,
-    /// Whether an order with an old fencing number is refused.
+    /// How orders with an old fencing number are handled.
     pub fencing: Fencing,
-    /// How long an attempt goes on without a reader before it is cancelled, in milliseconds.
+    /// How long an attempt runs without a reader before it is cancelled, in milliseconds.
     pub linger_ms: u64,
-    /// Whether it says that it is about to go. It still runs what it gets, and counts it.
+    /// Whether it reports that it is about to shut down. It still runs and counts the calls that it
+    /// gets.
     pub leaving: bool,
-    /// The share of good answers, by version; a version that is not named has 0.9.
+    /// The share of good answers by version; 0.9 for versions that are not listed.
     pub quality: Vec<Quality>,
 }
 
@@ -57,18 +58,18 @@
     pub share: Share,
 }
 
-/// What happens to an order with an old fencing number.
+/// How an order with an old fencing number is handled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// It is refused.
+    /// The order is refused.
     Refuses,
-    /// It is carried out, and the number not looked at.
+    /// The order is carried out; the number is ignored.
     #[default]
     Ignores,
 }
 
-/// Quality of a version that the settings do not name, in millionths.
+/// Quality of versions that are not listed in the settings, in millionths.
 const DEFAULT_QUALITY: u32 = 900_000;
 
 impl Settings {
@@ -83,7 +84,7 @@
 }
 
 impl Default for Settings {
-    /// A small engine, some ten times as fast as a real one, so that tests and the demo are short.
+    /// A small engine, about ten times as fast as a real one to keep tests and the demo short.
     fn default() -> Self {
         Self {
             seed: 0,
@@ -105,23 +106,23 @@
     }
 }
 
-/// What an engine is started with.
+/// The configuration of an engine.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
     /// Its name.
     pub name: id::Endpoint,
     /// Changes at every restart.
     pub incarnation: u64,
-    /// Versions that it holds at first.
+    /// The versions loaded at the start.
     pub versions: Vec<id::Version>,
     /// Its settings.
     pub settings: Settings,
 }
 
 impl Config {
-    /// An engine of this name on any port that holds these versions.
+    /// An engine with this name and these versions, on any free port.
     #[must_use]
     pub fn new(name: id::Endpoint, versions: impl IntoIterator<Item = id::Version>) -> Self {
         let mut versions: Vec<id::Version> = versions.into_iter().collect();
@@ -139,52 +140,52 @@
 /// Counters of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Calls that were taken, to run or to wait.
+    /// Calls accepted, to run or to queue.
     pub started: u64,
-    /// Calls that came to their end.
+    /// Calls that finished.
     pub finished: u64,
-    /// Calls that were cancelled or lost their reader.
+    /// Calls that were cancelled, on request or because their readers left.
     pub cancelled: u64,
     /// Calls refused without effect.
     pub refused: u64,
     /// Streams that were resumed.
     pub resumed: u64,
-    /// Calls taken while it was leaving.
+    /// Calls accepted while `leaving` was set.
     pub leaving: u64,
-    /// Prompt tokens read and not found in the cache.
+    /// Prompt tokens prefilled, which were not in the prefix cache.
     pub prompt: u64,
-    /// Prompt tokens found in the cache.
+    /// Prompt tokens found in the prefix cache.
     pub cached: u64,
     /// Tokens generated.
     pub tokens: u64,
     /// Orders carried out.
     pub orders: u64,
-    /// Orders refused for their fencing number.
+    /// Orders refused because of their fencing number.
     pub fenced: u64,
-    /// Calls taken, by version, sorted.
+    /// Calls accepted, by version, sorted.
     pub versions: Vec<Work>,
-    /// Calls taken, by `attempt-id`, sorted.
+    /// Calls accepted, by `attempt-id`, sorted.
     pub attempts: Vec<Count>,
-    /// Calls taken, by the hash of the last message in hexadecimal, sorted. By it a refusal that
-    /// says `not_run` is held against what engines began.
+    /// Calls accepted, by the hash of the last message in hexadecimal, sorted. Used to check that
+    /// calls refused with `not_run` did not start on any engine.
     pub prompts: Vec<Count>,
 }
 
-/// What a version did.
+/// The calls of one version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
     /// The version.
     pub version: id::Version,
-    /// Calls taken.
+    /// Calls accepted.
     pub started: u64,
-    /// When the last one was taken.
+    /// When the last one was accepted.
     pub last: Wall,
 }
 
-/// The priority of a call that names none.
+/// The priority of a call without the header.
 pub const DEFAULT_PRIORITY: u8 = 128;
 
-/// What the `priority` header says.
+/// Parses the `priority` header.
 #[must_use]
 pub fn priority(header: Option<&str>) -> u8 {
     header
@@ -192,11 +193,11 @@
         .unwrap_or(DEFAULT_PRIORITY)
 }
 
-/// Answer of an engine that has no such attempt.
+/// Body of the 404 for an unknown attempt.
 pub const NO_ATTEMPT: &str = "no such attempt";
 
-/// An attempt without the header gets a name of its own, so that it can run at all.
+/// The `attempt-id` header; a new id if there is none.
 #[must_use]
-pub fn attempt(header: Option<&str>) -> CompactString {
+pub fn attempt_id(header: Option<&str>) -> CompactString {
     header.map_or_else(|| uuid::Uuid::now_v7().to_string().into(), Into::into)
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,8 +1,9 @@
-//! The fault table of a stand-in, set over HTTP while it runs.
+//! The fault table of a stand-in, which can be replaced over HTTP while the stand-in runs.
 //!
-//! `PUT /faults` takes a [`Table`], `GET /faults` gives it back with the hits of each rule. Every
-//! rule that matches a call adds its action. Shares are drawn by hashing the seed, the rule's place
-//! and the number of the call, so that the same calls in the same order meet the same faults.
+//! `PUT /faults` sets a [`Table`], and `GET /faults` returns it with the hits of each rule. The
+//! actions of all rules that apply to a call are combined. Shares are drawn by hashing the seed,
+//! the rule's index and the number of the call, so the same calls in the same order get the same
+//! faults.
 
 use std::time::Duration;
 
@@ -17,127 +18,127 @@
 use crate::server::Call;
 use crate::shared::Shared;
 
-/// Rules with the seed that draws their shares.
+/// Fault rules and the seed for their shares.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
     /// The seed.
     #[serde(default)]
     pub seed: u64,
-    /// The rules; all that match a call act on it, in this order.
+    /// The rules, applied to a call in this order.
     #[serde(default)]
     pub rules: Vec<Rule>,
-    /// Calls struck since the stand-in began, by this table and all before it. What is put here is
-    /// not taken.
+    /// Calls affected by faults since the stand-in started, including those by previous tables.
+    /// Ignored in `PUT /faults`.
     #[serde(default)]
     pub struck: u64,
 }
 
-/// A fault and the calls that it strikes.
+/// A fault and the calls it affects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Only calls by this method, upper case.
+    /// Matches calls with this method, in upper case.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub method: Option<CompactString>,
-    /// Only calls whose path begins with this.
+    /// Matches calls whose path starts with this.
     #[serde(default)]
     pub path: CompactString,
-    /// Only calls whose body holds this.
+    /// Matches calls whose body contains this.
     #[serde(default, skip_serializing_if = "CompactString::is_empty")]
     pub body: CompactString,
-    /// Matching calls that pass before the rule begins to act.
+    /// The number of matching calls to skip before the rule applies.
     #[serde(default)]
     pub after: u64,
-    /// The most calls that it strikes; none for no limit.
+    /// The maximum number of calls affected; none for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub calls: Option<u64>,
-    /// The share of calls that it strikes.
-    #[serde(default = "whole")]
+    /// The share of calls affected.
+    #[serde(default = "default_share")]
     pub share: Share,
-    /// What happens.
+    /// The fault.
     pub action: Action,
-    /// Calls that matched so far.
+    /// Calls matched so far.
     #[serde(default)]
     pub seen: u64,
-    /// Calls struck so far.
+    /// Calls affected so far.
     #[serde(default)]
     pub hits: u64,
 }
 
-const fn whole() -> Share {
+const fn default_share() -> Share {
     Share::ONE
 }
 
-/// What happens to a call.
+/// A fault injected into a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// The call waits before anything else happens.
+    /// Delays the call before anything else.
     Delay {
-        /// Milliseconds.
+        /// The delay in milliseconds.
         ms: u64,
     },
-    /// An error without effect.
+    /// Responds with an error; the call has no effect.
     Refuse {
         /// HTTP status.
         status: u16,
-        /// Seconds in `retry-after`.
+        /// The `retry-after` header, in seconds.
         #[serde(default)]
         retry_after: Option<u64>,
-        /// What the `run` header says; left out if none.
+        /// The `run` header.
         #[serde(default)]
         run: Option<Run>,
     },
-    /// No effect and no answer; the connection stays open.
+    /// Sends no answer and keeps the connection open; the call has no effect.
     Hang,
-    /// No effect; the connection is closed.
+    /// Closes the connection; the call has no effect.
     Drop,
-    /// The stand-in ends under the call, with all its connections, and is back at its address after
-    /// a while as another life of itself.
+    /// Crashes the stand-in and closes all its connections. It listens on the same address again
+    /// later, with a new incarnation.
     Crash {
-        /// Milliseconds until it is back.
+        /// Milliseconds until it listens again.
         back_ms: u64,
     },
-    /// The effect takes place, then the connection is closed without an answer.
+    /// Closes the connection without an answer; the call takes effect.
     LoseAnswer,
-    /// The effect takes place, the answer comes later.
+    /// Delays the answer; the call takes effect before the delay.
     Late {
-        /// Milliseconds.
+        /// The delay in milliseconds.
         ms: u64,
     },
-    /// The effect takes place, the status is 200 and the body is not what was asked for.
+    /// Responds with status 200 and an invalid body; the call takes effect.
     Garbage,
-    /// The effect takes place, the connection is closed after this many events of a stream. A
-    /// whole body is cut in its middle.
+    /// Closes the connection after some events of a stream, or in the middle of a whole body; the
+    /// call takes effect.
     Cut {
-        /// Events that are sent.
+        /// The number of events sent.
         after: u64,
     },
-    /// An event of a stream comes twice.
+    /// Sends an event of a stream twice.
     Duplicate {
-        /// Its number, from 0.
+        /// The event's number, from 0.
         event: u64,
     },
-    /// An event of a stream comes after the next one.
+    /// Sends an event of a stream after the next one.
     Reorder {
-        /// Its number, from 0.
+        /// The event's number, from 0.
         event: u64,
     },
-    /// An event of a stream is left out.
+    /// Omits an event of a stream.
     Skip {
-        /// Its number, from 0.
+        /// The event's number, from 0.
         event: u64,
     },
-    /// A stream stops at an event and its connection stays open.
+    /// Stops a stream at an event and keeps the connection open.
     Stall {
-        /// The number of the first event that does not come.
+        /// The number of the first event not sent, from 0.
         event: u64,
     },
 }
 
 impl Rule {
-    /// A rule that strikes every call.
+    /// A rule that applies to every call.
     #[must_use]
     pub fn new(action: Action) -> Self {
         Self {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Only calls by this method to paths that begin with `path`.
+    /// Limits the rule to calls with this method whose path starts with `path`.
     #[must_use]
     pub fn on(mut self, method: &str, path: &str) -> Self {
         self.method = Some(method.into());
@@ -161,28 +162,28 @@
         self
     }
 
-    /// Only calls whose body holds `text`.
+    /// Limits the rule to calls whose body contains `text`.
     #[must_use]
     pub fn containing(mut self, text: &str) -> Self {
         self.body = text.into();
         self
     }
 
-    /// Only the next `calls` calls.
+    /// Limits the rule to the next `calls` calls.
     #[must_use]
     pub fn times(mut self, calls: u64) -> Self {
         self.calls = Some(calls);
         self
     }
 
-    /// Only from the call number `after` (from 0) on.
+    /// Skips the first `after` matching calls.
     #[must_use]
     pub fn after(mut self, after: u64) -> Self {
         self.after = after;
         self
     }
 
-    /// Only a share of the calls.
+    /// Limits the rule to a share of the calls.
     #[must_use]
     pub fn share(mut self, share: Share) -> Self {
         self.share = share;
@@ -197,7 +198,7 @@
         method && call.path.starts_with(self.path.as_str()) && body
     }
 
-    fn strikes(&mut self, seed: u64) -> bool {
+    fn applies(&mut self, seed: u64) -> bool {
         let number = self.seen;
         self.seen += 1;
         if number < self.after || self.calls.is_some_and(|calls| self.hits >= calls) {
@@ -212,12 +213,12 @@
     }
 }
 
-/// The table in force at a stand-in.
+/// The active fault table of a stand-in. Clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Faults(Shared<Table>);
 
 impl Faults {
-    /// Replaces the table.
+    /// Replaces the table, and keeps the total of affected calls.
     pub fn set(&self, table: Table) {
         self.0.with(|current| {
             let struck = current.struck;
@@ -242,77 +243,77 @@
         self.0.with(|table| table.clone())
     }
 
-    /// What happens to the next call.
+    /// Applies the rules to the next call, updates their counters and returns the combined faults.
     #[must_use]
-    pub fn draw(&self, call: &Call) -> Plan {
+    pub fn plan(&self, call: &Call) -> Plan {
         let mut plan = Plan::default();
         self.0.with(|table| {
-            let mut struck = false;
-            for (place, rule) in (0..).zip(&mut table.rules) {
-                let seed = table.seed.rotate_left(17) ^ place;
-                if rule.matches(call) && rule.strikes(seed) {
+            let mut affected = false;
+            for (index, rule) in (0..).zip(&mut table.rules) {
+                let seed = table.seed.rotate_left(17) ^ index;
+                if rule.matches(call) && rule.applies(seed) {
                     plan.add(&rule.action);
-                    struck = true;
+                    affected = true;
                 }
             }
-            table.struck += u64::from(struck);
+            table.struck += u64::from(affected);
         });
         plan
     }
 }
 
-/// What happens to one call, by the time at which it does.
+/// The combined faults of one call, in the order in which they occur.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Wait before the effect.
+    /// Delay before the call is handled.
     pub delay: Duration,
-    /// What takes the place of the effect.
-    pub instead: Option<Instead>,
-    /// Wait between the effect and the answer.
-    pub late: Duration,
-    /// Whether the answer is lost.
-    pub lose: bool,
-    /// Whether the body is replaced by nonsense.
+    /// Replaces the handling of the call.
+    pub replacement: Option<Replacement>,
+    /// Delay between the effect and the answer.
+    pub answer_delay: Duration,
+    /// Whether the connection is closed instead of answering.
+    pub lose_answer: bool,
+    /// Whether the response is replaced by one with an invalid body.
     pub garbage: bool,
-    /// What happens to the events of a stream.
-    pub mangle: Mangle,
+    /// Faults of the response body.
+    pub stream: StreamFaults,
 }
 
-/// What takes the place of a call's effect.
+/// What happens instead of handling a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Instead {
-    /// An error.
+pub enum Replacement {
+    /// An error response.
     Refuse {
         /// HTTP status.
         status: u16,
-        /// Seconds in `retry-after`.
+        /// The `retry-after` header, in seconds.
         retry_after: Option<u64>,
         /// The `run` header.
         run: Option<Run>,
     },
-    /// Nothing, for ever.
+    /// No answer; the connection stays open.
     Hang,
     /// The connection is closed.
     Drop,
-    /// The stand-in ends, and is back after this time.
+    /// The stand-in crashes and restarts.
     Crash {
-        /// How long it is gone.
-        back: Duration,
+        /// Time until it listens again.
+        downtime: Duration,
     },
 }
 
-/// What happens to the events of one stream.
+/// Faults of the events of one stream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Mangle {
-    /// The connection is closed after this many events.
+pub struct StreamFaults {
+    /// The number of events after which the connection is closed.
     pub cut: Option<u64>,
-    /// Events that come twice.
+    /// Events sent twice.
     pub duplicate: Vec<u64>,
-    /// Events that come after the next one.
+    /// Events sent after the next one.
     pub reorder: Vec<u64>,
-    /// Events that are left out.
+    /// Events omitted.
     pub skip: Vec<u64>,
-    /// The first event that never comes.
+    /// The first event that is never sent.
     pub stall: Option<u64>,
 }
 
@@ -325,26 +326,26 @@
                 retry_after,
                 run,
             } => {
-                self.instead = Some(Instead::Refuse {
+                self.replacement = Some(Replacement::Refuse {
                     status: *status,
                     retry_after: *retry_after,
                     run: *run,
                 });
             }
-            Action::Hang => self.instead = Some(Instead::Hang),
-            Action::Drop => self.instead = Some(Instead::Drop),
+            Action::Hang => self.replacement = Some(Replacement::Hang),
+            Action::Drop => self.replacement = Some(Replacement::Drop),
             Action::Crash { back_ms } => {
-                let back = Duration::from_millis(*back_ms);
-                self.instead = Some(Instead::Crash { back });
+                let downtime = Duration::from_millis(*back_ms);
+                self.replacement = Some(Replacement::Crash { downtime });
             }
-            Action::LoseAnswer => self.lose = true,
-            Action::Late { ms } => self.late += Duration::from_millis(*ms),
+            Action::LoseAnswer => self.lose_answer = true,
+            Action::Late { ms } => self.answer_delay += Duration::from_millis(*ms),
             Action::Garbage => self.garbage = true,
-            Action::Cut { after } => self.mangle.cut = Some(*after),
-            Action::Duplicate { event } => self.mangle.duplicate.push(*event),
-            Action::Reorder { event } => self.mangle.reorder.push(*event),
-            Action::Skip { event } => self.mangle.skip.push(*event),
-            Action::Stall { event } => self.mangle.stall = Some(*event),
+            Action::Cut { after } => self.stream.cut = Some(*after),
+            Action::Duplicate { event } => self.stream.duplicate.push(*event),
+            Action::Reorder { event } => self.stream.reorder.push(*event),
+            Action::Skip { event } => self.stream.skip.push(*event),
+            Action::Stall { event } => self.stream.stall = Some(*event),
         }
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,10 @@
-//! Small stand-ins of the platform and endpoints, and the load generator.
+//! Small stand-ins (test doubles) of the platform and of endpoints, and the load generator.
 //!
-//! Each stand-in is an HTTP server in memory with a [`fault`] table that is set while it runs:
-//! [`log`], [`vms`], [`weights`], [`rating`], [`engine`] and [`service`]. Each module's `start`
-//! binds an address (port 0 for any) and gives a [`Running`] stand-in to read and steer without
-//! HTTP. [`load`] sends requests, checks each answer and measures.
+//! The stand-ins are [`log`], [`vms`], [`weights`], [`rating`], [`engine`] and [`service`]. Each is
+//! an HTTP server that keeps its state in memory and has a [`fault`] table, which can be changed
+//! while it runs. The `start` function of each module binds an address (port 0 for any free port)
+//! and returns a [`Running`] stand-in, which tests can inspect and control without HTTP. [`load`]
+//! sends requests, checks each answer and measures latency.
 
 pub mod body;
 pub mod bucket;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,7 +1,7 @@
 //! Stand-in of the platform's append-only log.
 //!
-//! Speaks the log's part of [`pimento_wire::platform`]. Any stream name is accepted. An outage is a
-//! `refuse` or `hang` rule of the fault table, an append whose answer is lost a `lose_answer` rule.
+//! It implements the log calls of [`pimento_wire::platform`] and accepts any stream name. Use a
+//! `refuse` or `hang` fault for an outage, and `lose_answer` for an append whose answer is lost.
 
 use std::collections::VecDeque;
 use std::io;
@@ -25,7 +25,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 use crate::clock;
 use crate::server;
 use crate::server::Answer;
@@ -34,28 +34,28 @@
 use crate::server::Running;
 use crate::shared::Shared;
 
-/// Records of one answer if the reader does not say how many it wants.
+/// Maximum number of records in an answer if the reader gives none.
 const DEFAULT_MAX: u64 = 1_000;
-/// The longest wait of a read, in milliseconds.
-const MAX_WAIT: u64 = 60_000;
+/// Longest wait of a read, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
 
 /// Settings of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Appends a second, over all streams.
+    /// Appends per second over all streams.
     pub appends: f64,
-    /// Appends that pass at once after a pause.
+    /// Maximum burst of appends.
     pub burst: f64,
-    /// The most records that a stream keeps.
+    /// Maximum number of records retained per stream.
     pub keep: usize,
-    /// How long records are kept, in milliseconds.
+    /// Retention of records, in milliseconds.
     pub keep_ms: u64,
 }
 
 impl Default for Settings {
-    /// Several hundred appends a second, as the platform gives, and retention that a test never
-    /// meets unless it asks for it.
+    /// Allows several hundred appends per second, like the platform. Retention is long enough not
+    /// to affect tests that do not set it.
     fn default() -> Self {
         Self {
             appends: 500.0,
@@ -66,10 +66,10 @@
     }
 }
 
-/// What a log is started with.
+/// The configuration of a log.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
     /// Its settings.
     pub settings: Settings,
@@ -93,24 +93,24 @@
     pub records: u64,
     /// Bytes of records appended.
     pub bytes: u64,
-    /// Appends refused for their rate.
+    /// Appends refused because of the rate limit.
     pub limited: u64,
-    /// Reads.
+    /// Number of reads.
     pub reads: u64,
-    /// Reads that retention had passed.
+    /// Reads refused because retention had removed the records.
     pub gone: u64,
     /// The streams, sorted by name.
     pub streams: Vec<Extent>,
 }
 
-/// What a stream holds.
+/// The offsets retained in a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Extent {
     /// The stream's name.
     pub name: CompactString,
-    /// The oldest offset kept.
+    /// The oldest offset retained.
     pub oldest: Offset,
-    /// The end.
+    /// The offset of the next record.
     pub end: Offset,
 }
 
@@ -124,7 +124,7 @@
 #[derive(Debug)]
 struct State {
     settings: Settings,
-    bucket: Bucket,
+    bucket: TokenBucket,
     streams: Vec<Stream>,
     stats: Stats,
 }
@@ -133,7 +133,7 @@
 #[derive(Debug, Clone)]
 pub struct Log {
     state: Shared<State>,
-    grown: watch::Sender<u64>,
+    appended: watch::Sender<u64>,
 }
 
 /// Starts a log.
@@ -216,7 +216,7 @@
 
 impl Log {
     fn new(settings: Settings) -> Self {
-        let bucket = Bucket::new(settings.appends, settings.burst, Instant::now());
+        let bucket = TokenBucket::new(settings.appends, settings.burst, Instant::now());
         let state = State {
             settings,
             bucket,
@@ -225,20 +225,20 @@
         };
         Self {
             state: Shared::new(state),
-            grown: watch::Sender::new(0),
+            appended: watch::Sender::new(0),
         }
     }
 
-    /// Appends records past the rate limit, as another writer of the platform would, and gives the
-    /// first one's offset.
+    /// Appends records without a rate limit, as another writer on the platform would. Returns the
+    /// offset of the first one.
     #[must_use]
     pub fn append(&self, stream: &str, records: Vec<String>) -> Offset {
         let first = self.state.with(|state| state.append(stream, records));
-        self.grown.send_modify(|count| *count += 1);
+        self.appended.send_modify(|count| *count += 1);
         first
     }
 
-    /// All records that a stream keeps.
+    /// All records retained in a stream.
     #[must_use]
     pub fn records(&self, stream: &str) -> Vec<Entry> {
         self.state.with(|state| {
@@ -258,7 +258,11 @@
             taken
         });
         if let Err(after) = taken {
-            return server::refusal(StatusCode::TOO_MANY_REQUESTS, after, "over the append rate");
+            return server::refusal(
+                StatusCode::TOO_MANY_REQUESTS,
+                after,
+                "over the append rate limit",
+            );
         }
         let first = self.append(name, append.records);
         server::json(StatusCode::OK, &Appended { first })
@@ -267,12 +271,12 @@
     async fn get(&self, name: &str, call: &Call) -> Answer {
         let from = call.number("from").unwrap_or(0);
         let max = call.number("max").unwrap_or(DEFAULT_MAX);
-        let wait = call.number("wait_ms").unwrap_or(0).min(MAX_WAIT);
+        let wait = call.number("wait_ms").unwrap_or(0).min(MAX_WAIT_MS);
         let deadline = tokio::time::Instant::now() + Duration::from_millis(wait);
-        let mut grown = self.grown.subscribe();
+        let mut appended = self.appended.subscribe();
         self.state.with(|state| state.stats.reads += 1);
         loop {
-            grown.mark_unchanged();
+            appended.mark_unchanged();
             let batch = match self.read(name, from, max) {
                 Ok(batch) => batch,
                 Err(gone) => return server::json(StatusCode::GONE, &gone),
@@ -280,7 +284,7 @@
             if !batch.records.is_empty() {
                 return server::json(StatusCode::OK, &batch);
             }
-            if tokio::time::timeout_at(deadline, grown.changed())
+            if tokio::time::timeout_at(deadline, appended.changed())
                 .await
                 .is_err()
             {
@@ -342,7 +346,7 @@
 
     fn set(&self, settings: Settings) {
         self.state.with(|state| {
-            state.bucket = Bucket::new(settings.appends, settings.burst, Instant::now());
+            state.bucket = TokenBucket::new(settings.appends, settings.burst, Instant::now());
             state.settings = settings;
         });
     }
--- a/crates/standin/src/rating.rs
+++ b/crates/standin/src/rating.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the service that rates answers: it reads the grade in the answer's mark.
+//! Stand-in of the service that rates answers. It returns the grade from the answer's mark.
 //!
 //! An answer without a mark gets 0. With `noise`, a share of ratings is drawn anew from the seed
 //! and the answer, so that the same answer always gets the same rating.
@@ -27,15 +27,15 @@
 use crate::text::Mark;
 use crate::text::PASS;
 
-/// Settings of the rater.
+/// Settings of the rating service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Draws the noise.
+    /// Seed for drawing noise.
     pub seed: u64,
     /// How long a rating takes, in milliseconds.
     pub rate_ms: u64,
-    /// The share of ratings that tell nothing about the answer.
+    /// The share of ratings that are random.
     pub noise: Share,
 }
 
@@ -49,10 +49,10 @@
     }
 }
 
-/// What a rater is started with.
+/// The configuration of a rating service.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
     /// Its settings.
     pub settings: Settings,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Counters of the rater.
+/// Counters of the rating service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Answers rated.
@@ -82,11 +82,11 @@
     stats: Stats,
 }
 
-/// The rater.
+/// The rating service.
 #[derive(Debug, Clone)]
 pub struct Rater(Shared<State>);
 
-/// Starts a rater.
+/// Starts a rating service.
 ///
 /// # Errors
 ///
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that all stand-ins share: it applies the fault table around each call.
+//! The HTTP server used by all stand-ins. It applies the fault table to each call.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,36 +26,36 @@
 
 use crate::body::Body;
 use crate::fault::Faults;
-use crate::fault::Instead;
 use crate::fault::Plan;
+use crate::fault::Replacement;
 
-/// What one stand-in does.
+/// The behaviour of one stand-in.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// Counters shown at `GET /stats`.
+    /// Counters returned by `GET /stats`.
     type Stats: Serialize;
-    /// Settings shown at `GET /settings` and replaced by `PUT /settings`.
+    /// Settings returned by `GET /settings` and replaced by `PUT /settings`.
     type Settings: Serialize + DeserializeOwned + Send;
 
-    /// Carries out a call.
+    /// Handles a call.
     fn answer(&self, call: Call) -> impl Future<Output = Answer> + Send;
 
-    /// The counters.
+    /// Returns the counters.
     fn stats(&self) -> Self::Stats;
 
-    /// The settings.
+    /// Returns the settings.
     fn settings(&self) -> Self::Settings;
 
     /// Replaces the settings.
     fn set(&self, settings: Self::Settings);
 
-    /// Begins another life, which knows nothing of what ran in the one before.
+    /// Restarts with a new incarnation, which has lost the calls of the previous one.
     fn restart(&self) {}
 }
 
-/// An answer.
+/// A response.
 pub type Answer = Response<Body>;
 
-/// A call with its whole body.
+/// A request with its complete body.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// Method.
@@ -77,19 +77,19 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// A number of the query.
+    /// A numeric query parameter.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         let mut pairs = self.query.split('&').filter_map(|p| p.split_once('='));
         pairs.find(|(key, _)| *key == name)?.1.parse().ok()
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// A 400 to answer with.
-    // The error is the answer itself, which is made once for each bad call and not passed far.
+    /// A response with status 400.
+    // The error is the response itself. It is created once per bad call and not passed far.
     #[expect(clippy::result_large_err)]
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Answer> {
         serde_json::from_slice(&self.body)
@@ -100,27 +100,27 @@
 /// A stand-in that runs until its token is cancelled.
 #[derive(Debug, Clone)]
 pub struct Running<S> {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its fault table.
     pub faults: Faults,
-    /// The stand-in itself, to be read and changed without HTTP.
+    /// The stand-in itself, for access without HTTP.
     pub handler: S,
-    /// Told how long the stand-in is to be gone.
+    /// Triggers a crash with this downtime.
     crash: watch::Sender<Duration>,
 }
 
 impl<S> Running<S> {
-    /// Ends the stand-in with all its connections. It is back at its address after `back`, as
-    /// another life of itself.
-    pub fn crash(&self, back: Duration) {
-        self.crash.send_replace(back);
+    /// Crashes the stand-in and closes all its connections. It listens on the same address again
+    /// after `downtime`, with a new incarnation.
+    pub fn crash(&self, downtime: Duration) {
+        self.crash.send_replace(downtime);
     }
 }
 
 /// Starts a server for `handler`.
 ///
-/// Cancelling `token` closes the socket and cuts all connections, as the loss of a VM would.
+/// Cancelling `token` closes the socket and all connections, like the loss of a VM.
 ///
 /// # Errors
 ///
@@ -137,30 +137,30 @@
         handler,
         crash: watch::Sender::new(Duration::ZERO),
     };
-    tokio::spawn(live(listener, running.clone(), token));
+    tokio::spawn(run(listener, running.clone(), token));
     Ok(running)
 }
 
-/// One life after the other, until the token is cancelled.
-async fn live<S: Handler>(listener: TcpListener, running: Running<S>, token: CancellationToken) {
+/// Runs the server, and runs it again after each crash, until the token is cancelled.
+async fn run<S: Handler>(listener: TcpListener, running: Running<S>, token: CancellationToken) {
     let address = running.address;
     let mut listener = listener;
     loop {
         let mut crash = running.crash.subscribe();
-        let ends = token.clone();
+        let accept_token = token.clone();
         tokio::select! {
-            () = accept(listener, running.clone(), ends) => return,
+            () = accept(listener, running.clone(), accept_token) => return,
             _ = crash.changed() => {}
         }
-        let back = *crash.borrow();
+        let downtime = *crash.borrow();
         tokio::select! {
             () = token.cancelled() => return,
-            () = tokio::time::sleep(back) => {}
+            () = tokio::time::sleep(downtime) => {}
         }
         running.handler.restart();
         listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
-            Err(error) => return log::error!("standin: Not back at {address}: {error}."),
+            Err(error) => return log::error!("standin: can't listen on {address} again: {error}"),
         };
     }
 }
@@ -177,18 +177,19 @@
                 }
                 Err(error) => {
                     log::warn!("standin: accept failed: {error}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             },
         }
     }
 }
 
-/// Pause after a failed accept. Running out of file descriptors would otherwise spin the loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. Without it, running out of file descriptors would cause a busy
+/// loop.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 async fn connection<S: Handler>(stream: TcpStream, running: Running<S>) {
-    // Without it each event of a stream would wait for the acknowledgement of the one before.
+    // Without it, Nagle's algorithm delays each event until the previous one is acknowledged.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let running = running.clone();
@@ -216,17 +217,17 @@
         headers: head.headers,
         body,
     };
-    if let Some(answer) = steer(running, &call) {
+    if let Some(answer) = control(running, &call) {
         return Ok(answer);
     }
-    let plan = running.faults.draw(&call);
-    carry(running, call, plan).await
+    let plan = running.faults.plan(&call);
+    execute(running, call, plan).await
 }
 
-async fn carry<S: Handler>(running: &Running<S>, call: Call, plan: Plan) -> io::Result<Answer> {
+async fn execute<S: Handler>(running: &Running<S>, call: Call, plan: Plan) -> io::Result<Answer> {
     tokio::time::sleep(plan.delay).await;
-    match plan.instead {
-        Some(Instead::Refuse {
+    match plan.replacement {
+        Some(Replacement::Refuse {
             status,
             retry_after,
             run,
@@ -234,34 +235,34 @@
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
             let mut answer = text(status, "refused by the fault table");
             if let Some(seconds) = retry_after {
-                answer = with(answer, header::RETRY_AFTER, &seconds.to_string());
+                answer = with_header(answer, header::RETRY_AFTER, &seconds.to_string());
             }
             if let Some(run) = run {
-                answer = with(answer, header::RUN, run.as_str());
+                answer = with_header(answer, header::RUN, run.as_str());
             }
             return Ok(answer);
         }
-        Some(Instead::Hang) => return std::future::pending().await,
-        Some(Instead::Drop) => return Err(io::Error::other("dropped by the fault table")),
-        Some(Instead::Crash { back }) => {
-            running.crash(back);
+        Some(Replacement::Hang) => return std::future::pending().await,
+        Some(Replacement::Drop) => return Err(io::Error::other("dropped by the fault table")),
+        Some(Replacement::Crash { downtime }) => {
+            running.crash(downtime);
             return std::future::pending().await;
         }
         None => {}
     }
     let answer = running.handler.answer(call).await;
-    tokio::time::sleep(plan.late).await;
-    if plan.lose {
+    tokio::time::sleep(plan.answer_delay).await;
+    if plan.lose_answer {
         return Err(io::Error::other("answer lost by the fault table"));
     }
     if plan.garbage {
         return Ok(text(StatusCode::OK, "this is {not what [was asked for"));
     }
-    Ok(answer.map(|body| body.mangled(plan.mangle)))
+    Ok(answer.map(|body| body.with_faults(plan.stream)))
 }
 
-/// Calls that steer the stand-in itself; no fault strikes them.
-fn steer<S: Handler>(running: &Running<S>, call: &Call) -> Option<Answer> {
+/// Handles calls that control the stand-in itself. They are exempt from faults.
+fn control<S: Handler>(running: &Running<S>, call: &Call) -> Option<Answer> {
     let answer = match (call.method.as_str(), call.path.as_str()) {
         ("GET", "/faults") => json(StatusCode::OK, &running.faults.table()),
         ("PUT", "/faults") => put(call, |table| running.faults.set(table)),
@@ -283,20 +284,20 @@
     }
 }
 
-/// An answer without a body.
+/// A response without a body.
 #[must_use]
 pub fn empty(status: StatusCode) -> Answer {
     answer(status, "text/plain", Bytes::new())
 }
 
-/// An answer for people.
+/// A plain-text response.
 #[must_use]
 pub fn text(status: StatusCode, body: &str) -> Answer {
     let body = Bytes::copy_from_slice(body.as_bytes());
     answer(status, "text/plain; charset=utf-8", body)
 }
 
-/// An answer in JSON.
+/// A JSON response.
 #[must_use]
 pub fn json(status: StatusCode, value: &impl Serialize) -> Answer {
     match serde_json::to_vec(value) {
@@ -305,24 +306,25 @@
     }
 }
 
-/// A refusal without effect, with `run: not_run` and whole seconds in `retry-after`.
+/// A refusal of a call that had no effect, with `run: not_run` and `retry-after`, rounded up to
+/// whole seconds.
 #[must_use]
 pub fn refusal(status: StatusCode, after: Duration, reason: &str) -> Answer {
     let seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
-    let answer = with(text(status, reason), header::RUN, "not_run");
-    with(answer, header::RETRY_AFTER, &seconds.to_string())
+    let answer = with_header(text(status, reason), header::RUN, "not_run");
+    with_header(answer, header::RETRY_AFTER, &seconds.to_string())
 }
 
-/// Adds a header; one that HTTP does not allow is left out.
+/// Adds a header, unless its value is invalid.
 #[must_use]
-pub fn with(mut answer: Answer, name: &'static str, value: &str) -> Answer {
+pub fn with_header(mut answer: Answer, name: &'static str, value: &str) -> Answer {
     if let Ok(value) = value.parse() {
         answer.headers_mut().insert(name, value);
     }
     answer
 }
 
-/// A stream of events.
+/// A response that streams events.
 #[must_use]
 pub fn events(body: Body) -> Answer {
     let mut answer = Response::new(body);
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,8 +1,8 @@
 //! Stand-in of a replica of a plain service, such as an order desk.
 //!
-//! Any method and path is taken. A call counts as run when it begins; the runs of each
-//! `idempotency-key` are the judge of "runs at most once". A replica does not look at the key
-//! itself: nothing here saves a caller from running a call twice.
+//! It accepts any method and path. A call counts as run when it starts. The runs of each
+//! `idempotency-key` are counted to check that a call runs at most once. The replica itself does
+//! not deduplicate calls by the key.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,11 +30,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// How long a call takes, in milliseconds.
+    /// Processing time of a call, in milliseconds.
     pub work_ms: u64,
-    /// Calls at once; more are refused with 429 and `run: not_run`.
+    /// Maximum number of concurrent calls; more are refused with 429 and `run: not_run`.
     pub capacity: u32,
-    /// Whether it is about to go. It still runs what it gets, and counts it.
+    /// Whether it is about to shut down. It still runs and counts the calls that it gets.
     pub leaving: bool,
 }
 
@@ -48,10 +48,10 @@
     }
 }
 
-/// What a service is started with.
+/// The configuration of a service.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
     /// Its name.
     pub name: id::Endpoint,
@@ -60,7 +60,7 @@
 }
 
 impl Config {
-    /// A service of this name on any port.
+    /// A service with this name, on any free port.
     #[must_use]
     pub fn new(name: id::Endpoint) -> Self {
         Self {
@@ -74,34 +74,35 @@
 /// Counters of the service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Calls that began.
+    /// Calls started.
     pub started: u64,
-    /// Calls that came to their end.
+    /// Calls finished.
     pub finished: u64,
-    /// Calls that began and whose caller left before the end.
+    /// Calls started whose caller disconnected before they finished.
     pub cancelled: u64,
     /// Calls refused without effect.
     pub refused: u64,
-    /// Calls that began while it was leaving.
+    /// Calls started while `leaving` was set.
     pub leaving: u64,
-    /// Calls that began, by `idempotency-key`, sorted; calls without one are left out.
+    /// Calls started by `idempotency-key`, sorted. Calls without a key are not listed.
     pub keys: Vec<Count>,
 }
 
-/// The answer's body: what was run, so that a caller can tell that the answer is to its own call.
+/// The body of an answer. It describes the call, so that a caller can check that the answer belongs
+/// to its own call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
-    /// Which replica ran it.
+    /// The replica that ran the call.
     pub endpoint: id::Endpoint,
-    /// The call's method.
+    /// The method of the call.
     pub method: CompactString,
-    /// The call's path.
+    /// The path of the call.
     pub path: CompactString,
-    /// XXH3 of the call's body.
+    /// The XXH3 hash of the call's body.
     pub body: u64,
-    /// The call's `idempotency-key`.
+    /// The `idempotency-key` of the call.
     pub key: Option<CompactString>,
-    /// How often this replica ran the key, this call included.
+    /// How often this replica ran calls with the key, including this one; 1 without a key.
     pub runs: u64,
 }
 
@@ -137,13 +138,13 @@
     server::start(handler, config.listen, token).await
 }
 
-/// Ends a run when its caller leaves or its work is done.
-struct Guard {
+/// Counts a run as finished or cancelled when it is dropped.
+struct RunGuard {
     state: Shared<State>,
     finished: bool,
 }
 
-impl Drop for Guard {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.state.with(|state| {
             state.running -= 1;
@@ -154,14 +155,14 @@
 }
 
 impl Service {
-    /// How often a key was run here.
+    /// How often this replica ran calls with a key.
     #[must_use]
     pub fn runs(&self, key: &str) -> u64 {
         self.state.with(|state| state.keys.get(key))
     }
 
-    fn begin(&self, key: Option<&str>) -> Option<(Guard, u64, Duration)> {
-        let begun = self.state.with(|state| {
+    fn begin(&self, key: Option<&str>) -> Option<(RunGuard, u64, Duration)> {
+        let started = self.state.with(|state| {
             if state.running >= state.settings.capacity {
                 state.stats.refused += 1;
                 return None;
@@ -172,8 +173,8 @@
             let runs = key.map_or(1, |key| state.keys.add(key));
             Some((runs, Duration::from_millis(state.settings.work_ms)))
         });
-        let (runs, work) = begun?;
-        let guard = Guard {
+        let (runs, work) = started?;
+        let guard = RunGuard {
             state: self.state.clone(),
             finished: false,
         };
--- a/crates/standin/src/shared.rs
+++ b/crates/standin/src/shared.rs
@@ -1,10 +1,10 @@
-//! State that the calls of one stand-in share.
+//! State shared by the calls of one stand-in.
 
 use std::sync::Arc;
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-/// A value behind a lock that is held for one closure at a time and never across an await.
+/// A value behind a mutex. The lock is held only while a closure runs, never across an await.
 #[derive(Debug, Default)]
 pub struct Shared<T>(Arc<Mutex<T>>);
 
@@ -20,9 +20,9 @@
         Self(Arc::new(Mutex::new(value)))
     }
 
-    /// Runs `work` on the value.
+    /// Runs `work` with the value locked.
     pub fn with<R>(&self, work: impl FnOnce(&mut T) -> R) -> R {
-        // A panic of another call leaves plain counters and lists behind, which stay usable.
+        // The values are plain counters and lists, which stay usable after a panic in another call.
         let mut guard = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         work(&mut guard)
     }
--- a/crates/standin/src/tally.rs
+++ b/crates/standin/src/tally.rs
@@ -1,25 +1,25 @@
-//! Counts by key, sorted.
+//! Counters by key, sorted.
 
 use compact_str::CompactString;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How often a key was seen.
+/// The count of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
     /// The key.
     pub key: CompactString,
-    /// How often.
+    /// How often the key was counted.
     pub count: u64,
 }
 
-/// Counts by key.
+/// Counters by key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Tally(Vec<Count>);
 
 impl Tally {
-    /// Counts a key once more, and gives its count.
+    /// Increments the count of a key and returns it.
     pub fn add(&mut self, key: &str) -> u64 {
         match self.find(key) {
             Ok(at) => {
--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the platform's lagging list of VMs.
+//! Stand-in of the platform's VM list, which lags behind.
 //!
-//! `GET /vms` gives the list as it was a lag ago. `PUT /vms` replaces it, `PUT /vms/{name}` adds or
-//! replaces one VM and `DELETE /vms/{name}` removes one.
+//! `GET /vms` returns the list as it was `lag_ms` ago. `PUT /vms` replaces it, `PUT /vms/{name}`
+//! adds or replaces one VM and `DELETE /vms/{name}` removes one.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,22 +22,22 @@
 use crate::server::Running;
 use crate::shared::Shared;
 
-/// Settings of the list.
+/// Settings of the VM list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// How old the answers are, in milliseconds.
+    /// The age of the list returned, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// What a list is started with.
+/// The configuration of a VM list.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
     /// Its settings.
     pub settings: Settings,
-    /// The VMs at first.
+    /// The VMs at the start.
     pub vms: Vec<Vm>,
 }
 
@@ -51,28 +51,28 @@
     }
 }
 
-/// Counters of the list.
+/// Counters of the VM list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Reads.
+    /// Number of reads.
     pub reads: u64,
-    /// Changes.
+    /// Number of changes.
     pub changes: u64,
 }
 
 #[derive(Debug)]
 struct State {
     settings: Settings,
-    /// Lists with the time from which they are true; at least one.
+    /// Versions of the list with the time of each change; never empty.
     history: Vec<(Instant, Vec<Vm>)>,
     stats: Stats,
 }
 
-/// The list.
+/// The VM list.
 #[derive(Debug, Clone)]
 pub struct Vms(Shared<State>);
 
-/// Starts a list.
+/// Starts a VM list.
 ///
 /// # Errors
 ///
@@ -88,19 +88,19 @@
 }
 
 impl State {
-    fn newest(&self) -> Vec<Vm> {
+    fn current(&self) -> Vec<Vm> {
         self.history
             .last()
             .map(|(_, vms)| vms.clone())
             .unwrap_or_default()
     }
 
-    /// The list a lag ago. The one at the start counts as true for ever.
-    fn lagging(&mut self, now: Instant) -> Vec<Vm> {
+    /// The list as it was `lag_ms` ago. If no version is that old, the oldest one is returned.
+    fn delayed(&mut self, now: Instant) -> Vec<Vm> {
         let lag = Duration::from_millis(self.settings.lag_ms);
-        let seen = |since: &Instant| now.saturating_duration_since(*since) >= lag;
-        let known = self.history.iter().rposition(|(since, _)| seen(since));
-        self.history.drain(..known.unwrap_or(0));
+        let visible = |since: &Instant| now.saturating_duration_since(*since) >= lag;
+        let newest = self.history.iter().rposition(|(since, _)| visible(since));
+        self.history.drain(..newest.unwrap_or(0));
         self.history
             .first()
             .map(|(_, vms)| vms.clone())
@@ -112,7 +112,7 @@
     /// Changes the list.
     pub fn change(&self, change: impl FnOnce(&mut Vec<Vm>)) {
         self.0.with(|state| {
-            let mut vms = state.newest();
+            let mut vms = state.current();
             change(&mut vms);
             state.history.push((Instant::now(), vms));
             state.stats.changes += 1;
@@ -120,7 +120,7 @@
     }
 
     /// Marks one VM as leaving.
-    pub fn leave(&self, name: &str) {
+    pub fn mark_leaving(&self, name: &str) {
         self.change(|vms| {
             for vm in vms.iter_mut().filter(|vm| vm.name == name) {
                 vm.leaving = true;
@@ -131,7 +131,7 @@
     fn list(&self) -> pimento_wire::platform::Vms {
         self.0.with(|state| {
             state.stats.reads += 1;
-            let vms = state.lagging(Instant::now());
+            let vms = state.delayed(Instant::now());
             pimento_wire::platform::Vms { vms }
         })
     }
@@ -155,7 +155,10 @@
                 });
                 server::empty(StatusCode::NO_CONTENT)
             }
-            Ok(_) => server::text(StatusCode::BAD_REQUEST, "the names differ"),
+            Ok(_) => server::text(
+                StatusCode::BAD_REQUEST,
+                "the name in the path differs from the one in the body",
+            ),
             Err(answer) => answer,
         }
     }
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's rate-limited weight store.
+//! Stand-in of the platform's weight store, which is rate-limited.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use tokio_util::sync::CancellationToken;
 
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 use crate::server;
 use crate::server::Answer;
 use crate::server::Call;
@@ -21,13 +21,13 @@
 use crate::server::Running;
 use crate::shared::Shared;
 
-/// Settings of the store.
+/// Settings of the weight store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Fetches a second.
+    /// Fetches per second.
     pub rate: f64,
-    /// Fetches that pass at once after a pause.
+    /// Maximum burst of fetches.
     pub burst: f64,
     /// How long a fetch takes, in milliseconds.
     pub fetch_ms: u64,
@@ -43,10 +43,10 @@
     }
 }
 
-/// What a store is started with.
+/// The configuration of a weight store.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
     /// Its settings.
     pub settings: Settings,
@@ -61,12 +61,12 @@
     }
 }
 
-/// Counters of the store.
+/// Counters of the weight store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Fetches that were carried out.
+    /// Fetches completed.
     pub fetched: u64,
-    /// Fetches refused for their rate.
+    /// Fetches refused because of the rate limit.
     pub limited: u64,
     /// Versions fetched, as `version in zone`, sorted.
     pub held: Vec<CompactString>,
@@ -75,15 +75,15 @@
 #[derive(Debug)]
 struct State {
     settings: Settings,
-    bucket: Bucket,
+    bucket: TokenBucket,
     stats: Stats,
 }
 
-/// The store.
+/// The weight store.
 #[derive(Debug, Clone)]
 pub struct Weights(Shared<State>);
 
-/// Starts a store.
+/// Starts a weight store.
 ///
 /// # Errors
 ///
@@ -91,7 +91,7 @@
 pub async fn start(config: Config, token: CancellationToken) -> io::Result<Running<Weights>> {
     let settings = config.settings;
     let state = State {
-        bucket: Bucket::new(settings.rate, settings.burst, Instant::now()),
+        bucket: TokenBucket::new(settings.rate, settings.burst, Instant::now()),
         settings,
         stats: Stats::default(),
     };
@@ -109,7 +109,11 @@
         let time = match taken {
             Ok(time) => time,
             Err(after) => {
-                return server::refusal(StatusCode::TOO_MANY_REQUESTS, after, "over the rate");
+                return server::refusal(
+                    StatusCode::TOO_MANY_REQUESTS,
+                    after,
+                    "over the rate limit",
+                );
             }
         };
         tokio::time::sleep(time).await;
@@ -148,7 +152,7 @@
 
     fn set(&self, settings: Settings) {
         self.0.with(|state| {
-            state.bucket = Bucket::new(settings.rate, settings.burst, Instant::now());
+            state.bucket = TokenBucket::new(settings.rate, settings.burst, Instant::now());
             state.settings = settings;
         });
     }
--- a/crates/standin/tests/all/platform.rs
+++ b/crates/standin/tests/all/platform.rs
@@ -146,7 +146,7 @@
         status(send(&list, Method::PUT, "/vms/two", &entry("two")).await),
         204
     );
-    list.handler.leave("one");
+    list.handler.mark_leaving("one");
     let seen: Vms = read(get(&list, "/vms").await);
     assert_eq!(seen.vms, [entry("one")]);
     let settings = vms::Settings { lag_ms: 0 };
