--- a/crates/standin/src/load/judge.rs
+++ b/crates/standin/src/load/judge.rs
@@ -212,7 +212,7 @@
                 .map(move |c| format!("{name}: {} x {}", c.count, c.key))
         });
         Promise {
-            name: "each answer is whole, the caller's own and from an allowed version",
+            name: "each answer is complete, belongs to its call and comes from an allowed version",
             cases: total(self.report.rows.iter(), |row| row.served),
             violations: broken.collect(),
         }
@@ -324,7 +324,7 @@
         let prompts = prompts.map(|prompt| format!("an engine started the prompt {prompt}"));
         let cases = refused().count() + self.report.not_run.len();
         Promise {
-            name: "a call told `not_run` did not run",
+            name: "a call refused with `not_run` did not run",
             // A trial without refusals has no case; the promise is kept then.
             cases: (cases as u64).max(1),
             violations: orders.chain(prompts).collect(),
@@ -370,7 +370,7 @@
             }
         }
         Promise {
-            name: "a withdrawn version gets no new work after a few seconds",
+            name: "no calls start on a withdrawn version after a few seconds",
             cases,
             violations,
         }
--- a/crates/standin/src/load/overload.rs
+++ b/crates/standin/src/load/overload.rs
@@ -32,7 +32,7 @@
         };
         let exceeded = unknown > allowed + self.endpoint_faults;
         Promise {
-            name: "few calls are refused in doubt",
+            name: "few refusals say `unknown`",
             cases: sent,
             violations: exceeded
                 .then(|| format!("{unknown} of {sent} calls"))
@@ -59,7 +59,7 @@
             format!("{customer} {target}: {served} of {sent} served")
         });
         Promise {
-            name: "quiet customers' calls are served through the overload",
+            name: "calls of quiet customers are served during the overload",
             cases: total(rows(), |row| row.sent),
             violations: violations.collect(),
         }
--- a/crates/standin/tests/all/engine.rs
+++ b/crates/standin/tests/all/engine.rs
@@ -1,4 +1,4 @@
-//! The engine keeps to `pimento_wire::engine`.
+//! The engine stand-in implements `pimento_wire::engine`.
 
 use eventsource_stream::Eventsource;
 use futures::StreamExt;
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_belongs_to_its_prompt_and_is_whole() {
+async fn a_whole_answer_matches_its_prompt_and_is_complete() {
     let engine = start(|_| {}).await;
     let completion: Completion = read(ask(&engine, "a", chat("hello there", false, 12)).await);
     let text = &completion.choices[0].message.content;
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_numbers_its_events_and_ends_with_the_mark() {
+async fn a_stream_numbers_its_events_and_ends_with_the_end_mark() {
     let engine = start(|_| {}).await;
     let (_, headers, body) = ask(&engine, "a", chat("hi", true, 5)).await.unwrap();
     assert_eq!(headers["incarnation"], "1");
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_is_resumed_after_the_event_that_was_read_last() {
+async fn a_stream_resumes_after_the_last_event_read() {
     let engine = start(|_| {}).await;
     ask(&engine, "a", chat("hi", true, 5)).await.unwrap();
     let headers = [("last-event-id", "2")];
@@ -99,12 +99,12 @@
     let ids: Vec<&str> = events.iter().map(|(id, _)| id.as_str()).collect();
     assert_eq!(ids[..2], ["3", "4"]);
     assert_eq!(events[2].1, DONE);
-    assert_eq!(engine.handler.runs("a"), 1, "resuming starts nothing");
+    assert_eq!(engine.handler.runs("a"), 1, "resuming started another run");
     assert_eq!(status(get(&engine, "/v1/attempts/b").await), 404);
 }
 
 #[tokio::test]
-async fn a_cancelled_attempt_is_counted_and_its_place_is_free_again() {
+async fn a_cancelled_attempt_is_counted_and_frees_its_slot() {
     let engine = start(|s| {
         s.batch = 1;
         s.token_us = 10_000_000;
@@ -112,7 +112,7 @@
     .await;
     let other = engine.clone();
     let slow = tokio::spawn(async move { ask(&other, "slow", chat("hi", false, 9)).await });
-    until("the attempt began", || engine.handler.runs("slow") == 1).await;
+    until("the attempt starts", || engine.handler.runs("slow") == 1).await;
     let cancelled = call(&engine, Method::DELETE, "/v1/attempts/slow", &[], "").await;
     assert_eq!(status(cancelled), 204);
     assert_eq!(status(slow.await.unwrap()), 500);
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn a_full_engine_says_that_it_did_not_run_the_call() {
+async fn a_full_engine_refuses_with_not_run() {
     let engine = start(|s| {
         s.batch = 1;
         s.waiting = 0;
@@ -135,7 +135,7 @@
     .await;
     let other = engine.clone();
     tokio::spawn(async move { ask(&other, "slow", chat("hi", false, 9)).await });
-    until("the attempt began", || engine.handler.runs("slow") == 1).await;
+    until("the attempt starts", || engine.handler.runs("slow") == 1).await;
     let (status, headers, _) = ask(&engine, "second", chat("hi", false, 9)).await.unwrap();
     assert_eq!(
         (status.as_u16(), headers["run"].to_str().unwrap()),
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_cancels_its_attempt() {
+async fn a_disconnected_caller_cancels_its_attempt() {
     let engine = start(|s| {
         s.token_us = 10_000_000;
         s.linger_ms = 1;
@@ -153,9 +153,12 @@
     .await;
     let other = engine.clone();
     let slow = tokio::spawn(async move { ask(&other, "slow", chat("hi", true, 9)).await });
-    until("the attempt began", || engine.handler.runs("slow") == 1).await;
+    until("the attempt starts", || engine.handler.runs("slow") == 1).await;
     slow.abort();
-    until("it was cancelled", || engine.handler.stats().cancelled == 1).await;
+    until("the attempt is cancelled", || {
+        engine.handler.stats().cancelled == 1
+    })
+    .await;
 }
 
 #[tokio::test]
@@ -178,14 +181,17 @@
                 .unwrap();
             sender.send(name).unwrap();
         });
-        until("it arrived", || engine.handler.stats().started == started).await;
+        until("the call is accepted", || {
+            engine.handler.stats().started == started
+        })
+        .await;
     }
     let order = [ended.recv().await, ended.recv().await, ended.recv().await];
     assert_eq!(order.map(Option::unwrap), ["first", "soon", "late"]);
 }
 
 #[tokio::test]
-async fn the_load_report_is_as_old_as_its_lag() {
+async fn the_load_report_is_delayed_by_its_lag() {
     let engine = start(|s| {
         s.load_lag_ms = 3_600_000;
         s.token_us = 10_000_000;
@@ -193,15 +199,15 @@
     .await;
     let other = engine.clone();
     tokio::spawn(async move { ask(&other, "slow", chat("hi", false, 9)).await });
-    until("the attempt began", || engine.handler.runs("slow") == 1).await;
-    let old: Load = read(get(&engine, "/load").await);
+    until("the attempt starts", || engine.handler.runs("slow") == 1).await;
+    let delayed: Load = read(get(&engine, "/load").await);
     engine.handler.change(|s| s.load_lag_ms = 0);
-    let new: Load = read(get(&engine, "/load").await);
-    assert_eq!((old.running, new.running), (0, 1));
+    let current: Load = read(get(&engine, "/load").await);
+    assert_eq!((delayed.running, current.running), (0, 1));
 }
 
 #[tokio::test]
-async fn the_prefix_cache_saves_work_and_tells_of_it_with_gaps() {
+async fn the_prefix_cache_saves_prefill_and_publishes_events_with_gaps() {
     let engine = start(|s| s.cache_lag_ms = 0).await;
     for attempt in ["a", "b"] {
         ask(&engine, attempt, chat("hi", false, 1)).await.unwrap();
@@ -210,17 +216,19 @@
     assert_eq!(
         (stats.prompt, stats.cached),
         (6, 4),
-        "four tokens before the last message"
+        "the prefix has four tokens"
     );
     let cache: Cache = read(get(&engine, "/cache?after=0").await);
     assert_eq!((cache.sequence, cache.events.len()), (1, 1));
-    let gappy = start(|s| {
+    let without_events = start(|s| {
         s.cache_lag_ms = 0;
         s.cache_gaps = pimento_units::Share::ONE;
     })
     .await;
-    ask(&gappy, "a", chat("hi", false, 1)).await.unwrap();
-    let cache: Cache = read(get(&gappy, "/cache?after=0").await);
+    ask(&without_events, "a", chat("hi", false, 1))
+        .await
+        .unwrap();
+    let cache: Cache = read(get(&without_events, "/cache?after=0").await);
     assert!(cache.events.is_empty());
 }
 
@@ -231,11 +239,12 @@
     read(call(engine, Method::POST, "/orders", &headers, body).await)
 }
 
-/// A holder whose lease lapsed while it was paused sends its order after its successor did. An
-/// engine that refuses old numbers keeps the successor's versions; one that ignores them does not.
+/// A lease holder is paused, its lease expires, and it sends its order after its successor's. An
+/// engine that refuses old fencing numbers keeps the successor's versions; one that ignores the
+/// numbers does not.
 #[tokio::test]
-async fn an_old_fencing_number_is_refused_or_ignored_as_set() {
-    for (fencing, accepted, held) in [
+async fn an_old_fencing_number_is_refused_or_ignored_as_configured() {
+    for (fencing, accepted, loaded) in [
         (Fencing::Refuses, false, "new@1"),
         (Fencing::Ignores, true, "old@1"),
     ] {
@@ -246,12 +255,12 @@
         .await;
         assert!(order(&engine, &["new@1"], "7").await.accepted);
         assert_eq!(order(&engine, &["old@1"], "6").await.accepted, accepted);
-        assert_eq!(engine.handler.versions(), [held.parse().unwrap()]);
+        assert_eq!(engine.handler.versions(), [loaded.parse().unwrap()]);
     }
 }
 
 #[tokio::test]
-async fn a_version_that_is_not_held_is_refused_as_not_run() {
+async fn a_version_that_is_not_loaded_is_refused_with_not_run() {
     let engine = start(|_| {}).await;
     engine.handler.change(|s| s.leaving = true);
     let body = String::from_utf8(chat("hi", false, 1)).unwrap();
@@ -267,7 +276,7 @@
 }
 
 #[tokio::test]
-async fn a_service_counts_each_run_of_a_key_also_when_its_caller_left() {
+async fn a_service_counts_each_run_of_a_key_even_if_its_caller_disconnects() {
     let mut config = service::Config::new("desk-0".parse().unwrap());
     config.settings.work_ms = 60_000;
     let token = CancellationToken::new();
@@ -276,9 +285,12 @@
     let other = service.clone();
     let slow =
         tokio::spawn(async move { call(&other, Method::POST, "/orders", &headers, "1").await });
-    until("it began", || service.handler.runs("k") == 1).await;
+    until("the call starts", || service.handler.runs("k") == 1).await;
     slow.abort();
-    until("its caller left", || service.handler.stats().cancelled == 1).await;
+    until("the call is cancelled", || {
+        service.handler.stats().cancelled == 1
+    })
+    .await;
     service.handler.set(service::Settings {
         work_ms: 0,
         ..service::Settings::default()
--- a/crates/standin/tests/all/faults.rs
+++ b/crates/standin/tests/all/faults.rs
@@ -1,4 +1,4 @@
-//! Each fault of the table does what it says, set over HTTP.
+//! Tests of each fault, most of them set over HTTP.
 
 use std::time::Duration;
 
@@ -44,7 +44,8 @@
     assert_eq!(status(send(log, Method::PUT, "/faults", &table).await), 204);
 }
 
-/// What a caller sees of a struck append, and whether it took effect.
+/// A fault, the status that the caller of an append gets (none for a broken connection), and the
+/// number of records appended.
 struct Case {
     action: Action,
     status: Option<u16>,
@@ -75,8 +76,8 @@
         };
         let log = start().await;
         set(&log, vec![Rule::new(case.action.clone()).times(1)]).await;
-        let struck = append(&log).await;
-        let seen = struck.as_ref().ok().map(|(status, _, _)| status.as_u16());
+        let outcome = append(&log).await;
+        let seen = outcome.as_ref().ok().map(|(status, _, _)| status.as_u16());
         assert_eq!(seen, case.status, "{:?}", case.action);
         assert_eq!(
             log.handler.records("a").len(),
@@ -84,16 +85,16 @@
             "{:?}",
             case.action
         );
-        if let (Action::Garbage, Ok((_, _, body))) = (&case.action, &struck) {
+        if let (Action::Garbage, Ok((_, _, body))) = (&case.action, &outcome) {
             assert!(serde_json::from_slice::<serde_json::Value>(body).is_err());
         }
-        // The rule was for one call only.
+        // The rule applies to one call only.
         assert_eq!(crate::support::status(append(&log).await), 200);
         let table: Table = read(get(&log, "/faults").await);
         assert_eq!((table.rules[0].seen, table.rules[0].hits), (2, 1));
         set(&log, Vec::new()).await;
         let table: Table = read(get(&log, "/faults").await);
-        assert_eq!(table.struck, 1, "the count outlasts the table");
+        assert_eq!(table.struck, 1, "the count was lost with the table");
     }
 }
 
@@ -107,38 +108,44 @@
 }
 
 #[tokio::test]
-async fn rules_choose_calls_by_method_path_place_and_share() {
+async fn rules_match_calls_by_method_path_number_and_share() {
     let log = start().await;
     let rule = Rule::new(Action::Drop)
         .on("POST", "/streams/a")
         .after(1)
         .times(1);
     set(&log, vec![rule]).await;
-    assert!(append(&log).await.is_ok(), "the first passes");
+    assert!(
+        append(&log).await.is_ok(),
+        "the first call is skipped by the rule"
+    );
     assert!(
         get(&log, "/streams/a").await.is_ok(),
-        "another method passes"
+        "another method does not match"
+    );
+    assert!(
+        append(&log).await.is_err(),
+        "the rule applies to the second call"
     );
-    assert!(append(&log).await.is_err(), "the second is struck");
-    assert!(append(&log).await.is_ok(), "the third passes");
+    assert!(append(&log).await.is_ok(), "the rule applies only once");
 
     let half = Rule::new(Action::Drop).share(Share::from_parts(500_000));
     let mut runs = Vec::new();
     for _ in 0..2 {
         set(&log, vec![half.clone()]).await;
-        let mut struck = Vec::new();
+        let mut failed = Vec::new();
         for _ in 0..40 {
-            struck.push(append(&log).await.is_err());
+            failed.push(append(&log).await.is_err());
         }
-        runs.push(struck);
+        runs.push(failed);
     }
-    assert_eq!(runs[0], runs[1], "the same seed strikes the same calls");
-    let struck = runs[0].iter().filter(|struck| **struck).count();
-    assert!((8..=32).contains(&struck), "{struck} of 40 struck");
+    assert_eq!(runs[0], runs[1], "the same seed must affect the same calls");
+    let affected = runs[0].iter().filter(|failed| **failed).count();
+    assert!((8..=32).contains(&affected), "{affected} of 40 affected");
 }
 
 #[tokio::test]
-async fn a_bad_table_is_refused_and_changes_nothing() {
+async fn an_invalid_table_is_refused_and_changes_nothing() {
     let log = start().await;
     let bad = r#"{"rules":[{"action":{"explode":{}}}]}"#;
     assert_eq!(
@@ -148,8 +155,9 @@
     assert!(log.faults.table().rules.is_empty());
 }
 
-/// Ids of the events that come, and whether the stream came to a clean end.
-async fn streamed(action: Action) -> (Vec<String>, bool) {
+/// Returns the ids of the events received (and `done` for the end mark), and whether the stream
+/// ended or stalled without an error.
+async fn stream_events(action: Action) -> (Vec<String>, bool) {
     let version = "m@1".parse().unwrap();
     let mut config = engine::Config::new("engine-0".parse().unwrap(), [version]);
     config.settings.token_us = 100;
@@ -206,7 +214,7 @@
     for (action, wanted, clean) in cases {
         let name = format!("{action:?}");
         assert_eq!(
-            streamed(action).await,
+            stream_events(action).await,
             (wanted.iter().map(ToString::to_string).collect(), clean),
             "{name}"
         );
--- a/crates/standin/tests/all/load.rs
+++ b/crates/standin/tests/all/load.rs
@@ -1,7 +1,7 @@
-//! The load generator sees through answers that break a promise.
+//! Tests that the load generator detects broken promises.
 //!
-//! The calls go straight to stand-ins, whose answers have the same form as the product's. The
-//! class is named like the version, which is what an engine takes as `model`.
+//! The calls go directly to stand-ins, whose answers have the same format as the router's. The
+//! class has the name of the version, because an engine expects the version as `model`.
 
 use std::time::Duration;
 
@@ -61,20 +61,20 @@
     drive::drive(config, &arrivals, &ProgressBar::hidden()).await
 }
 
-/// How the one call of a run ended, in the words of the report.
-fn ended(report: &Report) -> String {
+/// The outcome of the only call of a run, as written in the report.
+fn outcome(report: &Report) -> String {
     let row = &report.rows[0];
-    let named = |kind: &str, counts: &[pimento_standin::tally::Count]| {
+    let first = |kind: &str, counts: &[pimento_standin::tally::Count]| {
         counts.first().map(|count| format!("{kind}: {}", count.key))
     };
-    named("broken", &row.broken)
-        .or_else(|| named("failed", &row.failed))
-        .or_else(|| named("refused", &row.refused))
+    first("broken", &row.broken)
+        .or_else(|| first("failed", &row.failed))
+        .or_else(|| first("refused", &row.refused))
         .unwrap_or_else(|| format!("served: {}", row.served))
 }
 
 #[tokio::test]
-async fn answers_are_seen_through() {
+async fn wrong_answers_are_detected() {
     let cases: [(&str, Option<Action>, &str, &str); 8] = [
         (WHOLE, None, "\"m@1\"", "served: 1"),
         (STREAMED, None, "\"m@1\"", "served: 1"),
@@ -110,23 +110,23 @@
         let name = format!("{line} {action:?}");
         engine.faults.set_rules(action.map(Rule::new));
         let report = run(&engine, line, versions).await;
-        assert_eq!(ended(&report), wanted, "{name}");
+        assert_eq!(outcome(&report), wanted, "{name}");
     }
 }
 
 #[tokio::test]
-async fn a_refusal_without_the_documented_body_is_a_breach() {
+async fn a_refusal_without_the_documented_body_is_a_violation() {
     let engine = engine().await;
     engine.handler.change(|s| s.batch = 0);
     engine.handler.change(|s| s.waiting = 0);
     let report = run(&engine, WHOLE, "\"m@1\"").await;
-    assert_eq!(ended(&report), "broken: error body");
+    assert_eq!(outcome(&report), "broken: error body");
 }
 
-/// The second call on one id reaches a replica that runs whatever it gets. Both callers get an
-/// answer; the judgement must find the doubled run, and that only one bill is right.
+/// Two calls with one request id reach a replica, which does not deduplicate. Both are answered.
+/// The judge must detect the second run, and must accept one bill only.
 #[tokio::test]
-async fn a_doubled_order_is_found() {
+async fn a_doubled_order_is_detected() {
     let service = service().await;
     let lines = "0 garage service:desk 3 0 whole - k\n50 garage service:desk 3 0 whole - k";
     let report = run(&service, lines, "").await;
@@ -142,19 +142,19 @@
         platform_faults: 0,
         quiet_customers: Vec::new(),
     };
-    assert!(!kept(
+    assert!(!is_kept(
         &evidence,
         "each order runs at most once, and once if it was answered"
     ));
-    assert!(kept(&evidence, "each served request is billed once"));
+    assert!(is_kept(&evidence, "each served request is billed once"));
     evidence.bills = vec![bills(2)];
-    assert!(!kept(&evidence, "each served request is billed once"));
+    assert!(!is_kept(&evidence, "each served request is billed once"));
 }
 
-/// An engine begins a call and its answer is lost; the caller is told that the call did not run.
-/// The judgement must find the engine's count.
+/// A caller is told `not_run` although an engine started the call. The judge must detect it by the
+/// prompts that the engine counted.
 #[tokio::test]
-async fn a_false_not_run_is_found() {
+async fn a_false_not_run_is_detected() {
     let engine = engine().await;
     let mut report = run(&engine, WHOLE, "\"m@1\"").await;
     let engines = vec![engine.handler.stats()];
@@ -171,15 +171,22 @@
         platform_faults: 0,
         quiet_customers: Vec::new(),
     };
-    assert!(kept(&evidence, "a call told `not_run` did not run"));
+    assert!(is_kept(
+        &evidence,
+        "a call refused with `not_run` did not run"
+    ));
     evidence.report.not_run = vec![prompt];
-    assert!(!kept(&evidence, "a call told `not_run` did not run"));
+    assert!(!is_kept(
+        &evidence,
+        "a call refused with `not_run` did not run"
+    ));
 }
 
-/// Under overload a refusal may say `unknown` if an attempt was made before, but only few may. One
-/// in the one call of this run is far too many; without overload none is allowed.
+/// In an overload, one refusal in 100 calls may say `unknown`, so one in a run of one call is too
+/// many. Faults of endpoints allow one each. Otherwise no refusal may say `unknown`, not even with
+/// faults of the platform.
 #[tokio::test]
-async fn refusals_in_doubt_are_bounded_in_an_overload_and_broken_else() {
+async fn unknown_refusals_are_limited_in_an_overload_and_forbidden_otherwise() {
     let engine = engine().await;
     let mut report = run(&engine, WHOLE, "\"m@1\"").await;
     report.rows[0].refused = vec![pimento_standin::tally::Count {
@@ -198,24 +205,24 @@
         quiet_customers: vec!["garage".parse().unwrap()],
     };
     let answered = "each call gets an answer or an expected refusal";
-    assert!(kept(&evidence, answered));
-    assert!(!kept(&evidence, "few calls are refused in doubt"));
+    assert!(is_kept(&evidence, answered));
+    assert!(!is_kept(&evidence, "few refusals say `unknown`"));
     evidence.report.rows[0].sent = 100;
-    assert!(kept(&evidence, "few calls are refused in doubt"));
-    assert!(!kept(
+    assert!(is_kept(&evidence, "few refusals say `unknown`"));
+    assert!(!is_kept(
         &evidence,
-        "quiet customers' calls are served through the overload"
+        "calls of quiet customers are served during the overload"
     ));
     evidence.overload = false;
-    assert!(!kept(&evidence, answered));
+    assert!(!is_kept(&evidence, answered));
     evidence.platform_faults = 1;
-    assert!(!kept(&evidence, "few calls are refused in doubt"));
+    assert!(!is_kept(&evidence, "few refusals say `unknown`"));
     evidence.platform_faults = 0;
     evidence.endpoint_faults = 1;
-    assert!(kept(&evidence, answered));
-    assert!(kept(&evidence, "few calls are refused in doubt"));
+    assert!(is_kept(&evidence, answered));
+    assert!(is_kept(&evidence, "few refusals say `unknown`"));
     evidence.report.rows[0].refused[0].count = 2;
-    assert!(!kept(&evidence, "few calls are refused in doubt"));
+    assert!(!is_kept(&evidence, "few refusals say `unknown`"));
 }
 
 fn bills(bills: u64) -> Bills {
@@ -227,7 +234,7 @@
     }
 }
 
-fn kept(evidence: &Evidence, name: &str) -> bool {
+fn is_kept(evidence: &Evidence, name: &str) -> bool {
     let promises = evidence.promises();
     promises
         .iter()
@@ -237,13 +244,13 @@
 }
 
 #[tokio::test]
-async fn latency_counts_from_the_intended_moment_and_is_plotted() {
+async fn latency_is_measured_from_the_scheduled_time_and_plotted() {
     let engine = engine().await;
     engine.handler.change(|s| {
         s.batch = 1;
         s.token_us = 10_000;
     });
-    // Two calls at once on a batch of one: the second waits for the first one's six tokens.
+    // Two calls at once and a batch of one: the second call waits for the six tokens of the first.
     let lines = format!("{WHOLE}\n{WHOLE}");
     let report = run(&engine, &lines, "\"m@1\"").await;
     let last = pimento_standin::load::histogram::Latency::from(&report.rows[0].last);
--- a/crates/standin/tests/all/main.rs
+++ b/crates/standin/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Contract tests of the stand-ins and tests of the load generator.
+//! Tests that the stand-ins implement their interfaces, and tests of the load generator.
 
 mod engine;
 mod faults;
--- a/crates/standin/tests/all/platform.rs
+++ b/crates/standin/tests/all/platform.rs
@@ -1,4 +1,5 @@
-//! Log, VM list, weight store and rater keep to `pimento_wire::platform`.
+//! The stand-ins of the log, VM list, weight store and rating service implement
+//! `pimento_wire::platform`.
 
 use std::time::Duration;
 
@@ -60,7 +61,7 @@
     let log = log::start(log::Config::default(), token).await.unwrap();
     let reader = log.clone();
     let poll = tokio::spawn(async move { get(&reader, "/streams/a?from=0&wait_ms=60000").await });
-    crate::support::until("the read began", || {
+    crate::support::until("the read starts", || {
         use pimento_standin::Handler;
         log.handler.stats().reads == 1
     })
@@ -100,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn over_its_rate_the_log_refuses_without_effect() {
+async fn the_log_refuses_appends_over_its_rate_without_effect() {
     let token = CancellationToken::new();
     let mut config = log::Config::default();
     config.settings.appends = 0.001;
@@ -192,7 +193,7 @@
 }
 
 #[tokio::test]
-async fn the_rater_passes_the_share_of_answers_that_the_version_has_as_quality() {
+async fn the_rater_passes_the_share_of_answers_set_by_the_quality() {
     let token = CancellationToken::new();
     let mut config = rating::Config::default();
     config.settings.rate_ms = 0;
@@ -211,15 +212,15 @@
         };
         let one: Rating = read(send(&rater, Method::POST, "/rate", &rate).await);
         let two: Rating = read(send(&rater, Method::POST, "/rate", &rate).await);
-        assert_eq!(one, two, "the same answer gets the same rating");
+        assert_eq!(one, two, "ratings of the same answer differ");
         passed += u32::from(one.pass);
     }
-    // The draws are fixed by the seed, so that this figure is too; 140 is expected of 200.
+    // The seed fixes the draws and thus this number. The expected value is 140 of 200.
     assert!((120..=160).contains(&passed), "{passed} passed");
 }
 
 #[tokio::test]
-async fn a_whole_platform_lists_its_endpoints_with_zones_and_roles() {
+async fn a_complete_platform_lists_its_endpoints_with_zones_and_roles() {
     let token = CancellationToken::new();
     let config = deployment::Config {
         deployment: Deployment::Rybnikar,
--- a/crates/standin/tests/all/support.rs
+++ b/crates/standin/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share: short calls, and waits that end.
+//! Helpers shared by the tests: HTTP calls and waits, all with a timeout.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Far above what any test needs on a busy machine; a test that meets it has failed.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Timeout of calls and waits, far longer than any test needs on a busy machine.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 pub type Outcome = Result<(StatusCode, HeaderMap, Bytes), Reason>;
 
@@ -35,9 +35,9 @@
     let address = running.address.to_string();
     let client = Client::default();
     let answer = client.fetch(&message, &address);
-    tokio::time::timeout(LONG, answer)
+    tokio::time::timeout(TIMEOUT, answer)
         .await
-        .expect("an answer or an end in time")
+        .expect("a response or an error before the timeout")
 }
 
 pub async fn get<S: Handler>(running: &Running<S>, path: &str) -> Outcome {
@@ -55,13 +55,13 @@
 }
 
 pub fn read<T: DeserializeOwned>(outcome: Outcome) -> T {
-    let (status, _, body) = outcome.expect("an answer");
+    let (status, _, body) = outcome.expect("a response");
     assert!(status.is_success(), "status {status}");
-    serde_json::from_slice(&body).expect("the documented form")
+    serde_json::from_slice(&body).expect("a body of the documented format")
 }
 
 pub fn status(outcome: Outcome) -> u16 {
-    outcome.expect("an answer").0.as_u16()
+    outcome.expect("a response").0.as_u16()
 }
 
 /// Waits until a condition holds.
@@ -71,6 +71,6 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    let waited = tokio::time::timeout(LONG, wait).await;
-    assert!(waited.is_ok(), "never happened: {what}");
+    let waited = tokio::time::timeout(TIMEOUT, wait).await;
+    assert!(waited.is_ok(), "timed out waiting until {what}");
 }
--- a/crates/standin/tests/all/trace.rs
+++ b/crates/standin/tests/all/trace.rs
@@ -1,5 +1,5 @@
-//! Trace files are read as stated: each `*.trace` stands beside a `*.expected` with the trace as
-//! it is written back, or with the findings.
+//! Tests of traces and mixes. Each `tests/traces/*.trace` has an `*.expected` file with the trace
+//! as it is formatted after parsing, or with the errors.
 
 use std::fs;
 use std::path::Path;
@@ -11,7 +11,7 @@
 use proptest::prop_assert_eq;
 use proptest::proptest;
 
-fn files() -> Vec<PathBuf> {
+fn trace_files() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces");
     let paths = fs::read_dir(folder)
         .unwrap()
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn files_are_read_as_expected() {
-    let files = files();
-    assert!(files.len() >= 3, "the files are there");
+fn files_are_parsed_as_expected() {
+    let files = trace_files();
+    assert!(files.len() >= 3, "trace files are missing");
     for path in files {
         let text = fs::read_to_string(&path).unwrap();
         let expected = fs::read_to_string(path.with_extension("expected")).unwrap();
@@ -68,7 +68,7 @@
     #![proptest_config(ProptestConfig::with_cases(32))]
 
     #[test]
-    fn a_drawn_trace_is_read_back_as_it_was(seed: u64) {
+    fn a_drawn_trace_round_trips(seed: u64) {
         let mix: Mix = toml::from_str(MIX).unwrap();
         let arrivals = mix.arrivals(seed).unwrap();
         prop_assert_eq!(trace::parse(&trace::write(&arrivals)), Ok(arrivals));
@@ -76,11 +76,11 @@
 }
 
 #[test]
-fn a_mix_draws_its_rates_and_its_calls_sent_twice() {
+fn a_mix_draws_its_rates_and_repeated_calls() {
     let mix: Mix = toml::from_str(MIX).unwrap();
     let arrivals = mix.arrivals(1).unwrap();
     let stock = arrivals.iter().filter(|a| a.idempotency.is_none()).count();
-    // 120 are expected; four standard deviations are 44.
+    // The expected number is 120, and four standard deviations are 44.
     assert!((76..=164).contains(&stock), "{stock} stock calls");
     let mut labels: Vec<_> = arrivals
         .iter()
@@ -89,11 +89,11 @@
     let orders = labels.len();
     labels.sort();
     labels.dedup();
-    assert!(labels.len() < orders, "some orders are sent twice");
+    assert!(labels.len() < orders, "no order is sent twice");
 }
 
 #[test]
-fn all_findings_of_a_mix_come_together() {
+fn all_errors_of_a_mix_are_reported_together() {
     let text = MIX
         .replace("rate = 4.0", "rate = 0.0")
         .replace("service:order-desk", "service:");
