--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -63,7 +63,7 @@
             let number = state.next;
             state.next += 1;
             let key = (priority, number);
-            let place = state
+            let index = state
                 .queue
                 .partition_point(|w| (w.priority, w.number) < key);
             let pending = PendingCall {
@@ -71,7 +71,7 @@
                 number,
                 grant,
             };
-            state.queue.insert(place, pending);
+            state.queue.insert(index, pending);
             Some(Ticket::Queued(granted))
         })
     }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -48,9 +48,9 @@
     /// Looks up a prefix and marks it as used. Returns whether it was cached; if it was not, it is
     /// inserted unless the capacity is 0.
     pub fn touch(&mut self, prefix: u64, settings: &Settings, now: Instant) -> bool {
-        let place = self.cached.iter().position(|cached| *cached == prefix);
-        if let Some(place) = place {
-            self.cached.remove(place);
+        let index = self.cached.iter().position(|cached| *cached == prefix);
+        if let Some(index) = index {
+            self.cached.remove(index);
             self.cached.push(prefix);
             return true;
         }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -110,8 +110,8 @@
         self.attempts.add(&attempt.id);
         self.prompts.add(&text::hex(attempt.mark.prompt));
         let versions = &mut self.stats.versions;
-        let place = versions.binary_search_by(|work| work.version.cmp(&attempt.version));
-        let place = place.unwrap_or_else(|at| {
+        let index = versions.binary_search_by(|work| work.version.cmp(&attempt.version));
+        let index = index.unwrap_or_else(|at| {
             let work = Work {
                 version: attempt.version.clone(),
                 started: 0,
@@ -120,8 +120,8 @@
             versions.insert(at, work);
             at
         });
-        versions[place].started += 1;
-        versions[place].last = clock::now();
+        versions[index].started += 1;
+        versions[index].last = clock::now();
         if self.recent.len() == MAX_RECENT {
             self.recent.remove(0);
         }
--- a/crates/standin/src/load/allowed.rs
+++ b/crates/standin/src/load/allowed.rs
@@ -61,10 +61,10 @@
         class: &id::Class,
         version: &id::Version,
     ) -> Option<bool> {
-        let place = self
+        let index = self
             .0
             .binary_search_by(|(c, k, _)| (c, k).cmp(&(customer, class)))
             .ok()?;
-        Some(self.0[place].2.contains(version))
+        Some(self.0[index].2.contains(version))
     }
 }
--- a/crates/standin/src/load/balancer.rs
+++ b/crates/standin/src/load/balancer.rs
@@ -34,12 +34,12 @@
         let client = Client::default();
         let message = Message::get("/ready");
         while !token.is_cancelled() {
-            for (place, address) in operators.iter().enumerate() {
+            for (index, address) in operators.iter().enumerate() {
                 let response =
                     tokio::time::timeout(POLL_TIMEOUT, client.fetch(&message, address)).await;
                 let ready = matches!(response, Ok(Ok((StatusCode::OK, _, _))));
                 self.ready.with(|all| {
-                    if let Some(known) = all.get_mut(place) {
+                    if let Some(known) = all.get_mut(index) {
                         *known = ready;
                     }
                 });
@@ -57,14 +57,14 @@
         let count = self.targets.len();
         let states = self.ready.with(|ready| ready.clone());
         let (ready, not_ready): (Vec<usize>, Vec<usize>) =
-            (0..count).partition(|place| states[*place]);
+            (0..count).partition(|index| states[*index]);
         let mut order: Vec<&str> = Vec::with_capacity(count);
         for group in [ready, not_ready] {
             // Rotates within the group, so that the calls of a target that is no longer ready are
             // spread over all others.
             let first = number % group.len().max(1);
             let places = group.iter().cycle().skip(first).take(group.len());
-            order.extend(places.map(|place| self.targets[*place].as_str()));
+            order.extend(places.map(|index| self.targets[*index].as_str()));
         }
         order
     }
--- a/crates/standin/src/load/drive.rs
+++ b/crates/standin/src/load/drive.rs
@@ -233,10 +233,10 @@
     fn request_id(&self, arrival: &Arrival) -> Option<CompactString> {
         let label = arrival.idempotency.as_ref()?;
         let label = format!("{} {label}", arrival.customer);
-        let place = self
+        let index = self
             .request_ids
             .binary_search_by(|(l, _)| l.as_str().cmp(&label));
-        Some(self.request_ids[place.ok()?].1.clone())
+        Some(self.request_ids[index.ok()?].1.clone())
     }
 
     fn session(&self, arrival: &Arrival) -> Option<Session> {
@@ -263,7 +263,7 @@
         let old = versions
             .iter()
             .position(|known| model(known) == model(version));
-        let old = old.map(|place| versions.remove(place));
+        let old = old.map(|index| versions.remove(index));
         versions.push(version.clone());
         if let Some(token) = &answer.session_token {
             self.store_session(Session {
--- a/crates/standin/src/load/judge.rs
+++ b/crates/standin/src/load/judge.rs
@@ -192,8 +192,8 @@
     /// How often the replicas ran a request id in total.
     fn runs(&self, key: &str) -> u64 {
         let runs = |stats: &service::Stats| {
-            let place = stats.keys.binary_search_by(|c| c.key.as_str().cmp(key));
-            place.map_or(0, |place| stats.keys[place].count)
+            let index = stats.keys.binary_search_by(|c| c.key.as_str().cmp(key));
+            index.map_or(0, |index| stats.keys[index].count)
         };
         self.services.iter().map(runs).sum()
     }
--- a/crates/standin/src/load/overload.rs
+++ b/crates/standin/src/load/overload.rs
@@ -5,7 +5,7 @@
 use crate::load::promise::Promise;
 use crate::load::result::Row;
 
-/// In an overload, at most one call in this exceeded may be refused with `run: unknown`.
+/// In an overload, at most one call in this many may be refused with `run: unknown`.
 const CALLS_PER_UNKNOWN: u64 = 100;
 
 impl Evidence {
--- a/crates/standin/src/load/result.rs
+++ b/crates/standin/src/load/result.rs
@@ -260,22 +260,22 @@
 
     fn row(&mut self, sample: &Sample) -> &mut RowTotals {
         let searched = (&sample.customer, &sample.target);
-        let place = self
+        let index = self
             .rows
             .binary_search_by(|row| (&row.customer, &row.target).cmp(&searched));
-        let place = place.unwrap_or_else(|at| {
+        let index = index.unwrap_or_else(|at| {
             self.rows.insert(at, RowTotals::new(sample));
             at
         });
-        &mut self.rows[place]
+        &mut self.rows[index]
     }
 
     fn add_keyed(&mut self, sample: &Sample) {
         let Some(key) = &sample.request_id else {
             return;
         };
-        let place = self.keyed.binary_search_by(|known| known.key.cmp(key));
-        let place = place.unwrap_or_else(|at| {
+        let index = self.keyed.binary_search_by(|known| known.key.cmp(key));
+        let index = index.unwrap_or_else(|at| {
             let new = KeyedCalls {
                 key: key.clone(),
                 customer: sample.customer.clone(),
@@ -288,7 +288,7 @@
             self.keyed.insert(at, new);
             at
         });
-        let known = &mut self.keyed[place];
+        let known = &mut self.keyed[index];
         known.calls += 1;
         match &sample.outcome {
             Outcome::Served(_) => known.served += 1,
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -184,10 +184,10 @@
 
 impl State {
     fn stream(&mut self, name: &str) -> &mut Stream {
-        let place = self
+        let index = self
             .streams
             .binary_search_by(|stream| stream.name.as_str().cmp(name));
-        let place = place.unwrap_or_else(|at| {
+        let index = index.unwrap_or_else(|at| {
             let stream = Stream {
                 name: name.into(),
                 oldest: 0,
@@ -196,7 +196,7 @@
             self.streams.insert(at, stream);
             at
         });
-        &mut self.streams[place]
+        &mut self.streams[index]
     }
 
     fn append(&mut self, name: &str, records: Vec<String>) -> Offset {
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -108,8 +108,8 @@
     if number == 0 {
         return format!("{mark}{end}");
     }
-    let place = usize::try_from((mark.prompt ^ number) % WORDS.len() as u64).unwrap_or(0);
-    format!(" {}{end}", WORDS[place])
+    let index = usize::try_from((mark.prompt ^ number) % WORDS.len() as u64).unwrap_or(0);
+    format!(" {}{end}", WORDS[index])
 }
 
 /// Whether a text is the complete answer of `tokens` tokens with this mark.
--- a/crates/standin/tests/all/faults.rs
+++ b/crates/standin/tests/all/faults.rs
@@ -211,11 +211,11 @@
         (Action::Skip { event: 1 }, &["0", "2", "3", "done"], true),
         (Action::Stall { event: 2 }, &["0", "1"], true),
     ];
-    for (action, wanted, clean) in cases {
+    for (action, expected, clean) in cases {
         let name = format!("{action:?}");
         assert_eq!(
             stream_events(action).await,
-            (wanted.iter().map(ToString::to_string).collect(), clean),
+            (expected.iter().map(ToString::to_string).collect(), clean),
             "{name}"
         );
     }
--- a/crates/standin/tests/all/load.rs
+++ b/crates/standin/tests/all/load.rs
@@ -105,12 +105,12 @@
         ),
         (WHOLE, Some(Action::Garbage), "\"m@1\"", "broken: body"),
     ];
-    for (line, action, versions, wanted) in cases {
+    for (line, action, versions, expected) in cases {
         let engine = engine().await;
         let name = format!("{line} {action:?}");
         engine.faults.set_rules(action.map(Rule::new));
         let report = run(&engine, line, versions).await;
-        assert_eq!(outcome(&report), wanted, "{name}");
+        assert_eq!(outcome(&report), expected, "{name}");
     }
 }
 
