--- a/crates/entry/tests/all/poison.rs
+++ b/crates/entry/tests/all/poison.rs
@@ -56,8 +56,8 @@
 }
 
 fn crashes(fixture: &Fixture) -> u64 {
-    let engines = fixture.engines.iter().map(|e| e.faults.table().struck);
-    let desks = fixture.desks.iter().map(|e| e.faults.table().struck);
+    let engines = fixture.engines.iter().map(|e| e.faults.table().affected);
+    let desks = fixture.desks.iter().map(|e| e.faults.table().affected);
     engines.sum::<u64>() + desks.sum::<u64>()
 }
 
@@ -164,7 +164,7 @@
         fixture
             .engines
             .iter()
-            .filter(|e| e.faults.table().struck > 0)
+            .filter(|e| e.faults.table().affected > 0)
     };
     for _ in 0..20 {
         let answer = entries[0].chat("hello: answer in 3 tokens", false).send();
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -30,8 +30,8 @@
     pub rules: Vec<Rule>,
     /// Calls affected by faults since the stand-in started, including those by previous tables.
     /// Ignored in `PUT /faults`.
-    #[serde(default)]
-    pub struck: u64,
+    #[serde(default, rename = "struck")]
+    pub affected: u64,
 }
 
 /// A fault and the calls it affects.
@@ -221,8 +221,8 @@
     /// Replaces the table, and keeps the total of affected calls.
     pub fn set(&self, table: Table) {
         self.0.with(|current| {
-            let struck = current.struck;
-            *current = Table { struck, ..table };
+            let affected = current.affected;
+            *current = Table { affected, ..table };
         });
     }
 
@@ -256,7 +256,7 @@
                     affected = true;
                 }
             }
-            table.struck += u64::from(affected);
+            table.affected += u64::from(affected);
         });
         plan
     }
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -69,7 +69,8 @@
     /// Fetches refused because of the rate limit.
     pub limited: u64,
     /// Versions fetched, as `version in zone`, sorted.
-    pub held: Vec<CompactString>,
+    #[serde(rename = "held")]
+    pub versions: Vec<CompactString>,
 }
 
 #[derive(Debug)]
@@ -120,8 +121,8 @@
         let name = CompactString::from(format!("{} in {}", fetch.version, fetch.zone));
         self.0.with(|state| {
             state.stats.fetched += 1;
-            if let Err(at) = state.stats.held.binary_search(&name) {
-                state.stats.held.insert(at, name);
+            if let Err(at) = state.stats.versions.binary_search(&name) {
+                state.stats.versions.insert(at, name);
             }
         });
         server::empty(StatusCode::OK)
--- a/crates/standin/tests/all/faults.rs
+++ b/crates/standin/tests/all/faults.rs
@@ -39,7 +39,7 @@
     let table = Table {
         seed: 3,
         rules,
-        struck: 0,
+        affected: 0,
     };
     assert_eq!(status(send(log, Method::PUT, "/faults", &table).await), 204);
 }
@@ -94,7 +94,7 @@
         assert_eq!((table.rules[0].seen, table.rules[0].hits), (2, 1));
         set(&log, Vec::new()).await;
         let table: Table = read(get(&log, "/faults").await);
-        assert_eq!(table.struck, 1, "the count was lost with the table");
+        assert_eq!(table.affected, 1, "the count was lost with the table");
     }
 }
 
