--- a/crates/standin/src/engine/attempt.rs
+++ b/crates/standin/src/engine/attempt.rs
@@ -45,7 +45,7 @@
 
 /// The parameters of an attempt.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct Parameters {
     /// The attempt id.
     pub id: String,
     /// The version that answers.
@@ -63,7 +63,7 @@
 }
 
 /// A reader of an attempt. When the last one is dropped before the answer is complete, the attempt
-/// is cancelled after `linger`.
+/// is cancelled after `linger`, unless another reader is added in the meantime.
 #[derive(Debug)]
 pub struct Reader {
     attempt: Attempt,
@@ -73,15 +73,15 @@
 impl Attempt {
     /// An attempt that has generated no token yet.
     #[must_use]
-    pub fn new(plan: Plan) -> Self {
+    pub fn new(parameters: Parameters) -> Self {
         Self {
-            id: plan.id,
-            version: plan.version,
-            mark: plan.mark,
-            prompt: plan.prompt,
-            total: plan.total,
-            truncated: plan.truncated,
-            created: plan.created,
+            id: parameters.id,
+            version: parameters.version,
+            mark: parameters.mark,
+            prompt: parameters.prompt,
+            total: parameters.total,
+            truncated: parameters.truncated,
+            created: parameters.created,
             token: CancellationToken::new(),
             generated: watch::Sender::new(0),
             readers: Shared::new(0),
@@ -159,17 +159,17 @@
 
 /// Creates the attempt for a call.
 #[must_use]
-pub fn plan(call: &Call, chat: &Chat, version: id::Version, settings: &Settings) -> Attempt {
+pub fn from_call(call: &Call, chat: &Chat, version: id::Version, settings: &Settings) -> Attempt {
     let prompt = chat.messages.last().map_or("", |m| m.content.as_str());
     let requested = requested_tokens(prompt);
     let limit = chat.max_tokens.unwrap_or(DEFAULT_TOKENS).max(1);
-    let (_, size) = cache::sizes(&chat.messages);
+    let (_, tokens) = cache::sizes(&chat.messages);
     let mark = Mark::new(prompt, &version, settings.quality(&version), settings.seed);
-    Attempt::new(Plan {
+    Attempt::new(Parameters {
         id: settings::attempt_id(call.header(header::ATTEMPT)).into(),
         version,
         mark,
-        prompt: size,
+        prompt: tokens,
         total: requested.unwrap_or(limit).clamp(1, limit),
         truncated: requested.is_none_or(|requested| requested > limit),
         created: clock::now().millis() / 1_000,
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -221,7 +221,7 @@
             let after = Duration::from_secs(1);
             return server::refusal(StatusCode::TOO_MANY_REQUESTS, after, "full");
         };
-        let attempt = attempt::plan(call, &chat, version, &settings);
+        let attempt = attempt::from_call(call, &chat, version, &settings);
         self.state.with(|state| state.record_start(&attempt));
         self.record_load();
         let reader = attempt.add_reader(Duration::from_millis(settings.linger_ms));
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -97,14 +97,14 @@
     ) -> Result<Self, CompactString> {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        headers.insert(AUTHORIZATION, value(&format!("Bearer {api_key}"))?);
+        headers.insert(AUTHORIZATION, header_value(&format!("Bearer {api_key}"))?);
         if let Some(id) = &request_id {
             let name = HeaderName::from_static(header::IDEMPOTENCY_KEY);
-            headers.insert(name, value(id)?);
+            headers.insert(name, header_value(id)?);
         }
         let (path, body, content) = match &arrival.target {
-            Target::Class(class) => model(arrival, class, number)?,
-            Target::Service(service) => order(arrival, service)?,
+            Target::Class(class) => model_request(arrival, class, number)?,
+            Target::Service(service) => service_request(arrival, service)?,
         };
         let message = Message {
             method: Method::POST,
@@ -159,9 +159,9 @@
             session_token: response.headers().get(name).cloned(),
             retry_after: check::retry_after(response.headers()),
         };
-        let good = response.status().is_success();
+        let success = response.status().is_success();
         answer.outcome = match &self.content {
-            Content::Model { stream: true, .. } if good => {
+            Content::Model { stream: true, .. } if success => {
                 self.stream(response, allowed, &mut answer).await
             }
             _ => self.whole(response, allowed, &mut answer).await,
@@ -284,12 +284,12 @@
     }
 }
 
-fn value(text: &str) -> Result<HeaderValue, CompactString> {
+fn header_value(text: &str) -> Result<HeaderValue, CompactString> {
     let value = HeaderValue::from_str(text);
     value.map_err(|_| "a key is no valid header value".into())
 }
 
-fn model(
+fn model_request(
     arrival: &Arrival,
     class: &id::Class,
     number: usize,
@@ -304,7 +304,10 @@
         format!("You answer {class} requests for {customer}, briefly and in one language.");
     let chat = Chat {
         model: class.as_str().into(),
-        messages: vec![turn("system", system), turn("user", prompt.clone())],
+        messages: vec![
+            chat_message("system", system),
+            chat_message("user", prompt.clone()),
+        ],
         stream: arrival.stream,
         max_tokens: Some(output),
         temperature: None,
@@ -322,7 +325,7 @@
 /// Filler words for prompts.
 const FILLER: [&str; 4] = [" degreaser", " gasket", " bearing", " rinse"];
 
-fn turn(role: &str, content: String) -> ChatMessage {
+fn chat_message(role: &str, content: String) -> ChatMessage {
     ChatMessage {
         role: role.into(),
         content,
@@ -330,7 +333,7 @@
 }
 
 /// The body depends only on the label and the size, so a repeat with the same id has the same body.
-fn order(
+fn service_request(
     arrival: &Arrival,
     service: &id::Service,
 ) -> Result<(String, Bytes, Content), CompactString> {
--- a/crates/standin/src/load/cli.rs
+++ b/crates/standin/src/load/cli.rs
@@ -360,9 +360,9 @@
     let bills = matches.get_one::<String>("bills");
     let bills = json(bills.map_or("", String::as_str))?;
     let gather = async {
-        let mut endpoint_faults = gather::faults(&engines).await?;
-        endpoint_faults += gather::faults(&services).await?;
-        let platform_faults = gather::faults(&platform).await?;
+        let mut endpoint_faults = gather::affected_calls(&engines).await?;
+        endpoint_faults += gather::affected_calls(&services).await?;
+        let platform_faults = gather::affected_calls(&platform).await?;
         let engines = gather::stats(&engines).await?;
         let services = gather::stats(&services).await?;
         Ok((engines, services, endpoint_faults, platform_faults))
--- a/crates/standin/src/load/gather.rs
+++ b/crates/standin/src/load/gather.rs
@@ -17,7 +17,7 @@
 }
 
 /// The number of calls affected by the fault tables of these stand-ins.
-pub(super) async fn faults(addresses: &[String]) -> Result<u64, Failure> {
+pub(super) async fn affected_calls(addresses: &[String]) -> Result<u64, Failure> {
     let tables: Vec<Table> = read_all("/faults", addresses).await?;
     Ok(tables.iter().map(|table| table.affected).sum())
 }
