--- a/crates/standin/tests/all/faults.rs
+++ b/crates/standin/tests/all/faults.rs
@@ -1,4 +1,4 @@
-//! Each fault of the table does what it says, set over HTTP.
+//! Tests of each fault, most of them set over HTTP.
 
 use std::time::Duration;
 
@@ -39,12 +39,13 @@
     let table = Table {
         seed: 3,
         rules,
-        struck: 0,
+        affected: 0,
     };
     assert_eq!(status(send(log, Method::PUT, "/faults", &table).await), 204);
 }
 
-/// What a caller sees of a struck append, and whether it took effect.
+/// A fault, the status that the caller of an append gets (none for a broken connection), and the
+/// number of records appended.
 struct Case {
     action: Action,
     status: Option<u16>,
@@ -75,25 +76,25 @@
         };
         let log = start().await;
         set(&log, vec![Rule::new(case.action.clone()).times(1)]).await;
-        let struck = append(&log).await;
-        let seen = struck.as_ref().ok().map(|(status, _, _)| status.as_u16());
+        let outcome = append(&log).await;
+        let seen = outcome.as_ref().ok().map(|(status, _, _)| status.as_u16());
         assert_eq!(seen, case.status, "{:?}", case.action);
         assert_eq!(
-            log.site.records("a").len(),
+            log.handler.records("a").len(),
             case.effect,
             "{:?}",
             case.action
         );
-        if let (Action::Garbage, Ok((_, _, body))) = (&case.action, &struck) {
+        if let (Action::Garbage, Ok((_, _, body))) = (&case.action, &outcome) {
             assert!(serde_json::from_slice::<serde_json::Value>(body).is_err());
         }
-        // The rule was for one call only.
+        // The rule applies to one call only.
         assert_eq!(crate::support::status(append(&log).await), 200);
         let table: Table = read(get(&log, "/faults").await);
         assert_eq!((table.rules[0].seen, table.rules[0].hits), (2, 1));
         set(&log, Vec::new()).await;
         let table: Table = read(get(&log, "/faults").await);
-        assert_eq!(table.struck, 1, "the count outlasts the table");
+        assert_eq!(table.affected, 1, "the count was lost with the table");
     }
 }
 
@@ -103,42 +104,48 @@
     set(&log, vec![Rule::new(Action::Hang)]).await;
     let hung = tokio::time::timeout(Duration::from_millis(200), append(&log)).await;
     assert!(hung.is_err());
-    assert!(log.site.records("a").is_empty());
+    assert!(log.handler.records("a").is_empty());
 }
 
 #[tokio::test]
-async fn rules_choose_calls_by_method_path_place_and_share() {
+async fn rules_match_calls_by_method_path_number_and_share() {
     let log = start().await;
     let rule = Rule::new(Action::Drop)
         .on("POST", "/streams/a")
         .after(1)
         .times(1);
     set(&log, vec![rule]).await;
-    assert!(append(&log).await.is_ok(), "the first passes");
+    assert!(
+        append(&log).await.is_ok(),
+        "the first call is skipped by the rule"
+    );
     assert!(
         get(&log, "/streams/a").await.is_ok(),
-        "another method passes"
+        "another method does not match"
+    );
+    assert!(
+        append(&log).await.is_err(),
+        "the rule applies to the second call"
     );
-    assert!(append(&log).await.is_err(), "the second is struck");
-    assert!(append(&log).await.is_ok(), "the third passes");
+    assert!(append(&log).await.is_ok(), "the rule applies only once");
 
     let half = Rule::new(Action::Drop).share(Share::from_parts(500_000));
     let mut runs = Vec::new();
     for _ in 0..2 {
         set(&log, vec![half.clone()]).await;
-        let mut struck = Vec::new();
+        let mut failed = Vec::new();
         for _ in 0..40 {
-            struck.push(append(&log).await.is_err());
+            failed.push(append(&log).await.is_err());
         }
-        runs.push(struck);
+        runs.push(failed);
     }
-    assert_eq!(runs[0], runs[1], "the same seed strikes the same calls");
-    let struck = runs[0].iter().filter(|struck| **struck).count();
-    assert!((8..=32).contains(&struck), "{struck} of 40 struck");
+    assert_eq!(runs[0], runs[1], "the same seed must affect the same calls");
+    let affected = runs[0].iter().filter(|failed| **failed).count();
+    assert!((8..=32).contains(&affected), "{affected} of 40 affected");
 }
 
 #[tokio::test]
-async fn a_bad_table_is_refused_and_changes_nothing() {
+async fn an_invalid_table_is_refused_and_changes_nothing() {
     let log = start().await;
     let bad = r#"{"rules":[{"action":{"explode":{}}}]}"#;
     assert_eq!(
@@ -148,14 +155,15 @@
     assert!(log.faults.table().rules.is_empty());
 }
 
-/// Ids of the events that come, and whether the stream came to a clean end.
-async fn streamed(action: Action) -> (Vec<String>, bool) {
+/// Returns the ids of the events received (and `done` for the end mark), and whether the stream
+/// ended or stalled without an error.
+async fn stream_events(action: Action) -> (Vec<String>, bool) {
     let version = "m@1".parse().unwrap();
     let mut config = engine::Config::new("engine-0".parse().unwrap(), [version]);
     config.settings.token_us = 100;
     let token = CancellationToken::new();
     let engine: Running<Engine> = engine::start(config, token).await.unwrap();
-    engine.faults.rules([Rule::new(action)]);
+    engine.faults.set_rules([Rule::new(action)]);
     let address = engine.address.to_string();
     let mut message = pimento_standin::load::client::Message::get("/v1/chat/completions");
     message.method = Method::POST;
@@ -203,11 +211,11 @@
         (Action::Skip { event: 1 }, &["0", "2", "3", "done"], true),
         (Action::Stall { event: 2 }, &["0", "1"], true),
     ];
-    for (action, wanted, clean) in cases {
+    for (action, expected, clean) in cases {
         let name = format!("{action:?}");
         assert_eq!(
-            streamed(action).await,
-            (wanted.iter().map(ToString::to_string).collect(), clean),
+            stream_events(action).await,
+            (expected.iter().map(ToString::to_string).collect(), clean),
             "{name}"
         );
     }
