--- a/crates/ctl/src/command/explain.rs
+++ b/crates/ctl/src/command/explain.rs
@@ -6,8 +6,8 @@
 
 use crate::exit::Error;
 use crate::output::Output;
-use crate::story;
-use crate::story::Event;
+use crate::timeline;
+use crate::timeline::Event;
 
 /// Tells the story of a request.
 ///
@@ -15,17 +15,17 @@
 ///
 /// [`Error::Failed`] if the folder can't be read or no line names the request.
 pub fn explain(request: &str, folder: &Path) -> Result<Output, Error> {
-    let journals = story::folder(folder)
+    let logs = timeline::read_folder(folder)
         .map_err(|error| Error::failed(format!("{}: {error}", folder.display())))?;
-    let unread: usize = journals.iter().map(|journal| journal.unread).sum();
-    if unread > 0 {
-        eprintln!("{unread} lines can't be read and are left out");
+    let malformed: usize = logs.iter().map(|log| log.malformed).sum();
+    if malformed > 0 {
+        eprintln!("{malformed} lines can't be read and are left out");
     }
-    let events = story::tell(&journals, request);
+    let events = timeline::build(&logs, request);
     if events.is_empty() {
         return Err(Error::failed(format!(
             "no line of {} files names request {request}",
-            journals.len()
+            logs.len()
         )));
     }
     let rows = events.iter().map(row).collect();
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -15,5 +15,5 @@
 mod progress;
 pub mod publish;
 pub mod snapshot;
-pub mod story;
 pub mod stream;
+pub mod timeline;
--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/timeline.rs
@@ -17,7 +17,7 @@
 
 /// Milliseconds before a request's first line and after its last in which other lines may bear on it:
 /// a VM that falls out of touch says so within two seconds, and refuses keys after four.
-const AROUND: i64 = 5_000;
+const MARGIN_MS: i64 = 5_000;
 
 /// A line as a program wrote it.
 #[derive(Debug, Clone, Deserialize)]
@@ -52,29 +52,29 @@
 
 /// The lines of one VM, in the order in which it wrote them.
 #[derive(Debug, Clone)]
-pub struct Journal {
+pub struct VmLog {
     vm: CompactString,
     lines: Vec<Line>,
     /// Lines that are none of ours, or were cut.
-    pub unread: usize,
+    pub malformed: usize,
 }
 
-impl Journal {
+impl VmLog {
     /// Reads a VM's lines.
     #[must_use]
-    pub fn read(vm: &str, text: &str) -> Self {
-        let mut journal = Self {
+    pub fn parse(vm: &str, text: &str) -> Self {
+        let mut log = Self {
             vm: vm.into(),
             lines: Vec::new(),
-            unread: 0,
+            malformed: 0,
         };
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             match serde_json::from_str::<Raw>(line) {
-                Ok(raw) => journal.push(raw),
-                Err(_) => journal.unread += 1,
+                Ok(raw) => log.push(raw),
+                Err(_) => log.malformed += 1,
             }
         }
-        journal
+        log
     }
 
     fn push(&mut self, raw: Raw) {
@@ -88,16 +88,16 @@
         self.lines.push(Line { raw, at });
     }
 
-    fn first(&self, record: (&str, u64)) -> Option<i64> {
+    fn time_of_record(&self, record: (&str, u64)) -> Option<i64> {
         let found = self.lines.iter().find(|l| l.record() == Some(record));
         found.map(|line| line.at)
     }
 
     /// What is to be added to this VM's times to compare them with another's: the median over the
     /// records that both read; none if there is none.
-    fn offset(&self, other: &Self) -> Option<i64> {
+    fn clock_offset(&self, other: &Self) -> Option<i64> {
         let records = other.lines.iter().filter_map(|line| {
-            let own = self.first(line.record()?)?;
+            let own = self.time_of_record(line.record()?)?;
             Some(line.at - own)
         });
         let mut offsets: Vec<i64> = records.collect();
@@ -106,13 +106,13 @@
     }
 }
 
-/// Reads the journals of a folder, one file for each VM, whose name is the VM's until a line says it.
+/// Reads the logs of a folder, one file for each VM, whose name is the VM's until a line says it.
 ///
 /// # Errors
 ///
 /// If the folder or a file can't be read.
-pub fn folder(path: &Path) -> io::Result<Vec<Journal>> {
-    let mut journals = Vec::new();
+pub fn read_folder(path: &Path) -> io::Result<Vec<VmLog>> {
+    let mut logs = Vec::new();
     let mut entries = fs::read_dir(path)?.collect::<io::Result<Vec<_>>>()?;
     entries.sort_by_key(fs::DirEntry::file_name);
     for entry in entries {
@@ -122,9 +122,9 @@
         let bytes = fs::read(entry.path())?;
         let name = entry.path();
         let name = name.file_stem().unwrap_or_default().to_string_lossy();
-        journals.push(Journal::read(&name, &String::from_utf8_lossy(&bytes)));
+        logs.push(VmLog::parse(&name, &String::from_utf8_lossy(&bytes)));
     }
-    Ok(journals)
+    Ok(logs)
 }
 
 /// One event of a story.
@@ -144,9 +144,9 @@
 
 /// What became of a request; empty if no line names it.
 #[must_use]
-pub fn tell(journals: &[Journal], request: &str) -> Vec<Event> {
+pub fn build(logs: &[VmLog], request: &str) -> Vec<Event> {
     let names = |line: &Line| line.text("request") == Some(request);
-    let serving = journals.iter().find(|j| j.lines.iter().any(names));
+    let serving = logs.iter().find(|log| log.lines.iter().any(names));
     let Some(serving) = serving else {
         return Vec::new();
     };
@@ -155,23 +155,23 @@
     let last = own.last().map_or(0, |line| line.at);
     let endpoints: Vec<&str> = own.iter().filter_map(|l| l.text("endpoint")).collect();
     let mut events = Vec::new();
-    for journal in journals {
-        let same = journal.vm == serving.vm;
-        let offset = if same {
+    for log in logs {
+        let same_vm = log.vm == serving.vm;
+        let offset = if same_vm {
             Some(0)
         } else {
-            journal.offset(serving)
+            log.clock_offset(serving)
         };
         // Without a record that both read, its times say nothing here.
         let Some(offset) = offset else { continue };
-        for line in &journal.lines {
+        for line in &log.lines {
             let at = line.at + offset;
-            let near = (first - AROUND..=last + AROUND).contains(&at);
+            let in_window = (first - MARGIN_MS..=last + MARGIN_MS).contains(&at);
             let own = names(line);
-            if own || near && bears(line, same, &endpoints) {
+            if own || in_window && is_related(line, same_vm, &endpoints) {
                 events.push(Event {
                     at_ms: at - first,
-                    vm: journal.vm.clone(),
+                    vm: log.vm.clone(),
                     own,
                     what: line.raw.message.clone(),
                     fields: line.raw.kvs.clone(),
@@ -186,12 +186,12 @@
 
 /// Whether a line that does not name the request bears on it: what the VM itself came to believe, and
 /// what others saw of the same endpoints.
-fn bears(line: &Line, same: bool, endpoints: &[&str]) -> bool {
+fn is_related(line: &Line, same_vm: bool, endpoints: &[&str]) -> bool {
     if line.text("request").is_some() {
         return false;
     }
     let endpoint = line.text("endpoint");
     let named = endpoint.is_some_and(|endpoint| endpoints.contains(&endpoint));
-    let believed = same && (endpoint.is_none() || line.raw.level == "WARN");
-    named || believed
+    let about_itself = same_vm && (endpoint.is_none() || line.raw.level == "WARN");
+    named || about_itself
 }
--- a/crates/ctl/tests/story.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -1,8 +1,8 @@
 //! Stories of requests, out of log lines of VMs whose clocks differ.
 
-use pimento_ctl::story::Event;
-use pimento_ctl::story::Journal;
-use pimento_ctl::story::tell;
+use pimento_ctl::timeline::Event;
+use pimento_ctl::timeline::VmLog;
+use pimento_ctl::timeline::build;
 use serde_json::Value;
 use serde_json::json;
 
@@ -14,14 +14,14 @@
     line.to_string() + "\n"
 }
 
-fn told(events: &[Event]) -> Vec<(i64, &str, &str)> {
+fn summary(events: &[Event]) -> Vec<(i64, &str, &str)> {
     let events = events.iter();
-    let told = events.map(|e| (e.at_ms, e.vm.as_str(), e.what.as_str()));
-    told.collect()
+    let summaries = events.map(|e| (e.at_ms, e.vm.as_str(), e.what.as_str()));
+    summaries.collect()
 }
 
 /// The serving VM: its boot-time clock stands at a thousand seconds.
-fn serving() -> Journal {
+fn serving() -> VmLog {
     let text = [
         line(1_000_000, "started", &json!({"node": "vm-1"})),
         line(
@@ -47,11 +47,11 @@
         ),
         line(1_099_000, "much later", &json!({"topic": "operators"})),
     ];
-    Journal::read("file-a", &text.concat())
+    VmLog::parse("file-a", &text.concat())
 }
 
-/// Another VM, which booted later, and read the same record of the log.
-fn other() -> Journal {
+/// Another VM, which booted later, and read the same_vm record of the log.
+fn other() -> VmLog {
     let text = [
         line(
             5_100,
@@ -67,16 +67,16 @@
         line(8_300, "gone", &json!({"endpoint": "i-5"})),
         "not a line of ours\n".to_string(),
     ];
-    Journal::read("vm-2", &text.concat())
+    VmLog::parse("vm-2", &text.concat())
 }
 
 /// The story is in the order of what happened, over clocks that are far apart; what bears on it from
 /// other VMs is what they saw of the same endpoints, and nothing of other requests.
 #[test]
 fn a_story_is_told_in_order_over_clocks_that_differ() {
-    let events = tell(&[other(), serving()], "r-1");
+    let events = build(&[other(), serving()], "r-1");
     assert_eq!(
-        told(&events),
+        summary(&events),
         [
             (-3_000, "vm-1", "started"),
             (-2_900, "vm-2", "entry"),
@@ -90,7 +90,7 @@
     let own: Vec<bool> = events.iter().map(|event| event.own).collect();
     assert_eq!(own, [false, false, false, true, false, false, true]);
     assert_eq!(events[6].fields["cause"], "stale");
-    assert_eq!(other().unread, 1);
+    assert_eq!(other().malformed, 1);
 }
 
 /// A VM that read nothing of what the serving one read can't be compared with it, and is left out
@@ -98,12 +98,12 @@
 #[test]
 fn a_vm_that_cannot_be_compared_is_left_out() {
     let text = line(8_300, "gone", &json!({"endpoint": "i-1"}));
-    let strange = Journal::read("vm-3", &text);
-    let events = tell(&[strange, serving()], "r-1");
+    let strange = VmLog::parse("vm-3", &text);
+    let events = build(&[strange, serving()], "r-1");
     assert!(events.iter().all(|event| event.vm == "vm-1"));
 }
 
 #[test]
 fn a_request_that_no_line_names_has_no_story() {
-    assert!(tell(&[serving()], "r-404").is_empty());
+    assert!(build(&[serving()], "r-404").is_empty());
 }
