--- a/crates/control/tests/all/rollouts.rs
+++ b/crates/control/tests/all/rollouts.rs
@@ -280,12 +280,12 @@
     for fault in [
         Fault::None,
         Fault::LoseAnswer,
-        Fault::LoseCall,
+        Fault::LoseRequest,
         Fault::Refuse,
     ] {
         let mut bench = Bench::new();
         bench.report(bench.state.offset, good(TO), good(FROM));
-        bench.log.fail(&[fault]);
+        bench.log.inject(&[fault]);
         let mut first = bench.controller("entry-1");
         let result = first.pass().await;
         assert_eq!(result.is_ok(), fault == Fault::None, "{fault:?}");
--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -14,7 +14,7 @@
 
 const ABOUT: &str = "Drives pimentobarrow: contracts, versions, roll-outs, bills";
 
-const EXITS: &str = "\
+const EXIT_CODES: &str = "\
 Exit codes:
   0  done
   1  failed: the thing does not exist, does not apply, or did not answer
@@ -28,7 +28,7 @@
     Command::new("pimentoctl")
         .about(ABOUT)
         .version(env!("CARGO_PKG_VERSION"))
-        .after_help(EXITS)
+        .after_help(EXIT_CODES)
         .subcommand_required(true)
         .arg_required_else_help(true)
         .args(globals())
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -67,14 +67,14 @@
     match matches.subcommand() {
         Some(("contract", sub)) => match sub.subcommand() {
             Some(("check", sub)) => command::contract::check(&texts(sub, "file")),
-            _ => Err(unknown()),
+            _ => Err(unknown_command()),
         },
         Some(("publish", sub)) => {
             let mode = Mode {
                 reinstate: sub.get_flag("reinstate"),
-                dry: sub.get_flag("dry-run"),
+                dry_run: sub.get_flag("dry-run"),
             };
-            command::publish::files(&context(matches)?, &texts(sub, "file"), mode).await
+            command::publish::publish_files(&context(matches)?, &texts(sub, "file"), mode).await
         }
         Some(("show", sub)) => command::show::show(&context(matches)?, text(sub, "subject")).await,
         Some(("history", sub)) => {
@@ -86,68 +86,68 @@
             command::bills::bills(&context(matches)?, text(sub, "customer")).await
         }
         Some(("explain", sub)) => {
-            let request: String = one(sub, "request")?;
-            let folder: std::path::PathBuf = one(sub, "folder")?;
+            let request: String = required(sub, "request")?;
+            let folder: std::path::PathBuf = required(sub, "folder")?;
             command::explain::explain(&request, &folder)
         }
         Some(("status", sub)) => {
-            let addresses: Vec<SocketAddr> = many(sub, "operators");
-            command::status::status(&addresses, timeout(matches).min(ASK)).await
+            let addresses: Vec<SocketAddr> = values(sub, "operators");
+            command::status::status(&addresses, timeout(matches).min(STATUS_TIMEOUT)).await
         }
         Some(("key", sub)) if sub.get_flag("stdin") => command::key::hash(),
-        Some(("key", _)) => Ok(command::key::make()),
-        _ => Err(unknown()),
+        Some(("key", _)) => Ok(command::key::generate()),
+        _ => Err(unknown_command()),
     }
 }
 
 /// How long one entry VM may take to say how it is; longer and it counts as silent.
-const ASK: Duration = Duration::from_secs(3);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(3);
 
 async fn version(context: &Context, matches: &ArgMatches) -> Result<Output, Error> {
     let Some((name, sub)) = matches.subcommand() else {
-        return Err(unknown());
+        return Err(unknown_command());
     };
-    let id: id::Version = one(sub, "version")?;
+    let id: id::Version = required(sub, "version")?;
     match name {
         "roll-in" => command::version::roll_in(context, plan(id, sub)?).await,
         "advance" => command::version::advance(context, &id).await,
         "halt" => command::version::halt(context, &id).await,
         "withdraw" => command::version::withdraw(context, &id).await,
-        _ => Err(unknown()),
+        _ => Err(unknown_command()),
     }
 }
 
 /// The range of latency ratios that a gate may name, as in contract files.
-const RATIOS: std::ops::RangeInclusive<f64> = 1.0..=100.0;
+const LATENCY_RATIOS: std::ops::RangeInclusive<f64> = 1.0..=100.0;
 
 fn plan(to: id::Version, matches: &ArgMatches) -> Result<Plan, Error> {
-    let ratio: f64 = one(matches, "latency")?;
-    if !RATIOS.contains(&ratio) {
+    let ratio: f64 = required(matches, "latency")?;
+    if !LATENCY_RATIOS.contains(&ratio) {
         return Err(Error::usage("--latency must be between 1 and 100"));
     }
     // In range by the check above.
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let latency = (ratio * 100.0).round() as u32;
     let gate = Gate {
-        samples: one(matches, "samples")?,
-        quality: one::<Share>(matches, "quality")?,
-        errors: one::<Share>(matches, "errors")?,
+        samples: required(matches, "samples")?,
+        quality: required::<Share>(matches, "quality")?,
+        errors: required::<Share>(matches, "errors")?,
         latency,
-        dwell: one::<Span>(matches, "dwell")?,
+        dwell: required::<Span>(matches, "dwell")?,
     };
     Ok(Plan {
         to,
-        from: one(matches, "from")?,
-        stages: many(matches, "stages"),
+        from: required(matches, "from")?,
+        stages: values(matches, "stages"),
         gate,
     })
 }
 
 async fn endpoint(matches: &ArgMatches, timeout: Duration) -> Result<Output, Error> {
     let Some(("list", sub)) = matches.subcommand() else {
-        return Err(unknown());
+        return Err(unknown_command());
     };
-    let address = one(sub, "vms-address")?;
+    let address = required(sub, "vms-address")?;
     command::endpoint::list(address, timeout, text(sub, "pool")).await
 }
 
@@ -171,19 +171,22 @@
 }
 
 fn texts(matches: &ArgMatches, name: &str) -> Vec<String> {
-    many(matches, name)
+    values(matches, name)
 }
 
-fn one<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> Result<T, Error> {
+fn required<T: Clone + Send + Sync + 'static>(
+    matches: &ArgMatches,
+    name: &str,
+) -> Result<T, Error> {
     let value = matches.get_one::<T>(name).cloned();
     value.ok_or_else(|| Error::usage(format!("--{name} is needed")))
 }
 
-fn many<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> Vec<T> {
+fn values<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> Vec<T> {
     let values = matches.get_many::<T>(name);
     values.into_iter().flatten().cloned().collect()
 }
 
-fn unknown() -> Error {
+fn unknown_command() -> Error {
     Error::usage("no such command")
 }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -37,7 +37,7 @@
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration, by: impl Into<String>) -> Self {
         Self {
-            log: log::Remote::new(address, timeout.min(CALL)),
+            log: log::Remote::new(address, timeout.min(CALL_TIMEOUT)),
             deadline: Instant::now() + timeout,
             by: by.into(),
         }
@@ -60,9 +60,9 @@
     /// # Errors
     ///
     /// Besides, [`Error::Failed`] if it is not wholly known: revisions would be guessed.
-    pub async fn base(&self) -> Result<Snapshot, Error> {
+    pub async fn complete_snapshot(&self) -> Result<Snapshot, Error> {
         let snapshot = self.snapshot().await?;
-        if snapshot.whole {
+        if snapshot.complete {
             return Ok(snapshot);
         }
         Err(Error::failed(
@@ -73,4 +73,4 @@
 }
 
 /// One call to the log. A lost answer is read back well within the command's own timeout.
-const CALL: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/ctl/src/command/bills.rs
+++ b/crates/ctl/src/command/bills.rs
@@ -66,10 +66,10 @@
     let mut fold = Fold::default();
     let mut read = 0_u64;
     let mut unreadable = 0_u64;
-    let take = |record: pimento_wire::platform::Entry| {
+    let on_record = |record: pimento_wire::platform::Entry| {
         read += 1;
-        if read.is_multiple_of(REPORT) {
-            progress.say(format!("reading bills, {read} so far"));
+        if read.is_multiple_of(PROGRESS_STEP) {
+            progress.set_message(format!("reading bills, {read} so far"));
         }
         match serde_json::from_str::<Bill>(&record.record) {
             Ok(bill) => {
@@ -79,9 +79,15 @@
         }
     };
     let from = Offset(0);
-    let extent = stream::read(&context.log, Stream::Usage, from, context.deadline, take)
-        .await
-        .map_err(|source| Error::Log { source })?;
+    let extent = stream::read(
+        &context.log,
+        Stream::Usage,
+        from,
+        context.deadline,
+        on_record,
+    )
+    .await
+    .map_err(|source| Error::Log { source })?;
     drop(progress);
     if extent.oldest > from {
         eprintln!(
@@ -107,4 +113,4 @@
 }
 
 /// Bills between two steps of the progress display.
-const REPORT: u64 = 10_000;
+const PROGRESS_STEP: u64 = 10_000;
--- a/crates/ctl/src/command/history.rs
+++ b/crates/ctl/src/command/history.rs
@@ -10,7 +10,7 @@
 use crate::command::Context;
 use crate::exit::Error;
 use crate::output::Output;
-use crate::snapshot::Past;
+use crate::snapshot::DecidedChange;
 
 /// One change, as shown.
 #[derive(Debug, Serialize)]
@@ -25,17 +25,17 @@
     verdict: Verdict,
 }
 
-impl From<&Past> for Line {
-    fn from(past: &Past) -> Self {
+impl From<&DecidedChange> for Line {
+    fn from(decided: &DecidedChange) -> Self {
         Self {
-            offset: past.offset,
-            at: past.change.at,
-            by: past.change.by.to_string(),
-            id: past.change.id,
-            subject: past.change.subject.to_string(),
-            removes: past.change.value.is_none(),
-            base: past.change.base,
-            verdict: past.verdict,
+            offset: decided.offset,
+            at: decided.change.at,
+            by: decided.change.by.to_string(),
+            id: decided.change.id,
+            subject: decided.change.subject.to_string(),
+            removes: decided.change.value.is_none(),
+            base: decided.change.base,
+            verdict: decided.verdict,
         }
     }
 }
--- a/crates/ctl/src/command/key.rs
+++ b/crates/ctl/src/command/key.rs
@@ -20,7 +20,7 @@
 
 /// Makes a new key of 256 random bits: too many to guess.
 #[must_use]
-pub fn make() -> Output {
+pub fn generate() -> Output {
     let (high, low): (u128, u128) = rand::random();
     let secret = format!("{PREFIX}{high:032x}{low:032x}");
     let hash = Key::of(&secret).to_string();
--- a/crates/ctl/src/command/publish.rs
+++ b/crates/ctl/src/command/publish.rs
@@ -9,7 +9,7 @@
 use crate::output::Output;
 use crate::progress::Progress;
 use crate::publish;
-use crate::publish::Verdicted;
+use crate::publish::Outcome;
 use crate::snapshot::Snapshot;
 
 /// How files are published.
@@ -19,7 +19,7 @@
     /// stay as they are in force.
     pub reinstate: bool,
     /// Nothing is published; the result lists what would be.
-    pub dry: bool,
+    pub dry_run: bool,
 }
 
 /// Publishes what differs from what is in force.
@@ -27,12 +27,16 @@
 /// # Errors
 ///
 /// Findings of the files, the log's failures, or [`Error::Conflict`] if another change came first.
-pub async fn files(context: &Context, paths: &[String], mode: Mode) -> Result<Output, Error> {
+pub async fn publish_files(
+    context: &Context,
+    paths: &[String],
+    mode: Mode,
+) -> Result<Output, Error> {
     let files = files::load(paths)?;
-    let mut snapshot = context.base().await?;
+    let mut snapshot = context.complete_snapshot().await?;
     let mut values = files::check(&files, &snapshot.state)?;
     if !mode.reinstate {
-        for subject in publish::keep_progress(&snapshot, &mut values) {
+        for subject in publish::preserve_progress(&snapshot, &mut values) {
             eprintln!("{subject}: kept as it is in force (--reinstate would set it back)");
         }
     }
@@ -40,13 +44,13 @@
     if changes.is_empty() {
         eprintln!("nothing differs from what is in force");
     }
-    if mode.dry {
-        return Ok(proposed(&changes));
+    if mode.dry_run {
+        return Ok(preview(&changes));
     }
-    changes_of(context, &mut snapshot, &changes).await
+    publish_changes(context, &mut snapshot, &changes).await
 }
 
-fn proposed(changes: &[Change]) -> Output {
+fn preview(changes: &[Change]) -> Output {
     let row = |change: &Change| vec![change.subject.to_string(), change.base.to_string()];
     let rows = changes.iter().map(row).collect();
     Output::new(&["would change", "from revision"], rows, &changes)
@@ -56,25 +60,25 @@
 ///
 /// # Errors
 ///
-/// As [`files`].
-pub async fn changes_of(
+/// As [`publish_files`].
+pub async fn publish_changes(
     context: &Context,
     snapshot: &mut Snapshot,
     changes: &[Change],
 ) -> Result<Output, Error> {
     let progress = Progress::new("publishing");
-    progress.say(format!("publishing {} change(s)", changes.len()));
-    let verdicts = publish::publish(&context.log, snapshot, changes, context.deadline).await?;
+    progress.set_message(format!("publishing {} change(s)", changes.len()));
+    let outcomes = publish::publish(&context.log, snapshot, changes, context.deadline).await?;
     drop(progress);
-    publish::require(&verdicts)?;
-    let rows = verdicts.iter().map(row).collect();
-    Ok(Output::new(&["subject", "revision"], rows, &verdicts))
+    publish::require_accepted(&outcomes)?;
+    let rows = outcomes.iter().map(row).collect();
+    Ok(Output::new(&["subject", "revision"], rows, &outcomes))
 }
 
-fn row(verdicted: &Verdicted) -> Vec<String> {
-    let revision = match verdicted.verdict {
+fn row(outcome: &Outcome) -> Vec<String> {
+    let revision = match outcome.verdict {
         Verdict::Accepted(revision) | Verdict::Conflict(revision) => revision.to_string(),
         Verdict::Mismatch => String::new(),
     };
-    vec![verdicted.subject.to_string(), revision]
+    vec![outcome.subject.to_string(), revision]
 }
--- a/crates/ctl/src/command/show.rs
+++ b/crates/ctl/src/command/show.rs
@@ -15,7 +15,7 @@
 /// [`Error::Failed`] if the subject does not exist, or the log's failures.
 pub async fn show(context: &Context, subject: Option<&str>) -> Result<Output, Error> {
     let snapshot = context.snapshot().await?;
-    if !snapshot.whole {
+    if !snapshot.complete {
         eprintln!("early changes are no longer on the log: this list may lack some");
     }
     let items = snapshot.state.items();
--- a/crates/ctl/src/command/status.rs
+++ b/crates/ctl/src/command/status.rs
@@ -32,7 +32,7 @@
         return Err(Error::usage("--operators names no address"));
     }
     let progress = Progress::new("asking entry VMs");
-    let lines = join_all(addresses.iter().map(|address| ask(*address, timeout))).await;
+    let lines = join_all(addresses.iter().map(|address| query(*address, timeout))).await;
     drop(progress);
     if lines.iter().all(|line| line.state.is_none()) {
         let reasons: Vec<String> = lines.iter().filter_map(Line::reason).collect();
@@ -50,7 +50,7 @@
     Ok(Output::new(&columns, rows, &lines))
 }
 
-async fn ask(address: SocketAddr, timeout: Duration) -> Line {
+async fn query(address: SocketAddr, timeout: Duration) -> Line {
     let answer = operators::Remote::new(address, timeout).state().await;
     let error = answer.as_ref().err().map(ToString::to_string);
     Line {
--- a/crates/ctl/src/command/version.rs
+++ b/crates/ctl/src/command/version.rs
@@ -39,9 +39,9 @@
 /// withdrawn, or what publishing gives.
 pub async fn roll_in(context: &Context, plan: Plan) -> Result<Output, Error> {
     check(&plan)?;
-    let mut snapshot = context.base().await?;
+    let mut snapshot = context.complete_snapshot().await?;
     for version in [&plan.from, &plan.to] {
-        serving(&snapshot, version)?;
+        require_serving(&snapshot, version)?;
     }
     let value = Value::Rollout(Rollout {
         from: plan.from,
@@ -52,17 +52,17 @@
         gate: plan.gate,
     });
     let change = change(&snapshot, value.subject(), Some(value), &context.by);
-    publish::changes_of(context, &mut snapshot, &[change]).await
+    publish::publish_changes(context, &mut snapshot, &[change]).await
 }
 
 fn check(plan: &Plan) -> Result<(), Error> {
     let rising = plan.stages.is_sorted_by(|a, b| a < b);
-    let begins = plan
+    let starts_above_zero = plan
         .stages
         .first()
         .is_some_and(|first| *first > Share::ZERO);
-    let ends = plan.stages.last() == Some(&Share::ONE);
-    if !(rising && begins && ends) {
+    let ends_at_one = plan.stages.last() == Some(&Share::ONE);
+    if !(rising && starts_above_zero && ends_at_one) {
         return Err(Error::usage("--stages must rise from above 0 to 1"));
     }
     if plan.from == plan.to {
@@ -71,15 +71,15 @@
     Ok(())
 }
 
-fn serving(snapshot: &Snapshot, id: &id::Version) -> Result<(), Error> {
-    let version = find(snapshot, id)?;
+fn require_serving(snapshot: &Snapshot, id: &id::Version) -> Result<(), Error> {
+    let version = find_version(snapshot, id)?;
     if version.status == version::Status::Withdrawn {
         return Err(Error::failed(format!("{id} is withdrawn")));
     }
     Ok(())
 }
 
-fn find<'a>(snapshot: &'a Snapshot, id: &id::Version) -> Result<&'a Version, Error> {
+fn find_version<'a>(snapshot: &'a Snapshot, id: &id::Version) -> Result<&'a Version, Error> {
     let version = snapshot.state.version(id);
     version.ok_or_else(|| Error::failed(format!("version/{id} does not exist")))
 }
@@ -91,7 +91,7 @@
 ///
 /// [`Error::Failed`] if there is no such roll-out or it is done, or what publishing gives.
 pub async fn advance(context: &Context, to: &id::Version) -> Result<Output, Error> {
-    step(context, to, |rollout| match rollout.status {
+    update_rollout(context, to, |rollout| match rollout.status {
         rollout::Status::Done => Err(Error::failed(format!("the roll-out of {to} is done"))),
         rollout::Status::Halted => {
             rollout.status = rollout::Status::Running;
@@ -115,7 +115,7 @@
 ///
 /// As [`advance`].
 pub async fn halt(context: &Context, to: &id::Version) -> Result<Output, Error> {
-    step(context, to, |rollout| {
+    update_rollout(context, to, |rollout| {
         if rollout.status == rollout::Status::Halted {
             return Err(Error::failed(format!(
                 "the roll-out of {to} is halted already"
@@ -127,12 +127,12 @@
     .await
 }
 
-async fn step(
+async fn update_rollout(
     context: &Context,
     to: &id::Version,
     edit: impl FnOnce(&mut Rollout) -> Result<(), Error>,
 ) -> Result<Output, Error> {
-    let mut snapshot = context.base().await?;
+    let mut snapshot = context.complete_snapshot().await?;
     let found = snapshot.state.rollouts().find(|rollout| rollout.to == *to);
     let Some(mut rollout) = found.cloned() else {
         return Err(Error::failed(format!("rollout/{to} does not exist")));
@@ -145,7 +145,7 @@
         Some(Value::Rollout(rollout)),
         &context.by,
     );
-    publish::changes_of(context, &mut snapshot, &[change]).await
+    publish::publish_changes(context, &mut snapshot, &[change]).await
 }
 
 /// Withdraws a version: it gets no new work. A roll-out that brings it in is halted with it.
@@ -155,33 +155,37 @@
 /// [`Error::Failed`] if there is no such version or it is withdrawn already, or what publishing
 /// gives.
 pub async fn withdraw(context: &Context, id: &id::Version) -> Result<Output, Error> {
-    let mut snapshot = context.base().await?;
-    serving(&snapshot, id)?;
-    for class in stranded(&snapshot, id) {
+    let mut snapshot = context.complete_snapshot().await?;
+    require_serving(&snapshot, id)?;
+    for class in unserved_classes(&snapshot, id) {
         eprintln!("{class}: no version is left that may serve it");
     }
-    let changes = withdrawal(&snapshot, id, &context.by)?;
-    publish::changes_of(context, &mut snapshot, &changes).await
+    let changes = withdrawal_changes(&snapshot, id, &context.by)?;
+    publish::publish_changes(context, &mut snapshot, &changes).await
 }
 
 /// Classes that no serving version is left for once `id` is withdrawn.
-fn stranded(snapshot: &Snapshot, id: &id::Version) -> Vec<String> {
-    let left = |other: &&id::Version| *other != id && serving(snapshot, other).is_ok();
-    let mut stranded = Vec::new();
+fn unserved_classes(snapshot: &Snapshot, id: &id::Version) -> Vec<String> {
+    let remains = |other: &&id::Version| *other != id && require_serving(snapshot, other).is_ok();
+    let mut unserved = Vec::new();
     for contract in snapshot.state.contracts() {
         let classes = contract.classes.iter().filter(|class| class.allows(id));
-        for class in classes.filter(|class| !class.versions.iter().any(|v| left(&v))) {
-            stranded.push(format!(
+        for class in classes.filter(|class| !class.versions.iter().any(|v| remains(&v))) {
+            unserved.push(format!(
                 "contract/{} class {}",
                 contract.customer, class.name
             ));
         }
     }
-    stranded
+    unserved
 }
 
-fn withdrawal(snapshot: &Snapshot, id: &id::Version, by: &str) -> Result<Vec<Change>, Error> {
-    let mut version = find(snapshot, id)?.clone();
+fn withdrawal_changes(
+    snapshot: &Snapshot,
+    id: &id::Version,
+    by: &str,
+) -> Result<Vec<Change>, Error> {
+    let mut version = find_version(snapshot, id)?.clone();
     version.status = version::Status::Withdrawn;
     let subject = Subject::Version(id.clone());
     let mut changes = vec![change(snapshot, subject, Some(Value::Version(version)), by)];
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -35,7 +35,7 @@
     },
     /// It is unknown whether the changes are in the log.
     #[snafu(display("{message}"))]
-    Doubt {
+    Unconfirmed {
         /// Which changes, with their ids.
         message: String,
     },
@@ -64,7 +64,7 @@
             Self::Usage { .. } => 2,
             Self::Conflict { .. } => 3,
             Self::Log { .. } => 4,
-            Self::Doubt { .. } => 5,
+            Self::Unconfirmed { .. } => 5,
         }
     }
 }
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -14,20 +14,20 @@
 /// Reads all files; those that can't be read are reported together.
 pub(crate) fn load(paths: &[String]) -> Result<Vec<File>, Error> {
     let mut files = Vec::with_capacity(paths.len());
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for path in paths {
         match fs::read_to_string(path) {
             Ok(text) => files.push(File {
                 name: path.as_str().into(),
                 text,
             }),
-            Err(error) => faults.push(format!("{path}: {error}")),
+            Err(error) => errors.push(format!("{path}: {error}")),
         }
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         return Ok(files);
     }
-    Err(Error::usage(faults.join("\n")))
+    Err(Error::usage(errors.join("\n")))
 }
 
 /// Checks files over `known`.
--- a/crates/ctl/src/progress.rs
+++ b/crates/ctl/src/progress.rs
@@ -26,7 +26,7 @@
     }
 
     /// Shows another message.
-    pub(crate) fn say(&self, message: String) {
+    pub(crate) fn set_message(&self, message: String) {
         self.0.set_message(message);
     }
 }
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -32,9 +32,9 @@
 
 /// What became of one change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Verdicted {
+pub struct Outcome {
     /// The subject.
-    #[serde(serialize_with = "text")]
+    #[serde(serialize_with = "display")]
     pub subject: Subject,
     /// The change's id.
     pub id: id::Record,
@@ -44,11 +44,14 @@
     pub winner: Option<CompactString>,
 }
 
-fn text<S: serde::Serializer>(value: &impl fmt::Display, serializer: S) -> Result<S::Ok, S::Error> {
+fn display<S: serde::Serializer>(
+    value: &impl fmt::Display,
+    serializer: S,
+) -> Result<S::Ok, S::Error> {
     serializer.collect_str(value)
 }
 
-impl fmt::Display for Verdicted {
+impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let subject = &self.subject;
         match self.verdict {
@@ -90,7 +93,7 @@
 #[must_use]
 pub fn changes(snapshot: &Snapshot, values: Vec<Value>, by: &str) -> Vec<Change> {
     let mut values = values;
-    values.sort_by_key(rank);
+    values.sort_by_key(publish_order);
     let differs = |value: &Value| {
         let current = snapshot.state.item(&value.subject());
         current.is_none_or(|item| item.value != *value)
@@ -105,35 +108,35 @@
 /// Keeps what operators and controllers did since the files were written: a withdrawn version stays
 /// withdrawn, and a roll-out keeps its stage and status. Else an amended contract, published along
 /// with the other files of its folder, would bring a bad version back. Gives the subjects kept so.
-pub fn keep_progress(snapshot: &Snapshot, values: &mut [Value]) -> Vec<Subject> {
-    let mut kept = Vec::new();
+pub fn preserve_progress(snapshot: &Snapshot, values: &mut [Value]) -> Vec<Subject> {
+    let mut preserved = Vec::new();
     for value in values {
         let subject = value.subject();
         let current = snapshot.state.item(&subject).map(|item| &item.value);
         let differs = match (&mut *value, current) {
             (Value::Version(new), Some(Value::Version(old))) => {
-                let back = old.status == version::Status::Withdrawn && new.status != old.status;
-                if back {
+                let reverts = old.status == version::Status::Withdrawn && new.status != old.status;
+                if reverts {
                     new.status = old.status;
                 }
-                back
+                reverts
             }
             (Value::Rollout(new), Some(Value::Rollout(old))) if new.stages == old.stages => {
-                let back = (new.stage, new.status) != (old.stage, old.status);
+                let reverts = (new.stage, new.status) != (old.stage, old.status);
                 (new.stage, new.status) = (old.stage, old.status);
-                back
+                reverts
             }
             _ => false,
         };
         if differs {
-            kept.push(subject);
+            preserved.push(subject);
         }
     }
-    kept
+    preserved
 }
 
 /// Readers apply changes one at a time, so the order within one append still matters.
-fn rank(value: &Value) -> u8 {
+fn publish_order(value: &Value) -> u8 {
     match value {
         Value::Pool(_) => 0,
         Value::Version(_) => 1,
@@ -147,32 +150,35 @@
 ///
 /// # Errors
 ///
-/// [`Error::Log`] if the changes surely are not on the log, [`Error::Doubt`] if they may be.
+/// [`Error::Log`] if the changes surely are not on the log, [`Error::Unconfirmed`] if they may be.
 pub async fn publish(
     log: &impl Log,
     snapshot: &mut Snapshot,
     changes: &[Change],
     deadline: Instant,
-) -> Result<Vec<Verdicted>, Error> {
+) -> Result<Vec<Outcome>, Error> {
     if changes.is_empty() {
         return Ok(Vec::new());
     }
     let records = records(changes)?;
-    let mut doubt = false;
+    let mut uncertain = false;
     loop {
         let failure = match log.append(Stream::Configuration, records.clone()).await {
-            Ok(first) => return verdicts(log, snapshot, changes, first, deadline).await,
+            Ok(first) => return await_outcomes(log, snapshot, changes, first, deadline).await,
             Err(error) => error,
         };
         // An answer that was lost once leaves the changes in doubt whatever later tries say, unless
         // they are read back.
-        doubt |= !matches!(failure, log::Error::Refused { .. });
-        if doubt && snapshot.refresh(log, deadline).await.is_ok() && decided(snapshot, changes) {
-            return Ok(collect(snapshot, changes));
+        uncertain |= !matches!(failure, log::Error::Refused { .. });
+        if uncertain
+            && snapshot.refresh(log, deadline).await.is_ok()
+            && all_decided(snapshot, changes)
+        {
+            return Ok(outcomes(snapshot, changes));
         }
-        match stream::pause(failure, deadline).await {
+        match stream::backoff(failure, deadline).await {
             Ok(()) => {}
-            Err(_) if doubt => return Err(in_doubt(changes)),
+            Err(_) if uncertain => return Err(unconfirmed(changes)),
             Err(source) => return Err(Error::Log { source }),
         }
     }
@@ -187,54 +193,54 @@
 }
 
 /// Reads on until all changes are decided. `first` is where the log says that they stand.
-async fn verdicts(
+async fn await_outcomes(
     log: &impl Log,
     snapshot: &mut Snapshot,
     changes: &[Change],
     first: Offset,
     deadline: Instant,
-) -> Result<Vec<Verdicted>, Error> {
+) -> Result<Vec<Outcome>, Error> {
     let end = Offset(first.0 + changes.len() as u64);
     while snapshot.state.offset < end && Instant::now() < deadline {
         if snapshot.refresh(log, deadline).await.is_err() {
             break;
         }
     }
-    if decided(snapshot, changes) {
-        return Ok(collect(snapshot, changes));
+    if all_decided(snapshot, changes) {
+        return Ok(outcomes(snapshot, changes));
     }
-    Err(in_doubt(changes))
+    Err(unconfirmed(changes))
 }
 
-fn decided(snapshot: &Snapshot, changes: &[Change]) -> bool {
+fn all_decided(snapshot: &Snapshot, changes: &[Change]) -> bool {
     changes
         .iter()
         .all(|change| snapshot.verdict(change.id).is_some())
 }
 
-fn collect(snapshot: &Snapshot, changes: &[Change]) -> Vec<Verdicted> {
-    let verdict = |change: &Change| {
+fn outcomes(snapshot: &Snapshot, changes: &[Change]) -> Vec<Outcome> {
+    let outcome = |change: &Change| {
         let verdict = snapshot.verdict(change.id)?;
         let winner = match verdict {
             Verdict::Conflict(revision) => winner(snapshot, revision),
             Verdict::Accepted(_) | Verdict::Mismatch => None,
         };
-        Some(Verdicted {
+        Some(Outcome {
             subject: change.subject.clone(),
             id: change.id,
             verdict,
             winner,
         })
     };
-    changes.iter().filter_map(verdict).collect()
+    changes.iter().filter_map(outcome).collect()
 }
 
 fn winner(snapshot: &Snapshot, revision: Revision) -> Option<CompactString> {
-    let past = snapshot.winner(revision)?;
-    Some(past.change.by.clone())
+    let decided = snapshot.accepted_as(revision)?;
+    Some(decided.change.by.clone())
 }
 
-fn in_doubt(changes: &[Change]) -> Error {
+fn unconfirmed(changes: &[Change]) -> Error {
     let mut message = String::from(
         "the log's answer was lost and could not be read back; these changes may be in force \
          (look for their ids in `pimentoctl history`):",
@@ -245,7 +251,7 @@
         message.push(' ');
         message.push_str(&change.subject.to_string());
     }
-    Error::Doubt { message }
+    Error::Unconfirmed { message }
 }
 
 /// An error if any change lost.
@@ -253,9 +259,9 @@
 /// # Errors
 ///
 /// [`Error::Conflict`] naming what won.
-pub fn require(verdicts: &[Verdicted]) -> Result<(), Error> {
-    let lost = |verdict: &&Verdicted| !matches!(verdict.verdict, Verdict::Accepted(_));
-    let lines: Vec<String> = verdicts
+pub fn require_accepted(outcomes: &[Outcome]) -> Result<(), Error> {
+    let lost = |outcome: &&Outcome| !matches!(outcome.verdict, Verdict::Accepted(_));
+    let lines: Vec<String> = outcomes
         .iter()
         .filter(lost)
         .map(ToString::to_string)
--- a/crates/ctl/src/snapshot.rs
+++ b/crates/ctl/src/snapshot.rs
@@ -17,7 +17,7 @@
 
 /// A change with its place and verdict.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Past {
+pub struct DecidedChange {
     /// Where it stands.
     pub offset: Offset,
     /// What was proposed.
@@ -32,12 +32,12 @@
     /// What is in force.
     pub state: State,
     /// Changes in offset order.
-    pub history: Vec<Past>,
+    pub history: Vec<DecidedChange>,
     /// The oldest record that was still kept when the reading began.
     pub oldest: Offset,
     /// Whether the state is known: false if retention has passed early records and no checkpoint
     /// that fits its hash covers them.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Snapshot {
@@ -49,15 +49,15 @@
     pub async fn load(log: &impl Log, deadline: Instant) -> Result<Self, Error> {
         let mut records = Vec::new();
         let from = Offset(0);
-        let take = |record| records.push(record);
-        let extent = stream::read(log, Stream::Configuration, from, deadline, take).await?;
+        let push = |record| records.push(record);
+        let extent = stream::read(log, Stream::Configuration, from, deadline, push).await?;
         let mut snapshot = Self {
             oldest: extent.oldest,
-            whole: extent.oldest == from,
+            complete: extent.oldest == from,
             ..Self::default()
         };
         for record in records {
-            snapshot.take(&record);
+            snapshot.apply(&record);
         }
         Ok(snapshot)
     }
@@ -69,24 +69,24 @@
     /// As [`Snapshot::load`].
     pub async fn refresh(&mut self, log: &impl Log, deadline: Instant) -> Result<(), Error> {
         let from = self.state.offset;
-        let take = |record| self.take(&record);
-        stream::read(log, Stream::Configuration, from, deadline, take).await?;
+        let apply = |record| self.apply(&record);
+        stream::read(log, Stream::Configuration, from, deadline, apply).await?;
         Ok(())
     }
 
-    fn take(&mut self, record: &platform::Entry) {
+    fn apply(&mut self, record: &platform::Entry) {
         let offset = record.offset;
         match serde_json::from_str(&record.record) {
             Ok(Entry::Change(change)) if offset >= self.state.offset => {
                 let verdict = self.state.apply(offset, &change);
-                self.history.push(Past {
+                self.history.push(DecidedChange {
                     offset,
                     change,
                     verdict,
                 });
             }
             Ok(Entry::Checkpoint(checkpoint)) => {
-                self.adopt(checkpoint);
+                self.restore(checkpoint);
                 self.state.skip(offset);
             }
             // A record that can't be read is passed over by every reader alike.
@@ -96,8 +96,8 @@
 
     /// Takes the state of a checkpoint if the records before it are gone, unless some between its
     /// state and the oldest record are gone too. Changes after its state are applied again.
-    fn adopt(&mut self, checkpoint: pimento_contract::change::Checkpoint) {
-        if self.whole {
+    fn restore(&mut self, checkpoint: pimento_contract::change::Checkpoint) {
+        if self.complete {
             return;
         }
         let Ok(state) = checkpoint.check() else {
@@ -107,12 +107,12 @@
             return;
         }
         self.state = state;
-        self.whole = true;
-        for past in &mut self.history {
-            if past.offset >= self.state.offset {
-                past.verdict = self.state.apply(past.offset, &past.change);
-            } else if let Some(decision) = self.state.decision(past.change.id) {
-                past.verdict = decision.verdict;
+        self.complete = true;
+        for decided in &mut self.history {
+            if decided.offset >= self.state.offset {
+                decided.verdict = self.state.apply(decided.offset, &decided.change);
+            } else if let Some(decision) = self.state.decision(decided.change.id) {
+                decided.verdict = decision.verdict;
             }
         }
     }
@@ -120,15 +120,18 @@
     /// What became of a change that was read. One that stands on the log twice counts once.
     #[must_use]
     pub fn verdict(&self, id: id::Record) -> Option<Verdict> {
-        let past = self.history.iter().find(|past| past.change.id == id)?;
-        Some(past.verdict)
+        let decided = self
+            .history
+            .iter()
+            .find(|decided| decided.change.id == id)?;
+        Some(decided.verdict)
     }
 
     /// The change that set the revision `winner`, if it is still on the log.
     #[must_use]
-    pub fn winner(&self, winner: Revision) -> Option<&Past> {
+    pub fn accepted_as(&self, revision: Revision) -> Option<&DecidedChange> {
         self.history
             .iter()
-            .find(|past| past.verdict == Verdict::Accepted(winner))
+            .find(|decided| decided.verdict == Verdict::Accepted(revision))
     }
 }
--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -10,10 +10,10 @@
 use tokio::time::Instant;
 
 /// Records in one read. A thousand of the largest records stay far below the client's body limit.
-const BATCH: usize = 1_000;
+const BATCH_RECORDS: usize = 1_000;
 
 /// Pause between two tries while the log does not answer.
-const PAUSE: Duration = Duration::from_millis(200);
+const BACKOFF: Duration = Duration::from_millis(200);
 
 /// Where a reading of a stream began.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     pub next: Offset,
 }
 
-/// Reads from `from` to the end as it was when the reading began, and hands each record to `take`.
+/// Reads from `from` to the end as it was when the reading began, and hands each record to `on_record`.
 /// If retention has passed `from`, it begins at the oldest record.
 ///
 /// # Errors
@@ -35,7 +35,7 @@
     stream: Stream,
     from: Offset,
     deadline: Instant,
-    mut take: impl FnMut(Entry),
+    mut on_record: impl FnMut(Entry),
 ) -> Result<Extent, Error> {
     let mut extent = Extent {
         oldest: from,
@@ -43,7 +43,10 @@
     };
     let mut end = None;
     while end.is_none_or(|end| extent.next < end) {
-        let batch = match log.read(stream, extent.next, BATCH, Duration::ZERO).await {
+        let batch = match log
+            .read(stream, extent.next, BATCH_RECORDS, Duration::ZERO)
+            .await
+        {
             Ok(batch) => batch,
             Err(Error::Gone { oldest }) if oldest > extent.next => {
                 extent.oldest = oldest;
@@ -51,7 +54,7 @@
                 continue;
             }
             Err(error) => {
-                pause(error, deadline).await?;
+                backoff(error, deadline).await?;
                 continue;
             }
         };
@@ -61,16 +64,16 @@
             break;
         }
         extent.next = batch.next;
-        batch.records.into_iter().for_each(&mut take);
+        batch.records.into_iter().for_each(&mut on_record);
     }
     Ok(extent)
 }
 
 /// Waits before the next try, or gives `error` back if the time is up by then.
-pub(crate) async fn pause(error: Error, deadline: Instant) -> Result<(), Error> {
+pub(crate) async fn backoff(error: Error, deadline: Instant) -> Result<(), Error> {
     let wait = match &error {
-        Error::Refused { retry_after } => PAUSE.max(*retry_after),
-        Error::Lost { .. } | Error::Gone { .. } => PAUSE,
+        Error::Refused { retry_after } => BACKOFF.max(*retry_after),
+        Error::Lost { .. } | Error::Gone { .. } => BACKOFF,
     };
     if Instant::now() + wait >= deadline {
         return Err(error);
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -24,7 +24,7 @@
     /// It takes effect and the answer is lost.
     LoseAnswer,
     /// It gets lost on the way and so does the answer.
-    LoseCall,
+    LoseRequest,
 }
 
 /// The log.
@@ -48,17 +48,17 @@
     }
 
     /// Has the next appends meet these faults.
-    pub fn fail(&self, faults: &[Fault]) {
+    pub fn inject(&self, faults: &[Fault]) {
         self.inner().faults.extend(faults);
     }
 
     /// Has all reads fail from now on.
-    pub fn hide(&self) {
+    pub fn fail_reads(&self) {
         self.inner().unreadable = true;
     }
 
     /// Lets retention pass the records before `oldest`.
-    pub fn forget(&self, oldest: usize) {
+    pub fn drop_before(&self, oldest: usize) {
         self.inner().oldest = oldest;
     }
 
@@ -88,7 +88,7 @@
                 let after = Duration::ZERO;
                 return Err(Error::Refused { retry_after: after });
             }
-            Fault::LoseCall => return Err(lost()),
+            Fault::LoseRequest => return Err(lost()),
             Fault::None | Fault::LoseAnswer => {}
         }
         let first = Offset(inner.records.len() as u64);
--- a/crates/ctl/tests/publish.rs
+++ b/crates/ctl/tests/publish.rs
@@ -15,11 +15,11 @@
 use pimento_contract::raw::Source;
 use pimento_contract::version::Status;
 use pimento_ctl::exit::Error;
-use pimento_ctl::publish::Verdicted;
+use pimento_ctl::publish::Outcome;
 use pimento_ctl::publish::changes;
-use pimento_ctl::publish::keep_progress;
+use pimento_ctl::publish::preserve_progress;
 use pimento_ctl::publish::publish;
-use pimento_ctl::publish::require;
+use pimento_ctl::publish::require_accepted;
 use pimento_ctl::snapshot::Snapshot;
 use pimento_units::Revision;
 use tokio::time::Instant;
@@ -49,7 +49,7 @@
         .values
 }
 
-fn heavier(mut values: Vec<Value>) -> Vec<Value> {
+fn raise_weights(mut values: Vec<Value>) -> Vec<Value> {
     for value in &mut values {
         if let Value::Contract(contract) = value {
             contract.weight += 1;
@@ -67,21 +67,21 @@
     loaded.expect("the log can be read")
 }
 
-async fn send(
+async fn publish_changes(
     log: &Memory,
     snapshot: &mut Snapshot,
     changes: &[Change],
-) -> Result<Vec<Verdicted>, Error> {
+) -> Result<Vec<Outcome>, Error> {
     publish(log, snapshot, changes, deadline()).await
 }
 
 async fn publish_all(log: &Memory, values: Vec<Value>, by: &str) -> usize {
     let mut snapshot = load(log).await;
     let changes = changes(&snapshot, values, by);
-    let sent = send(log, &mut snapshot, &changes).await;
-    let verdicts = sent.expect("the log takes it");
-    require(&verdicts).expect("nobody races");
-    verdicts.len()
+    let outcomes = publish_changes(log, &mut snapshot, &changes).await;
+    let outcomes = outcomes.expect("the log takes it");
+    require_accepted(&outcomes).expect("nobody races");
+    outcomes.len()
 }
 
 #[tokio::test(start_paused = true)]
@@ -90,7 +90,7 @@
     assert_eq!(publish_all(&log, values(), "ines").await, SUBJECTS);
     assert_eq!(publish_all(&log, values(), "ines").await, 0);
     assert_eq!(log.appends(), 1);
-    assert_eq!(publish_all(&log, heavier(values()), "ines").await, 10);
+    assert_eq!(publish_all(&log, raise_weights(values()), "ines").await, 10);
 }
 
 /// An operator withdraws a bad version. Later another one amends a contract and publishes the whole
@@ -104,12 +104,12 @@
     let mut version = snapshot.state.version(&bad).cloned().expect("it exists");
     version.status = Status::Withdrawn;
     let withdrawal = changes(&snapshot, vec![Value::Version(version)], "ines");
-    send(&log, &mut snapshot, &withdrawal)
+    publish_changes(&log, &mut snapshot, &withdrawal)
         .await
         .expect("the log takes it");
-    let mut amended = heavier(values());
-    let kept = keep_progress(&snapshot, &mut amended);
-    assert_eq!(kept.len(), 1);
+    let mut amended = raise_weights(values());
+    let preserved = preserve_progress(&snapshot, &mut amended);
+    assert_eq!(preserved.len(), 1);
     publish_all(&log, amended, "jonas").await;
     let state = load(&log).await.state;
     let status = state.version(&bad).map(|version| version.status);
@@ -119,17 +119,17 @@
 /// The operator sees "in force" although the log answered nothing or "no" at first. The answer is
 /// lost after or before the effect, in any mixture; the changes must be in force once each.
 #[tokio::test(start_paused = true)]
-async fn faults_of_the_log_are_ridden_out() {
+async fn publishing_survives_log_faults() {
     let table: [&[Fault]; 5] = [
         &[Fault::LoseAnswer],
-        &[Fault::LoseCall],
+        &[Fault::LoseRequest],
         &[Fault::Refuse, Fault::LoseAnswer],
         &[Fault::LoseAnswer, Fault::LoseAnswer],
-        &[Fault::LoseCall, Fault::Refuse, Fault::LoseCall],
+        &[Fault::LoseRequest, Fault::Refuse, Fault::LoseRequest],
     ];
     for faults in table {
         let log = Memory::default();
-        log.fail(faults);
+        log.inject(faults);
         assert_eq!(
             publish_all(&log, values(), "ines").await,
             SUBJECTS,
@@ -144,20 +144,20 @@
 /// Two operators amend the same ten contracts. Both read the same revisions; the first append wins
 /// and the other is told which revision won and whose it is. Neither change is overwritten unseen.
 #[tokio::test(start_paused = true)]
-async fn the_loser_of_a_race_is_told_who_won() {
+async fn a_lost_race_names_the_winner() {
     let log = Memory::default();
     publish_all(&log, values(), "setup").await;
     let (mut first, mut second) = (load(&log).await, load(&log).await);
-    let ours = changes(&first, heavier(values()), "ines");
-    let theirs = changes(&second, heavier(heavier(values())), "jonas");
-    let won = send(&log, &mut first, &ours)
+    let ours = changes(&first, raise_weights(values()), "ines");
+    let theirs = changes(&second, raise_weights(raise_weights(values())), "jonas");
+    let won = publish_changes(&log, &mut first, &ours)
         .await
         .expect("the log takes it");
-    require(&won).expect("the first wins");
-    let lost = send(&log, &mut second, &theirs)
+    require_accepted(&won).expect("the first wins");
+    let lost = publish_changes(&log, &mut second, &theirs)
         .await
         .expect("the log takes it");
-    let error = require(&lost).expect_err("the second loses");
+    let error = require_accepted(&lost).expect_err("the second loses");
     assert_eq!(error.code(), 3);
     assert_eq!(error.to_string().lines().count(), 10);
     let item = won.first().expect("ten changes were made");
@@ -179,22 +179,22 @@
     let log = Memory::default();
     publish_all(&log, values(), "setup").await;
     let mut late = load(&log).await;
-    publish_all(&log, heavier(values()), "ines").await;
-    let changes = changes(&late, heavier(heavier(values())), "jonas");
-    log.fail(&[Fault::LoseAnswer]);
-    let verdicts = send(&log, &mut late, &changes)
+    publish_all(&log, raise_weights(values()), "ines").await;
+    let changes = changes(&late, raise_weights(raise_weights(values())), "jonas");
+    log.inject(&[Fault::LoseAnswer]);
+    let outcomes = publish_changes(&log, &mut late, &changes)
         .await
         .expect("it is read back");
-    assert_eq!(require(&verdicts).expect_err("it lost").code(), 3);
+    assert_eq!(require_accepted(&outcomes).expect_err("it lost").code(), 3);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_says_that_nothing_was_published() {
+async fn an_outage_is_reported_as_nothing_published() {
     let log = Memory::default();
     let mut snapshot = load(&log).await;
     let changes = changes(&snapshot, values(), "ines");
-    log.fail(&[Fault::Refuse; 100]);
-    let error = send(&log, &mut snapshot, &changes).await;
+    log.inject(&[Fault::Refuse; 100]);
+    let error = publish_changes(&log, &mut snapshot, &changes).await;
     assert_eq!(error.expect_err("the log is out").code(), 4);
     assert!(load(&log).await.state.items().is_empty());
 }
@@ -202,14 +202,14 @@
 /// The answer is lost and then the log can't be read: whether the changes are in force is unknown,
 /// and the operator must be told so, with the ids to look for.
 #[tokio::test(start_paused = true)]
-async fn what_can_not_be_read_back_is_said_to_be_in_doubt() {
+async fn changes_that_cannot_be_read_back_are_unconfirmed() {
     let log = Memory::default();
     let mut snapshot = load(&log).await;
     let changes = changes(&snapshot, values(), "ines");
-    log.fail(&[Fault::LoseAnswer]);
-    log.fail(&[Fault::Refuse; 100]);
-    log.hide();
-    let error = send(&log, &mut snapshot, &changes).await;
+    log.inject(&[Fault::LoseAnswer]);
+    log.inject(&[Fault::Refuse; 100]);
+    log.fail_reads();
+    let error = publish_changes(&log, &mut snapshot, &changes).await;
     let error = error.expect_err("nothing can be read");
     assert_eq!(error.code(), 5);
     assert!(error.to_string().contains(&changes[0].id.to_string()));
@@ -218,7 +218,7 @@
 /// Retention has passed the first records. With a checkpoint that fits its hash the state is known
 /// and revisions are right; a damaged one, or one with a gap after it, is not taken.
 #[tokio::test(start_paused = true)]
-async fn a_checkpoint_stands_for_records_that_are_gone() {
+async fn a_checkpoint_replaces_records_past_retention() {
     let log = Memory::default();
     publish_all(&log, values(), "ines").await;
     let mut snapshot = load(&log).await;
@@ -230,21 +230,24 @@
         serde_json::to_string(&entry).expect("a checkpoint is plain JSON")
     };
     log.push(text(damaged));
-    log.forget(SUBJECTS);
-    assert!(!load(&log).await.whole, "a damaged checkpoint is ignored");
-    let changes = changes(&snapshot, heavier(values()), "ines");
-    send(&log, &mut snapshot, &changes)
+    log.drop_before(SUBJECTS);
+    assert!(
+        !load(&log).await.complete,
+        "a damaged checkpoint is ignored"
+    );
+    let changes = changes(&snapshot, raise_weights(values()), "ines");
+    publish_changes(&log, &mut snapshot, &changes)
         .await
         .expect("the log takes it");
     log.push(text(checkpoint));
     let loaded = load(&log).await;
-    assert!(loaded.whole);
+    assert!(loaded.complete);
     assert_eq!(loaded.state.items(), snapshot.state.items());
     let contract = &loaded.state.items()[0];
     assert!(contract.revision > Revision(SUBJECTS as u64));
-    log.forget(SUBJECTS + 2);
+    log.drop_before(SUBJECTS + 2);
     assert!(
-        !load(&log).await.whole,
+        !load(&log).await.complete,
         "a change after the checkpoint's state is gone"
     );
 }
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -73,7 +73,7 @@
 /// The story is in the order of what happened, over clocks that are far apart; what bears on it from
 /// other VMs is what they saw of the same endpoints, and nothing of other requests.
 #[test]
-fn a_story_is_told_in_order_over_clocks_that_differ() {
+fn events_are_in_order_although_clocks_differ() {
     let events = build(&[other(), serving()], "r-1");
     assert_eq!(
         summary(&events),
@@ -98,12 +98,12 @@
 #[test]
 fn a_vm_that_cannot_be_compared_is_left_out() {
     let text = line(8_300, "gone", &json!({"endpoint": "i-1"}));
-    let strange = VmLog::parse("vm-3", &text);
-    let events = build(&[strange, serving()], "r-1");
+    let unrelated = VmLog::parse("vm-3", &text);
+    let events = build(&[unrelated, serving()], "r-1");
     assert!(events.iter().all(|event| event.vm == "vm-1"));
 }
 
 #[test]
-fn a_request_that_no_line_names_has_no_story() {
+fn a_request_that_no_line_names_has_no_timeline() {
     assert!(build(&[serving()], "r-404").is_empty());
 }
