--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -50,7 +50,7 @@
     VmLog::parse("file-a", &text.concat())
 }
 
-/// Another VM, which booted later, and read the same_vm record of the log.
+/// Another VM, which booted later, and read the same record of the log.
 fn other() -> VmLog {
     let text = [
         line(
