--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line's shape.
+//! Definition of the command line: subcommands, arguments and help texts.
 
 use std::net::SocketAddr;
 
@@ -12,18 +12,18 @@
 use pimento_units::Span;
 use pimento_units::id;
 
-const ABOUT: &str = "Drives pimentobarrow: contracts, versions, roll-outs, bills";
+const ABOUT: &str = "Operates pimentobarrow: contracts, versions, roll-outs, bills";
 
 const EXIT_CODES: &str = "\
 Exit codes:
-  0  done
-  1  failed: the thing does not exist, does not apply, or did not answer
-  2  bad usage, or findings in files
-  3  another change came first; the message says which revision won
-  4  the log can't be used now; nothing was changed
-  5  it is unknown whether the changes are in force; look at `pimentoctl history`";
+  0  success
+  1  failed: a subject does not exist, a change does not apply, or a server did not respond
+  2  invalid usage, or errors in files
+  3  conflict: another change came first; the message names the revision that won
+  4  the log is unavailable; nothing was changed
+  5  it is unknown whether the changes are in force; check `pimentoctl history`";
 
-/// The whole command.
+/// The command with all its subcommands.
 pub(crate) fn command() -> Command {
     Command::new("pimentoctl")
         .about(ABOUT)
@@ -35,68 +35,68 @@
         .subcommand(contract())
         .subcommand(
             Command::new("publish")
-                .about("Publishes what differs from what is in force")
+                .about("Publishes the subjects that differ from the configuration in force")
                 .arg(files())
                 .arg(
                     Arg::new("dry-run")
                         .long("dry-run")
                         .action(ArgAction::SetTrue)
-                        .help("Check over what is in force and list what would change"),
+                        .help("Check the files against the configuration in force and list what would change"),
                 )
                 .arg(
                     Arg::new("reinstate")
                         .long("reinstate")
                         .action(ArgAction::SetTrue)
-                        .help("Let withdrawn versions serve again and set roll-outs back, if the files say so"),
+                        .help("Apply the files' status of withdrawn versions, and stage and status of roll-outs"),
                 ),
         )
         .subcommand(
             Command::new("show")
-                .about("Shows what is in force")
+                .about("Shows the configuration in force")
                 .arg(subject(
-                    "Only this subject, such as contract/garage-gatenga",
+                    "Show only this subject, such as contract/garage-gatenga",
                 )),
         )
         .subcommand(
             Command::new("history")
-                .about("Shows the changes that are still on the log, with their verdicts")
-                .arg(subject("Only changes of this subject")),
+                .about("Lists the changes that the log still retains, with their verdicts")
+                .arg(subject("List only changes of this subject")),
         )
         .subcommand(version())
         .subcommand(endpoint())
         .subcommand(
             Command::new("bills")
-                .about("Adds up bills for each customer, one for each request")
-                .arg(Arg::new("customer").help("Only this customer")),
+                .about("Totals the bills of each customer, counting each request once")
+                .arg(Arg::new("customer").help("Show only this customer")),
         )
         .subcommand(
             Command::new("explain")
-                .about("Tells what became of a request, out of log lines")
+                .about("Shows the timeline of a request, from the log lines of the VMs")
                 .arg(
                     Arg::new("request")
                         .required(true)
-                        .help("The request's id"),
+                        .help("The id of the request"),
                 )
                 .arg(
                     Arg::new("folder")
                         .required(true)
                         .value_parser(value_parser!(std::path::PathBuf))
-                        .help("A folder with one file of log lines for each VM"),
+                        .help("A folder with one log file for each VM"),
                 ),
         )
         .subcommand(
             Command::new("status")
-                .about("Shows how far each entry VM has got and how old its state is")
+                .about("Shows the log offset of each entry VM and the age of its state")
                 .arg(operators()),
         )
         .subcommand(
             Command::new("key")
-                .about("Makes an API key and prints it with its hash, or hashes one")
+                .about("Generates an API key and prints it with its hash, or hashes a given key")
                 .arg(
                     Arg::new("stdin")
                         .long("stdin")
                         .action(ArgAction::SetTrue)
-                        .help("Hash the key on standard input instead of making one"),
+                        .help("Hash the key on standard input instead of generating one"),
                 ),
         )
         .subcommand(
@@ -118,7 +118,7 @@
             .value_name("IP:PORT")
             .value_parser(value_parser!(SocketAddr))
             .global(true)
-            .help("The platform's log"),
+            .help("Address of the platform's log"),
         Arg::new("timeout")
             .long("timeout")
             .env("PIMENTO_TIMEOUT")
@@ -126,21 +126,21 @@
             .value_parser(value_parser!(Span))
             .default_value("30s")
             .global(true)
-            .help("How long a command may take"),
+            .help("Time limit of the whole command"),
         Arg::new("output")
             .long("output")
             .env("PIMENTO_OUTPUT")
             .value_parser(PossibleValuesParser::new(["table", "json"]))
             .default_value("table")
             .global(true)
-            .help("How results are printed"),
+            .help("Output format"),
         Arg::new("by")
             .long("by")
             .env("PIMENTO_OPERATOR")
             .value_name("NAME")
             .default_value("operator")
             .global(true)
-            .help("Who gives the command, as the log keeps it"),
+            .help("Name of the operator, recorded in the log with each change"),
     ]
 }
 
@@ -158,11 +158,13 @@
 
 fn contract() -> Command {
     Command::new("contract")
-        .about("Works on files of contracts")
+        .about("Works with contract files")
         .subcommand_required(true)
         .subcommand(
             Command::new("check")
-                .about("Checks files together and reports all findings, without the log")
+                .about(
+                    "Checks the files together and reports all errors, without contacting the log",
+                )
                 .arg(files()),
         )
 }
@@ -174,17 +176,17 @@
         .subcommand(roll_in())
         .subcommand(
             Command::new("advance")
-                .about("Advances a roll-out whatever the evidence; a halted one goes on")
+                .about("Advances a roll-out regardless of its gate; resumes a halted one")
                 .arg(version_id()),
         )
         .subcommand(
             Command::new("halt")
-                .about("Halts a roll-out: no new session goes to the version")
+                .about("Halts a roll-out: the version gets no new sessions")
                 .arg(version_id()),
         )
         .subcommand(
             Command::new("withdraw")
-                .about("Withdraws a version: it gets no new work")
+                .about("Withdraws a version: it gets no new requests")
                 .arg(version_id()),
         )
 }
@@ -204,14 +206,14 @@
             .help(help)
     };
     Command::new("roll-in")
-        .about("Begins a roll-out at its first stage")
+        .about("Starts a roll-out at its first stage")
         .arg(version_id())
         .arg(
             Arg::new("from")
                 .long("from")
                 .required(true)
                 .value_parser(value_parser!(id::Version))
-                .help("The version that is replaced"),
+                .help("The version to replace"),
         )
         .arg(
             Arg::new("stages")
@@ -219,48 +221,44 @@
                 .value_delimiter(',')
                 .value_parser(value_parser!(Share))
                 .default_value("0.05,0.25,0.5,1")
-                .help("Rising weights; the last is 1"),
+                .help("Increasing weights; the last is 1"),
         )
         .arg(
             Arg::new("samples")
                 .long("samples")
                 .value_parser(value_parser!(u32).range(1..))
                 .default_value("100")
-                .help("Rated answers needed in each stage"),
+                .help("Rated responses required in each stage"),
         )
         .arg(share(
             "quality",
             "0.02",
-            "How far below the old version's share of passed answers",
-        ))
-        .arg(share(
-            "errors",
-            "0.02",
-            "The largest share of failed attempts",
+            "How far the share of passed responses may be below that of the old version",
         ))
+        .arg(share("errors", "0.02", "Maximum share of failed attempts"))
         .arg(
             Arg::new("latency")
                 .long("latency")
                 .value_parser(value_parser!(f64))
                 .default_value("1.5")
-                .help("The largest ratio of latencies, new over old, between 1 and 100"),
+                .help("Maximum latency ratio of new to old, between 1 and 100"),
         )
         .arg(
             Arg::new("dwell")
                 .long("dwell")
                 .value_parser(value_parser!(Span))
                 .default_value("10m")
-                .help("The shortest time in a stage"),
+                .help("Minimum time in a stage"),
         )
 }
 
 fn endpoint() -> Command {
     Command::new("endpoint")
-        .about("Looks at endpoints")
+        .about("Inspects endpoints")
         .subcommand_required(true)
         .subcommand(
             Command::new("list")
-                .about("Lists endpoints as the platform's list has them")
+                .about("Lists the endpoints in the platform's list of VMs")
                 .arg(
                     Arg::new("vms-address")
                         .long("vms-address")
@@ -268,9 +266,9 @@
                         .required(true)
                         .value_name("IP:PORT")
                         .value_parser(value_parser!(SocketAddr))
-                        .help("The platform's list of VMs"),
+                        .help("Address of the platform's list of VMs"),
                 )
-                .arg(Arg::new("pool").help("Only this pool")),
+                .arg(Arg::new("pool").help("List only this pool")),
         )
 }
 
@@ -282,5 +280,5 @@
         .value_name("IP:PORT,…")
         .value_delimiter(',')
         .value_parser(value_parser!(SocketAddr))
-        .help("Operators' addresses of the entry VMs")
+        .help("Operator addresses of the entry VMs")
 }
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The program: reads the command line, runs one command, prints its result.
+//! Entry point of `pimentoctl`: parses the command line, runs one command and prints its result.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 use crate::output::Format;
 use crate::output::Output;
 
-/// Runs the program. The exit codes are those of [`Error::code`], 0 if all went well.
+/// Runs the program. Exits with 0 on success and with [`Error::code`] on failure.
 #[must_use]
 pub fn main() -> ExitCode {
     let matches = args::command().get_matches();
@@ -100,7 +100,7 @@
     }
 }
 
-/// How long one entry VM may take to say how it is; longer and it counts as silent.
+/// Time limit for the response of one entry VM to `status`; a slower one is shown with an error.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(3);
 
 async fn version(context: &Context, matches: &ArgMatches) -> Result<Output, Error> {
@@ -117,7 +117,7 @@
     }
 }
 
-/// The range of latency ratios that a gate may name, as in contract files.
+/// Range of a gate's latency ratio, the same as in contract files.
 const LATENCY_RATIOS: std::ops::RangeInclusive<f64> = 1.0..=100.0;
 
 fn plan(to: id::Version, matches: &ArgMatches) -> Result<Plan, Error> {
@@ -125,7 +125,7 @@
     if !LATENCY_RATIOS.contains(&ratio) {
         return Err(Error::usage("--latency must be between 1 and 100"));
     }
-    // In range by the check above.
+    // The check above keeps the ratio in range.
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let latency = (ratio * 100.0).round() as u32;
     let gate = Gate {
@@ -154,7 +154,7 @@
 fn context(matches: &ArgMatches) -> Result<Context, Error> {
     let Some(address) = matches.get_one::<SocketAddr>("log-address") else {
         return Err(Error::usage(
-            "--log-address or PIMENTO_LOG_ADDRESS is needed",
+            "--log-address or PIMENTO_LOG_ADDRESS is required",
         ));
     };
     let by = text(matches, "by").unwrap_or("operator");
@@ -179,7 +179,7 @@
     name: &str,
 ) -> Result<T, Error> {
     let value = matches.get_one::<T>(name).cloned();
-    value.ok_or_else(|| Error::usage(format!("--{name} is needed")))
+    value.ok_or_else(|| Error::usage(format!("--{name} is required")))
 }
 
 fn values<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> Vec<T> {
@@ -188,5 +188,5 @@
 }
 
 fn unknown_command() -> Error {
-    Error::usage("no such command")
+    Error::usage("unknown command")
 }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! One module for each subcommand.
+//! The subcommands, one module each.
 
 pub mod bills;
 pub mod contract;
@@ -21,19 +21,19 @@
 use crate::progress::Progress;
 use crate::snapshot::Snapshot;
 
-/// What every command that uses the log needs.
+/// Common parameters of the commands that use the log.
 #[derive(Debug, Clone)]
 pub struct Context {
-    /// The log.
+    /// Client of the log.
     pub log: log::Remote,
-    /// Until when the command may go on.
+    /// When the command gives up.
     pub deadline: Instant,
-    /// Who gives the command, as the log keeps it.
+    /// Name of the operator, recorded in the log with each change.
     pub by: String,
 }
 
 impl Context {
-    /// A context for a command that takes at most `timeout`.
+    /// Creates the context of a command whose deadline is `timeout` from now.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration, by: impl Into<String>) -> Self {
         Self {
@@ -43,11 +43,11 @@
         }
     }
 
-    /// The configuration in force.
+    /// Reads the configuration in force.
     ///
     /// # Errors
     ///
-    /// [`Error::Log`] if the log can't be read in time.
+    /// [`Error::Log`] if the log can't be read before the deadline.
     pub async fn snapshot(&self) -> Result<Snapshot, Error> {
         let _progress = Progress::new("reading the configuration");
         Snapshot::load(&self.log, self.deadline)
@@ -55,22 +55,24 @@
             .map_err(|source| Error::Log { source })
     }
 
-    /// The configuration in force, to be changed.
+    /// Reads the configuration in force as the base of a change.
     ///
     /// # Errors
     ///
-    /// Besides, [`Error::Failed`] if it is not wholly known: revisions would be guessed.
+    /// As [`Context::snapshot`], and [`Error::Failed`] if the snapshot is incomplete: the revision
+    /// that a change must name as its base is then unknown.
     pub async fn complete_snapshot(&self) -> Result<Snapshot, Error> {
         let snapshot = self.snapshot().await?;
         if snapshot.complete {
             return Ok(snapshot);
         }
         Err(Error::failed(
-            "early changes are no longer on the log and no checkpoint covers them; \
-             let an entry VM write one and try again",
+            "the log no longer retains early changes and no checkpoint covers them; \
+             retry after an entry VM has written a checkpoint",
         ))
     }
 }
 
-/// One call to the log. A lost answer is read back well within the command's own timeout.
+/// Time limit of one call to the log. It is shorter than the default timeout of a command, so that
+/// the command has time to read the verdicts back after a lost response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/ctl/src/command/bills.rs
+++ b/crates/ctl/src/command/bills.rs
@@ -1,4 +1,4 @@
-//! `bills`: totals for each customer from the usage stream, one bill for each request.
+//! `bills`: totals of each customer from the usage stream, which count each request once.
 
 use pimento_ledger::Bill;
 use pimento_ledger::Stream;
@@ -16,7 +16,7 @@
 use crate::progress::Progress;
 use crate::stream;
 
-/// Totals of one customer; money in millionths of the currency unit.
+/// Totals of one customer. In JSON, money is in millionths of the currency unit.
 #[derive(Debug, Serialize)]
 struct Line<'a> {
     customer: &'a id::Customer,
@@ -56,11 +56,11 @@
     }
 }
 
-/// Adds up all bills that are still on the log, or those of one customer.
+/// Totals the bills that the log still retains, of all customers or of one.
 ///
 /// # Errors
 ///
-/// The log's failures.
+/// [`Error::Log`] if the log can't be read before the deadline.
 pub async fn bills(context: &Context, customer: Option<&str>) -> Result<Output, Error> {
     let progress = Progress::new("reading bills");
     let mut fold = Fold::default();
@@ -91,12 +91,12 @@
     drop(progress);
     if extent.oldest > from {
         eprintln!(
-            "bills before offset {} are no longer on the log",
+            "the log no longer retains bills before offset {}",
             extent.oldest
         );
     }
     if unreadable > 0 {
-        eprintln!("{unreadable} record(s) are no bills and were passed over");
+        eprintln!("{unreadable} record(s) are no bills and were skipped");
     }
     let wanted = |total: &&Total| customer.is_none_or(|c| c == total.customer.as_str());
     let lines: Vec<Line> = fold
@@ -112,5 +112,5 @@
     Ok(Output::new(&columns, rows, &lines))
 }
 
-/// Bills between two steps of the progress display.
+/// Number of records between two updates of the progress display.
 const PROGRESS_STEP: u64 = 10_000;
--- a/crates/ctl/src/command/contract.rs
+++ b/crates/ctl/src/command/contract.rs
@@ -1,4 +1,4 @@
-//! `contract check`.
+//! `contract check`: validates files of contracts.
 
 use pimento_contract::State;
 use pimento_contract::Value;
@@ -7,11 +7,11 @@
 use crate::files;
 use crate::output::Output;
 
-/// Checks files together, without the log.
+/// Checks the files together, without contacting the log.
 ///
 /// # Errors
 ///
-/// All findings.
+/// [`Error::Usage`] with all findings, or with all files that can't be read.
 pub fn check(paths: &[String]) -> Result<Output, Error> {
     let files = files::load(paths)?;
     let values = files::check(&files, &State::default())?;
--- a/crates/ctl/src/command/endpoint.rs
+++ b/crates/ctl/src/command/endpoint.rs
@@ -1,4 +1,4 @@
-//! `endpoint list`: what the platform's list says of endpoints.
+//! `endpoint list`: the endpoints in the platform's list of VMs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::exit::Error;
 use crate::output::Output;
 
-/// Lists endpoints, those of one pool if it is given.
+/// Lists the endpoints of all pools or of one.
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] if the list can't be had.
+/// [`Error::Failed`] if the list can't be fetched.
 pub async fn list(
     address: SocketAddr,
     timeout: Duration,
--- a/crates/ctl/src/command/explain.rs
+++ b/crates/ctl/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: what became of a request, out of a folder of log lines.
+//! `explain`: the timeline of a request, from a folder of log files.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use crate::timeline;
 use crate::timeline::Event;
 
-/// Tells the story of a request.
+/// Shows the timeline of a request.
 ///
 /// # Errors
 ///
@@ -19,12 +19,12 @@
         .map_err(|error| Error::failed(format!("{}: {error}", folder.display())))?;
     let malformed: usize = logs.iter().map(|log| log.malformed).sum();
     if malformed > 0 {
-        eprintln!("{malformed} lines can't be read and are left out");
+        eprintln!("skipped {malformed} malformed log lines");
     }
     let events = timeline::build(&logs, request);
     if events.is_empty() {
         return Err(Error::failed(format!(
-            "no line of {} files names request {request}",
+            "none of the {} log files mentions request {request}",
             logs.len()
         )));
     }
--- a/crates/ctl/src/command/history.rs
+++ b/crates/ctl/src/command/history.rs
@@ -1,4 +1,4 @@
-//! `history`.
+//! `history`: the changes on the configuration stream with their verdicts.
 
 use pimento_contract::fold::Verdict;
 use pimento_units::Offset;
@@ -12,7 +12,7 @@
 use crate::output::Output;
 use crate::snapshot::DecidedChange;
 
-/// One change, as shown.
+/// One change as it is printed.
 #[derive(Debug, Serialize)]
 struct Line {
     offset: Offset,
@@ -61,11 +61,11 @@
     }
 }
 
-/// Lists the changes that are still on the log, those of one subject if it is given.
+/// Lists the changes that the log still retains, of all subjects or of one.
 ///
 /// # Errors
 ///
-/// The log's failures.
+/// [`Error::Log`] if the log can't be read before the deadline.
 pub async fn history(context: &Context, subject: Option<&str>) -> Result<Output, Error> {
     let snapshot = context.snapshot().await?;
     let lines: Vec<Line> = snapshot
--- a/crates/ctl/src/command/key.rs
+++ b/crates/ctl/src/command/key.rs
@@ -1,4 +1,4 @@
-//! `key`: makes an API key and the hash that goes into a contract.
+//! `key`: generates an API key and the hash that goes into a contract.
 
 use std::io;
 use std::io::Read;
@@ -9,7 +9,7 @@
 use crate::exit::Error;
 use crate::output::Output;
 
-/// Marks keys of this system, so that scanners for leaked secrets find them.
+/// Prefix of all keys, by which scanners for leaked secrets recognise them.
 const PREFIX: &str = "pimento-";
 
 #[derive(Debug, Serialize)]
@@ -18,7 +18,7 @@
     hash: String,
 }
 
-/// Makes a new key of 256 random bits: too many to guess.
+/// Generates a key of 256 random bits.
 #[must_use]
 pub fn generate() -> Output {
     let (high, low): (u128, u128) = rand::random();
@@ -27,11 +27,11 @@
     output(Some(secret), hash)
 }
 
-/// Hashes a key that is given on standard input, so that it stands in no shell history.
+/// Hashes the key on standard input, which keeps it out of the shell history.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] if standard input holds no text.
+/// [`Error::Usage`] if standard input is empty or not UTF-8.
 pub fn hash() -> Result<Output, Error> {
     let mut text = String::new();
     io::stdin()
--- a/crates/ctl/src/command/publish.rs
+++ b/crates/ctl/src/command/publish.rs
@@ -1,4 +1,4 @@
-//! `publish`.
+//! `publish`: checks files and publishes what they change.
 
 use pimento_contract::Change;
 use pimento_contract::fold::Verdict;
@@ -15,18 +15,22 @@
 /// How files are published.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Mode {
-    /// Withdrawn versions serve again and roll-outs are set back, if the files say so. Else they
-    /// stay as they are in force.
+    /// Whether to apply the files' status of withdrawn versions, and stage and status of roll-outs.
+    /// Otherwise those in force are preserved.
     pub reinstate: bool,
-    /// Nothing is published; the result lists what would be.
+    /// Whether to list the changes instead of publishing them.
     pub dry_run: bool,
 }
 
-/// Publishes what differs from what is in force.
+/// Publishes the subjects of the files that differ from the configuration in force.
 ///
 /// # Errors
 ///
-/// Findings of the files, the log's failures, or [`Error::Conflict`] if another change came first.
+/// - [`Error::Usage`] with the findings in the files,
+/// - [`Error::Failed`] if the snapshot is incomplete,
+/// - [`Error::Conflict`] if another change came first,
+/// - [`Error::Log`] if the log is unavailable; nothing is published,
+/// - [`Error::Unconfirmed`] if it is unknown whether the changes are in force.
 pub async fn publish_files(
     context: &Context,
     paths: &[String],
@@ -37,12 +41,14 @@
     let mut values = files::check(&files, &snapshot.state)?;
     if !mode.reinstate {
         for subject in publish::preserve_progress(&snapshot, &mut values) {
-            eprintln!("{subject}: kept as it is in force (--reinstate would set it back)");
+            eprintln!(
+                "{subject}: status and stage in force are preserved (--reinstate applies those of the file)"
+            );
         }
     }
     let changes = publish::changes(&snapshot, values, &context.by);
     if changes.is_empty() {
-        eprintln!("nothing differs from what is in force");
+        eprintln!("no changes: the files match the configuration in force");
     }
     if mode.dry_run {
         return Ok(preview(&changes));
@@ -56,7 +62,7 @@
     Output::new(&["would change", "from revision"], rows, &changes)
 }
 
-/// Publishes prepared changes.
+/// Publishes the given changes.
 ///
 /// # Errors
 ///
--- a/crates/ctl/src/command/show.rs
+++ b/crates/ctl/src/command/show.rs
@@ -1,4 +1,4 @@
-//! `show`.
+//! `show`: the configuration in force.
 
 use pimento_contract::Value;
 use pimento_contract::fold::Item;
@@ -8,15 +8,16 @@
 use crate::exit::Error;
 use crate::output::Output;
 
-/// Lists what is in force, or one subject with all its values.
+/// Lists all subjects in force, or shows all fields of one.
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] if the subject does not exist, or the log's failures.
+/// [`Error::Failed`] if the subject does not exist, [`Error::Log`] if the log can't be read before
+/// the deadline.
 pub async fn show(context: &Context, subject: Option<&str>) -> Result<Output, Error> {
     let snapshot = context.snapshot().await?;
     if !snapshot.complete {
-        eprintln!("early changes are no longer on the log: this list may lack some");
+        eprintln!("the log no longer retains early changes; subjects may be missing");
     }
     let items = snapshot.state.items();
     let Some(subject) = subject else {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Rows of key path and value.
+/// Appends a row of key path and value for each leaf of `json`.
 fn flatten(path: &str, json: &Json, rows: &mut Vec<Vec<String>>) {
     match json {
         Json::Object(keys) => {
--- a/crates/ctl/src/command/status.rs
+++ b/crates/ctl/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: how far each entry VM has got, and how old its state is.
+//! `status`: the log offset of each entry VM and the age of its state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::output::Output;
 use crate::progress::Progress;
 
-/// One entry VM's answer.
+/// The response of one entry VM, or the error in its place.
 #[derive(Debug, Serialize)]
 struct Line {
     address: SocketAddr,
@@ -22,16 +22,16 @@
     error: Option<String>,
 }
 
-/// Asks all entry VMs at once.
+/// Queries all entry VMs concurrently. A VM that does not respond is listed with its error.
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] if none answers; a single one that does not answer is a line of the result.
+/// [`Error::Usage`] if no address is given, [`Error::Failed`] if no VM responds.
 pub async fn status(addresses: &[SocketAddr], timeout: Duration) -> Result<Output, Error> {
     if addresses.is_empty() {
-        return Err(Error::usage("--operators names no address"));
+        return Err(Error::usage("--operators contains no address"));
     }
-    let progress = Progress::new("asking entry VMs");
+    let progress = Progress::new("querying entry VMs");
     let lines = join_all(addresses.iter().map(|address| query(*address, timeout))).await;
     drop(progress);
     if lines.iter().all(|line| line.state.is_none()) {
--- a/crates/ctl/src/command/version.rs
+++ b/crates/ctl/src/command/version.rs
@@ -1,4 +1,4 @@
-//! `version roll-in|advance|halt|withdraw`.
+//! `version roll-in|advance|halt|withdraw`: changes to roll-outs and versions.
 
 use pimento_contract::Change;
 use pimento_contract::Rollout;
@@ -18,25 +18,25 @@
 use crate::publish::change;
 use crate::snapshot::Snapshot;
 
-/// A roll-out as the command line gives it.
+/// Parameters of a new roll-out.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The version that comes in.
+    /// The version to roll in.
     pub to: id::Version,
-    /// The version that is replaced.
+    /// The version to replace.
     pub from: id::Version,
-    /// Rising weights; the last is 1.
+    /// Increasing weights of the new version, the last of which is 1.
     pub stages: Vec<Share>,
-    /// Evidence needed for each stage.
+    /// What each stage must meet before the next.
     pub gate: Gate,
 }
 
-/// Begins a roll-out at its first stage.
+/// Starts a roll-out at its first stage.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] if the plan makes no sense, [`Error::Failed`] if a version does not exist or is
-/// withdrawn, or what publishing gives.
+/// [`Error::Usage`] if the plan is invalid, [`Error::Failed`] if a version does not exist or is
+/// withdrawn, and the errors of [`publish::publish_changes`].
 pub async fn roll_in(context: &Context, plan: Plan) -> Result<Output, Error> {
     check(&plan)?;
     let mut snapshot = context.complete_snapshot().await?;
@@ -63,10 +63,14 @@
         .is_some_and(|first| *first > Share::ZERO);
     let ends_at_one = plan.stages.last() == Some(&Share::ONE);
     if !(rising && starts_above_zero && ends_at_one) {
-        return Err(Error::usage("--stages must rise from above 0 to 1"));
+        return Err(Error::usage(
+            "--stages must increase, starting above 0 and ending at 1",
+        ));
     }
     if plan.from == plan.to {
-        return Err(Error::usage("--from must be another version"));
+        return Err(Error::usage(
+            "--from must differ from the version that is rolled in",
+        ));
     }
     Ok(())
 }
@@ -84,12 +88,13 @@
     version.ok_or_else(|| Error::failed(format!("version/{id} does not exist")))
 }
 
-/// Advances a roll-out to its next stage whatever the evidence; after the last it is done. One
-/// that was halted goes on at the stage where it stood.
+/// Advances a roll-out to its next stage regardless of its gate, or completes it after the last
+/// stage. A halted roll-out resumes at its current stage.
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] if there is no such roll-out or it is done, or what publishing gives.
+/// [`Error::Failed`] if the roll-out does not exist or is done, and the errors of
+/// [`publish::publish_changes`].
 pub async fn advance(context: &Context, to: &id::Version) -> Result<Output, Error> {
     update_rollout(context, to, |rollout| match rollout.status {
         rollout::Status::Done => Err(Error::failed(format!("the roll-out of {to} is done"))),
@@ -109,16 +114,17 @@
     .await
 }
 
-/// Halts a roll-out: no new session goes to the version.
+/// Halts a roll-out: the version gets no new sessions.
 ///
 /// # Errors
 ///
-/// As [`advance`].
+/// [`Error::Failed`] if the roll-out does not exist or is halted already, and the errors of
+/// [`publish::publish_changes`].
 pub async fn halt(context: &Context, to: &id::Version) -> Result<Output, Error> {
     update_rollout(context, to, |rollout| {
         if rollout.status == rollout::Status::Halted {
             return Err(Error::failed(format!(
-                "the roll-out of {to} is halted already"
+                "the roll-out of {to} is already halted"
             )));
         }
         rollout.status = rollout::Status::Halted;
@@ -148,23 +154,24 @@
     publish::publish_changes(context, &mut snapshot, &[change]).await
 }
 
-/// Withdraws a version: it gets no new work. A roll-out that brings it in is halted with it.
+/// Withdraws a version, which then gets no new requests, and halts the roll-out to it if one runs.
+/// Prints a warning for each class that is left without a version.
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] if there is no such version or it is withdrawn already, or what publishing
-/// gives.
+/// [`Error::Failed`] if the version does not exist or is already withdrawn, and the errors of
+/// [`publish::publish_changes`].
 pub async fn withdraw(context: &Context, id: &id::Version) -> Result<Output, Error> {
     let mut snapshot = context.complete_snapshot().await?;
     require_serving(&snapshot, id)?;
     for class in unserved_classes(&snapshot, id) {
-        eprintln!("{class}: no version is left that may serve it");
+        eprintln!("{class}: no version remains that may serve it");
     }
     let changes = withdrawal_changes(&snapshot, id, &context.by)?;
     publish::publish_changes(context, &mut snapshot, &changes).await
 }
 
-/// Classes that no serving version is left for once `id` is withdrawn.
+/// Returns the classes that no version may serve once `id` is withdrawn.
 fn unserved_classes(snapshot: &Snapshot, id: &id::Version) -> Vec<String> {
     let remains = |other: &&id::Version| *other != id && require_serving(snapshot, other).is_ok();
     let mut unserved = Vec::new();
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes and errors. The codes are stable: scripts depend on them.
+//! Errors and their exit codes. Scripts depend on the codes, so they must not change.
 
 use std::process::ExitCode;
 
@@ -9,54 +9,55 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// Something that was asked for does not exist or does not apply.
+    /// A subject does not exist, a change does not apply, or a server did not respond.
     #[snafu(display("{message}"))]
     Failed {
-        /// What, as a sentence for people.
+        /// Description for the operator.
         message: String,
     },
-    /// Bad usage, or findings in files.
+    /// Invalid usage, or findings in files.
     #[snafu(display("{message}"))]
     Usage {
-        /// All findings, a line each.
+        /// All findings, one a line.
         message: String,
     },
     /// Another change came first.
     #[snafu(display("{message}"))]
     Conflict {
-        /// Which revision won, for each change that lost.
+        /// One line for each rejected change, with the revision that won.
         message: String,
     },
-    /// The log could not be reached or refused; nothing was published.
-    #[snafu(display("the log can't be used now, nothing was changed: {source}"))]
+    /// The log could not be read or refused the append; nothing was published.
+    #[snafu(display("the log is unavailable, nothing was changed: {source}"))]
     Log {
-        /// The last error.
+        /// The last error of the log.
         source: log::Error,
     },
-    /// It is unknown whether the changes are in the log.
+    /// It is unknown whether the changes are in force: they are or may be on the log, and their
+    /// verdicts could not be read back.
     #[snafu(display("{message}"))]
     Unconfirmed {
-        /// Which changes, with their ids.
+        /// Description with the ids and subjects of the changes.
         message: String,
     },
 }
 
 impl Error {
-    /// An [`Error::Failed`].
+    /// Creates an [`Error::Failed`].
     pub fn failed(message: impl Into<String>) -> Self {
         Self::Failed {
             message: message.into(),
         }
     }
 
-    /// An [`Error::Usage`].
+    /// Creates an [`Error::Usage`].
     pub fn usage(message: impl Into<String>) -> Self {
         Self::Usage {
             message: message.into(),
         }
     }
 
-    /// The exit code.
+    /// Exit code of the program.
     #[must_use]
     pub const fn code(&self) -> u8 {
         match self {
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -1,4 +1,4 @@
-//! Reads operators' files.
+//! Reads and checks the files that operators pass to commands.
 
 use std::fs;
 
@@ -11,7 +11,7 @@
 
 use crate::exit::Error;
 
-/// Reads all files; those that can't be read are reported together.
+/// Reads all files. Those that can't be read are reported together in one [`Error::Usage`].
 pub(crate) fn load(paths: &[String]) -> Result<Vec<File>, Error> {
     let mut files = Vec::with_capacity(paths.len());
     let mut errors = Vec::new();
@@ -30,7 +30,7 @@
     Err(Error::usage(errors.join("\n")))
 }
 
-/// Checks files over `known`.
+/// Checks the files together, with references to `known` subjects allowed.
 pub(crate) fn check(files: &[File], known: &State) -> Result<Vec<Value>, Error> {
     let configuration =
         Configuration::try_from(Source { files, known }).map_err(|findings| report(&findings))?;
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,10 +1,11 @@
 //! The operators' command line: checks and publishes contracts, rolls versions in and out, and
-//! shows what is in force, what was billed and how far each entry VM has got.
+//! shows the configuration in force, bill totals, the progress of each entry VM and the timeline of
+//! a request.
 //!
-//! [`publish`] proposes changes on the platform's log and reads their verdicts back, so that a lost
-//! answer or a racing operator never leaves the caller guessing; [`snapshot`] folds the
-//! configuration stream. Both work over any [`pimento_coordination::Log`]. [`command`] holds one module
-//! for each subcommand, [`exit`] the exit codes.
+//! [`publish`] appends changes to the platform's log and reads their verdicts back, so that the
+//! outcome is known after a lost response or a concurrent change; [`snapshot`] folds the
+//! configuration stream. Both work over any [`pimento_coordination::Log`]. [`command`] has one
+//! module for each subcommand, [`exit`] defines errors and exit codes.
 
 mod args;
 pub mod cli;
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! What commands print: a table for people or JSON for machines.
+//! Results of commands, printed as a table or as JSON.
 
 use comfy_table::Cell;
 use comfy_table::Table;
@@ -6,16 +6,16 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// How results are printed.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// A table.
+    /// A table for people.
     Table,
-    /// JSON, one document.
+    /// One JSON document for programs.
     Json,
 }
 
-/// A result in both forms.
+/// A result that can be printed in either format.
 #[derive(Debug, Clone)]
 pub struct Output {
     columns: Vec<&'static str>,
@@ -24,14 +24,14 @@
 }
 
 impl Output {
-    /// A result whose JSON form is `items`.
+    /// Creates a result with table rows and `items` as its JSON form.
     ///
     /// # Panics
     ///
-    /// Never for the types of this crate: they are plain JSON.
+    /// If `items` can't be represented in JSON, which no type of this crate does.
     #[must_use]
     pub fn new(columns: &[&'static str], rows: Vec<Vec<String>>, items: &impl Serialize) -> Self {
-        let json = serde_json::to_value(items).expect("results are plain JSON");
+        let json = serde_json::to_value(items).expect("results can be represented in JSON");
         Self {
             columns: columns.to_vec(),
             rows,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The text to print.
+    /// Formats the result.
     #[must_use]
     pub fn text(&self, format: Format) -> String {
         match format {
--- a/crates/ctl/src/progress.rs
+++ b/crates/ctl/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of long commands, shown on a terminal only.
+//! Progress display of long commands, shown only on a terminal.
 
 use std::io::IsTerminal;
 use std::io::stderr;
@@ -6,15 +6,15 @@
 
 use indicatif::ProgressBar;
 
-/// How often the display moves while nothing else happens.
+/// Interval of the spinner's animation.
 const TICK: Duration = Duration::from_millis(200);
 
-/// A spinner on a terminal, nothing elsewhere. Gone when dropped.
+/// A spinner on standard error if that is a terminal. Cleared on drop.
 #[derive(Debug)]
 pub(crate) struct Progress(ProgressBar);
 
 impl Progress {
-    /// Starts with `message`.
+    /// Shows a spinner with `message`.
     pub(crate) fn new(message: &'static str) -> Self {
         if !stderr().is_terminal() {
             return Self(ProgressBar::hidden());
@@ -25,7 +25,7 @@
         Self(bar)
     }
 
-    /// Shows another message.
+    /// Replaces the message.
     pub(crate) fn set_message(&self, message: String) {
         self.0.set_message(message);
     }
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -1,8 +1,9 @@
-//! Proposes changes on the configuration stream and reads their verdicts back.
+//! Appends changes to the configuration stream and reads their verdicts back.
 //!
-//! The log may lose the answer to an append after the append took effect. Each change carries an
-//! id, so that the verdict is read back from the stream, and appending the same records again
-//! counts once. Of two racing operators the first in the log wins; the other one is told so.
+//! The response to an append may be lost after the append took effect. Each change therefore
+//! carries an id, by which its verdict is found in the stream and by which a record that is
+//! appended twice counts once. Of two concurrent changes to the same revision the first on the log
+//! wins; the other gets [`Verdict::Conflict`].
 
 use std::fmt;
 use std::time::SystemTime;
@@ -30,17 +31,17 @@
 use crate::snapshot::Snapshot;
 use crate::stream;
 
-/// What became of one change.
+/// The outcome of one change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Outcome {
-    /// The subject.
+    /// The subject of the change.
     #[serde(serialize_with = "display")]
     pub subject: Subject,
-    /// The change's id.
+    /// The id of the change.
     pub id: id::Record,
-    /// What became of it.
+    /// Whether it is in force.
     pub verdict: Verdict,
-    /// Who wrote the revision that won, if it was another and is still on the log.
+    /// On a conflict, the author of the revision that won, if the log still retains its change.
     pub winner: Option<CompactString>,
 }
 
@@ -63,12 +64,15 @@
                     None => Ok(()),
                 }
             }
-            Verdict::Mismatch => write!(f, "{subject}: the value is of another subject"),
+            Verdict::Mismatch => write!(
+                f,
+                "{subject}: not published, the value belongs to another subject"
+            ),
         }
     }
 }
 
-/// Makes a change of `subject` on top of `snapshot`.
+/// Creates a change of `subject` with its revision in `snapshot` as the base.
 #[must_use]
 pub fn change(snapshot: &Snapshot, subject: Subject, value: Option<Value>, by: &str) -> Change {
     Change {
@@ -88,8 +92,8 @@
     Wall::from_millis(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Changes for the values that differ from what is in force, in an order in which no contract
-/// comes before what it names.
+/// Creates changes for the values that differ from the configuration in force, ordered such that no
+/// contract comes before the subjects that it references.
 #[must_use]
 pub fn changes(snapshot: &Snapshot, values: Vec<Value>, by: &str) -> Vec<Change> {
     let mut values = values;
@@ -105,9 +109,10 @@
         .collect()
 }
 
-/// Keeps what operators and controllers did since the files were written: a withdrawn version stays
-/// withdrawn, and a roll-out keeps its stage and status. Else an amended contract, published along
-/// with the other files of its folder, would bring a bad version back. Gives the subjects kept so.
+/// Replaces status and stage in `values` by those in force: a withdrawn version stays withdrawn,
+/// and a roll-out whose stages are unchanged keeps its stage and status. Otherwise publishing an
+/// amended contract along with the older files of its folder would reinstate a bad version. Returns
+/// the subjects that it altered.
 pub fn preserve_progress(snapshot: &Snapshot, values: &mut [Value]) -> Vec<Subject> {
     let mut preserved = Vec::new();
     for value in values {
@@ -135,7 +140,8 @@
     preserved
 }
 
-/// Readers apply changes one at a time, so the order within one append still matters.
+/// Sort key of [`changes`]. Readers apply changes one by one, so the order within one append
+/// matters.
 fn publish_order(value: &Value) -> u8 {
     match value {
         Value::Pool(_) => 0,
@@ -146,11 +152,12 @@
     }
 }
 
-/// Appends `changes` and reads their verdicts back, until `deadline`.
+/// Appends `changes` and reads their verdicts back. Retries until `deadline`.
 ///
 /// # Errors
 ///
-/// [`Error::Log`] if the changes surely are not on the log, [`Error::Unconfirmed`] if they may be.
+/// [`Error::Log`] if the changes are certainly not on the log, [`Error::Unconfirmed`] if they are
+/// or may be but their verdicts could not be read back.
 pub async fn publish(
     log: &impl Log,
     snapshot: &mut Snapshot,
@@ -167,8 +174,8 @@
             Ok(first) => return await_outcomes(log, snapshot, changes, first, deadline).await,
             Err(error) => error,
         };
-        // An answer that was lost once leaves the changes in doubt whatever later tries say, unless
-        // they are read back.
+        // After a lost response the changes may be on the log, whatever later attempts return,
+        // until they are read back.
         uncertain |= !matches!(failure, log::Error::Refused { .. });
         if uncertain
             && snapshot.refresh(log, deadline).await.is_ok()
@@ -192,7 +199,8 @@
         .map_err(|error| Error::failed(error.to_string()))
 }
 
-/// Reads on until all changes are decided. `first` is where the log says that they stand.
+/// Reads the stream until all changes have a verdict. `first` is the offset of the first change, as
+/// the log returned it.
 async fn await_outcomes(
     log: &impl Log,
     snapshot: &mut Snapshot,
@@ -242,7 +250,7 @@
 
 fn unconfirmed(changes: &[Change]) -> Error {
     let mut message = String::from(
-        "the log's answer was lost and could not be read back; these changes may be in force \
+        "the verdicts could not be read back from the log; these changes may be in force \
          (look for their ids in `pimentoctl history`):",
     );
     for change in changes {
@@ -254,11 +262,11 @@
     Error::Unconfirmed { message }
 }
 
-/// An error if any change lost.
+/// Checks that all changes were accepted.
 ///
 /// # Errors
 ///
-/// [`Error::Conflict`] naming what won.
+/// [`Error::Conflict`] with one line for each change that was not.
 pub fn require_accepted(outcomes: &[Outcome]) -> Result<(), Error> {
     let lost = |outcome: &&Outcome| !matches!(outcome.verdict, Verdict::Accepted(_));
     let lines: Vec<String> = outcomes
--- a/crates/ctl/src/snapshot.rs
+++ b/crates/ctl/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, folded from its stream on the log.
+//! The configuration in force, computed from the configuration stream of the log.
 
 use pimento_contract::Change;
 use pimento_contract::State;
@@ -15,37 +15,37 @@
 
 use crate::stream;
 
-/// A change with its place and verdict.
+/// A change with its offset and verdict.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecidedChange {
-    /// Where it stands.
+    /// Offset on the configuration stream.
     pub offset: Offset,
-    /// What was proposed.
+    /// The change as it was appended.
     pub change: Change,
-    /// What became of it.
+    /// Whether it was accepted.
     pub verdict: Verdict,
 }
 
-/// The configuration, with the changes that are still on the log.
+/// The configuration with the changes that the log still retains.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// What is in force.
+    /// The configuration in force.
     pub state: State,
-    /// Changes in offset order.
+    /// Retained changes in the order of their offsets.
     pub history: Vec<DecidedChange>,
-    /// The oldest record that was still kept when the reading began.
+    /// Offset of the oldest record that the log retained at the first read.
     pub oldest: Offset,
-    /// Whether the state is known: false if retention has passed early records and no checkpoint
-    /// that fits its hash covers them.
+    /// Whether `state` covers the whole stream. False if the log no longer retains early records
+    /// and no checkpoint with a valid hash covers them.
     pub complete: bool,
 }
 
 impl Snapshot {
-    /// Reads the whole stream.
+    /// Reads the stream from its oldest record.
     ///
     /// # Errors
     ///
-    /// The log's last error once `deadline` has passed.
+    /// The last error of the log if reading fails until `deadline`.
     pub async fn load(log: &impl Log, deadline: Instant) -> Result<Self, Error> {
         let mut records = Vec::new();
         let from = Offset(0);
@@ -62,7 +62,7 @@
         Ok(snapshot)
     }
 
-    /// Reads what was added since.
+    /// Reads the records that were appended since the last read.
     ///
     /// # Errors
     ///
@@ -89,13 +89,14 @@
                 self.restore(checkpoint);
                 self.state.skip(offset);
             }
-            // A record that can't be read is passed over by every reader alike.
+            // Every reader skips malformed records, so that all compute the same state.
             Ok(Entry::Change(_)) | Err(_) => self.state.skip(offset),
         }
     }
 
-    /// Takes the state of a checkpoint if the records before it are gone, unless some between its
-    /// state and the oldest record are gone too. Changes after its state are applied again.
+    /// Restores the state from a checkpoint if early records are no longer retained. Ignores a
+    /// checkpoint that is damaged, and one whose state ends before the oldest record, since changes
+    /// between the two would be missing. Applies the changes after the checkpoint's state again.
     fn restore(&mut self, checkpoint: pimento_contract::change::Checkpoint) {
         if self.complete {
             return;
@@ -117,7 +118,8 @@
         }
     }
 
-    /// What became of a change that was read. One that stands on the log twice counts once.
+    /// Returns the verdict of a change, or `None` if it was not read. Of a change that is on the
+    /// log twice, returns the first verdict.
     #[must_use]
     pub fn verdict(&self, id: id::Record) -> Option<Verdict> {
         let decided = self
@@ -127,7 +129,7 @@
         Some(decided.verdict)
     }
 
-    /// The change that set the revision `winner`, if it is still on the log.
+    /// Returns the change that was accepted as `revision`, if the log still retains it.
     #[must_use]
     pub fn accepted_as(&self, revision: Revision) -> Option<&DecidedChange> {
         self.history
--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -1,4 +1,4 @@
-//! Reads a stream of the log from its oldest record to its present end.
+//! Reads a stream of the log up to its current end.
 
 use std::time::Duration;
 
@@ -9,23 +9,26 @@
 use pimento_wire::platform::Entry;
 use tokio::time::Instant;
 
-/// Records in one read. A thousand of the largest records stay far below the client's body limit.
+/// Maximum number of records in one read. A thousand of the largest records stay far below the
+/// client's body limit.
 const BATCH_RECORDS: usize = 1_000;
 
-/// Pause between two tries while the log does not answer.
+/// Minimum delay before a failed call to the log is retried.
 const BACKOFF: Duration = Duration::from_millis(200);
 
-/// Where a reading of a stream began.
+/// The range of a stream that was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Extent {
-    /// The first offset that was still kept.
+    /// Where reading began: the requested offset, or the oldest that the log retains if that is
+    /// later.
     pub oldest: Offset,
-    /// Where to read on.
+    /// The offset after the last record that was read.
     pub next: Offset,
 }
 
-/// Reads from `from` to the end as it was when the reading began, and hands each record to `on_record`.
-/// If retention has passed `from`, it begins at the oldest record.
+/// Calls `on_record` for each record from `from` to the end of the stream at the first read. Starts
+/// at the oldest retained record if that is later than `from`. Retries failed reads until
+/// `deadline`.
 ///
 /// # Errors
 ///
@@ -69,7 +72,7 @@
     Ok(extent)
 }
 
-/// Waits before the next try, or gives `error` back if the time is up by then.
+/// Waits before the next attempt, or returns `error` if the deadline comes first.
 pub(crate) async fn backoff(error: Error, deadline: Instant) -> Result<(), Error> {
     let wait = match &error {
         Error::Refused { retry_after } => BACKOFF.max(*retry_after),
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -1,9 +1,10 @@
-//! What became of one request, out of the log lines of several VMs.
+//! The timeline of one request, built from the log lines of several VMs.
 //!
-//! A request is served by one VM, whose lines name it. What that VM believed, and what other VMs saw of
-//! the same endpoints, stands in lines without its id. VMs' clocks differ, and jump; so lines are
-//! ordered by the time since boot that each carries, and two VMs are compared by what both read of the
-//! platform's log: a record has one offset, and VMs read it within a fraction of a second.
+//! A request is served by one VM, whose log lines contain the request's id. Lines without the id
+//! show the state of that VM, and what other VMs observed of the same endpoints. Wall clocks of VMs
+//! differ and jump, so lines are ordered by the time since boot that each carries (`steady_ms`).
+//! The clocks of two VMs are aligned by the records of the platform's log that both have read: a
+//! record has one offset, and all VMs read it within a fraction of a second.
 
 use std::fs;
 use std::io;
@@ -15,11 +16,11 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// Milliseconds before a request's first line and after its last in which other lines may bear on it:
-/// a VM that falls out of touch says so within two seconds, and refuses keys after four.
+/// Milliseconds before a request's first line and after its last in which other lines are included.
+/// A VM that loses contact logs it within two seconds and refuses keys after four.
 const MARGIN_MS: i64 = 5_000;
 
-/// A line as a program wrote it.
+/// A log line as a program wrote it.
 #[derive(Debug, Clone, Deserialize)]
 struct Raw {
     message: String,
@@ -30,11 +31,11 @@
     diags: Map<String, Value>,
 }
 
-/// A line of one VM.
+/// A log line with its time.
 #[derive(Debug, Clone)]
 struct Line {
     raw: Raw,
-    /// Milliseconds since the VM booted.
+    /// Milliseconds since the boot of the VM.
     at: i64,
 }
 
@@ -43,24 +44,24 @@
         self.raw.kvs.get(field)?.as_str()
     }
 
-    /// The record of the log that it tells of.
+    /// Topic and offset of the platform's log record that the line mentions.
     fn record(&self) -> Option<(&str, u64)> {
         let offset = self.raw.kvs.get("offset")?.as_u64()?;
         Some((self.text("topic")?, offset))
     }
 }
 
-/// The lines of one VM, in the order in which it wrote them.
+/// The log lines of one VM, in the order in which they were written.
 #[derive(Debug, Clone)]
 pub struct VmLog {
     vm: CompactString,
     lines: Vec<Line>,
-    /// Lines that are none of ours, or were cut.
+    /// Number of lines that are not in this system's format or are truncated.
     pub malformed: usize,
 }
 
 impl VmLog {
-    /// Reads a VM's lines.
+    /// Parses the log lines of a VM. A `node` key in a line replaces the name `vm`.
     #[must_use]
     pub fn parse(vm: &str, text: &str) -> Self {
         let mut log = Self {
@@ -78,7 +79,8 @@
     }
 
     fn push(&mut self, raw: Raw) {
-        // The line about missing lines is written outside of their order, and has no time.
+        // The line that reports dropped lines is written out of order and carries no time; it gets
+        // that of the line before it.
         let before = self.lines.last().map_or(0, |line| line.at);
         let at = raw.diags.get("steady_ms").and_then(Value::as_i64);
         let at = at.unwrap_or(before);
@@ -93,8 +95,8 @@
         found.map(|line| line.at)
     }
 
-    /// What is to be added to this VM's times to compare them with another's: the median over the
-    /// records that both read; none if there is none.
+    /// Milliseconds to add to the times of this VM to get those of `other`: the median over the
+    /// records that both have read, or `None` if there are none.
     fn clock_offset(&self, other: &Self) -> Option<i64> {
         let records = other.lines.iter().filter_map(|line| {
             let own = self.time_of_record(line.record()?)?;
@@ -106,11 +108,12 @@
     }
 }
 
-/// Reads the logs of a folder, one file for each VM, whose name is the VM's until a line says it.
+/// Reads the log files in a folder, one for each VM. The file's name stands for the VM's until a
+/// line names the VM.
 ///
 /// # Errors
 ///
-/// If the folder or a file can't be read.
+/// An I/O error if the folder or a file can't be read.
 pub fn read_folder(path: &Path) -> io::Result<Vec<VmLog>> {
     let mut logs = Vec::new();
     let mut entries = fs::read_dir(path)?.collect::<io::Result<Vec<_>>>()?;
@@ -127,22 +130,23 @@
     Ok(logs)
 }
 
-/// One event of a story.
+/// One event of a timeline.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Event {
-    /// Milliseconds since the request's first line, by the clock of the VM that served it.
+    /// Milliseconds since the request's first line, by the clock of the VM that served it. Negative
+    /// for earlier events.
     pub at_ms: i64,
-    /// Who saw it.
+    /// The VM that logged it.
     pub vm: CompactString,
     /// Whether the line names the request.
     pub own: bool,
-    /// What happened.
+    /// The message of the line.
     pub what: String,
-    /// The inputs and the outcome.
+    /// The keys and values of the line.
     pub fields: Map<String, Value>,
 }
 
-/// What became of a request; empty if no line names it.
+/// Builds the timeline of a request; empty if no line names it.
 #[must_use]
 pub fn build(logs: &[VmLog], request: &str) -> Vec<Event> {
     let names = |line: &Line| line.text("request") == Some(request);
@@ -162,7 +166,7 @@
         } else {
             log.clock_offset(serving)
         };
-        // Without a record that both read, its times say nothing here.
+        // Without a common record the times of the two VMs can't be compared.
         let Some(offset) = offset else { continue };
         for line in &log.lines {
             let at = line.at + offset;
@@ -179,13 +183,15 @@
             }
         }
     }
-    // Stable, so that lines of one millisecond stay in the order in which their VM wrote them.
+    // The sort is stable: lines of the same millisecond stay in the order in which their VM wrote
+    // them.
     events.sort_by_key(|event| event.at_ms);
     events
 }
 
-/// Whether a line that does not name the request bears on it: what the VM itself came to believe, and
-/// what others saw of the same endpoints.
+/// Whether a line that does not name the request is part of its timeline. This holds for lines of
+/// any VM about the same endpoints, and for lines of the serving VM that name no endpoint or are
+/// warnings. Lines that name another request are excluded.
 fn is_related(line: &Line, same_vm: bool, endpoints: &[&str]) -> bool {
     if line.text("request").is_some() {
         return false;
