--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An in-memory log whose appends can be made to fail in the ways that the platform's can.
+//! An in-memory log with the failures that the platform's log can have.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,20 +14,21 @@
 use pimento_wire::platform::Batch;
 use pimento_wire::platform::Entry;
 
-/// What happens to one append.
+/// The fault of one append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing: it works.
+    /// No fault.
     None,
-    /// It is refused before it takes effect.
+    /// The append is refused and has no effect.
     Refuse,
-    /// It takes effect and the answer is lost.
+    /// The append takes effect and its response is lost.
     LoseAnswer,
-    /// It gets lost on the way and so does the answer.
+    /// The append is lost before it takes effect; the caller sees the same error as for a lost
+    /// response.
     LoseRequest,
 }
 
-/// The log.
+/// The log, shared by its clones.
 #[derive(Debug, Clone, Default)]
 pub struct Memory {
     inner: Arc<Mutex<Inner>>,
@@ -44,30 +45,32 @@
 
 impl Memory {
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no test panics in here")
+        self.inner
+            .lock()
+            .expect("no test panics while it holds the lock")
     }
 
-    /// Has the next appends meet these faults.
+    /// Injects faults into the next appends, one each.
     pub fn inject(&self, faults: &[Fault]) {
         self.inner().faults.extend(faults);
     }
 
-    /// Has all reads fail from now on.
+    /// Makes all further reads fail.
     pub fn fail_reads(&self) {
         self.inner().unreadable = true;
     }
 
-    /// Lets retention pass the records before `oldest`.
+    /// Drops the records before `oldest`, as retention does.
     pub fn drop_before(&self, oldest: usize) {
         self.inner().oldest = oldest;
     }
 
-    /// Appends that took effect.
+    /// Number of appends that took effect.
     pub fn appends(&self) -> usize {
         self.inner().appends
     }
 
-    /// Adds a record as somebody else would.
+    /// Appends a record of another writer, without faults.
     pub fn push(&self, record: String) {
         self.inner().records.push(record);
     }
@@ -75,7 +78,7 @@
 
 fn lost() -> Error {
     Error::Lost {
-        reason: "as the test asked".into(),
+        reason: "injected by the test".into(),
     }
 }
 
--- a/crates/ctl/tests/publish.rs
+++ b/crates/ctl/tests/publish.rs
@@ -1,4 +1,5 @@
-//! Publishing over a log that loses answers, refuses, forgets, and takes other operators' changes.
+//! Publishing on a log that loses responses, refuses appends, drops old records and gets changes of
+//! other operators.
 
 mod common;
 
@@ -45,7 +46,7 @@
         known: &State::default(),
     };
     Configuration::try_from(source)
-        .expect("the example is whole")
+        .expect("the example is valid")
         .values
 }
 
@@ -79,8 +80,8 @@
     let mut snapshot = load(log).await;
     let changes = changes(&snapshot, values, by);
     let outcomes = publish_changes(log, &mut snapshot, &changes).await;
-    let outcomes = outcomes.expect("the log takes it");
-    require_accepted(&outcomes).expect("nobody races");
+    let outcomes = outcomes.expect("the append succeeds");
+    require_accepted(&outcomes).expect("no change conflicts");
     outcomes.len()
 }
 
@@ -93,8 +94,8 @@
     assert_eq!(publish_all(&log, raise_weights(values()), "ines").await, 10);
 }
 
-/// An operator withdraws a bad version. Later another one amends a contract and publishes the whole
-/// folder, whose files still show the version as serving. The version must stay withdrawn.
+/// One operator withdraws a bad version. Later another amends a contract and publishes the whole
+/// folder, whose files still have the version as serving. The version must stay withdrawn.
 #[tokio::test(start_paused = true)]
 async fn publishing_files_does_not_bring_a_withdrawn_version_back() {
     let log = Memory::default();
@@ -106,7 +107,7 @@
     let withdrawal = changes(&snapshot, vec![Value::Version(version)], "ines");
     publish_changes(&log, &mut snapshot, &withdrawal)
         .await
-        .expect("the log takes it");
+        .expect("the append succeeds");
     let mut amended = raise_weights(values());
     let preserved = preserve_progress(&snapshot, &mut amended);
     assert_eq!(preserved.len(), 1);
@@ -116,8 +117,8 @@
     assert_eq!(status, Some(Status::Withdrawn));
 }
 
-/// The operator sees "in force" although the log answered nothing or "no" at first. The answer is
-/// lost after or before the effect, in any mixture; the changes must be in force once each.
+/// Appends are refused or lost, before or after they take effect, in several combinations.
+/// Publishing must succeed, with each change in force exactly once.
 #[tokio::test(start_paused = true)]
 async fn publishing_survives_log_faults() {
     let table: [&[Fault]; 5] = [
@@ -137,12 +138,17 @@
         );
         let state = load(&log).await.state;
         assert_eq!(state.items().len(), SUBJECTS, "{faults:?}");
-        assert_eq!(log.appends(), 1, "a lost answer was read back: {faults:?}");
+        assert_eq!(
+            log.appends(),
+            1,
+            "a lost response was read back: {faults:?}"
+        );
     }
 }
 
-/// Two operators amend the same ten contracts. Both read the same revisions; the first append wins
-/// and the other is told which revision won and whose it is. Neither change is overwritten unseen.
+/// Two operators read the same revisions and amend the same ten contracts. The first append wins.
+/// The other operator gets an error with the revision that won and its author, and overwrites
+/// nothing.
 #[tokio::test(start_paused = true)]
 async fn a_lost_race_names_the_winner() {
     let log = Memory::default();
@@ -152,11 +158,11 @@
     let theirs = changes(&second, raise_weights(raise_weights(values())), "jonas");
     let won = publish_changes(&log, &mut first, &ours)
         .await
-        .expect("the log takes it");
+        .expect("the append succeeds");
     require_accepted(&won).expect("the first wins");
     let lost = publish_changes(&log, &mut second, &theirs)
         .await
-        .expect("the log takes it");
+        .expect("the append succeeds");
     let error = require_accepted(&lost).expect_err("the second loses");
     assert_eq!(error.code(), 3);
     assert_eq!(error.to_string().lines().count(), 10);
@@ -173,7 +179,8 @@
     assert_eq!(weights(&load(&log).await.state), weights(&first.state));
 }
 
-/// The loser's answer is lost as well: it must still hear that it lost, not that it is in doubt.
+/// The response to the append that lost is lost too. The error must still be a conflict, not an
+/// unknown outcome.
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_does_not_hide_a_lost_race() {
     let log = Memory::default();
@@ -184,8 +191,13 @@
     log.inject(&[Fault::LoseAnswer]);
     let outcomes = publish_changes(&log, &mut late, &changes)
         .await
-        .expect("it is read back");
-    assert_eq!(require_accepted(&outcomes).expect_err("it lost").code(), 3);
+        .expect("the verdicts are read back");
+    assert_eq!(
+        require_accepted(&outcomes)
+            .expect_err("the change lost")
+            .code(),
+        3
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -195,12 +207,12 @@
     let changes = changes(&snapshot, values(), "ines");
     log.inject(&[Fault::Refuse; 100]);
     let error = publish_changes(&log, &mut snapshot, &changes).await;
-    assert_eq!(error.expect_err("the log is out").code(), 4);
+    assert_eq!(error.expect_err("the log is unavailable").code(), 4);
     assert!(load(&log).await.state.items().is_empty());
 }
 
-/// The answer is lost and then the log can't be read: whether the changes are in force is unknown,
-/// and the operator must be told so, with the ids to look for.
+/// The response is lost and then the log can't be read. The error must say that the outcome is
+/// unknown and contain the ids of the changes.
 #[tokio::test(start_paused = true)]
 async fn changes_that_cannot_be_read_back_are_unconfirmed() {
     let log = Memory::default();
@@ -215,8 +227,9 @@
     assert!(error.to_string().contains(&changes[0].id.to_string()));
 }
 
-/// Retention has passed the first records. With a checkpoint that fits its hash the state is known
-/// and revisions are right; a damaged one, or one with a gap after it, is not taken.
+/// The log no longer retains the first records. A checkpoint with a valid hash restores the state
+/// and its revisions. A damaged checkpoint is ignored, and so is one after whose state records are
+/// missing.
 #[tokio::test(start_paused = true)]
 async fn a_checkpoint_replaces_records_past_retention() {
     let log = Memory::default();
@@ -238,7 +251,7 @@
     let changes = changes(&snapshot, raise_weights(values()), "ines");
     publish_changes(&log, &mut snapshot, &changes)
         .await
-        .expect("the log takes it");
+        .expect("the append succeeds");
     log.push(text(checkpoint));
     let loaded = load(&log).await;
     assert!(loaded.complete);
@@ -248,6 +261,6 @@
     log.drop_before(SUBJECTS + 2);
     assert!(
         !load(&log).await.complete,
-        "a change after the checkpoint's state is gone"
+        "a change after the checkpoint's state is missing"
     );
 }
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! Stories of requests, out of log lines of VMs whose clocks differ.
+//! Timelines of requests, built from log lines of VMs whose clocks differ.
 
 use pimento_ctl::timeline::Event;
 use pimento_ctl::timeline::VmLog;
@@ -20,7 +20,7 @@
     summaries.collect()
 }
 
-/// The serving VM: its boot-time clock stands at a thousand seconds.
+/// The serving VM, which booted a thousand seconds before.
 fn serving() -> VmLog {
     let text = [
         line(1_000_000, "started", &json!({"node": "vm-1"})),
@@ -50,7 +50,7 @@
     VmLog::parse("file-a", &text.concat())
 }
 
-/// Another VM, which booted later, and read the same record of the log.
+/// Another VM, which booted later and read the same record of the log.
 fn other() -> VmLog {
     let text = [
         line(
@@ -65,13 +65,13 @@
         ),
         line(8_300, "gone", &json!({"endpoint": "i-1"})),
         line(8_300, "gone", &json!({"endpoint": "i-5"})),
-        "not a line of ours\n".to_string(),
+        "not in the log format\n".to_string(),
     ];
     VmLog::parse("vm-2", &text.concat())
 }
 
-/// The story is in the order of what happened, over clocks that are far apart; what bears on it from
-/// other VMs is what they saw of the same endpoints, and nothing of other requests.
+/// Events of VMs whose clocks are far apart must be in the order in which they happened. Of other
+/// VMs only lines about the same endpoints belong to the timeline, and no lines of other requests.
 #[test]
 fn events_are_in_order_although_clocks_differ() {
     let events = build(&[other(), serving()], "r-1");
@@ -93,8 +93,8 @@
     assert_eq!(other().malformed, 1);
 }
 
-/// A VM that read nothing of what the serving one read can't be compared with it, and is left out
-/// rather than put at a wrong time.
+/// The clock of a VM that has no log record in common with the serving VM can't be aligned. Its
+/// lines must be left out rather than placed at a wrong time.
 #[test]
 fn a_vm_that_cannot_be_compared_is_left_out() {
     let text = line(8_300, "gone", &json!({"endpoint": "i-1"}));
