--- a/tests/all/control.rs
+++ b/tests/all/control.rs
@@ -1,4 +1,4 @@
-//! `pimento-control` as processes over stand-ins of the platform, frozen and thawed.
+//! `pimento-control` processes with stand-ins of the platform: frozen, resumed and shut down.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -37,8 +37,8 @@
     "pimento-mini@2",
 ];
 
-/// Reports asked for after the thaw: some seconds of passes.
-const PASSES: u64 = 20;
+/// Number of load reports to wait for after the controller resumes, a few seconds of passes.
+const REPORT_REQUESTS: u64 = 20;
 
 fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
     text.parse().expect("the name is valid")
@@ -48,8 +48,8 @@
     VERSIONS.iter().map(|text| name(text)).collect()
 }
 
-/// Stand-ins that run as long as this does.
-struct Bench {
+/// Stand-ins of the platform and an engine, which run until this is dropped.
+struct Deployment {
     runtime: Runtime,
     log: SocketAddr,
     vms: SocketAddr,
@@ -57,9 +57,9 @@
     engine: Running<Engine>,
 }
 
-impl Bench {
+impl Deployment {
     fn start(fencing: Fencing) -> Self {
-        let runtime = Runtime::new().expect("threads can be had");
+        let runtime = Runtime::new().expect("the runtime starts");
         let token = CancellationToken::new();
         let (log, vms, weights, engine) = runtime.block_on(async {
             let log = log::start(log::Config::default(), token.clone()).await;
@@ -68,7 +68,7 @@
             config.settings.fencing = fencing;
             let engine = engine::start(config, token.clone()).await;
             let engine = engine.expect("a port is free");
-            // Does nothing but count the reports that are asked for.
+            // A rule without effect that counts the requests for load reports.
             let reports = Rule::new(Action::Delay { ms: 0 }).on("GET", "/load");
             engine.faults.rules([reports]);
             let vm = Vm {
@@ -108,18 +108,20 @@
         );
     }
 
-    /// A way to the log that ends with `token`.
+    /// Starts a relay to the log that breaks all connections when `token` is cancelled.
     fn relay(&self, token: CancellationToken) -> SocketAddr {
         let target = self.log;
         let listening = TcpListener::bind("127.0.0.1:0");
         let listener = self.runtime.block_on(listening).expect("a port is free");
         let address = listener.local_addr().expect("it is bound");
         self.runtime.spawn(async move {
-            while let Some(Ok((mut near, _))) = token.run_until_cancelled(listener.accept()).await {
+            while let Some(Ok((mut inbound, _))) =
+                token.run_until_cancelled(listener.accept()).await
+            {
                 let token = token.clone();
                 tokio::spawn(async move {
-                    let mut far = TcpStream::connect(target).await?;
-                    let copy = tokio::io::copy_bidirectional(&mut near, &mut far);
+                    let mut outbound = TcpStream::connect(target).await?;
+                    let copy = tokio::io::copy_bidirectional(&mut inbound, &mut outbound);
                     token.run_until_cancelled(copy).await.transpose()
                 });
             }
@@ -140,98 +142,102 @@
         Process::start(command)
     }
 
-    fn holds(&self, version: &str) -> bool {
-        let held = self.engine.site.versions();
-        held.binary_search(&name(version)).is_ok()
+    fn has_version(&self, version: &str) -> bool {
+        let versions = self.engine.site.versions();
+        versions.binary_search(&name(version)).is_ok()
     }
 }
 
-/// The fencing number under which a control may give orders now.
+/// The fencing number under which a controller may now give orders to the pool.
 fn fencing(control: &Process) -> Option<u64> {
     let state: Value = control.get("/state")?;
     let leases = state.get("leases")?.as_array()?;
-    let orders = |lease: &&Value| lease["resource"].as_str().is_some_and(|r| r.contains(POOL));
-    leases.iter().find(orders)?["fencing"].as_u64()
+    let of_pool = |lease: &&Value| lease["resource"].as_str().is_some_and(|r| r.contains(POOL));
+    leases.iter().find(of_pool)?["fencing"].as_u64()
 }
 
-fn publish(bench: &Bench, fencing: Fencing) {
+fn publish(deployment: &Deployment, fencing: Fencing) {
     let mut files = vec!["publish", "examples/nyabarongo/platform.toml"];
     files.push("examples/nyabarongo/contracts.toml");
-    bench.ctl(&files);
+    deployment.ctl(&files);
     if fencing == Fencing::Ignores {
-        bench.ctl(&["publish", "tests/all/ignoring-pool.toml"]);
+        deployment.ctl(&["publish", "tests/all/ignoring-pool.toml"]);
     }
 }
 
-/// The holder has read of a withdrawal and is frozen past its lease. Another control takes over and
-/// drops the version; then an operator puts it in force again. The first holder thaws and is cut off
-/// from the log, so that it knows nothing of all this and would drop the version a second time. Its
-/// clock says that the lease is over: the engine gets no order from it, whether it refuses old
-/// numbers or ignores them.
-fn frozen(kind: Fencing) {
-    let bench = Bench::start(kind);
-    publish(&bench, kind);
+/// The lease holder drops a withdrawn version and is then frozen past the end of its lease. Another
+/// controller takes over, and an operator reinstates the version. The first holder resumes, cut off
+/// from the log, so it does not know of the change and would drop the version again. By its clock
+/// the lease has expired, so it must send the engine no order, whether the engine refuses old
+/// fencing numbers or ignores them.
+fn check_frozen_holder(kind: Fencing) {
+    let deployment = Deployment::start(kind);
+    publish(&deployment, kind);
     let cut = CancellationToken::new();
-    let first = bench.control("control-1", bench.relay(cut.clone()));
+    let first = deployment.control("control-1", deployment.relay(cut.clone()));
     let number = eventually("the first holds the lease", || fencing(&first));
-    let second = bench.control("control-2", bench.log);
-    bench.ctl(&["version", "withdraw", WITHDRAWN]);
+    let second = deployment.control("control-2", deployment.log);
+    deployment.ctl(&["version", "withdraw", WITHDRAWN]);
     eventually("the version is dropped", || {
-        (!bench.holds(WITHDRAWN)).then_some(())
+        (!deployment.has_version(WITHDRAWN)).then_some(())
     });
     first.signal("STOP");
     cut.cancel();
-    let next = eventually("the second takes over", || fencing(&second));
-    assert!(next > number);
-    bench.ctl(&[
+    let next_number = eventually("the second takes over", || fencing(&second));
+    assert!(next_number > number);
+    deployment.ctl(&[
         "publish",
         "--reinstate",
         "examples/nyabarongo/platform.toml",
     ]);
     eventually("the version is back", || {
-        bench.holds(WITHDRAWN).then_some(())
+        deployment.has_version(WITHDRAWN).then_some(())
     });
     first.signal("CONT");
-    eventually("the first is awake", || first.get("/state"));
-    let reads = bench.engine.faults.table().rules[0].hits;
-    eventually("the engine was asked by all that may order", || {
-        (bench.engine.faults.table().rules[0].hits >= reads + PASSES).then_some(())
+    eventually("the first has resumed", || first.get("/state"));
+    let requests = deployment.engine.faults.table().rules[0].hits;
+    eventually("the engine was polled several times", || {
+        (deployment.engine.faults.table().rules[0].hits >= requests + REPORT_REQUESTS).then_some(())
     });
-    assert_eq!(fencing(&first), None, "it knows that its lease is over");
+    assert_eq!(
+        fencing(&first),
+        None,
+        "the first knows that its lease has expired"
+    );
     assert!(
-        bench.holds(WITHDRAWN),
-        "no late order undid the successor's"
+        deployment.has_version(WITHDRAWN),
+        "no late order dropped the version"
     );
     assert_eq!(
-        bench.engine.site.stats().fenced,
+        deployment.engine.site.stats().fenced,
         0,
-        "no late order was given at all"
+        "the engine received no late order"
     );
     second.signal("TERM");
-    assert_eq!(second.end(), Some(0));
+    assert_eq!(second.wait(), Some(0));
 }
 
 #[test]
 fn a_frozen_holder_gives_no_order_to_engines_that_refuse() {
-    frozen(Fencing::Refuses);
+    check_frozen_holder(Fencing::Refuses);
 }
 
 #[test]
 fn a_frozen_holder_gives_no_order_to_engines_that_ignore() {
-    frozen(Fencing::Ignores);
+    check_frozen_holder(Fencing::Ignores);
 }
 
-/// The holder is asked to end. It gives its lease up, so that the other control of the zone holds
-/// it before it could have run out.
+/// The lease holder gets SIGTERM. It must release its lease on exit, so that the other controller
+/// of the zone can acquire it without waiting for it to expire.
 #[test]
 fn a_holder_that_ends_gives_its_lease_up() {
-    let bench = Bench::start(Fencing::Refuses);
-    publish(&bench, Fencing::Refuses);
-    let first = bench.control("control-1", bench.log);
+    let deployment = Deployment::start(Fencing::Refuses);
+    publish(&deployment, Fencing::Refuses);
+    let first = deployment.control("control-1", deployment.log);
     let number = eventually("the first holds the lease", || fencing(&first));
-    let second = bench.control("control-2", bench.log);
+    let second = deployment.control("control-2", deployment.log);
     first.signal("TERM");
-    assert_eq!(first.end(), Some(0));
-    let next = eventually("the second holds the lease", || fencing(&second));
-    assert!(next > number);
+    assert_eq!(first.wait(), Some(0));
+    let next_number = eventually("the second holds the lease", || fencing(&second));
+    assert!(next_number > number);
 }
--- a/tests/all/ctl.rs
+++ b/tests/all/ctl.rs
@@ -1,4 +1,4 @@
-//! `pimentoctl` as processes over the stand-in of the log.
+//! `pimentoctl` processes with the stand-in of the log.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -30,7 +30,7 @@
 ];
 
 fn start() -> (Runtime, Running<Log>) {
-    let runtime = Runtime::new().expect("threads can be had");
+    let runtime = Runtime::new().expect("the runtime starts");
     let token = CancellationToken::new();
     let started = runtime.block_on(log::start(log::Config::default(), token));
     (runtime, started.expect("a port is free"))
@@ -53,15 +53,15 @@
     output.expect("pimentoctl starts")
 }
 
-/// Two operators roll the same version in at the same moment, with other stages. Both have read the
-/// log before either append takes effect. One ends with 0 and the other with 3, and the loser's
-/// message names the revision that won and whose it is.
+/// Two operators roll the same version in at the same time with different stages. Both read the log
+/// before either append takes effect. One process must exit with 0 and the other with 3, and the
+/// message of the latter must name the author of the change that won.
 #[test]
 fn of_two_racing_operators_one_wins_and_the_other_is_told() {
     let (_runtime, log) = start();
     let published = run(log.address, &["publish", FILES[0], FILES[1]]);
     assert_eq!(published.status.code(), Some(0));
-    // Appends wait long enough for both to have read.
+    // Delays appends until both processes have read the log.
     let delay = Rule::new(Action::Delay { ms: 3_000 }).on("POST", "/streams");
     log.faults.rules([delay]);
     let roll_in = |by: &str, stages: &str| {
@@ -88,7 +88,8 @@
     assert!(message.contains(&format!("won (by {winner})")), "{message}");
 }
 
-/// A file that names what is in force is checked over it, and nothing is published.
+/// A dry run checks a file that references versions in force, lists one change and must publish
+/// nothing.
 #[test]
 fn a_dry_run_publishes_nothing() {
     let (_runtime, log) = start();
@@ -109,8 +110,8 @@
     assert_eq!(String::from_utf8_lossy(&history.stdout).trim(), "[]");
 }
 
-/// The log takes the append and its answer is lost. The operator sees success, and each change
-/// stands in force once.
+/// The append takes effect and its response is lost. Publishing must succeed, with each change on
+/// the log once.
 #[test]
 fn a_lost_answer_is_read_back() {
     let (_runtime, log) = start();
@@ -126,7 +127,7 @@
     assert_eq!(history.len(), 18, "nothing was appended twice");
 }
 
-/// An outage: nothing is published, and the exit code says so.
+/// While the log refuses appends, `publish` must exit with 4 and publish nothing.
 #[test]
 fn an_outage_has_its_own_exit_code() {
     let (_runtime, log) = start();
@@ -142,8 +143,8 @@
     assert_eq!(String::from_utf8_lossy(&shown.stdout).trim(), "[]");
 }
 
-/// Two entry VMs hold the same bills, the log loses answers, and a record is damaged. Totals count
-/// each request once, whoever appended its bill and how often.
+/// Two entry VMs append some of the same bills, the log loses responses, and one record is damaged.
+/// Totals must count each request once, no matter how often and by whom its bill was appended.
 #[test]
 fn bills_count_each_request_once() {
     let (runtime, log) = start();
@@ -154,7 +155,7 @@
     let remote = Remote::new(log.address, Duration::from_secs(5));
     let bills: Vec<String> = (0..50).map(bill).collect();
     let append = |records: Vec<String>| {
-        // Some answers are lost, as the rule says; the records are on the log all the same.
+        // The rule loses some responses, but the records are on the log.
         let _ = runtime.block_on(remote.append(Stream::Usage, records));
     };
     append(bills[..30].to_vec());
@@ -190,9 +191,9 @@
     serde_json::to_string(&bill).expect("a bill is plain JSON")
 }
 
-/// A file with five faults is refused with all five, before the log is asked.
+/// A file with five errors must be rejected with all five findings, without contacting the log.
 #[test]
-fn five_faults_are_told_at_once() {
+fn all_findings_are_reported_at_once() {
     let file = "crates/contract/tests/raw/five-faults.toml";
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     for arguments in [
--- a/tests/all/fleet/caller.rs
+++ b/tests/all/fleet/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the fleet.
+//! The client of a fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 use super::Node;
 use super::SECRET;
 
-/// How long a caller waits for its whole answer.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum wait for the complete response.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Sends requests and reads whole answers.
+/// Sends requests and reads complete responses.
 #[derive(Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: u16,
@@ -39,64 +39,65 @@
 }
 
 impl Answer {
-    /// The error body.
+    /// Parses the error body.
     pub fn failure(&self) -> ErrorBody {
         serde_json::from_slice(&self.body)
             .unwrap_or_else(|error| panic!("no error body ({error}): {:?}", self.body))
     }
 
-    /// Whether it says that the call was not run.
+    /// Whether the response is an error that says that the request was not run.
     pub fn not_run(&self) -> bool {
         self.status >= 400 && self.failure().error.run == Run::NotRun
     }
 
-    /// The text of a whole completion; none if it is something else.
+    /// The text of a completion that was not streamed; `None` for other bodies.
     pub fn text(&self) -> Option<String> {
         let completion: Completion = serde_json::from_slice(&self.body).ok()?;
         let choice = completion.choices.into_iter().next()?;
         Some(choice.message.content)
     }
 
-    /// Whether the body is a stream of events that ends with its end mark.
-    pub fn whole_stream(&self) -> bool {
+    /// Whether the body is an event stream that ends with its end mark.
+    pub fn is_complete_stream(&self) -> bool {
         let text = String::from_utf8_lossy(&self.body);
         text.trim_end().ends_with("data: [DONE]")
     }
 
-    /// A header as text.
+    /// The value of a header, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// A fresh key for an order.
+/// Generates an idempotency key for an order.
 pub fn key() -> String {
     Uuid::now_v7().to_string()
 }
 
 impl Caller {
     pub fn new() -> Self {
-        // Each call on a connection of its own: killed processes leave broken ones behind, and a
-        // caller's retry on the next one would blur what one call gets.
+        // Each request uses its own connection. Killed processes leave broken connections in a
+        // pool, and the client would retry on another one, which hides the result of a single
+        // request.
         let client = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
             .build_http();
         Self { client }
     }
 
-    /// An operator's look.
+    /// A GET request of an operator.
     pub async fn get(&self, address: SocketAddr, path: &str) -> Option<Answer> {
         let url = format!("http://{address}{path}");
         let request = Request::get(url).body(Full::default()).expect("a request");
         self.send(request, Duration::from_secs(2)).await
     }
 
-    /// A model request, whole.
+    /// A model request whose response is not streamed.
     pub async fn chat(&self, node: &Node, prompt: &str) -> Option<Answer> {
         self.model(node, prompt, false, 40).await
     }
 
-    /// A model request with a bound on its tokens. `None` if the connection broke.
+    /// A model request for at most `tokens` output tokens. `None` if the connection broke.
     pub async fn model(
         &self,
         node: &Node,
@@ -113,22 +114,22 @@
         let request = self.request(node, Method::POST, "/v1/chat/completions");
         let body = Full::from(body.to_string());
         let request = request.body(body).expect("a request");
-        self.send(request, PATIENCE).await
+        self.send(request, TIMEOUT).await
     }
 
-    /// A repeatable call to the service.
-    pub async fn look(&self, node: &Node) -> Option<Answer> {
+    /// A repeatable request to the service.
+    pub async fn read_service(&self, node: &Node) -> Option<Answer> {
         let request = self.request(node, Method::GET, "/services/order-desk/drums");
         let request = request.body(Full::default()).expect("a request");
-        self.send(request, PATIENCE).await
+        self.send(request, TIMEOUT).await
     }
 
-    /// A drum order, which may not be repeated. `None` if the connection broke.
+    /// A drum order, which must not run twice. `None` if the connection broke.
     pub async fn order(&self, node: &Node, key: &str) -> Option<Answer> {
-        self.order_within(node, key, PATIENCE).await
+        self.order_within(node, key, TIMEOUT).await
     }
 
-    /// A drum order whose caller waits this long.
+    /// A drum order with a request timeout of `wait`.
     pub async fn order_within(&self, node: &Node, key: &str, wait: Duration) -> Option<Answer> {
         let request = self.request(node, Method::POST, "/services/order-desk/drums");
         let request = request
@@ -148,7 +149,7 @@
             .header("content-type", "application/json")
     }
 
-    async fn send(&self, request: Request<Full<Bytes>>, patience: Duration) -> Option<Answer> {
+    async fn send(&self, request: Request<Full<Bytes>>, timeout: Duration) -> Option<Answer> {
         let exchange = async {
             let response = self.client.request(request).await.ok()?;
             let (parts, body) = response.into_parts();
@@ -159,6 +160,6 @@
                 body,
             })
         };
-        tokio::time::timeout(patience, exchange).await.ok()?
+        tokio::time::timeout(timeout, exchange).await.ok()?
     }
 }
--- a/tests/all/fleet/mod.rs
+++ b/tests/all/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! Six entry VMs in three zones as processes, over stand-ins in this process and relays between.
+//! Six entry VMs in three zones as processes. Stand-ins in the test process replace the platform
+//! and the endpoints, and relays in between cut connections.
 //!
-//! Each fleet has loopback addresses of its own, `127.x.zone.number`, so that tests run side by
-//! side and a relay can tell the zones apart.
+//! Each fleet has its own loopback addresses, `127.x.zone.number`, so that tests can run
+//! concurrently and a relay can tell the zones apart.
 
 pub mod caller;
 pub mod relay;
@@ -47,60 +48,61 @@
 /// The API key of the one customer.
 pub const SECRET: &str = "fleet-key";
 /// Entry VMs in each zone.
-pub const NODES: usize = 2;
-/// The longest wait for any event. Nothing is judged by it; it ends a test that hangs.
-pub const BOUND: Duration = Duration::from_mins(1);
+pub const NODES_PER_ZONE: usize = 2;
+/// Maximum wait for any event. No result depends on it; it ends a test that hangs.
+pub const TIMEOUT: Duration = Duration::from_mins(1);
 
 const ZONE_NAMES: [&str; ZONES] = ["kig-gikondo", "kig-kicukiro", "kig-remera"];
 const VERSIONS: [&str; 2] = ["pimento-large@1", "pimento-mini@1"];
-const CALLERS: u16 = 8_080;
-const OPERATORS: u16 = 9_090;
-const PEERS: u16 = 7_070;
-/// Relays of entry VM n listen on host number `RELAY + n` of the same network.
-const RELAY: u8 = 100;
+const CALLERS_PORT: u16 = 8_080;
+const OPERATORS_PORT: u16 = 9_090;
+const PEERS_PORT: u16 = 7_070;
+/// Relays to entry VM n listen on host number `RELAY_HOSTS + n` of the same network.
+const RELAY_HOSTS: u8 = 100;
 
 /// The platform, the endpoints and the entry VMs.
 pub struct Fleet {
     pub log: Running<Log>,
     pub rater: Running<Rater>,
     pub engines: Vec<Running<Engine>>,
-    pub desks: Vec<Running<Service>>,
+    pub services: Vec<Running<Service>>,
     pub nodes: Vec<Node>,
     pub net: Net,
     pub caller: Caller,
-    lists: Vec<Running<vms::Vms>>,
-    /// Keeps other fleets off this one's addresses.
-    taken: Option<TcpListener>,
+    vm_lists: Vec<Running<vms::Vms>>,
+    /// Reserves the addresses of this fleet, see [`network`].
+    network_lock: Option<TcpListener>,
     token: CancellationToken,
 }
 
-/// One entry VM: a process that can be killed, frozen and started again.
+/// One entry VM: a process that can be killed, frozen and restarted.
 pub struct Node {
     pub name: String,
     pub zone: usize,
     pub callers: SocketAddr,
     operators: SocketAddr,
     environment: Vec<(&'static str, String)>,
-    lives: u32,
+    incarnation: u32,
     child: Option<Child>,
 }
 
 impl Fleet {
-    /// Starts everything and waits until each entry VM is ready and knows all endpoints.
+    /// Starts the fleet and waits until each entry VM is ready and serves model and service
+    /// requests.
     pub async fn start() -> Self {
-        let mut fleet = Self::bare().await;
+        let mut fleet = Self::start_platform().await;
         let published = fleet.publish(&contracts());
         assert!(published.status.success(), "{published:?}");
         for number in 0..fleet.nodes.len() {
             fleet.nodes[number].start();
         }
         for number in 0..fleet.nodes.len() {
-            fleet.ready(number).await;
+            fleet.wait_until_ready(number).await;
         }
         fleet
     }
 
-    async fn bare() -> Self {
+    async fn start_platform() -> Self {
         let token = CancellationToken::new();
         let net: Net = Arc::new(watch::Sender::default());
         let log = log::start(log::Config::default(), token.child_token());
@@ -109,16 +111,16 @@
             log: log.await.expect("a free port"),
             rater: rater.await.expect("a free port"),
             engines: Vec::new(),
-            desks: Vec::new(),
+            services: Vec::new(),
             nodes: Vec::new(),
             net,
             caller: Caller::new(),
-            lists: Vec::new(),
-            taken: None,
+            vm_lists: Vec::new(),
+            network_lock: None,
             token,
         };
         fleet.start_endpoints().await;
-        fleet.start_lists().await;
+        fleet.start_vm_lists().await;
         fleet.prepare_nodes().await;
         fleet
     }
@@ -132,19 +134,20 @@
             self.engines.push(engine.expect("a free port"));
             let name = format!("desk-{zone}").parse().expect("a name");
             let config = service::Config::new(name);
-            let desk = service::start(config, self.token.child_token()).await;
-            self.desks.push(desk.expect("a free port"));
+            let started = service::start(config, self.token.child_token()).await;
+            self.services.push(started.expect("a free port"));
         }
     }
 
-    /// Each zone has a list of its own, whose addresses are relays from that zone.
-    async fn start_lists(&mut self) {
+    /// Starts one list of VMs for each zone, in which the endpoints' addresses are relays from that
+    /// zone.
+    async fn start_vm_lists(&mut self) {
         for zone in 0..ZONES {
             let mut config = vms::Config::default();
             for home in 0..ZONES {
                 let path = Path::Endpoint(zone, home);
                 let engine = relay::tcp(&self.net, path, local(), self.engines[home].address).await;
-                let desk = relay::tcp(&self.net, path, local(), self.desks[home].address).await;
+                let desk = relay::tcp(&self.net, path, local(), self.services[home].address).await;
                 let pool = "pimento-llm".parse().expect("a name");
                 config
                     .vms
@@ -153,38 +156,45 @@
                 config.vms.push(vm("desk", home, desk, Role::Service(pool)));
             }
             let list = vms::start(config, self.token.child_token()).await;
-            self.lists.push(list.expect("a free port"));
+            self.vm_lists.push(list.expect("a free port"));
         }
     }
 
     async fn prepare_nodes(&mut self) {
-        let (net, taken) = network();
-        self.taken = Some(taken);
+        let (net, network_lock) = network();
+        self.network_lock = Some(network_lock);
         let host = |zone: usize, number: u8| {
             let zone = u8::try_from(zone).expect("few zones");
             Ipv4Addr::new(127, net, zone, number)
         };
-        let places: Vec<(usize, u8)> = (0..ZONES)
-            .flat_map(|zone| (1_u8..).take(NODES).map(move |number| (zone, number)))
+        let positions: Vec<(usize, u8)> = (0..ZONES)
+            .flat_map(|zone| {
+                (1_u8..)
+                    .take(NODES_PER_ZONE)
+                    .map(move |number| (zone, number))
+            })
             .collect();
-        let seeds: Vec<String> = places
+        let seeds: Vec<String> = positions
             .iter()
-            .map(|(zone, number)| format!("{}:{PEERS}", host(*zone, RELAY + number)))
+            .map(|(zone, number)| format!("{}:{PEERS_PORT}", host(*zone, RELAY_HOSTS + number)))
             .collect();
-        for (zone, number) in places {
+        for (zone, number) in positions {
             let own = host(zone, number);
-            let advertised = SocketAddr::from((host(zone, RELAY + number), PEERS));
-            let target = SocketAddr::from((own, PEERS));
+            let advertised = SocketAddr::from((host(zone, RELAY_HOSTS + number), PEERS_PORT));
+            let target = SocketAddr::from((own, PEERS_PORT));
             relay::tcp(&self.net, Path::Peer(zone), advertised, target).await;
             relay::udp(&self.net, Path::Peer(zone), advertised, target).await;
             let path = Path::Platform(zone);
             let log = relay::tcp(&self.net, path, local(), self.log.address).await;
             let rater = relay::tcp(&self.net, path, local(), self.rater.address).await;
-            let list = relay::tcp(&self.net, path, local(), self.lists[zone].address).await;
+            let list = relay::tcp(&self.net, path, local(), self.vm_lists[zone].address).await;
             let environment = vec![
                 ("PIMENTO_ZONE", ZONE_NAMES[zone].into()),
-                ("PIMENTO_LISTEN", format!("{own}:{CALLERS}")),
-                ("PIMENTO_OPERATORS_LISTEN", format!("{own}:{OPERATORS}")),
+                ("PIMENTO_LISTEN", format!("{own}:{CALLERS_PORT}")),
+                (
+                    "PIMENTO_OPERATORS_LISTEN",
+                    format!("{own}:{OPERATORS_PORT}"),
+                ),
                 ("PIMENTO_PEER_LISTEN", target.to_string()),
                 ("PIMENTO_PEER_ADVERTISE", advertised.to_string()),
                 ("PIMENTO_PEERS", seeds.join(",")),
@@ -200,18 +210,18 @@
             self.nodes.push(Node {
                 name: format!("entry-{zone}-{number}"),
                 zone,
-                callers: SocketAddr::from((own, CALLERS)),
-                operators: SocketAddr::from((own, OPERATORS)),
+                callers: SocketAddr::from((own, CALLERS_PORT)),
+                operators: SocketAddr::from((own, OPERATORS_PORT)),
                 environment,
-                lives: 0,
+                incarnation: 0,
                 child: None,
             });
         }
     }
 
-    /// Runs `pimentoctl publish` on contract text.
+    /// Runs `pimentoctl publish` on a file with `text`.
     pub fn publish(&self, text: &str) -> Output {
-        let file = scratch(text);
+        let file = write_temporary(text);
         let output = self.ctl(&["publish", file.to_str().expect("a plain path")]);
         std::fs::remove_file(file).expect("the file is there");
         output
@@ -226,18 +236,18 @@
             .expect("pimentoctl starts")
     }
 
-    /// Changes what is cut.
+    /// Changes which paths are cut.
     pub fn cut(&self, change: impl FnOnce(&mut relay::Cuts)) {
         self.net.send_modify(change);
     }
 
-    /// Heals all cuts.
+    /// Removes all cuts.
     pub fn heal(&self) {
         self.cut(|cuts| *cuts = relay::Cuts::default());
     }
 
-    /// Waits until an entry VM is ready, and serves a call at each kind of endpoint.
-    pub async fn ready(&self, number: usize) {
+    /// Waits until an entry VM is ready and serves a request at each kind of endpoint.
+    pub async fn wait_until_ready(&self, number: usize) {
         let node = &self.nodes[number];
         eventually(&format!("{} is ready", node.name), async || {
             self.caller
@@ -247,14 +257,14 @@
         })
         .await;
         eventually(&format!("{} serves", node.name), async || {
-            let chat = self.caller.chat(node, "are you there?").await;
-            let desk = self.caller.look(node).await;
-            chat.is_some_and(|a| a.status == 200) && desk.is_some_and(|a| a.status == 200)
+            let completion = self.caller.chat(node, "are you there?").await;
+            let read = self.caller.read_service(node).await;
+            completion.is_some_and(|a| a.status == 200) && read.is_some_and(|a| a.status == 200)
         })
         .await;
     }
 
-    /// What an entry VM says of itself.
+    /// Returns the state that an entry VM reports to operators, if it responds.
     pub async fn state(&self, number: usize) -> Option<State> {
         let answer = self
             .caller
@@ -263,22 +273,27 @@
         serde_json::from_slice(&answer.body).ok()
     }
 
-    /// Runs of an order at all replicas of the service, by their own count.
+    /// How often an order ran, summed over the replicas of the service.
     pub fn runs(&self, key: &str) -> u64 {
-        self.desks.iter().map(|desk| desk.site.runs(key)).sum()
+        self.services
+            .iter()
+            .map(|service| service.site.runs(key))
+            .sum()
     }
 
-    /// Bills on the log.
+    /// All bills on the log, with duplicates.
     pub fn bills(&self) -> Vec<Bill> {
         let records = self.log.site.records("usage");
         let bills = records
             .iter()
             .map(|entry| serde_json::from_str(&entry.record));
-        bills.collect::<Result<_, _>>().expect("bills only")
+        bills
+            .collect::<Result<_, _>>()
+            .expect("the stream has bills only")
     }
 
-    /// Bills that count.
-    pub fn billed(&self) -> u64 {
+    /// Number of bills on the log that count, without duplicates.
+    pub fn counted_bills(&self) -> u64 {
         let mut fold = usage::Fold::default();
         for bill in self.bills() {
             fold.apply(&bill);
@@ -294,12 +309,17 @@
 }
 
 impl Node {
-    /// Starts the process, under a name of this life.
+    /// Starts the process under a name with the number of this incarnation.
     pub fn start(&mut self) {
-        self.lives += 1;
+        self.incarnation += 1;
         let errors = match std::env::var_os("FLEET_LOGS") {
             Some(folder) => {
-                let name = format!("{}-{}-{}.log", std::process::id(), self.name, self.lives);
+                let name = format!(
+                    "{}-{}-{}.log",
+                    std::process::id(),
+                    self.name,
+                    self.incarnation
+                );
                 let file = std::fs::File::create(PathBuf::from(folder).join(name));
                 Stdio::from(file.expect("the folder is there"))
             }
@@ -307,7 +327,10 @@
         };
         let child = Command::new(env!("CARGO_BIN_EXE_pimento-entry"))
             .envs(self.environment.iter().cloned())
-            .env("PIMENTO_NODE", format!("{}.{}", self.name, self.lives))
+            .env(
+                "PIMENTO_NODE",
+                format!("{}.{}", self.name, self.incarnation),
+            )
             .stdout(Stdio::null())
             .stderr(errors)
             .spawn()
@@ -315,7 +338,7 @@
         self.child = Some(child);
     }
 
-    /// Ends the process at once, as a lost VM does.
+    /// Kills the process without a shutdown, as when a VM is lost.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("it is ours");
@@ -323,7 +346,7 @@
         }
     }
 
-    /// The process's id, to signal it while the fleet is lent.
+    /// The process id, to signal the process while the fleet is borrowed.
     pub fn id(&self) -> u32 {
         self.child.as_ref().expect("it runs").id()
     }
@@ -342,22 +365,22 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Ends a process of this fleet at once, as a lost VM does.
+    /// Kills a process of this fleet without a shutdown, as when a VM is lost.
     pub fn kill_process(id: u32) {
         Self::signal_process(id, "KILL");
     }
 
-    /// Waits for the process to end by itself and gives its exit code.
-    pub async fn end(&mut self) -> Option<i32> {
+    /// Waits for the process to exit by itself and returns its exit code.
+    pub async fn wait(&mut self) -> Option<i32> {
         let mut child = self.child.take().expect("it runs");
-        let deadline = Instant::now() + BOUND;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = child.try_wait().expect("it is ours") {
                 return status.code();
             }
             if Instant::now() > deadline {
                 child.kill().expect("it is ours");
-                panic!("{} did not end", self.name);
+                panic!("{} did not exit", self.name);
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -370,11 +393,11 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until `holds` returns true.
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let deadline = Instant::now() + BOUND;
+    let deadline = Instant::now() + TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < deadline, "not in time: {what}");
+        assert!(Instant::now() < deadline, "timed out: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -400,8 +423,9 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// A number for `127.x` that no other fleet on this machine uses, also of another test run. It is
-/// taken as long as the listener lives: a look alone lets two runs take the same one at once.
+/// Reserves an `x` of `127.x` that no other fleet on this machine uses, not even of another test
+/// run. The reservation lasts as long as the returned listener: after a mere check for a free one,
+/// two runs could use the same.
 fn network() -> (u8, TcpListener) {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let own = u8::try_from(std::process::id() % 200).expect("below 200");
@@ -409,13 +433,13 @@
         let count = NEXT.fetch_add(1, Ordering::Relaxed);
         let net = 20 + own.wrapping_add(count) % 200;
         let lock = Ipv4Addr::new(127, net, u8::MAX, 1);
-        if let Ok(taken) = TcpListener::bind((lock, PEERS)) {
-            return (net, taken);
+        if let Ok(network_lock) = TcpListener::bind((lock, PEERS_PORT)) {
+            return (net, network_lock);
         }
     }
 }
 
-fn scratch(text: &str) -> PathBuf {
+fn write_temporary(text: &str) -> PathBuf {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
     let name = format!("pimento-{}-{next}.toml", std::process::id());
--- a/tests/all/fleet/relay.rs
+++ b/tests/all/fleet/relay.rs
@@ -1,7 +1,8 @@
-//! Relays that hold what passes between zones, or between a zone and the platform.
+//! Relays that simulate network partitions between zones, or between a zone and the platform.
 //!
-//! A cut holds bytes and datagrams, as a network does that drops packets: neither side is told.
-//! When it heals, streams go on with what was held, so that late answers arrive as well.
+//! During a cut a relay holds the bytes of TCP connections and drops datagrams, and neither side
+//! gets an error, as in a network that drops packets. When the cut ends, connections go on with the
+//! bytes that were held, so that late responses arrive too.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -19,7 +20,7 @@
 /// Zones of a fleet.
 pub const ZONES: usize = 3;
 
-/// What is cut. Indexes are zones; `true` means cut.
+/// Which paths are cut. Indexes are zones; `true` means cut.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Cuts {
     /// Between entry VMs of two zones.
@@ -31,7 +32,7 @@
 }
 
 impl Cuts {
-    /// Cuts a zone off from the platform and from all that is in other zones.
+    /// Cuts a zone off from the platform and from the VMs and endpoints of other zones.
     pub fn isolate(&mut self, zone: usize) {
         self.platform[zone] = true;
         for other in (0..ZONES).filter(|other| *other != zone) {
@@ -46,16 +47,16 @@
 /// A path through a relay.
 #[derive(Debug, Clone, Copy)]
 pub enum Path {
-    /// To an entry VM of this zone; the caller's zone is read off its address.
+    /// To an entry VM of this zone, from the zone of the sender's address.
     Peer(usize),
     /// From this zone to the platform.
     Platform(usize),
-    /// From this zone to an endpoint of that zone.
+    /// From the first zone to an endpoint of the second.
     Endpoint(usize, usize),
 }
 
 impl Path {
-    fn cut(self, cuts: &Cuts, from: IpAddr) -> bool {
+    fn is_cut(self, cuts: &Cuts, from: IpAddr) -> bool {
         match self {
             Self::Peer(zone) => cuts.peers[zone_of(from)][zone],
             Self::Platform(zone) => cuts.platform[zone],
@@ -64,7 +65,7 @@
     }
 }
 
-/// Entry VMs of zone n have addresses `127.x.n.y`.
+/// Returns the zone of an address: entry VMs of zone n have addresses `127.x.n.y`.
 fn zone_of(address: IpAddr) -> usize {
     match address {
         IpAddr::V4(address) => usize::from(address.octets()[2]),
@@ -72,10 +73,10 @@
     }
 }
 
-/// What is cut now, shared by all relays of a fleet.
+/// The current cuts, shared by all relays of a fleet.
 pub type Net = Arc<watch::Sender<Cuts>>;
 
-/// Starts a relay for connections to `target` and gives its address.
+/// Starts a relay for connections to `target` and returns its address.
 pub async fn tcp(net: &Net, path: Path, listen: SocketAddr, target: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind(listen).await.expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -87,13 +88,13 @@
                 path,
                 from: from.ip(),
             };
-            tokio::spawn(pass(stream, target, gate));
+            tokio::spawn(forward(stream, target, gate));
         }
     });
     address
 }
 
-/// Starts a relay for datagrams to `target`. Those that come during a cut are lost.
+/// Starts a relay for datagrams to `target`. Drops those that arrive during a cut.
 pub async fn udp(net: &Net, path: Path, listen: SocketAddr, target: SocketAddr) {
     let socket = UdpSocket::bind(listen).await.expect("a free port");
     let cuts = net.subscribe();
@@ -103,9 +104,9 @@
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            let cut = path.cut(&cuts.borrow(), from.ip());
+            let cut = path.is_cut(&cuts.borrow(), from.ip());
             if !cut {
-                // An entry VM that is down refuses datagrams, as a dead machine would lose them.
+                // Sending fails if the entry VM is down; a dead machine would lose the datagram.
                 let _ = socket.send_to(&buffer[..length], target).await;
             }
         }
@@ -120,15 +121,15 @@
 }
 
 impl Gate {
-    async fn open(&mut self) {
+    async fn wait_until_open(&mut self) {
         let path = self.path;
         let from = self.from;
-        let _ = self.cuts.wait_for(|cuts| !path.cut(cuts, from)).await;
+        let _ = self.cuts.wait_for(|cuts| !path.is_cut(cuts, from)).await;
     }
 }
 
-async fn pass(inner: TcpStream, target: SocketAddr, mut gate: Gate) {
-    gate.open().await;
+async fn forward(inner: TcpStream, target: SocketAddr, mut gate: Gate) {
+    gate.wait_until_open().await;
     let Ok(outer) = TcpStream::connect(target).await else {
         return;
     };
@@ -136,22 +137,23 @@
     let _ = outer.set_nodelay(true);
     let (inner_read, inner_write) = inner.into_split();
     let (outer_read, outer_write) = outer.into_split();
-    let there = pump(inner_read, outer_write, gate.clone());
-    let back = pump(outer_read, inner_write, gate);
-    // One side's end ends both, so that a killed process breaks its peers' connections.
+    let outward = copy(inner_read, outer_write, gate.clone());
+    let inward = copy(outer_read, inner_write, gate);
+    // When one side closes, both are closed, so that a killed process breaks its peers'
+    // connections.
     tokio::select! {
-        () = there => {}
-        () = back => {}
+        () = outward => {}
+        () = inward => {}
     }
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut gate: Gate) {
+async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut gate: Gate) {
     let mut buffer = vec![0; 16_384];
     loop {
         let Ok(length) = from.read(&mut buffer).await else {
             return;
         };
-        gate.open().await;
+        gate.wait_until_open().await;
         if length == 0 || to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
--- a/tests/all/kills.rs
+++ b/tests/all/kills.rs
@@ -1,4 +1,4 @@
-//! Entry VMs that are killed or frozen while they serve.
+//! Entry VMs that are killed or frozen while they serve requests.
 
 use std::time::Duration;
 
@@ -14,16 +14,17 @@
 use crate::fleet::caller::Answer;
 use crate::fleet::eventually;
 
-/// Orders in the run with kills; enough that each kill strikes some.
+/// Number of orders in the test with kills, enough for each kill to hit some.
 const ORDERS: usize = 150;
-/// Time between two orders.
-const PACE: Duration = Duration::from_millis(60);
-/// How long an order waits before or after it takes effect, so that kills strike there.
-const WORK: u64 = 120;
-/// Tries of an order by its caller.
-const TRIES: usize = 6;
+/// Interval between two orders.
+const ORDER_INTERVAL: Duration = Duration::from_millis(60);
+/// How long the service delays an order before or after it takes effect, so that kills hit that
+/// time.
+const DELAY_MS: u64 = 120;
+/// Maximum attempts of a caller to place an order.
+const MAX_ATTEMPTS: usize = 6;
 
-/// What a caller learned of its order.
+/// What the caller learned about its order.
 #[derive(Debug, Default)]
 struct Outcome {
     key: String,
@@ -31,14 +32,15 @@
     all_not_run: bool,
 }
 
-/// Sends one order until it is placed, or no VM will run it any more. The caller keeps its key.
+/// Sends an order to one VM after another under the same key, until it is placed or the attempts
+/// are exhausted.
 async fn order(fleet: &Fleet, first: usize) -> Outcome {
     let mut outcome = Outcome {
         key: caller::key(),
         placed: false,
         all_not_run: true,
     };
-    for attempt in 0..TRIES {
+    for attempt in 0..MAX_ATTEMPTS {
         let node = &fleet.nodes[(first + attempt) % fleet.nodes.len()];
         match fleet.caller.order(node, &outcome.key).await {
             Some(answer) if answer.status == 200 => {
@@ -46,7 +48,8 @@
                 return outcome;
             }
             Some(answer) if answer.not_run() => {}
-            // Also where the connection did not stand, or broke: the caller can't tell.
+            // Includes failed and broken connections, after which the caller can't tell whether the
+            // order ran.
             _ => outcome.all_not_run = false,
         }
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -54,17 +57,18 @@
     outcome
 }
 
-/// Callers send drum orders all the time and repeat them under the same key at other VMs when one
-/// breaks off, while three VMs are killed one after the other and come back. Whatever was claimed,
-/// dispatched or answered at that moment, no order runs twice, each one that was placed ran, each
-/// that was "not run" did not, and every placed order has one bill.
+/// Callers send drum orders at a steady rate, and retry failed ones under the same key at other
+/// VMs, while three VMs are killed and restarted one after the other. No matter whether an order
+/// was claimed, dispatched or answered at the kill, no order may run twice, each placed order must
+/// have run, none that all VMs reported as "not run" may have run, and each placed order must have
+/// a bill.
 #[tokio::test(flavor = "multi_thread")]
 async fn kills_double_no_order_and_lose_no_bill() {
     let mut fleet = Fleet::start().await;
-    for desk in &fleet.desks {
+    for desk in &fleet.services {
         let half = Share::from_parts(500_000);
-        let before = Rule::new(Action::Delay { ms: WORK }).share(half);
-        let after = Rule::new(Action::Late { ms: WORK }).share(half);
+        let before = Rule::new(Action::Delay { ms: DELAY_MS }).share(half);
+        let after = Rule::new(Action::Late { ms: DELAY_MS }).share(half);
         desk.faults.rules([before, after]);
     }
     let outcomes = run_with_kills(&mut fleet).await;
@@ -90,7 +94,7 @@
     }
     let placed: Vec<&Outcome> = outcomes.iter().filter(|outcome| outcome.placed).collect();
     eventually("each placed order is billed", async || {
-        let fold = folded(&fleet);
+        let fold = fold_bills(&fleet);
         let customer = "garage".parse().expect("a name");
         placed.iter().all(|outcome| {
             let request = outcome.key.parse().expect("a UUID");
@@ -101,43 +105,43 @@
 }
 
 async fn run_with_kills(fleet: &mut Fleet) -> Vec<Outcome> {
-    // The fleet is lent to the orders, so kills go by process id through a second handle.
+    // `send_orders` borrows the fleet while it sends, so it kills by process id.
     let victims = [0, 2, 4];
     let mut outcomes = Vec::new();
-    for part in 0..=victims.len() {
-        let orders = ORDERS / (victims.len() + 1) + usize::from(part == 0) * 2;
-        let kill = victims.get(part).copied();
-        outcomes.extend(burst(fleet, orders, kill).await);
+    for batch in 0..=victims.len() {
+        let orders = ORDERS / (victims.len() + 1) + usize::from(batch == 0) * 2;
+        let kill = victims.get(batch).copied();
+        outcomes.extend(send_orders(fleet, orders, kill).await);
         if let Some(victim) = kill {
             fleet.nodes[victim].start();
-            fleet.ready(victim).await;
+            fleet.wait_until_ready(victim).await;
         }
     }
     outcomes
 }
 
-/// Sends orders at a steady pace and kills a VM in the middle of them.
-async fn burst(fleet: &mut Fleet, orders: usize, kill: Option<usize>) -> Vec<Outcome> {
+/// Sends orders at a steady rate and kills a VM halfway, if `kill` names one.
+async fn send_orders(fleet: &mut Fleet, orders: usize, kill: Option<usize>) -> Vec<Outcome> {
     let id = kill.map(|victim| fleet.nodes[victim].id());
     let shared: &Fleet = fleet;
     let send = futures::future::join_all((0..orders).map(|number| async move {
-        tokio::time::sleep(PACE * u32::try_from(number).expect("few")).await;
+        tokio::time::sleep(ORDER_INTERVAL * u32::try_from(number).expect("few")).await;
         order(shared, number).await
     }));
-    let strike = async {
-        tokio::time::sleep(PACE * u32::try_from(orders / 2).expect("few")).await;
+    let kill_halfway = async {
+        tokio::time::sleep(ORDER_INTERVAL * u32::try_from(orders / 2).expect("few")).await;
         if let Some(id) = id {
             Node::kill_process(id);
         }
     };
-    let (outcomes, ()) = tokio::join!(send, strike);
+    let (outcomes, ()) = tokio::join!(send, kill_halfway);
     if let Some(victim) = kill {
         fleet.nodes[victim].kill();
     }
     outcomes
 }
 
-fn folded(fleet: &Fleet) -> usage::Fold {
+fn fold_bills(fleet: &Fleet) -> usage::Fold {
     let mut fold = usage::Fold::default();
     for bill in fleet.bills() {
         fold.apply(&bill);
@@ -145,23 +149,25 @@
     fold
 }
 
-/// A claimer is frozen while its claim is on the way to the log, and wakes up long after its caller
-/// has gone. Its claim stands in the log by then and it owns the order; it must not run it any
-/// more. The caller, told nothing, asks elsewhere under the same key: the order runs at most once.
+/// A VM is frozen after its claim has reached the log and before it reads the response, and resumes
+/// long after its caller has given up. Its claim owns the order, but it must not run the order that
+/// late. The caller got no response and retries at other VMs under the same key; the order may run
+/// at most once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_claimer_wakes_up_too_late() {
     let fleet = Fleet::start().await;
     let key = caller::key();
-    // The claim takes effect at once; its answer, and the reading of it, come after the freeze.
+    // The claim takes effect at once; the response to it, and reads that return it, come after the
+    // freeze.
     fleet
         .log
         .faults
         .rules([Rule::new(Action::Late { ms: 1_500 })]);
-    // Reads that were waiting before the fault was set still answer at once; they end in a second.
+    // Reads that were already waiting are not delayed by the rule; they end within a second.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let frozen = &fleet.nodes[0];
-    let claimed = async {
-        eventually("the claim is on the log", async || claims(&fleet, &key)).await;
+    let freeze_and_retry = async {
+        eventually("the claim is on the log", async || has_claim(&fleet, &key)).await;
         frozen.signal("STOP");
         fleet.log.faults.rules([]);
         tokio::time::sleep(Duration::from_secs(4)).await;
@@ -172,13 +178,16 @@
     let first = fleet
         .caller
         .order_within(frozen, &key, Duration::from_secs(3));
-    let (first, elsewhere) = tokio::join!(first, claimed);
+    let (first, elsewhere) = tokio::join!(first, freeze_and_retry);
     let elsewhere = elsewhere.expect("answered");
     assert_ne!(
         elsewhere.status, 200,
-        "the claim of another VM stood: {elsewhere:?}"
+        "the claim of the frozen VM still holds: {elsewhere:?}"
+    );
+    assert!(
+        first.is_none_or(|answer| answer.status != 200),
+        "the frozen VM ran the order too late"
     );
-    assert!(first.is_none_or(|answer| answer.status != 200), "too late");
     eventually("the order can be placed again", async || {
         let again = fleet.caller.order(&fleet.nodes[3], &key).await;
         assert!(fleet.runs(&key) <= 1, "ran twice");
@@ -188,15 +197,16 @@
     assert_eq!(fleet.runs(&key), 1);
 }
 
-fn claims(fleet: &Fleet, key: &str) -> bool {
+fn has_claim(fleet: &Fleet, key: &str) -> bool {
     let id: Uuid = key.parse().expect("a UUID");
     let name = id.to_string();
     let records = fleet.log.site.records("claims");
     records.iter().any(|entry| entry.record.contains(&name))
 }
 
-/// The same order at two VMs at the very same moment, many times. Each runs once, and both callers
-/// hear of it: one gets the answer, the other the kept answer or a refusal that is not "not run".
+/// Two callers send the same order to two VMs at the same time, in 20 rounds. Each order must run
+/// once. One caller must get the response, the other the retained response or an error other than
+/// "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn one_order_at_two_vms_at_once() {
     let fleet = Fleet::start().await;
@@ -209,7 +219,10 @@
         let answers = [one.expect("answered"), two.expect("answered")];
         let placed = answers.iter().filter(|answer| answer.status == 200).count();
         assert!(placed >= 1, "{answers:?}");
-        let denied = answers.iter().any(Answer::not_run);
-        assert!(!denied, "an order that ran is called not run: {answers:?}");
+        let reported_not_run = answers.iter().any(Answer::not_run);
+        assert!(
+            !reported_not_run,
+            "an order that ran is reported as not run: {answers:?}"
+        );
     }
 }
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the built programs, one module a topic.
+//! Tests of the built programs, one module for each topic.
 
 mod control;
 mod ctl;
--- a/tests/all/partition.rs
+++ b/tests/all/partition.rs
@@ -1,4 +1,4 @@
-//! Zones cut off from each other and from the platform.
+//! Network partitions between zones, and between zones and the platform.
 
 use std::time::Duration;
 
@@ -7,52 +7,55 @@
 use crate::fleet::eventually;
 use crate::fleet::relay::ZONES;
 
-/// Answers that were whole, by kind.
+/// Results of the requests of a test.
 #[derive(Default)]
 struct Tally {
-    whole: u64,
-    keys: Vec<(String, bool)>,
+    /// Number of successful responses.
+    answered: u64,
+    /// Keys of orders, each with whether it was placed.
+    orders: Vec<(String, bool)>,
 }
 
-/// Each VM of a zone answers model requests and repeatable calls.
-async fn serves(fleet: &Fleet, zone: usize, tally: &mut Tally) {
+/// Waits until each VM of a zone serves a model request.
+async fn check_models(fleet: &Fleet, zone: usize, tally: &mut Tally) {
     for node in fleet.nodes.iter().filter(|node| node.zone == zone) {
         eventually(&format!("{} serves what it can", node.name), async || {
             let chat = fleet.caller.chat(node, "still there?").await;
-            let whole = chat.is_some_and(|answer| answer.status == 200);
-            tally.whole += u64::from(whole);
-            whole
+            let answered = chat.is_some_and(|answer| answer.status == 200);
+            tally.answered += u64::from(answered);
+            answered
         })
         .await;
     }
 }
 
-/// Sends an order to each VM of a zone and notes what became of it.
-async fn orders(fleet: &Fleet, zone: usize, tally: &mut Tally, expect: bool) {
+/// Sends an order to each VM of a zone, which must be placed, or else refused as not run with a
+/// `retry-after`.
+async fn check_orders(fleet: &Fleet, zone: usize, tally: &mut Tally, placed: bool) {
     for node in fleet.nodes.iter().filter(|node| node.zone == zone) {
         let key = caller::key();
         let answer = fleet.caller.order(node, &key).await.expect("answered");
-        if expect {
+        if placed {
             assert_eq!(answer.status, 200, "{answer:?}");
-            tally.whole += 1;
+            tally.answered += 1;
         } else {
             assert!(answer.not_run(), "{answer:?}");
             assert!(answer.header("retry-after").is_some(), "{answer:?}");
             assert_eq!(fleet.runs(&key), 0);
         }
-        tally.keys.push((key, expect));
+        tally.orders.push((key, placed));
     }
 }
 
-/// After healing nothing is doubled, nothing refused has run, every whole answer has its bill and no
-/// configuration went back.
-async fn healed(fleet: &Fleet, tally: &Tally, before: u64) {
-    for (key, placed) in &tally.keys {
+/// Checks that after the partition each placed order has run once and no refused order has run,
+/// that each successful response has a bill, and that all VMs place orders again.
+async fn check_after_healing(fleet: &Fleet, tally: &Tally, before: u64) {
+    for (key, placed) in &tally.orders {
         assert_eq!(fleet.runs(key), u64::from(*placed), "{key}");
     }
-    let expected = before + tally.whole;
+    let expected = before + tally.answered;
     eventually("all whole answers are billed", async || {
-        fleet.billed() >= expected
+        fleet.counted_bills() >= expected
     })
     .await;
     for number in 0..fleet.nodes.len() {
@@ -66,11 +69,11 @@
     }
 }
 
-async fn bills_settled(fleet: &Fleet) -> u64 {
-    let mut last = fleet.billed();
+async fn wait_for_stable_bills(fleet: &Fleet) -> u64 {
+    let mut last = fleet.counted_bills();
     loop {
         tokio::time::sleep(Duration::from_secs(3)).await;
-        let now = fleet.billed();
+        let now = fleet.counted_bills();
         if now == last {
             return now;
         }
@@ -78,29 +81,29 @@
     }
 }
 
-/// One zone is cut off from the platform and from the other zones, each zone in turn. It goes on
-/// answering model requests at its own engine, refuses orders at once as "not run" with when to come
-/// back, and the other zones notice nothing. An order asked for on both sides runs once.
+/// Each zone in turn is cut off from the platform and from the other zones. It must go on serving
+/// model requests at its own engine, and refuse orders at once as "not run" with a `retry-after`;
+/// the other zones must serve both. An order that is sent to both sides of the cut must run once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_cut_off_serves_what_it_can() {
     let fleet = Fleet::start().await;
-    let before = bills_settled(&fleet).await;
+    let before = wait_for_stable_bills(&fleet).await;
     let mut tally = Tally::default();
     for cut in 0..ZONES {
         fleet.cut(|cuts| cuts.isolate(cut));
         for zone in 0..ZONES {
-            serves(&fleet, zone, &mut tally).await;
-            orders(&fleet, zone, &mut tally, zone != cut).await;
+            check_models(&fleet, zone, &mut tally).await;
+            check_orders(&fleet, zone, &mut tally, zone != cut).await;
         }
-        both_sides(&fleet, cut, &mut tally).await;
+        check_order_on_both_sides(&fleet, cut, &mut tally).await;
         fleet.heal();
-        settle(&fleet).await;
+        wait_until_current(&fleet).await;
     }
-    healed(&fleet, &tally, before).await;
+    check_after_healing(&fleet, &tally, before).await;
 }
 
-/// One order under one key at a VM that is cut off and at one that is not.
-async fn both_sides(fleet: &Fleet, cut: usize, tally: &mut Tally) {
+/// Sends one order under the same key to a VM that is cut off and to one that is not.
+async fn check_order_on_both_sides(fleet: &Fleet, cut: usize, tally: &mut Tally) {
     let key = caller::key();
     let inside = &fleet.nodes[cut * 2];
     let outside = &fleet.nodes[(cut * 2 + 2) % fleet.nodes.len()];
@@ -109,15 +112,16 @@
     let (inner, outer) = tokio::join!(inner, outer);
     assert!(inner.expect("answered").not_run());
     assert_eq!(outer.expect("answered").status, 200);
-    tally.whole += 1;
-    tally.keys.push((key, true));
+    tally.answered += 1;
+    tally.orders.push((key, true));
 }
 
-/// Waits until all VMs claim again, so that the next cut meets a whole fleet.
-async fn settle(fleet: &Fleet) {
+/// Waits until all VMs are ready and their state is less than 3 s old, so that the next cut starts
+/// with a healthy fleet.
+async fn wait_until_current(fleet: &Fleet) {
     for number in 0..fleet.nodes.len() {
         let node = &fleet.nodes[number];
-        eventually(&format!("{} has healed", node.name), async || {
+        eventually(&format!("{} is current again", node.name), async || {
             let state = fleet.state(number).await;
             state.is_some_and(|state| state.ready && state.age_ms < 3_000)
         })
@@ -125,19 +129,19 @@
     }
 }
 
-/// All three zones are cut off at once, each for itself. Each serves model requests on the last
-/// contracts, and refuses orders as "not run". After healing nothing has run that was refused.
+/// All three zones are isolated at once. Each must serve model requests by the last known contracts
+/// and refuse orders as "not run". After the partition no refused order may have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_zones_cut_off_at_once() {
     let fleet = Fleet::start().await;
-    let before = bills_settled(&fleet).await;
+    let before = wait_for_stable_bills(&fleet).await;
     let mut tally = Tally::default();
     fleet.cut(|cuts| (0..ZONES).for_each(|zone| cuts.isolate(zone)));
     for zone in 0..ZONES {
-        serves(&fleet, zone, &mut tally).await;
-        orders(&fleet, zone, &mut tally, false).await;
+        check_models(&fleet, zone, &mut tally).await;
+        check_orders(&fleet, zone, &mut tally, false).await;
     }
     fleet.heal();
-    settle(&fleet).await;
-    healed(&fleet, &tally, before).await;
+    wait_until_current(&fleet).await;
+    check_after_healing(&fleet, &tally, before).await;
 }
--- a/tests/all/process.rs
+++ b/tests/all/process.rs
@@ -1,4 +1,4 @@
-//! Starting programs, stopping them, and waiting for what they do.
+//! Starts and stops programs and waits for their effects.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -14,16 +14,16 @@
 
 use serde_json::Value;
 
-/// The longest wait for anything. Far above what a busy machine needs.
-const BOUND: Duration = Duration::from_mins(1);
+/// Maximum wait for any event, far above what a busy machine needs.
+const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running program, ended when it is dropped.
+/// A running program, killed on drop.
 pub struct Process {
     child: Child,
-    /// The address that it printed as `READY=`.
+    /// The address that the program printed as `READY=`.
     pub address: String,
 }
 
@@ -50,15 +50,15 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Waits for its end and gives its exit code.
-    pub fn end(mut self) -> Option<i32> {
+    /// Waits for the program to exit and returns its exit code.
+    pub fn wait(mut self) -> Option<i32> {
         eventually("the program ends", || {
             self.child.try_wait().expect("it can be waited for")
         })
         .code()
     }
 
-    /// The answer of `GET path`, if there is one.
+    /// The JSON body of the response to `GET path`, if there is one.
     pub fn get(&self, path: &str) -> Option<Value> {
         let mut stream = TcpStream::connect(&self.address).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
@@ -72,20 +72,20 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself; then there is nothing to kill.
+        // Fails if the program has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Waits until `look` finds something.
-pub fn eventually<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let deadline = Instant::now() + BOUND;
+/// Waits until `poll` returns a value.
+pub fn eventually<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < deadline, "not in time: {what}");
-        thread::sleep(LOOK);
+        assert!(Instant::now() < deadline, "timed out: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/all/programs.rs
+++ b/tests/all/programs.rs
@@ -1,9 +1,8 @@
-//! Every program is there and refuses nonsense with the exit code for bad usage.
+//! Every program exists and rejects unknown flags with the exit code for invalid usage.
 
 use std::process::Command;
 
-/// What an operator sees: a mistyped flag ends the program at once with exit code 2, before it
-/// opens a port or writes a record.
+/// A mistyped flag must end the program with exit code 2 before it opens a port or writes a record.
 #[test]
 fn a_bad_flag_is_refused() {
     let programs = [
--- a/tests/all/shutdown.rs
+++ b/tests/all/shutdown.rs
@@ -1,15 +1,16 @@
-//! A graceful shutdown cuts no request short.
+//! Graceful shutdown of an entry VM.
 
 use std::time::Duration;
 
 use crate::fleet::Fleet;
 use crate::fleet::eventually;
 
-/// Tokens of a long answer: several seconds at the stand-in engine's speed.
-const LONG: u64 = 300;
+/// Output tokens of a long response, which takes the stand-in engine several seconds.
+const LONG_OUTPUT_TOKENS: u64 = 300;
 
-/// A VM gets SIGTERM, and a second one, while long streams and whole answers are in flight. Every
-/// caller gets its whole answer, the process ends with 0, and each answer's bill is on the log.
+/// A VM gets SIGTERM twice while streamed and other long responses are in flight. Every caller must
+/// get a complete response, the process must exit with 0, and each response must have a bill on the
+/// log.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_caller_sees_a_cut() {
     let mut fleet = Fleet::start().await;
@@ -18,14 +19,16 @@
         true
     })
     .await;
-    let before = fleet.billed();
+    let before = fleet.counted_bills();
     let id = fleet.nodes[0].id();
     let node = &fleet.nodes[0];
     let streams = futures::future::join_all((0..6).map(|number| {
         let caller = fleet.caller.clone();
         async move {
             let prompt = format!("a long review {number}");
-            caller.model(node, &prompt, number % 2 == 0, LONG).await
+            caller
+                .model(node, &prompt, number % 2 == 0, LONG_OUTPUT_TOKENS)
+                .await
         }
     }));
     let stop = async {
@@ -38,9 +41,9 @@
     for (number, answer) in answers.into_iter().enumerate() {
         let answer = answer.unwrap_or_else(|| panic!("answer {number} was cut"));
         assert_eq!(answer.status, 200, "{answer:?}");
-        let whole = answer.whole_stream() || answer.text().is_some();
-        assert!(whole, "answer {number} is not whole: {answer:?}");
+        let complete = answer.is_complete_stream() || answer.text().is_some();
+        assert!(complete, "answer {number} is incomplete: {answer:?}");
     }
-    assert_eq!(fleet.nodes[0].end().await, Some(0));
-    assert!(fleet.billed() >= before + 6, "a bill was left behind");
+    assert_eq!(fleet.nodes[0].wait().await, Some(0));
+    assert!(fleet.counted_bills() >= before + 6, "a bill is missing");
 }
--- a/tests/all/spread.rs
+++ b/tests/all/spread.rs
@@ -1,4 +1,4 @@
-//! Configuration: in force everywhere in seconds, and never going back.
+//! Propagation of configuration: it reaches all VMs within seconds and never reverts.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,8 +12,8 @@
 use crate::fleet::contracts;
 use crate::fleet::eventually;
 
-/// Publishes a contract that differs in its weight, and gives the offset after it.
-fn amend(fleet: &Fleet, weight: u32) -> Offset {
+/// Publishes the contract with another weight and returns the offset after that change.
+fn publish_weight(fleet: &Fleet, weight: u32) -> Offset {
     let text = contracts().replace("weight = 1", &format!("weight = {weight}"));
     let published = fleet.publish(&text);
     assert!(published.status.success(), "{published:?}");
@@ -21,8 +21,9 @@
     records.last().expect("published").offset.next()
 }
 
-/// Waits until VMs have an offset, and gives how long each took.
-async fn in_force(fleet: &Fleet, numbers: &[usize], offset: Offset) -> Vec<Duration> {
+/// Waits until each of the VMs has applied the log up to `offset`. Returns how long each took from
+/// the call, where a VM is not checked before those listed ahead of it.
+async fn wait_until_in_force(fleet: &Fleet, numbers: &[usize], offset: Offset) -> Vec<Duration> {
     let began = Instant::now();
     let mut times = Vec::new();
     for number in numbers {
@@ -41,39 +42,39 @@
 
 const ALL: [usize; 6] = [0, 1, 2, 3, 4, 5];
 
-/// An operator amends a contract ten times. Each change is in force at all six VMs; the times are
-/// printed for docs/MEASUREMENTS.md.
+/// An operator amends a contract ten times. Each change must come into force at all six VMs. The
+/// times are printed for docs/MEASUREMENTS.md.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_reaches_every_vm() {
     let fleet = Fleet::start().await;
     let mut slowest = Duration::ZERO;
     for weight in 2..12 {
-        let offset = amend(&fleet, weight);
-        let times = in_force(&fleet, &ALL, offset).await;
+        let offset = publish_weight(&fleet, weight);
+        let times = wait_until_in_force(&fleet, &ALL, offset).await;
         slowest = slowest.max(times.into_iter().max().unwrap_or_default());
     }
     println!("slowest of ten changes at six VMs: {slowest:?}");
 }
 
-/// A zone has lost the platform but not its neighbours. Changes reach it through them.
+/// A zone has lost the platform but not the other zones. Changes must reach it through them.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_without_the_platform_hears_from_its_neighbours() {
     let fleet = Fleet::start().await;
     fleet.cut(|cuts| cuts.platform[0] = true);
-    let offset = amend(&fleet, 2);
-    let times = in_force(&fleet, &[0, 1], offset).await;
+    let offset = publish_weight(&fleet, 2);
+    let times = wait_until_in_force(&fleet, &[0, 1], offset).await;
     println!("through neighbours: {times:?}");
     fleet.heal();
 }
 
-/// The log is out. VMs are replaced meanwhile: a new one takes the configuration from its peers,
-/// borrows of their grants and serves. Over the outage, the replacements and the next change, no VM's
-/// offset ever falls.
+/// VMs are replaced during an outage of the log. A new VM must get the configuration from its
+/// peers, borrow from their grants and serve requests. Throughout the outage, the replacements and
+/// the next change, no VM's offset may decrease.
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_goes_back_over_an_outage_and_replacements() {
     let mut fleet = Fleet::start().await;
-    let before = amend(&fleet, 2);
-    in_force(&fleet, &ALL, before).await;
+    let before = publish_weight(&fleet, 2);
+    wait_until_in_force(&fleet, &ALL, before).await;
     let out = Action::Refuse {
         status: 503,
         retry_after: Some(1),
@@ -89,18 +90,26 @@
         })
         .await;
         let state = fleet.state(number).await.expect("it is ready");
-        assert!(state.offset >= before, "{} went back", state.node);
-        fleet.ready(number).await;
+        assert!(
+            state.offset >= before,
+            "the offset of {} decreased",
+            state.node
+        );
+        fleet.wait_until_ready(number).await;
     }
     fleet.log.faults.rules([]);
-    let after = amend(&fleet, 3);
+    let after = publish_weight(&fleet, 3);
     let mut seen = [before; ALL.len()];
     eventually("all have the next change", async || {
         for number in ALL {
             let Some(state) = fleet.state(number).await else {
                 continue;
             };
-            assert!(state.offset >= seen[number], "{} went back", state.node);
+            assert!(
+                state.offset >= seen[number],
+                "the offset of {} decreased",
+                state.node
+            );
             seen[number] = state.offset;
         }
         seen.iter().all(|offset| *offset >= after)
@@ -108,8 +117,9 @@
     .await;
 }
 
-/// An operator withdraws a version under load. Once a VM has the change, no call of its goes to that
-/// version: after the last VM has it, the engines start no more work on it.
+/// An operator withdraws a version under load. A VM that has the change must send no request to
+/// that version, so that engines start no work on it once all VMs have the change. All requests
+/// must be served.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_withdrawn_version_gets_no_new_work() {
     let fleet = Fleet::start().await;
@@ -120,7 +130,7 @@
             .sum()
     };
     let load = async {
-        let asks = (0..300_u32).map(|number| {
+        let requests = (0..300_u32).map(|number| {
             let fleet = &fleet;
             async move {
                 tokio::time::sleep(Duration::from_millis(20) * number).await;
@@ -133,7 +143,7 @@
                     .map(|answer| answer.status)
             }
         });
-        futures::future::join_all(asks).await
+        futures::future::join_all(requests).await
     };
     let withdraw = async {
         tokio::time::sleep(Duration::from_secs(2)).await;
@@ -142,8 +152,8 @@
         assert!(withdrawn.status.success(), "{withdrawn:?}");
         let records = fleet.log.site.records("configuration");
         let offset = records.last().expect("published").offset.next();
-        in_force(&fleet, &ALL, offset).await;
-        // A call that was sent before may reach its engine a moment later.
+        wait_until_in_force(&fleet, &ALL, offset).await;
+        // A request that was sent before the change may reach its engine a moment later.
         tokio::time::sleep(Duration::from_millis(200)).await;
         started()
     };
