--- a/crates/control/tests/all/rollouts.rs
+++ b/crates/control/tests/all/rollouts.rs
@@ -281,12 +281,12 @@
     for fault in [
         Fault::None,
         Fault::LoseAnswer,
-        Fault::LoseCall,
+        Fault::LoseRequest,
         Fault::Refuse,
     ] {
         let mut fixture = Fixture::new();
         fixture.report(fixture.state.offset, good(TO), good(FROM));
-        fixture.log.fail(&[fault]);
+        fixture.log.inject(&[fault]);
         let mut first = fixture.controller("entry-1");
         let result = first.pass().await;
         assert_eq!(result.is_ok(), fault == Fault::None, "{fault:?}");
--- a/crates/ctl/src/command/history.rs
+++ b/crates/ctl/src/command/history.rs
@@ -1,4 +1,4 @@
-//! `history`.
+//! `history`: the changes on the configuration stream with their verdicts.
 
 use pimento_contract::fold::Verdict;
 use pimento_units::Offset;
@@ -10,9 +10,9 @@
 use crate::command::Context;
 use crate::exit::Error;
 use crate::output::Output;
-use crate::snapshot::Past;
+use crate::snapshot::DecidedChange;
 
-/// One change, as shown.
+/// One change as it is printed.
 #[derive(Debug, Serialize)]
 struct Line {
     offset: Offset,
@@ -25,17 +25,17 @@
     verdict: Verdict,
 }
 
-impl From<&Past> for Line {
-    fn from(past: &Past) -> Self {
+impl From<&DecidedChange> for Line {
+    fn from(decided: &DecidedChange) -> Self {
         Self {
-            offset: past.offset,
-            at: past.change.at,
-            by: past.change.by.to_string(),
-            id: past.change.id,
-            subject: past.change.subject.to_string(),
-            removes: past.change.value.is_none(),
-            base: past.change.base,
-            verdict: past.verdict,
+            offset: decided.offset,
+            at: decided.change.at,
+            by: decided.change.by.to_string(),
+            id: decided.change.id,
+            subject: decided.change.subject.to_string(),
+            removes: decided.change.value.is_none(),
+            base: decided.change.base,
+            verdict: decided.verdict,
         }
     }
 }
@@ -61,11 +61,11 @@
     }
 }
 
-/// Lists the changes that are still on the log, those of one subject if it is given.
+/// Lists the changes that the log still retains, of all subjects or of one.
 ///
 /// # Errors
 ///
-/// The log's failures.
+/// [`Error::Log`] if the log can't be read before the deadline.
 pub async fn history(context: &Context, subject: Option<&str>) -> Result<Output, Error> {
     let snapshot = context.snapshot().await?;
     let lines: Vec<Line> = snapshot
--- a/crates/ctl/src/command/publish.rs
+++ b/crates/ctl/src/command/publish.rs
@@ -1,4 +1,4 @@
-//! `publish`.
+//! `publish`: checks files and publishes what they change.
 
 use pimento_contract::Change;
 use pimento_contract::fold::Verdict;
@@ -9,72 +9,82 @@
 use crate::output::Output;
 use crate::progress::Progress;
 use crate::publish;
-use crate::publish::Verdicted;
+use crate::publish::Outcome;
 use crate::snapshot::Snapshot;
 
 /// How files are published.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Mode {
-    /// Withdrawn versions serve again and roll-outs are set back, if the files say so. Else they
-    /// stay as they are in force.
+    /// Whether to apply the files' status of withdrawn versions, and stage and status of roll-outs.
+    /// Otherwise those in force are preserved.
     pub reinstate: bool,
-    /// Nothing is published; the result lists what would be.
-    pub dry: bool,
+    /// Whether to list the changes instead of publishing them.
+    pub dry_run: bool,
 }
 
-/// Publishes what differs from what is in force.
+/// Publishes the subjects of the files that differ from the configuration in force.
 ///
 /// # Errors
 ///
-/// Findings of the files, the log's failures, or [`Error::Conflict`] if another change came first.
-pub async fn files(context: &Context, paths: &[String], mode: Mode) -> Result<Output, Error> {
+/// - [`Error::Usage`] with the findings in the files,
+/// - [`Error::Failed`] if the snapshot is incomplete,
+/// - [`Error::Conflict`] if another change came first,
+/// - [`Error::Log`] if the log is unavailable; nothing is published,
+/// - [`Error::Unconfirmed`] if it is unknown whether the changes are in force.
+pub async fn publish_files(
+    context: &Context,
+    paths: &[String],
+    mode: Mode,
+) -> Result<Output, Error> {
     let files = files::load(paths)?;
-    let mut snapshot = context.base().await?;
+    let mut snapshot = context.complete_snapshot().await?;
     let mut values = files::check(&files, &snapshot.state)?;
     if !mode.reinstate {
-        for subject in publish::keep_progress(&snapshot, &mut values) {
-            eprintln!("{subject}: kept as it is in force (--reinstate would set it back)");
+        for subject in publish::preserve_progress(&snapshot, &mut values) {
+            eprintln!(
+                "{subject}: status and stage in force are preserved (--reinstate applies those of the file)"
+            );
         }
     }
     let changes = publish::changes(&snapshot, values, &context.by);
     if changes.is_empty() {
-        eprintln!("nothing differs from what is in force");
+        eprintln!("no changes: the files match the configuration in force");
     }
-    if mode.dry {
-        return Ok(proposed(&changes));
+    if mode.dry_run {
+        return Ok(preview(&changes));
     }
-    changes_of(context, &mut snapshot, &changes).await
+    publish_changes(context, &mut snapshot, &changes).await
 }
 
-fn proposed(changes: &[Change]) -> Output {
+fn preview(changes: &[Change]) -> Output {
     let row = |change: &Change| vec![change.subject.to_string(), change.base.to_string()];
     let rows = changes.iter().map(row).collect();
     Output::new(&["would change", "from revision"], rows, &changes)
 }
 
-/// Publishes prepared changes.
+/// Publishes the given changes.
 ///
 /// # Errors
 ///
-/// As [`files`].
-pub async fn changes_of(
+/// As [`publish_files`].
+pub async fn publish_changes(
     context: &Context,
     snapshot: &mut Snapshot,
     changes: &[Change],
 ) -> Result<Output, Error> {
     let progress = Progress::new("publishing");
-    progress.say(format!("publishing {} change(s)", changes.len()));
-    let verdicts = publish::publish(&context.log, snapshot, changes, context.deadline).await?;
+    progress.set_message(format!("publishing {} change(s)", changes.len()));
+    let outcomes = publish::publish(&context.log, snapshot, changes, context.deadline).await?;
     drop(progress);
-    publish::require(&verdicts)?;
-    let rows = verdicts.iter().map(row).collect();
-    Ok(Output::new(&["subject", "revision"], rows, &verdicts))
+    publish::require_accepted(&outcomes)?;
+    let rows = outcomes.iter().map(row).collect();
+    Ok(Output::new(&["subject", "revision"], rows, &outcomes))
 }
 
-fn row(verdicted: &Verdicted) -> Vec<String> {
-    let revision = match verdicted.verdict {
+fn row(outcome: &Outcome) -> Vec<String> {
+    let revision = match outcome.verdict {
         Verdict::Accepted(revision) | Verdict::Conflict(revision) => revision.to_string(),
         Verdict::Mismatch => String::new(),
     };
-    vec![verdicted.subject.to_string(), revision]
+    vec![outcome.subject.to_string(), revision]
 }
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -1,4 +1,4 @@
-//! Reads operators' files.
+//! Reads and checks the files that operators pass to commands.
 
 use std::fs;
 
@@ -11,26 +11,26 @@
 
 use crate::exit::Error;
 
-/// Reads all files; those that can't be read are reported together.
+/// Reads all files. Those that can't be read are reported together in one [`Error::Usage`].
 pub(crate) fn load(paths: &[String]) -> Result<Vec<File>, Error> {
     let mut files = Vec::with_capacity(paths.len());
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for path in paths {
         match fs::read_to_string(path) {
             Ok(text) => files.push(File {
                 name: path.as_str().into(),
                 text,
             }),
-            Err(error) => faults.push(format!("{path}: {error}")),
+            Err(error) => errors.push(format!("{path}: {error}")),
         }
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         return Ok(files);
     }
-    Err(Error::usage(faults.join("\n")))
+    Err(Error::usage(errors.join("\n")))
 }
 
-/// Checks files over `known`.
+/// Checks the files together, with references to `known` subjects allowed.
 pub(crate) fn check(files: &[File], known: &State) -> Result<Vec<Value>, Error> {
     let configuration =
         Configuration::try_from(Source { files, known }).map_err(|findings| report(&findings))?;
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -1,8 +1,9 @@
-//! Proposes changes on the configuration stream and reads their verdicts back.
+//! Appends changes to the configuration stream and reads their verdicts back.
 //!
-//! The log may lose the answer to an append after the append took effect. Each change carries an
-//! id, so that the verdict is read back from the stream, and appending the same records again
-//! counts once. Of two racing operators the first in the log wins; the other one is told so.
+//! The response to an append may be lost after the append took effect. Each change therefore
+//! carries an id, by which its verdict is found in the stream and by which a record that is
+//! appended twice counts once. Of two concurrent changes to the same revision the first on the log
+//! wins; the other gets [`Verdict::Conflict`].
 
 use std::fmt;
 use std::time::SystemTime;
@@ -30,25 +31,28 @@
 use crate::snapshot::Snapshot;
 use crate::stream;
 
-/// What became of one change.
+/// The outcome of one change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Verdicted {
-    /// The subject.
-    #[serde(serialize_with = "text")]
+pub struct Outcome {
+    /// The subject of the change.
+    #[serde(serialize_with = "display")]
     pub subject: Subject,
-    /// The change's id.
+    /// The id of the change.
     pub id: id::Record,
-    /// What became of it.
+    /// Whether it is in force.
     pub verdict: Verdict,
-    /// Who wrote the revision that won, if it was another and is still on the log.
+    /// On a conflict, the author of the revision that won, if the log still retains its change.
     pub winner: Option<CompactString>,
 }
 
-fn text<S: serde::Serializer>(value: &impl fmt::Display, serializer: S) -> Result<S::Ok, S::Error> {
+fn display<S: serde::Serializer>(
+    value: &impl fmt::Display,
+    serializer: S,
+) -> Result<S::Ok, S::Error> {
     serializer.collect_str(value)
 }
 
-impl fmt::Display for Verdicted {
+impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let subject = &self.subject;
         match self.verdict {
@@ -60,12 +64,15 @@
                     None => Ok(()),
                 }
             }
-            Verdict::Mismatch => write!(f, "{subject}: the value is of another subject"),
+            Verdict::Mismatch => write!(
+                f,
+                "{subject}: not published, the value belongs to another subject"
+            ),
         }
     }
 }
 
-/// Makes a change of `subject` on top of `snapshot`.
+/// Creates a change of `subject` with its revision in `snapshot` as the base.
 #[must_use]
 pub fn change(snapshot: &Snapshot, subject: Subject, value: Option<Value>, by: &str) -> Change {
     Change {
@@ -85,12 +92,12 @@
     Wall::from_millis(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Changes for the values that differ from what is in force, in an order in which no contract
-/// comes before what it names.
+/// Creates changes for the values that differ from the configuration in force, ordered such that no
+/// contract comes before the subjects that it references.
 #[must_use]
 pub fn changes(snapshot: &Snapshot, values: Vec<Value>, by: &str) -> Vec<Change> {
     let mut values = values;
-    values.sort_by_key(rank);
+    values.sort_by_key(publish_order);
     let differs = |value: &Value| {
         let current = snapshot.state.item(&value.subject());
         current.is_none_or(|item| item.value != *value)
@@ -102,38 +109,40 @@
         .collect()
 }
 
-/// Keeps what operators and controllers did since the files were written: a withdrawn version stays
-/// withdrawn, and a roll-out keeps its stage and status. Else an amended contract, published along
-/// with the other files of its folder, would bring a bad version back. Gives the subjects kept so.
-pub fn keep_progress(snapshot: &Snapshot, values: &mut [Value]) -> Vec<Subject> {
-    let mut kept = Vec::new();
+/// Replaces status and stage in `values` by those in force: a withdrawn version stays withdrawn,
+/// and a roll-out whose stages are unchanged keeps its stage and status. Otherwise publishing an
+/// amended contract along with the older files of its folder would reinstate a bad version. Returns
+/// the subjects that it altered.
+pub fn preserve_progress(snapshot: &Snapshot, values: &mut [Value]) -> Vec<Subject> {
+    let mut preserved = Vec::new();
     for value in values {
         let subject = value.subject();
         let current = snapshot.state.item(&subject).map(|item| &item.value);
         let differs = match (&mut *value, current) {
             (Value::Version(new), Some(Value::Version(old))) => {
-                let back = old.status == version::Status::Withdrawn && new.status != old.status;
-                if back {
+                let reverts = old.status == version::Status::Withdrawn && new.status != old.status;
+                if reverts {
                     new.status = old.status;
                 }
-                back
+                reverts
             }
             (Value::Rollout(new), Some(Value::Rollout(old))) if new.stages == old.stages => {
-                let back = (new.stage, new.status) != (old.stage, old.status);
+                let reverts = (new.stage, new.status) != (old.stage, old.status);
                 (new.stage, new.status) = (old.stage, old.status);
-                back
+                reverts
             }
             _ => false,
         };
         if differs {
-            kept.push(subject);
+            preserved.push(subject);
         }
     }
-    kept
+    preserved
 }
 
-/// Readers apply changes one at a time, so the order within one append still matters.
-fn rank(value: &Value) -> u8 {
+/// Sort key of [`changes`]. Readers apply changes one by one, so the order within one append
+/// matters.
+fn publish_order(value: &Value) -> u8 {
     match value {
         Value::Pool(_) => 0,
         Value::Version(_) => 1,
@@ -143,36 +152,40 @@
     }
 }
 
-/// Appends `changes` and reads their verdicts back, until `deadline`.
+/// Appends `changes` and reads their verdicts back. Retries until `deadline`.
 ///
 /// # Errors
 ///
-/// [`Error::Log`] if the changes surely are not on the log, [`Error::Doubt`] if they may be.
+/// [`Error::Log`] if the changes are certainly not on the log, [`Error::Unconfirmed`] if they are
+/// or may be but their verdicts could not be read back.
 pub async fn publish(
     log: &impl Log,
     snapshot: &mut Snapshot,
     changes: &[Change],
     deadline: Instant,
-) -> Result<Vec<Verdicted>, Error> {
+) -> Result<Vec<Outcome>, Error> {
     if changes.is_empty() {
         return Ok(Vec::new());
     }
     let records = records(changes)?;
-    let mut doubt = false;
+    let mut uncertain = false;
     loop {
         let failure = match log.append(Stream::Configuration, records.clone()).await {
-            Ok(first) => return verdicts(log, snapshot, changes, first, deadline).await,
+            Ok(first) => return await_outcomes(log, snapshot, changes, first, deadline).await,
             Err(error) => error,
         };
-        // An answer that was lost once leaves the changes in doubt whatever later tries say, unless
-        // they are read back.
-        doubt |= !matches!(failure, log::Error::Refused { .. });
-        if doubt && snapshot.refresh(log, deadline).await.is_ok() && decided(snapshot, changes) {
-            return Ok(collect(snapshot, changes));
+        // After a lost response the changes may be on the log, whatever later attempts return,
+        // until they are read back.
+        uncertain |= !matches!(failure, log::Error::Refused { .. });
+        if uncertain
+            && snapshot.refresh(log, deadline).await.is_ok()
+            && all_decided(snapshot, changes)
+        {
+            return Ok(outcomes(snapshot, changes));
         }
-        match stream::pause(failure, deadline).await {
+        match stream::backoff(failure, deadline).await {
             Ok(()) => {}
-            Err(_) if doubt => return Err(in_doubt(changes)),
+            Err(_) if uncertain => return Err(unconfirmed(changes)),
             Err(source) => return Err(Error::Log { source }),
         }
     }
@@ -186,57 +199,58 @@
         .map_err(|error| Error::failed(error.to_string()))
 }
 
-/// Reads on until all changes are decided. `first` is where the log says that they stand.
-async fn verdicts(
+/// Reads the stream until all changes have a verdict. `first` is the offset of the first change, as
+/// the log returned it.
+async fn await_outcomes(
     log: &impl Log,
     snapshot: &mut Snapshot,
     changes: &[Change],
     first: Offset,
     deadline: Instant,
-) -> Result<Vec<Verdicted>, Error> {
+) -> Result<Vec<Outcome>, Error> {
     let end = Offset(first.0 + changes.len() as u64);
     while snapshot.state.offset < end && Instant::now() < deadline {
         if snapshot.refresh(log, deadline).await.is_err() {
             break;
         }
     }
-    if decided(snapshot, changes) {
-        return Ok(collect(snapshot, changes));
+    if all_decided(snapshot, changes) {
+        return Ok(outcomes(snapshot, changes));
     }
-    Err(in_doubt(changes))
+    Err(unconfirmed(changes))
 }
 
-fn decided(snapshot: &Snapshot, changes: &[Change]) -> bool {
+fn all_decided(snapshot: &Snapshot, changes: &[Change]) -> bool {
     changes
         .iter()
         .all(|change| snapshot.verdict(change.id).is_some())
 }
 
-fn collect(snapshot: &Snapshot, changes: &[Change]) -> Vec<Verdicted> {
-    let verdict = |change: &Change| {
+fn outcomes(snapshot: &Snapshot, changes: &[Change]) -> Vec<Outcome> {
+    let outcome = |change: &Change| {
         let verdict = snapshot.verdict(change.id)?;
         let winner = match verdict {
             Verdict::Conflict(revision) => winner(snapshot, revision),
             Verdict::Accepted(_) | Verdict::Mismatch => None,
         };
-        Some(Verdicted {
+        Some(Outcome {
             subject: change.subject.clone(),
             id: change.id,
             verdict,
             winner,
         })
     };
-    changes.iter().filter_map(verdict).collect()
+    changes.iter().filter_map(outcome).collect()
 }
 
 fn winner(snapshot: &Snapshot, revision: Revision) -> Option<CompactString> {
-    let past = snapshot.winner(revision)?;
-    Some(past.change.by.clone())
+    let decided = snapshot.accepted_as(revision)?;
+    Some(decided.change.by.clone())
 }
 
-fn in_doubt(changes: &[Change]) -> Error {
+fn unconfirmed(changes: &[Change]) -> Error {
     let mut message = String::from(
-        "the log's answer was lost and could not be read back; these changes may be in force \
+        "the verdicts could not be read back from the log; these changes may be in force \
          (look for their ids in `pimentoctl history`):",
     );
     for change in changes {
@@ -245,17 +259,17 @@
         message.push(' ');
         message.push_str(&change.subject.to_string());
     }
-    Error::Doubt { message }
+    Error::Unconfirmed { message }
 }
 
-/// An error if any change lost.
+/// Checks that all changes were accepted.
 ///
 /// # Errors
 ///
-/// [`Error::Conflict`] naming what won.
-pub fn require(verdicts: &[Verdicted]) -> Result<(), Error> {
-    let lost = |verdict: &&Verdicted| !matches!(verdict.verdict, Verdict::Accepted(_));
-    let lines: Vec<String> = verdicts
+/// [`Error::Conflict`] with one line for each change that was not.
+pub fn require_accepted(outcomes: &[Outcome]) -> Result<(), Error> {
+    let lost = |outcome: &&Outcome| !matches!(outcome.verdict, Verdict::Accepted(_));
+    let lines: Vec<String> = outcomes
         .iter()
         .filter(lost)
         .map(ToString::to_string)
--- a/crates/ctl/src/snapshot.rs
+++ b/crates/ctl/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, folded from its stream on the log.
+//! The configuration in force, computed from the configuration stream of the log.
 
 use pimento_contract::Change;
 use pimento_contract::State;
@@ -15,89 +15,90 @@
 
 use crate::stream;
 
-/// A change with its place and verdict.
+/// A change with its offset and verdict.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Past {
-    /// Where it stands.
+pub struct DecidedChange {
+    /// Offset on the configuration stream.
     pub offset: Offset,
-    /// What was proposed.
+    /// The change as it was appended.
     pub change: Change,
-    /// What became of it.
+    /// Whether it was accepted.
     pub verdict: Verdict,
 }
 
-/// The configuration, with the changes that are still on the log.
+/// The configuration with the changes that the log still retains.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// What is in force.
+    /// The configuration in force.
     pub state: State,
-    /// Changes in offset order.
-    pub history: Vec<Past>,
-    /// The oldest record that was still kept when the reading began.
+    /// Retained changes in the order of their offsets.
+    pub history: Vec<DecidedChange>,
+    /// Offset of the oldest record that the log retained at the first read.
     pub oldest: Offset,
-    /// Whether the state is known: false if retention has passed early records and no checkpoint
-    /// that fits its hash covers them.
-    pub whole: bool,
+    /// Whether `state` covers the whole stream. False if the log no longer retains early records
+    /// and no checkpoint with a valid hash covers them.
+    pub complete: bool,
 }
 
 impl Snapshot {
-    /// Reads the whole stream.
+    /// Reads the stream from its oldest record.
     ///
     /// # Errors
     ///
-    /// The log's last error once `deadline` has passed.
+    /// The last error of the log if reading fails until `deadline`.
     pub async fn load(log: &impl Log, deadline: Instant) -> Result<Self, Error> {
         let mut records = Vec::new();
         let from = Offset(0);
-        let take = |record| records.push(record);
-        let extent = stream::read(log, Stream::Configuration, from, deadline, take).await?;
+        let push = |record| records.push(record);
+        let extent = stream::read(log, Stream::Configuration, from, deadline, push).await?;
         let mut snapshot = Self {
             oldest: extent.oldest,
-            whole: extent.oldest == from,
+            complete: extent.oldest == from,
             ..Self::default()
         };
         for record in records {
-            snapshot.take(&record);
+            snapshot.apply(&record);
         }
         Ok(snapshot)
     }
 
-    /// Reads what was added since.
+    /// Reads the records that were appended since the last read.
     ///
     /// # Errors
     ///
     /// As [`Snapshot::load`].
     pub async fn refresh(&mut self, log: &impl Log, deadline: Instant) -> Result<(), Error> {
         let from = self.state.offset;
-        let take = |record| self.take(&record);
-        stream::read(log, Stream::Configuration, from, deadline, take).await?;
+        let apply = |record| self.apply(&record);
+        stream::read(log, Stream::Configuration, from, deadline, apply).await?;
         Ok(())
     }
 
-    fn take(&mut self, record: &platform::Entry) {
+    fn apply(&mut self, record: &platform::Entry) {
         let offset = record.offset;
         match serde_json::from_str(&record.record) {
             Ok(Entry::Change(change)) if offset >= self.state.offset => {
                 let verdict = self.state.apply(offset, &change);
-                self.history.push(Past {
+                self.history.push(DecidedChange {
                     offset,
                     change,
                     verdict,
                 });
             }
             Ok(Entry::Checkpoint(checkpoint)) => {
-                self.adopt(checkpoint);
+                self.restore(checkpoint);
                 self.state.skip(offset);
             }
-            // A record that can't be read is passed over by every reader alike.
+            // Every reader skips malformed records, so that all compute the same state.
             Ok(Entry::Change(_)) | Err(_) => self.state.skip(offset),
         }
     }
 
-    /// Takes the state of a checkpoint if the records before it are gone, unless some between its
-    /// state and the oldest record are gone too. Changes after its state are applied again.
-    fn adopt(&mut self, checkpoint: pimento_contract::change::Checkpoint) {
-        if self.whole {
+    /// Restores the state from a checkpoint if early records are no longer retained. Ignores a
+    /// checkpoint that is damaged, and one whose state ends before the oldest record, since changes
+    /// between the two would be missing. Applies the changes after the checkpoint's state again.
+    fn restore(&mut self, checkpoint: pimento_contract::change::Checkpoint) {
+        if self.complete {
             return;
         }
         let Ok(state) = checkpoint.check() else {
@@ -107,28 +108,32 @@
             return;
         }
         self.state = state;
-        self.whole = true;
-        for past in &mut self.history {
-            if past.offset >= self.state.offset {
-                past.verdict = self.state.apply(past.offset, &past.change);
-            } else if let Some(decision) = self.state.decision(past.change.id) {
-                past.verdict = decision.verdict;
+        self.complete = true;
+        for decided in &mut self.history {
+            if decided.offset >= self.state.offset {
+                decided.verdict = self.state.apply(decided.offset, &decided.change);
+            } else if let Some(decision) = self.state.decision(decided.change.id) {
+                decided.verdict = decision.verdict;
             }
         }
     }
 
-    /// What became of a change that was read. One that stands on the log twice counts once.
+    /// Returns the verdict of a change, or `None` if it was not read. Of a change that is on the
+    /// log twice, returns the first verdict.
     #[must_use]
     pub fn verdict(&self, id: id::Record) -> Option<Verdict> {
-        let past = self.history.iter().find(|past| past.change.id == id)?;
-        Some(past.verdict)
+        let decided = self
+            .history
+            .iter()
+            .find(|decided| decided.change.id == id)?;
+        Some(decided.verdict)
     }
 
-    /// The change that set the revision `winner`, if it is still on the log.
+    /// Returns the change that was accepted as `revision`, if the log still retains it.
     #[must_use]
-    pub fn winner(&self, winner: Revision) -> Option<&Past> {
+    pub fn accepted_as(&self, revision: Revision) -> Option<&DecidedChange> {
         self.history
             .iter()
-            .find(|past| past.verdict == Verdict::Accepted(winner))
+            .find(|decided| decided.verdict == Verdict::Accepted(revision))
     }
 }
--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -1,4 +1,4 @@
-//! Reads a stream of the log from its oldest record to its present end.
+//! Reads a stream of the log up to its current end.
 
 use std::time::Duration;
 
@@ -9,23 +9,26 @@
 use pimento_wire::platform::Entry;
 use tokio::time::Instant;
 
-/// Records in one read. A thousand of the largest records stay far below the client's body limit.
-const BATCH: usize = 1_000;
+/// Maximum number of records in one read. A thousand of the largest records stay far below the
+/// client's body limit.
+const BATCH_RECORDS: usize = 1_000;
 
-/// Pause between two tries while the log does not answer.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Minimum delay before a failed call to the log is retried.
+const BACKOFF: Duration = Duration::from_millis(200);
 
-/// Where a reading of a stream began.
+/// The range of a stream that was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Extent {
-    /// The first offset that was still kept.
+    /// Where reading began: the requested offset, or the oldest that the log retains if that is
+    /// later.
     pub oldest: Offset,
-    /// Where to read on.
+    /// The offset after the last record that was read.
     pub next: Offset,
 }
 
-/// Reads from `from` to the end as it was when the reading began, and hands each record to `take`.
-/// If retention has passed `from`, it begins at the oldest record.
+/// Calls `on_record` for each record from `from` to the end of the stream at the first read. Starts
+/// at the oldest retained record if that is later than `from`. Retries failed reads until
+/// `deadline`.
 ///
 /// # Errors
 ///
@@ -35,7 +38,7 @@
     stream: Stream,
     from: Offset,
     deadline: Instant,
-    mut take: impl FnMut(Entry),
+    mut on_record: impl FnMut(Entry),
 ) -> Result<Extent, Error> {
     let mut extent = Extent {
         oldest: from,
@@ -43,7 +46,10 @@
     };
     let mut end = None;
     while end.is_none_or(|end| extent.next < end) {
-        let batch = match log.read(stream, extent.next, BATCH, Duration::ZERO).await {
+        let batch = match log
+            .read(stream, extent.next, BATCH_RECORDS, Duration::ZERO)
+            .await
+        {
             Ok(batch) => batch,
             Err(Error::Gone { oldest }) if oldest > extent.next => {
                 extent.oldest = oldest;
@@ -51,7 +57,7 @@
                 continue;
             }
             Err(error) => {
-                pause(error, deadline).await?;
+                backoff(error, deadline).await?;
                 continue;
             }
         };
@@ -61,16 +67,16 @@
             break;
         }
         extent.next = batch.next;
-        batch.records.into_iter().for_each(&mut take);
+        batch.records.into_iter().for_each(&mut on_record);
     }
     Ok(extent)
 }
 
-/// Waits before the next try, or gives `error` back if the time is up by then.
-pub(crate) async fn pause(error: Error, deadline: Instant) -> Result<(), Error> {
+/// Waits before the next attempt, or returns `error` if the deadline comes first.
+pub(crate) async fn backoff(error: Error, deadline: Instant) -> Result<(), Error> {
     let wait = match &error {
-        Error::Refused { retry_after } => PAUSE.max(*retry_after),
-        Error::Lost { .. } | Error::Gone { .. } => PAUSE,
+        Error::Refused { retry_after } => BACKOFF.max(*retry_after),
+        Error::Lost { .. } | Error::Gone { .. } => BACKOFF,
     };
     if Instant::now() + wait >= deadline {
         return Err(error);
--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/timeline.rs
@@ -1,9 +1,10 @@
-//! What became of one request, out of the log lines of several VMs.
+//! The timeline of one request, built from the log lines of several VMs.
 //!
-//! A request is served by one VM, whose lines name it. What that VM believed, and what other VMs saw of
-//! the same endpoints, stands in lines without its id. VMs' clocks differ, and jump; so lines are
-//! ordered by the time since boot that each carries, and two VMs are compared by what both read of the
-//! platform's log: a record has one offset, and VMs read it within a fraction of a second.
+//! A request is served by one VM, whose log lines contain the request's id. Lines without the id
+//! show the state of that VM, and what other VMs observed of the same endpoints. Wall clocks of VMs
+//! differ and jump, so lines are ordered by the time since boot that each carries (`steady_ms`).
+//! The clocks of two VMs are aligned by the records of the platform's log that both have read: a
+//! record has one offset, and all VMs read it within a fraction of a second.
 
 use std::fs;
 use std::io;
@@ -15,11 +16,11 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// Milliseconds before a request's first line and after its last in which other lines may bear on it:
-/// a VM that falls out of touch says so within two seconds, and refuses keys after four.
-const AROUND: i64 = 5_000;
+/// Milliseconds before a request's first line and after its last in which other lines are included.
+/// A VM that loses contact logs it within two seconds and refuses keys after four.
+const MARGIN_MS: i64 = 5_000;
 
-/// A line as a program wrote it.
+/// A log line as a program wrote it.
 #[derive(Debug, Clone, Deserialize)]
 struct Raw {
     message: String,
@@ -30,11 +31,11 @@
     diags: Map<String, Value>,
 }
 
-/// A line of one VM.
+/// A log line with its time.
 #[derive(Debug, Clone)]
 struct Line {
     raw: Raw,
-    /// Milliseconds since the VM booted.
+    /// Milliseconds since the boot of the VM.
     at: i64,
 }
 
@@ -43,42 +44,43 @@
         self.raw.kvs.get(field)?.as_str()
     }
 
-    /// The record of the log that it tells of.
+    /// Topic and offset of the platform's log record that the line mentions.
     fn record(&self) -> Option<(&str, u64)> {
         let offset = self.raw.kvs.get("offset")?.as_u64()?;
         Some((self.text("topic")?, offset))
     }
 }
 
-/// The lines of one VM, in the order in which it wrote them.
+/// The log lines of one VM, in the order in which they were written.
 #[derive(Debug, Clone)]
-pub struct Journal {
+pub struct VmLog {
     vm: CompactString,
     lines: Vec<Line>,
-    /// Lines that are none of ours, or were cut.
-    pub unread: usize,
+    /// Number of lines that are not in this system's format or are truncated.
+    pub malformed: usize,
 }
 
-impl Journal {
-    /// Reads a VM's lines.
+impl VmLog {
+    /// Parses the log lines of a VM. A `node` key in a line replaces the name `vm`.
     #[must_use]
-    pub fn read(vm: &str, text: &str) -> Self {
-        let mut journal = Self {
+    pub fn parse(vm: &str, text: &str) -> Self {
+        let mut log = Self {
             vm: vm.into(),
             lines: Vec::new(),
-            unread: 0,
+            malformed: 0,
         };
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             match serde_json::from_str::<Raw>(line) {
-                Ok(raw) => journal.push(raw),
-                Err(_) => journal.unread += 1,
+                Ok(raw) => log.push(raw),
+                Err(_) => log.malformed += 1,
             }
         }
-        journal
+        log
     }
 
     fn push(&mut self, raw: Raw) {
-        // The line about missing lines is written outside of their order, and has no time.
+        // The line that reports dropped lines is written out of order and carries no time; it gets
+        // that of the line before it.
         let before = self.lines.last().map_or(0, |line| line.at);
         let at = raw.diags.get("steady_ms").and_then(Value::as_i64);
         let at = at.unwrap_or(before);
@@ -88,16 +90,16 @@
         self.lines.push(Line { raw, at });
     }
 
-    fn first(&self, record: (&str, u64)) -> Option<i64> {
+    fn time_of_record(&self, record: (&str, u64)) -> Option<i64> {
         let found = self.lines.iter().find(|l| l.record() == Some(record));
         found.map(|line| line.at)
     }
 
-    /// What is to be added to this VM's times to compare them with another's: the median over the
-    /// records that both read; none if there is none.
-    fn offset(&self, other: &Self) -> Option<i64> {
+    /// Milliseconds to add to the times of this VM to get those of `other`: the median over the
+    /// records that both have read, or `None` if there are none.
+    fn clock_offset(&self, other: &Self) -> Option<i64> {
         let records = other.lines.iter().filter_map(|line| {
-            let own = self.first(line.record()?)?;
+            let own = self.time_of_record(line.record()?)?;
             Some(line.at - own)
         });
         let mut offsets: Vec<i64> = records.collect();
@@ -106,13 +108,14 @@
     }
 }
 
-/// Reads the journals of a folder, one file for each VM, whose name is the VM's until a line says it.
+/// Reads the log files in a folder, one for each VM. The file's name stands for the VM's until a
+/// line names the VM.
 ///
 /// # Errors
 ///
-/// If the folder or a file can't be read.
-pub fn folder(path: &Path) -> io::Result<Vec<Journal>> {
-    let mut journals = Vec::new();
+/// An I/O error if the folder or a file can't be read.
+pub fn read_folder(path: &Path) -> io::Result<Vec<VmLog>> {
+    let mut logs = Vec::new();
     let mut entries = fs::read_dir(path)?.collect::<io::Result<Vec<_>>>()?;
     entries.sort_by_key(fs::DirEntry::file_name);
     for entry in entries {
@@ -122,31 +125,32 @@
         let bytes = fs::read(entry.path())?;
         let name = entry.path();
         let name = name.file_stem().unwrap_or_default().to_string_lossy();
-        journals.push(Journal::read(&name, &String::from_utf8_lossy(&bytes)));
+        logs.push(VmLog::parse(&name, &String::from_utf8_lossy(&bytes)));
     }
-    Ok(journals)
+    Ok(logs)
 }
 
-/// One event of a story.
+/// One event of a timeline.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Event {
-    /// Milliseconds since the request's first line, by the clock of the VM that served it.
+    /// Milliseconds since the request's first line, by the clock of the VM that served it. Negative
+    /// for earlier events.
     pub at_ms: i64,
-    /// Who saw it.
+    /// The VM that logged it.
     pub vm: CompactString,
     /// Whether the line names the request.
     pub own: bool,
-    /// What happened.
+    /// The message of the line.
     pub what: String,
-    /// The inputs and the outcome.
+    /// The keys and values of the line.
     pub fields: Map<String, Value>,
 }
 
-/// What became of a request; empty if no line names it.
+/// Builds the timeline of a request; empty if no line names it.
 #[must_use]
-pub fn tell(journals: &[Journal], request: &str) -> Vec<Event> {
+pub fn build(logs: &[VmLog], request: &str) -> Vec<Event> {
     let names = |line: &Line| line.text("request") == Some(request);
-    let serving = journals.iter().find(|j| j.lines.iter().any(names));
+    let serving = logs.iter().find(|log| log.lines.iter().any(names));
     let Some(serving) = serving else {
         return Vec::new();
     };
@@ -155,23 +159,23 @@
     let last = own.last().map_or(0, |line| line.at);
     let endpoints: Vec<&str> = own.iter().filter_map(|l| l.text("endpoint")).collect();
     let mut events = Vec::new();
-    for journal in journals {
-        let same = journal.vm == serving.vm;
-        let offset = if same {
+    for log in logs {
+        let same_vm = log.vm == serving.vm;
+        let offset = if same_vm {
             Some(0)
         } else {
-            journal.offset(serving)
+            log.clock_offset(serving)
         };
-        // Without a record that both read, its times say nothing here.
+        // Without a common record the times of the two VMs can't be compared.
         let Some(offset) = offset else { continue };
-        for line in &journal.lines {
+        for line in &log.lines {
             let at = line.at + offset;
-            let near = (first - AROUND..=last + AROUND).contains(&at);
+            let in_window = (first - MARGIN_MS..=last + MARGIN_MS).contains(&at);
             let own = names(line);
-            if own || near && bears(line, same, &endpoints) {
+            if own || in_window && is_related(line, same_vm, &endpoints) {
                 events.push(Event {
                     at_ms: at - first,
-                    vm: journal.vm.clone(),
+                    vm: log.vm.clone(),
                     own,
                     what: line.raw.message.clone(),
                     fields: line.raw.kvs.clone(),
@@ -179,19 +183,21 @@
             }
         }
     }
-    // Stable, so that lines of one millisecond stay in the order in which their VM wrote them.
+    // The sort is stable: lines of the same millisecond stay in the order in which their VM wrote
+    // them.
     events.sort_by_key(|event| event.at_ms);
     events
 }
 
-/// Whether a line that does not name the request bears on it: what the VM itself came to believe, and
-/// what others saw of the same endpoints.
-fn bears(line: &Line, same: bool, endpoints: &[&str]) -> bool {
+/// Whether a line that does not name the request is part of its timeline. This holds for lines of
+/// any VM about the same endpoints, and for lines of the serving VM that name no endpoint or are
+/// warnings. Lines that name another request are excluded.
+fn is_related(line: &Line, same_vm: bool, endpoints: &[&str]) -> bool {
     if line.text("request").is_some() {
         return false;
     }
     let endpoint = line.text("endpoint");
     let named = endpoint.is_some_and(|endpoint| endpoints.contains(&endpoint));
-    let believed = same && (endpoint.is_none() || line.raw.level == "WARN");
-    named || believed
+    let about_itself = same_vm && (endpoint.is_none() || line.raw.level == "WARN");
+    named || about_itself
 }
