--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -292,9 +292,9 @@
                 self.metrics.record_fetch(Outcome::Done);
                 self.inventory.add([&version]);
             }
-            Err(weights::Error::Refused { after }) => {
+            Err(weights::Error::Refused { retry_after }) => {
                 self.metrics.record_fetch(Outcome::Refused);
-                self.inventory.block(Instant::now(), after);
+                self.inventory.block(Instant::now(), retry_after);
             }
             Err(error) => {
                 log::warn!("orders: Fetching the weights of {version} may have failed: {error}.");
--- a/crates/control/tests/all/fakes.rs
+++ b/crates/control/tests/all/fakes.rs
@@ -367,7 +367,7 @@
         if let Some(free_at) = free_at.filter(|free_at| now < *free_at) {
             *self.refusals.lock().expect("the lock is not poisoned") += 1;
             return Err(weights::Error::Refused {
-                after: free_at - now,
+                retry_after: free_at - now,
             });
         }
         calls.push((now, fetch.version));
