--- a/crates/control/src/bucket.rs
+++ b/crates/control/src/bucket.rs
@@ -47,9 +47,9 @@
         Ok(())
     }
 
-    /// Blocks the bucket for `after`, as the store asked. This overrides the local count, since
-    /// another zone or an earlier holder may have used up the rate.
-    pub fn block(&mut self, now: Moment, after: Duration) {
-        self.blocked_until = self.blocked_until.max(now + after);
+    /// Blocks the bucket for `retry_after`, as the store asked. This overrides the local count,
+    /// since another zone or an earlier holder may have used up the rate.
+    pub fn block(&mut self, now: Moment, retry_after: Duration) {
+        self.blocked_until = self.blocked_until.max(now + retry_after);
     }
 }
--- a/crates/control/src/orders/inventory.rs
+++ b/crates/control/src/orders/inventory.rs
@@ -67,10 +67,10 @@
         self.bucket.try_acquire(now).is_ok()
     }
 
-    /// Blocks fetches for `after`, as the store asked.
-    pub(super) fn block(&mut self, now: Instant, after: Duration) {
+    /// Blocks fetches for `retry_after`, as the store asked.
+    pub(super) fn block(&mut self, now: Instant, retry_after: Duration) {
         let now = self.moment(now);
-        self.bucket.block(now, after);
+        self.bucket.block(now, retry_after);
     }
 
     /// Withdrawn versions of a pool that are still draining. Requests that run on a version when it
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -138,13 +138,13 @@
 /// or 503 proves that it did not start the call.
 pub(crate) fn status_fault(status: StatusCode, headers: &HeaderMap) -> Fault {
     if is_refused(status, headers) {
-        let after = headers
+        let retry_after = headers
             .get(header::RETRY_AFTER)
             .and_then(|value| value.to_str().ok()?.parse().ok())
             .map(Duration::from_secs);
         return Fault::Refused {
             status: status.as_u16(),
-            after,
+            retry_after,
         };
     }
     Fault::Failed {
--- a/crates/endpoint/src/fault.rs
+++ b/crates/endpoint/src/fault.rs
@@ -20,7 +20,7 @@
         /// HTTP status.
         status: u16,
         /// Delay before a retry, if the endpoint gave one.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// The endpoint responded with an error that does not tell whether it ran the call.
     #[snafu(display("the endpoint failed with status {status}"))]
--- a/crates/endpoint/tests/all/engine.rs
+++ b/crates/endpoint/tests/all/engine.rs
@@ -81,7 +81,7 @@
 fn cases() -> Vec<Case> {
     let refused = |fault: &Fault| {
         let three = Some(Duration::from_secs(3));
-        matches!(fault, Fault::Refused { after, .. } if *after == three)
+        matches!(fault, Fault::Refused { retry_after, .. } if *retry_after == three)
     };
     vec![
         (refuse(429, Some(Run::NotRun)), refused, true),
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -78,9 +78,9 @@
         match fault {
             Fault::Cancelled => Refusal::new(Code::CallerGone, "the caller disconnected", run),
             Fault::Timeout => Refusal::new(Code::Timeout, "no complete answer in time", run),
-            Fault::Refused { after, .. } if !self.started => {
+            Fault::Refused { retry_after, .. } if !self.started => {
                 Refusal::not_run(Code::NoEndpoint, fault.to_string())
-                    .retry_after(after.unwrap_or(RETRY_AFTER))
+                    .retry_after(retry_after.unwrap_or(RETRY_AFTER))
             }
             _ if !self.started => {
                 Refusal::not_run(Code::NoEndpoint, fault.to_string()).retry_after(RETRY_AFTER)
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -377,7 +377,7 @@
         if info.refused || info.misdirected {
             return Err(Fault::Refused {
                 status: status.as_u16(),
-                after: None,
+                retry_after: None,
             });
         }
         let other = info
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -120,8 +120,8 @@
             | Fault::Invalid { .. } => (limit::Outcome::Unknown, eject::Outcome::Failed),
         };
         // This comes before the slot's release, or the next job would be sent to the endpoint at once.
-        if let Fault::Refused { after, .. } = fault {
-            self.back_off(after.unwrap_or_default(), now);
+        if let Fault::Refused { retry_after, .. } = fault {
+            self.back_off(retry_after.unwrap_or_default(), now);
         }
         self.release(limit, health, now);
     }
