--- a/benches/capacity/codec.rs
+++ b/benches/capacity/codec.rs
@@ -1,4 +1,4 @@
-//! Sizes of records and frames, and the time to seal and open them.
+//! Sizes of log records and of frames between VMs, and the time to seal and open frames.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -62,7 +62,7 @@
         limit: Money::from_micros(1_000_000_000),
         revision: Revision(1_234),
     };
-    let take = Acquire {
+    let acquire = Acquire {
         id: id::Record(Uuid::now_v7()),
         resource: "orders:pimento-llm:kig-gikondo".parse().expect("a name"),
         holder: "entry-gikondo-17".parse().expect("a name"),
@@ -75,7 +75,10 @@
         ("outcome", text(&ClaimRecord::Outcome(outcome)).len()),
         ("bill", text(&bill(1)).len()),
         ("grant", text(&GrantRecord::Grant(grant)).len()),
-        ("take of a lease", text(&LeaseRecord::Acquire(take)).len()),
+        (
+            "acquisition of a lease",
+            text(&LeaseRecord::Acquire(acquire)).len(),
+        ),
         (
             "change of a contract",
             text(&change::Entry::Change(change)).len(),
@@ -105,8 +108,8 @@
 fn heartbeats() {
     let key = Key::derive("a secret that peers share");
     let mut size = Points::default();
-    for heard in [0, 5, 20, 50_u32] {
-        let beat = Heartbeat {
+    for seen in [0, 5, 20, 50_u32] {
+        let heartbeat = Heartbeat {
             node: "entry-gikondo-17".parse().expect("a name"),
             zone: "kig-gikondo".parse().expect("a name"),
             address: "10.20.30.40:7070".into(),
@@ -117,7 +120,7 @@
             leaving: false,
             departures: departures(2),
             quarantined: Vec::new(),
-            last_seen: (0..heard)
+            last_seen: (0..seen)
                 .map(|node| LastSeen {
                     node: node.wrapping_mul(0x9e37_79b9),
                     sequence: 1_800_000_000_000,
@@ -125,20 +128,20 @@
                 .collect(),
             suspicions: Vec::new(),
         };
-        let frame = Frame::seal(&beat, &key, MAX_BODY).expect("seals");
+        let frame = Frame::seal(&heartbeat, &key, MAX_BODY).expect("seals");
         let bytes = frame.bytes().len() as u64;
         size.add(
-            "nodes heard of",
-            f64::from(heard),
+            "last-seen entries",
+            f64::from(seen),
             "bytes a heartbeat",
             number(bytes),
         );
-        time("a heartbeat", || {
-            let frame = Frame::seal(&beat, &key, MAX_BODY).expect("seals");
+        print_time("a heartbeat", || {
+            let frame = Frame::seal(&heartbeat, &key, MAX_BODY).expect("seals");
             black_box(frame.open::<Heartbeat>(&key).expect("opens"));
         });
     }
-    size.print("node heard of", "bytes");
+    size.print("last-seen entry", "bytes");
 }
 
 fn departures(count: u64) -> Vec<Departure> {
@@ -159,8 +162,13 @@
         };
         let frame = Frame::seal(&call, &key, MAX_BODY).expect("seals");
         let bytes = frame.bytes().len() as u64;
-        size.add("bills", number(count), "bytes a copy call", number(bytes));
-        time("a copy call", || {
+        size.add(
+            "bills",
+            number(count),
+            "bytes a call to store copies",
+            number(bytes),
+        );
+        print_time("a call to store copies", || {
             let frame = Frame::seal(&call, &key, MAX_BODY).expect("seals");
             black_box(frame.open::<peer::Call>(&key).expect("opens"));
         });
@@ -168,13 +176,13 @@
     size.print("bill", "bytes");
 }
 
-/// Prints the mean time of sealing and opening.
-fn time(what: &str, mut work: impl FnMut()) {
+/// Prints the mean time of one call of `work`, which seals and opens a frame.
+fn print_time(what: &str, mut work: impl FnMut()) {
     const ROUNDS: u32 = 2_000;
     let began = Instant::now();
     for _ in 0..ROUNDS {
         work();
     }
-    let each = began.elapsed() / ROUNDS;
-    println!("  sealing and opening {what}: {each:?}");
+    let mean = began.elapsed() / ROUNDS;
+    println!("  sealing and opening {what}: {mean:?}");
 }
--- a/benches/capacity/entry.rs
+++ b/benches/capacity/entry.rs
@@ -1,4 +1,5 @@
-//! One entry VM in the path: added delay, requests a second, and memory of open streams.
+//! One entry VM between callers and an engine: added latency, throughput, and memory and processor
+//! time of open streams.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -25,22 +26,22 @@
 
 const SECRET: &str = "capacity-key";
 const VERSION: &str = "pimento-mini@1";
-/// Requests of a delay measurement.
+/// Number of requests in a latency measurement.
 const REQUESTS: usize = 2_000;
-/// Callers of a throughput measurement, each with one request at a time.
+/// Number of callers in a throughput measurement, each with one request at a time.
 const CALLERS: usize = 64;
-/// How long throughput is measured.
-const LONG: Duration = Duration::from_secs(8);
+/// Duration of a measurement of throughput or of open streams.
+const MEASUREMENT: Duration = Duration::from_secs(8);
 
-/// Ports of the first entry VM; the second one has the next.
+/// Ports of the first entry VM. Those of the second are higher by one.
 const CALLERS_PORT: u16 = 28_080;
 const OPERATORS_PORT: u16 = 28_090;
 const PEERS_PORT: u16 = 28_070;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// An engine and an entry VM before it, as processes.
-struct Bench {
+/// The platform's stand-ins, an engine and two entry VMs as processes.
+struct Deployment {
     engine: SocketAddr,
     entry: Program,
     callers: SocketAddr,
@@ -48,8 +49,9 @@
     _platform: Vec<Program>,
 }
 
-impl Bench {
-    /// `settings` are the engine's.
+impl Deployment {
+    /// Starts all processes and waits until the entry VM serves. `settings` are those of the
+    /// engine.
     fn start(runtime: &Runtime, settings: &str) -> Self {
         let mut platform = Vec::new();
         let mut standin = |arguments: &[&str]| {
@@ -109,20 +111,20 @@
                 .env("PIMENTO_LOG_LEVEL", "warn");
             Program::start(command)
         };
-        // The second one holds copies of the first one's bills, as in any deployment.
+        // The second entry VM stores copies of the first one's bills, as in any deployment.
         platform.push(entry(1));
-        let bench = Self {
+        let deployment = Self {
             engine,
             entry: entry(0),
             callers: at(CALLERS_PORT),
             client,
             _platform: platform,
         };
-        runtime.block_on(bench.serves());
-        bench
+        runtime.block_on(deployment.wait_until_serving());
+        deployment
     }
 
-    async fn serves(&self) {
+    async fn wait_until_serving(&self) {
         let deadline = Instant::now() + Duration::from_secs(30);
         while Instant::now() < deadline {
             if let Some((_, 200)) = timed(&self.client, self.callers, false, 1).await {
@@ -130,7 +132,7 @@
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        panic!("the entry VM does not serve");
+        panic!("the entry VM serves no request");
     }
 }
 
@@ -185,7 +187,7 @@
 }
 
 fn chat(address: SocketAddr, stream: bool, tokens: u64) -> Request<Full<Bytes>> {
-    // The engine wants the version, an entry VM the class; each takes its own here.
+    // An engine expects a version as the model, an entry VM a class.
     let model = if address.port() == CALLERS_PORT {
         "stock"
     } else {
@@ -210,7 +212,8 @@
     answer.status().is_success().then(|| answer.into_body())
 }
 
-/// Times to the first and the last byte of the body, and the status.
+/// Sends a request and returns the times to the first and the last byte of the body, and the
+/// status.
 async fn timed(
     client: &Http,
     address: SocketAddr,
@@ -229,14 +232,18 @@
     Some(([first, began.elapsed()], status))
 }
 
-/// Prints the delay that the entry VM adds, and its throughput.
+/// Prints the latency with and without the entry VM, and the throughput.
 pub fn path() {
-    let runtime = Runtime::new().expect("threads can be had");
+    let runtime = Runtime::new().expect("the runtime starts");
     let settings = r#"{"batch":512,"waiting":512,"prompt_us":0,"token_us":1000,"crowding":0}"#;
-    let bench = Bench::start(&runtime, settings);
+    let deployment = Deployment::start(&runtime, settings);
     for (what, stream, tokens) in [("whole", false, 8), ("streamed", true, 8)] {
-        for (through, address) in [("engine alone", bench.engine), ("entry", bench.callers)] {
-            let mut times = runtime.block_on(delays(&bench.client, address, stream, tokens));
+        for (through, address) in [
+            ("engine alone", deployment.engine),
+            ("entry", deployment.callers),
+        ] {
+            let mut times =
+                runtime.block_on(latencies(&deployment.client, address, stream, tokens));
             for (place, which) in ["first byte", "last byte"].into_iter().enumerate() {
                 times.sort_by_key(|pair| pair[place]);
                 let at = |share: usize| times[times.len() * share / 100][place];
@@ -248,17 +255,17 @@
             }
         }
     }
-    let before = bench.entry.cpu();
-    let served = runtime.block_on(throughput(&bench, LONG));
-    let used = bench.entry.cpu().saturating_sub(before);
-    let rate = number(served) / LONG.as_secs_f64();
-    let each = used.as_secs_f64() * 1e6 / number(served);
+    let before = deployment.entry.cpu();
+    let served = runtime.block_on(throughput(&deployment, MEASUREMENT));
+    let used = deployment.entry.cpu().saturating_sub(before);
+    let rate = number(served) / MEASUREMENT.as_secs_f64();
+    let per_request = used.as_secs_f64() * 1e6 / number(served);
     println!("whole answers of 8 tokens from {CALLERS} callers: {rate:.0} a second");
-    println!("  processor time of the entry VM: {each:.0} us a request");
-    println!("  memory: {} MB", bench.entry.memory() >> 20);
+    println!("  processor time of the entry VM: {per_request:.0} us a request");
+    println!("  memory: {} MB", deployment.entry.memory() >> 20);
 }
 
-async fn delays(
+async fn latencies(
     client: &Http,
     address: SocketAddr,
     stream: bool,
@@ -274,11 +281,11 @@
     times
 }
 
-async fn throughput(bench: &Bench, long: Duration) -> u64 {
-    let end = Instant::now() + long;
+async fn throughput(deployment: &Deployment, duration: Duration) -> u64 {
+    let end = Instant::now() + duration;
     let callers = (0..CALLERS).map(|_| {
-        let client = bench.client.clone();
-        let address = bench.callers;
+        let client = deployment.client.clone();
+        let address = deployment.callers;
         tokio::spawn(async move {
             let mut served = 0;
             while Instant::now() < end {
@@ -295,63 +302,65 @@
     served
 }
 
-/// Prints memory and processor time of open streams.
+/// Prints memory and processor time against the number of open streams.
 pub fn streams() {
-    let runtime = Runtime::new().expect("threads can be had");
-    // A token each half second: streams stay open and trickle, as those of a loaded engine.
+    let runtime = Runtime::new().expect("the runtime starts");
+    // One token each 0.5 s keeps streams open, as those of a loaded engine are.
     let settings = r#"{"batch":9000,"waiting":0,"prompt_us":0,"token_us":500000,"crowding":0}"#;
     let mut memory = Points::default();
     let mut cpu = Points::default();
     for count in [100, 1_000, 2_000, 4_000, 8_000_u64] {
-        let bench = Bench::start(&runtime, settings);
-        let (bytes, used, open) = runtime.block_on(hold(&bench, count));
+        let deployment = Deployment::start(&runtime, settings);
+        let (bytes, used, open) = runtime.block_on(hold_streams(&deployment, count));
         memory.add("open streams", number(open), "kB", number(bytes / 1_024));
-        let tokens = number(open) * 2.0 * LONG.as_secs_f64();
-        let each = used.as_secs_f64() * 1e6 / tokens;
+        let tokens = number(open) * 2.0 * MEASUREMENT.as_secs_f64();
+        let per_token = used.as_secs_f64() * 1e6 / tokens;
         cpu.add(
             "open streams",
             number(open),
             "us of processor a token",
-            each,
+            per_token,
         );
     }
     memory.print("open stream", "kB");
 }
 
-/// Streams opened at a time, and the pause between: a client that opens all at once measures the
-/// entry VM's queue and not its streams.
-const STEP: u64 = 50;
-const PAUSE: Duration = Duration::from_millis(100);
+/// Number of streams that are opened at once. Opening all at once would measure the entry VM's
+/// queue and not its streams.
+const STREAMS_PER_STEP: u64 = 50;
+/// Interval between two steps of opening streams.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Opens streams and reads them; gives memory, processor time over [`LONG`] and how many were open.
-async fn hold(bench: &Bench, count: u64) -> (u64, Duration, u64) {
+/// Opens `count` streams and reads them. Returns the entry VM's memory in bytes, its processor time
+/// over [`MEASUREMENT`] and how many streams were open to the end.
+async fn hold_streams(deployment: &Deployment, count: u64) -> (u64, Duration, u64) {
     let (sender, stop) = watch::channel(false);
     let mut readers = Vec::new();
     for number in 0..count {
-        let client = bench.client.clone();
-        let address = bench.callers;
+        let client = deployment.client.clone();
+        let address = deployment.callers;
         let stop = stop.clone();
         readers.push(tokio::spawn(read(client, address, stop)));
-        if number % STEP == STEP - 1 {
-            tokio::time::sleep(PAUSE).await;
+        if number % STREAMS_PER_STEP == STREAMS_PER_STEP - 1 {
+            tokio::time::sleep(STEP_INTERVAL).await;
         }
     }
-    // The last ones have got their first token by now.
+    // Lets the last streams get their first token.
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let before = bench.entry.cpu();
-    tokio::time::sleep(LONG).await;
-    let used = bench.entry.cpu().saturating_sub(before);
-    let memory = bench.entry.memory();
+    let before = deployment.entry.cpu();
+    tokio::time::sleep(MEASUREMENT).await;
+    let used = deployment.entry.cpu().saturating_sub(before);
+    let memory = deployment.entry.memory();
     sender.send_replace(true);
-    let mut held = 0;
+    let mut open_to_end = 0;
     for reader in readers {
-        held += u64::from(reader.await.expect("it runs"));
+        open_to_end += u64::from(reader.await.expect("it runs"));
     }
-    println!("  {count} wanted, {held} open to the end");
-    (memory, used, held)
+    println!("  {count} requested, {open_to_end} open to the end");
+    (memory, used, open_to_end)
 }
 
-/// Reads one stream until told to stop; whether it was open until then.
+/// Reads one stream until `stop` changes. Returns whether it was still open then.
 async fn read(client: Http, address: SocketAddr, mut stop: watch::Receiver<bool>) -> bool {
     let Some(mut body) = open(&client, address, true, 1_000).await else {
         return false;
--- a/benches/capacity/folds.rs
+++ b/benches/capacity/folds.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of the folds that nodes hold.
+//! Memory and processor time of the state that nodes fold from the log's streams.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -33,6 +33,7 @@
 use crate::fit::Points;
 use crate::fit::number;
 
+/// Start of the claims, in seconds of Unix time.
 const START: u64 = 1_800_000_000;
 
 /// Prints all tables.
@@ -42,7 +43,7 @@
     configuration_table();
 }
 
-/// A claim of a second, as a caller's id dates it.
+/// A claim whose request id is a version 7 UUID dated `second` seconds after [`START`].
 pub fn claim(second: u64, number: u64) -> Claim {
     let stamp = Timestamp::from_unix(NoContext, START + second, 0);
     let mut bytes = Uuid::new_v7(stamp).into_bytes();
@@ -160,7 +161,7 @@
     check.print("contract", "ms");
 }
 
-/// A change of one contract as large as those of the examples.
+/// A change of a contract that is as large as those of the examples.
 pub fn change(number: u64, base: Revision) -> Change {
     let versions = ["base@1", "base@2", "large@1", "mini@1", "mini@2"];
     let class = |name: &str| Class {
--- a/benches/capacity/log.rs
+++ b/benches/capacity/log.rs
@@ -1,4 +1,4 @@
-//! Processor time of a node for records that it appends and reads, over HTTP.
+//! Processor time of a node for records that it appends to the log and reads from it over HTTP.
 
 use std::process::Command;
 use std::time::Duration;
@@ -22,21 +22,21 @@
 use crate::process;
 use crate::process::Program;
 
-/// How long each rate is held.
-const LONG: Duration = Duration::from_secs(5);
+/// Duration of the measurement at each rate.
+const MEASUREMENT: Duration = Duration::from_secs(5);
 
 /// Prints the tables.
 pub fn print() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pimento-standin"));
     command.args(["log", "--settings", "{\"appends\":2000,\"burst\":2000}"]);
     let (_log, address) = Program::ready(command);
-    let runtime = Runtime::new().expect("threads can be had");
+    let runtime = Runtime::new().expect("the runtime starts");
     let log = Remote::new(address, Duration::from_secs(5));
     for (what, follow) in [("appended", false), ("appended and read", true)] {
         let mut points = Points::default();
         for rate in [0, 20, 100, 500_u64] {
             let used = runtime.block_on(run(&log, rate, follow));
-            let share = used.as_secs_f64() * 1e3 / LONG.as_secs_f64();
+            let share = used.as_secs_f64() * 1e3 / MEASUREMENT.as_secs_f64();
             let what = format!("claims a second, {what}");
             points.add(&what, number(rate), "ms a second", share);
         }
@@ -44,7 +44,8 @@
     }
 }
 
-/// Processor time while a node appends `rate` claims a second and, if told so, follows their stream.
+/// Returns the processor time while a node appends `rate` claims a second and, if `follow` is set,
+/// reads their stream.
 async fn run(log: &Remote, rate: u64, follow: bool) -> Duration {
     let token = CancellationToken::new();
     let view = View::new(Fold::new(Duration::from_mins(30)));
@@ -58,11 +59,11 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let before = process::own_cpu();
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + MEASUREMENT;
     let mut number = 0;
     while Instant::now() < end {
         if rate == 0 {
-            tokio::time::sleep(LONG).await;
+            tokio::time::sleep(MEASUREMENT).await;
             continue;
         }
         let appender = appender.clone();
@@ -76,10 +77,10 @@
 }
 
 async fn append(appender: &Appender, number: u64) {
-    let call = ClaimRecord::Claim(folds::claim(0, number));
-    let record = serde_json::to_string(&call).expect("encodes");
+    let claim = ClaimRecord::Claim(folds::claim(0, number));
+    let record = serde_json::to_string(&claim).expect("encodes");
     let deadline = Instant::now() + Duration::from_secs(5);
     if let Err(error) = appender.append(Stream::Claims, record, deadline).await {
-        println!("  not appended: {error}");
+        println!("  append failed: {error}");
     }
 }
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,7 +1,8 @@
-//! Slopes for `docs/CAPACITY.md`: what state, messages and processor time grow with.
+//! Measurements for `docs/CAPACITY.md`: how state, messages and processor time grow with load and
+//! size.
 //!
-//! `cargo bench --bench capacity` prints every table; names of sections as arguments print only
-//! those. Each section gives its points and a straight line through them.
+//! `cargo bench --bench capacity` prints all sections; arguments select sections by name. A section
+//! prints its points and, for most quantities, a linear fit.
 
 mod codec;
 mod entry;
@@ -11,7 +12,7 @@
 mod mesh;
 mod process;
 
-/// A section's name and what prints it.
+/// Name of a section and the function that prints it.
 type Section = (&'static str, fn());
 
 const SECTIONS: [Section; 6] = [
--- a/benches/capacity/process.rs
+++ b/benches/capacity/process.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of processes, read from `/proc`, and programs under measurement.
+//! Starts programs and reads processor time and memory of processes from `/proc`.
 
 use std::fs;
 use std::io::BufRead;
@@ -9,11 +9,11 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// A process under measurement, ended when dropped.
+/// A running program, killed on drop.
 pub struct Program(Child);
 
 impl Program {
-    /// Starts a program and reads its `READY=` line.
+    /// Starts a program and waits for the address in its `READY=` line.
     pub fn ready(mut command: Command) -> (Self, SocketAddr) {
         command.stdout(Stdio::piped()).stderr(Stdio::null());
         let mut child = command.spawn().expect("the program starts");
@@ -27,13 +27,13 @@
         (Self(child), address)
     }
 
-    /// Starts a program that says nothing.
+    /// Starts a program without waiting for it to be ready.
     pub fn start(mut command: Command) -> Self {
         command.stdout(Stdio::null()).stderr(Stdio::null());
         Self(command.spawn().expect("the program starts"))
     }
 
-    /// Processor time so far.
+    /// Processor time since the start.
     pub fn cpu(&self) -> Duration {
         cpu(&self.0.id().to_string())
     }
@@ -51,12 +51,13 @@
     }
 }
 
-/// Processor time of this process so far.
+/// Processor time of this process since its start.
 pub fn own_cpu() -> Duration {
     cpu("self")
 }
 
-/// The sum over the threads that are alive; programs here keep theirs.
+/// Processor time of a process, summed over its live threads. Threads that have exited are not
+/// counted, but the programs here keep theirs.
 fn cpu(process: &str) -> Duration {
     let tasks = fs::read_dir(format!("/proc/{process}/task")).expect("it runs");
     let nanos = tasks.filter_map(|task| {
