--- a/crates/endpoint/tests/all/engine.rs
+++ b/crates/endpoint/tests/all/engine.rs
@@ -1,5 +1,5 @@
-//! The engines' client, fault by fault: what it reports, and that `not_run` is true by the engine's
-//! own count.
+//! The engine client: the fault that it reports for each failure, and that `not_run` agrees with
+//! the engine's own count.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use pimento_endpoint::engine::Engine;
 use pimento_endpoint::engine::Event;
 use pimento_endpoint::engine::Remote;
+use pimento_standin::Handler;
 use pimento_standin::Running;
-use pimento_standin::Site;
 use pimento_standin::engine;
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
@@ -75,7 +75,7 @@
     }
 }
 
-/// An action, the fault that it must be, and whether that says "not run".
+/// An action, a check of the expected fault, and whether the fault means that the call was not run.
 type Case = (Action, fn(&Fault) -> bool, bool);
 
 fn cases() -> Vec<Case> {
@@ -101,16 +101,20 @@
             |f| *f == Fault::Failed { status: 500 },
             false,
         ),
-        (Action::Drop, |f| matches!(f, Fault::Cut { .. }), false),
+        (
+            Action::Drop,
+            |f| matches!(f, Fault::Interrupted { .. }),
+            false,
+        ),
         (
             Action::LoseAnswer,
-            |f| matches!(f, Fault::Cut { .. }),
+            |f| matches!(f, Fault::Interrupted { .. }),
             false,
         ),
         (Action::Hang, |f| *f == Fault::Timeout, false),
         (
             Action::Garbage,
-            |f| matches!(f, Fault::Nonsense { .. }),
+            |f| matches!(f, Fault::Invalid { .. }),
             false,
         ),
     ]
@@ -120,43 +124,45 @@
 async fn each_fault_is_told_apart_for_whole_and_streamed_calls() {
     for (action, expected, not_run) in cases() {
         let engine = standin().await;
-        engine.faults.rules([Rule::new(action.clone())]);
+        engine.faults.set_rules([Rule::new(action.clone())]);
         let whole = remote(&engine).complete(call(false)).await.unwrap_err();
         let streamed = read(&remote(&engine), call(true)).await.unwrap_err();
         for fault in [whole, streamed] {
             assert!(expected(&fault), "{action:?}: {fault}");
             assert_eq!(fault.not_run(), not_run, "{action:?}: {fault}");
-            assert!(!fault.not_run() || engine.site.stats().started == 0);
+            assert!(!fault.not_run() || engine.handler.stats().started == 0);
         }
     }
 }
 
 #[tokio::test]
-async fn nobody_there_is_not_run() {
-    let remote = Remote::new(Pool::default(), raw::nobody().await);
+async fn a_refused_connection_is_not_run() {
+    let remote = Remote::new(Pool::default(), raw::unused_address().await);
     let fault = remote.complete(call(false)).await.unwrap_err();
     assert!(matches!(fault, Fault::Unreachable { .. }), "{fault}");
     assert!(fault.not_run());
 }
 
-/// Answers that no engine should give are the engine's fault and never a caller's answer.
+/// Responses that no engine should send are reported as faults and never reach a caller.
 #[tokio::test]
-async fn nonsense_is_an_endpoint_fault() {
+async fn an_invalid_response_is_a_fault() {
     type Answer = (&'static str, fn(&Fault) -> bool);
     const OK: &str =
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
     let table: [Answer; 5] = [
-        ("SSH-2.0-OpenSSH\r\n", |f| matches!(f, Fault::Cut { .. })),
+        ("SSH-2.0-OpenSSH\r\n", |f| {
+            matches!(f, Fault::Interrupted { .. })
+        }),
         ("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi", |f| {
-            matches!(f, Fault::Nonsense { .. })
+            matches!(f, Fault::Invalid { .. })
         }),
         (
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\nid: x\ndata: {}\n\n",
-            |f| matches!(f, Fault::Nonsense { .. }),
+            |f| matches!(f, Fault::Invalid { .. }),
         ),
         (
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\nid: 1\ndata: {}\n\n",
-            |f| matches!(f, Fault::Nonsense { .. }),
+            |f| matches!(f, Fault::Invalid { .. }),
         ),
         ("HTTP/1.1 302 Found\r\ncontent-length: 0\r\n\r\n", |f| {
             *f == Fault::Failed { status: 302 }
@@ -168,21 +174,21 @@
         assert!(expected(&fault), "{answer:?}: {fault}");
         assert!(!fault.not_run(), "{answer:?}: {fault}");
     }
-    // A stream that ends without its mark gives no `Done`.
+    // A stream that ends without its end mark yields no `Done`.
     let remote = Remote::new(Pool::default(), raw::start(OK).await);
     assert_eq!(read(&remote, call(true)).await, Ok(Vec::new()));
 }
 
 #[tokio::test]
-async fn an_answer_over_the_limit_is_nonsense() {
+async fn an_answer_over_the_limit_is_invalid() {
     let engine = standin().await;
     let pool = Pool::new(client::Config {
-        body: 50,
+        max_body: 50,
         ..client::Config::default()
     });
     let remote = Remote::new(pool, engine.address);
     let fault = remote.complete(call(false)).await.unwrap_err();
-    assert!(matches!(fault, Fault::Nonsense { .. }), "{fault}");
+    assert!(matches!(fault, Fault::Invalid { .. }), "{fault}");
 }
 
 #[tokio::test]
@@ -207,7 +213,7 @@
 #[tokio::test]
 async fn load_cache_and_orders() {
     let engine = standin().await;
-    engine.site.change(|settings| {
+    engine.handler.change(|settings| {
         settings.load_lag_ms = 0;
         settings.order_ms = 0;
         settings.fencing = engine::Fencing::Refuses;
@@ -226,7 +232,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_of_another_version_is_nonsense() {
+async fn an_answer_of_another_version_is_invalid() {
     let answer = concat!(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\n\r\n",
         r#"{"id":"1","object":"chat.completion","created":1,"model":"other@1","#,
@@ -234,5 +240,5 @@
     );
     let remote = Remote::new(Pool::default(), raw::start(answer).await);
     let fault = remote.complete(call(false)).await.unwrap_err();
-    assert!(matches!(fault, Fault::Nonsense { .. }), "{fault}");
+    assert!(matches!(fault, Fault::Invalid { .. }), "{fault}");
 }
--- a/crates/standin/tests/all/platform.rs
+++ b/crates/standin/tests/all/platform.rs
@@ -1,4 +1,5 @@
-//! Log, VM list, weight store and rater keep to `pimento_wire::platform`.
+//! The stand-ins of the log, VM list, weight store and rating service implement
+//! `pimento_wire::platform`.
 
 use std::time::Duration;
 
@@ -60,12 +61,12 @@
     let log = log::start(log::Config::default(), token).await.unwrap();
     let reader = log.clone();
     let poll = tokio::spawn(async move { get(&reader, "/streams/a?from=0&wait_ms=60000").await });
-    crate::support::until("the read began", || {
-        use pimento_standin::Site;
-        log.site.stats().reads == 1
+    crate::support::until("the read starts", || {
+        use pimento_standin::Handler;
+        log.handler.stats().reads == 1
     })
     .await;
-    assert_eq!(log.site.append("a", vec!["x".to_owned()]), Offset(0));
+    assert_eq!(log.handler.append("a", vec!["x".to_owned()]), Offset(0));
     let batch: Batch = read(poll.await.unwrap());
     assert_eq!(batch.records.len(), 1);
     let empty: Batch = read(get(&log, "/streams/a?from=1&wait_ms=1").await);
@@ -79,7 +80,7 @@
     config.settings.keep = 2;
     let log = log::start(config, token).await.unwrap();
     let _ = log
-        .site
+        .handler
         .append("a", (0..5).map(|n| n.to_string()).collect());
     let (status, _, body) = get(&log, "/streams/a?from=0").await.unwrap();
     let gone: Gone = serde_json::from_slice(&body).unwrap();
@@ -94,13 +95,13 @@
     let mut config = log::Config::default();
     config.settings.keep_ms = 1;
     let log = log::start(config, token).await.unwrap();
-    let _ = log.site.append("a", vec!["old".to_owned()]);
+    let _ = log.handler.append("a", vec!["old".to_owned()]);
     tokio::time::sleep(Duration::from_millis(20)).await;
     assert_eq!(status(get(&log, "/streams/a?from=0").await), 410);
 }
 
 #[tokio::test]
-async fn over_its_rate_the_log_refuses_without_effect() {
+async fn the_log_refuses_appends_over_its_rate_without_effect() {
     let token = CancellationToken::new();
     let mut config = log::Config::default();
     config.settings.appends = 0.001;
@@ -122,7 +123,7 @@
             .unwrap()
             > 0
     );
-    assert_eq!(log.site.records("a").len(), 1);
+    assert_eq!(log.handler.records("a").len(), 1);
 }
 
 fn entry(name: &str) -> Vm {
@@ -146,7 +147,7 @@
         status(send(&list, Method::PUT, "/vms/two", &entry("two")).await),
         204
     );
-    list.site.leave("one");
+    list.handler.mark_leaving("one");
     let seen: Vms = read(get(&list, "/vms").await);
     assert_eq!(seen.vms, [entry("one")]);
     let settings = vms::Settings { lag_ms: 0 };
@@ -192,7 +193,7 @@
 }
 
 #[tokio::test]
-async fn the_rater_passes_the_share_of_answers_that_the_version_has_as_quality() {
+async fn the_rater_passes_the_share_of_answers_set_by_the_quality() {
     let token = CancellationToken::new();
     let mut config = rating::Config::default();
     config.settings.rate_ms = 0;
@@ -211,15 +212,15 @@
         };
         let one: Rating = read(send(&rater, Method::POST, "/rate", &rate).await);
         let two: Rating = read(send(&rater, Method::POST, "/rate", &rate).await);
-        assert_eq!(one, two, "the same answer gets the same rating");
+        assert_eq!(one, two, "ratings of the same answer differ");
         passed += u32::from(one.pass);
     }
-    // The draws are fixed by the seed, so that this figure is too; 140 is expected of 200.
+    // The seed fixes the draws and thus this number. The expected value is 140 of 200.
     assert!((120..=160).contains(&passed), "{passed} passed");
 }
 
 #[tokio::test]
-async fn a_whole_platform_lists_its_endpoints_with_zones_and_roles() {
+async fn a_complete_platform_lists_its_endpoints_with_zones_and_roles() {
     let token = CancellationToken::new();
     let config = deployment::Config {
         deployment: Deployment::Rybnikar,
--- a/tests/all/control.rs
+++ b/tests/all/control.rs
@@ -9,8 +9,8 @@
 use pimento_standin::fault::Action;
 use pimento_standin::fault::Rule;
 use pimento_standin::log;
+use pimento_standin::server::Handler;
 use pimento_standin::server::Running;
-use pimento_standin::server::Site;
 use pimento_standin::vms;
 use pimento_standin::weights;
 use pimento_units::id;
@@ -70,7 +70,7 @@
             let engine = engine.expect("a port is free");
             // A rule without effect that counts the requests for load reports.
             let reports = Rule::new(Action::Delay { ms: 0 }).on("GET", "/load");
-            engine.faults.rules([reports]);
+            engine.faults.set_rules([reports]);
             let vm = Vm {
                 name: "engine-a".into(),
                 zone: name(ZONE),
@@ -143,7 +143,7 @@
     }
 
     fn has_version(&self, version: &str) -> bool {
-        let versions = self.engine.site.versions();
+        let versions = self.engine.handler.versions();
         versions.binary_search(&name(version)).is_ok()
     }
 }
@@ -209,7 +209,7 @@
         "no late order dropped the version"
     );
     assert_eq!(
-        deployment.engine.site.stats().fenced,
+        deployment.engine.handler.stats().fenced,
         0,
         "the engine received no late order"
     );
--- a/tests/all/fleet/mod.rs
+++ b/tests/all/fleet/mod.rs
@@ -277,13 +277,13 @@
     pub fn runs(&self, key: &str) -> u64 {
         self.services
             .iter()
-            .map(|service| service.site.runs(key))
+            .map(|service| service.handler.runs(key))
             .sum()
     }
 
     /// All bills on the log, with duplicates.
     pub fn bills(&self) -> Vec<Bill> {
-        let records = self.log.site.records("usage");
+        let records = self.log.handler.records("usage");
         let bills = records
             .iter()
             .map(|entry| serde_json::from_str(&entry.record));
--- a/tests/all/path.rs
+++ b/tests/all/path.rs
@@ -1,6 +1,6 @@
 //! Requests of all kinds through the built programs.
 
-use pimento_standin::Site;
+use pimento_standin::Handler;
 
 use crate::fleet::Fleet;
 use crate::fleet::caller;
@@ -45,12 +45,12 @@
 
 async fn check_refusals(fleet: &Fleet) {
     let started = |fleet: &Fleet| -> u64 {
-        let engines = fleet.engines.iter().map(|e| e.site.stats().started);
+        let engines = fleet.engines.iter().map(|e| e.handler.stats().started);
         engines.sum::<u64>()
             + fleet
                 .services
                 .iter()
-                .map(|d| d.site.stats().started)
+                .map(|d| d.handler.stats().started)
                 .sum::<u64>()
     };
     let before = started(fleet);
