--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -47,7 +47,7 @@
                     Arg::new("reinstate")
                         .long("reinstate")
                         .action(ArgAction::SetTrue)
-                        .help("Apply the files' status of withdrawn versions, and stage and status of roll-outs"),
+                        .help("Reinstate withdrawn versions and reset roll-outs to the stage and status in the files"),
                 ),
         )
         .subcommand(
--- a/tests/all/ctl.rs
+++ b/tests/all/ctl.rs
@@ -78,7 +78,7 @@
         child.expect("pimentoctl starts")
     };
     let children = [roll_in("ines", "0.1,1"), roll_in("jonas", "0.2,1")];
-    let outputs = children.map(|child| child.wait_with_output().expect("it ends"));
+    let outputs = children.map(|child| child.wait_with_output().expect("it exits"));
     let mut codes = outputs.each_ref().map(|output| output.status.code());
     let loser = usize::from(codes[1] == Some(3));
     codes.sort();
--- a/tests/all/kills.rs
+++ b/tests/all/kills.rs
@@ -65,11 +65,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn kills_double_no_order_and_lose_no_bill() {
     let mut fleet = Fleet::start().await;
-    for desk in &fleet.services {
+    for service in &fleet.services {
         let half = Share::from_parts(500_000);
         let before = Rule::new(Action::Delay { ms: DELAY_MS }).share(half);
         let after = Rule::new(Action::Late { ms: DELAY_MS }).share(half);
-        desk.faults.set_rules([before, after]);
+        service.faults.set_rules([before, after]);
     }
     let outcomes = run_with_kills(&mut fleet).await;
     let placed = outcomes.iter().filter(|outcome| outcome.placed).count();
--- a/tests/all/partition.rs
+++ b/tests/all/partition.rs
@@ -54,7 +54,7 @@
         assert_eq!(fleet.runs(key), u64::from(*placed), "{key}");
     }
     let expected = before + tally.answered;
-    eventually("all whole answers are billed", async || {
+    eventually("all successful responses are billed", async || {
         fleet.counted_bills() >= expected
     })
     .await;
--- a/tests/all/path.rs
+++ b/tests/all/path.rs
@@ -45,12 +45,15 @@
 
 async fn check_refusals(fleet: &Fleet) {
     let started = |fleet: &Fleet| -> u64 {
-        let engines = fleet.engines.iter().map(|e| e.handler.stats().started);
+        let engines = fleet
+            .engines
+            .iter()
+            .map(|engine| engine.handler.stats().started);
         engines.sum::<u64>()
             + fleet
                 .services
                 .iter()
-                .map(|d| d.handler.stats().started)
+                .map(|service| service.handler.stats().started)
                 .sum::<u64>()
     };
     let before = started(fleet);
--- a/tests/all/process.rs
+++ b/tests/all/process.rs
@@ -52,7 +52,7 @@
 
     /// Waits for the program to exit and returns its exit code.
     pub fn wait(mut self) -> Option<i32> {
-        eventually("the program ends", || {
+        eventually("the program exits", || {
             self.child.try_wait().expect("it can be waited for")
         })
         .code()
