--- a/tests/all/partition.rs
+++ b/tests/all/partition.rs
@@ -19,18 +19,21 @@
 /// Waits until each VM of a zone serves a model request.
 async fn check_models(fleet: &Fleet, zone: usize, tally: &mut Tally) {
     for node in fleet.nodes.iter().filter(|node| node.zone == zone) {
-        eventually(&format!("{} serves what it can", node.name), async || {
-            let chat = fleet.caller.chat(node, "still there?").await;
-            let answered = chat.is_some_and(|answer| answer.status == 200);
-            tally.answered += u64::from(answered);
-            answered
-        })
+        eventually(
+            &format!("{} serves a model request", node.name),
+            async || {
+                let chat = fleet.caller.chat(node, "still there?").await;
+                let answered = chat.is_some_and(|answer| answer.status == 200);
+                tally.answered += u64::from(answered);
+                answered
+            },
+        )
         .await;
     }
 }
 
-/// Sends an order to each VM of a zone, which must be placed, or else refused as not run with a
-/// `retry-after`.
+/// Sends an order to each VM of a zone. The order must be placed if `placed` is set, and otherwise be
+/// refused as not run with a `retry-after`.
 async fn check_orders(fleet: &Fleet, zone: usize, tally: &mut Tally, placed: bool) {
     for node in fleet.nodes.iter().filter(|node| node.zone == zone) {
         let key = caller::key();
