--- a/crates/endpoint/src/service.rs
+++ b/crates/endpoint/src/service.rs
@@ -43,7 +43,7 @@
 
 /// The service's response.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     /// Status.
     pub status: StatusCode,
     /// Headers, without hop-by-hop headers.
@@ -56,7 +56,7 @@
 pub trait Service: Clone + Send + Sync + 'static {
     /// Makes the call. A response with status 429 or 503 and `run: not_run` becomes
     /// [`Fault::Refused`]; any other response is passed to the caller.
-    fn call(&self, call: Call) -> impl Future<Output = Result<Answer, Fault>> + Send;
+    fn call(&self, call: Call) -> impl Future<Output = Result<Response, Fault>> + Send;
 }
 
 /// The `hyper` client of a plain service.
@@ -94,7 +94,7 @@
 }
 
 impl Service for Remote {
-    async fn call(&self, call: Call) -> Result<Answer, Fault> {
+    async fn call(&self, call: Call) -> Result<Response, Fault> {
         let started = Instant::now();
         let request = self.request(&call)?;
         let response = self.pool.send(request, call.timeout).await?;
@@ -104,7 +104,7 @@
         }
         let remaining = call.timeout.saturating_sub(started.elapsed());
         let body = self.pool.read_body(body, remaining).await?;
-        Ok(Answer {
+        Ok(Response {
             status: head.status,
             headers: end_to_end(&head.headers),
             body,
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -91,7 +91,7 @@
 /// Result of a call.
 enum Outcome {
     /// The service answered.
-    Answered(service::Answer),
+    Answered(service::Response),
     /// The call was made before; this is the answer that was retained.
     Replayed(answers::Answer),
 }
@@ -214,7 +214,7 @@
     call: &Call,
     ticket: Option<Ticket>,
     permit: Permit,
-) -> Result<service::Answer, Fault> {
+) -> Result<service::Response, Fault> {
     let mut outgoing = call.outgoing.clone();
     if let Some(ticket) = ticket {
         outgoing.attempt = ticket.attempt;
@@ -269,7 +269,7 @@
     call: Call,
     reservation: Reservation,
     trace: &Trace,
-    answer: service::Answer,
+    answer: service::Response,
 ) -> Result<Response<ReplyBody>, Refusal> {
     // Only calls that the service carried out are charged; error responses are not.
     let charged = !answer.status.is_client_error() && !answer.status.is_server_error();
@@ -316,7 +316,7 @@
     Ok(response)
 }
 
-fn retained_answer(subject: Subject, answer: &service::Answer) -> answers::Answer {
+fn retained_answer(subject: Subject, answer: &service::Response) -> answers::Answer {
     let content_type = answer.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     answers::Answer {
