--- a/crates/endpoint/src/assemble.rs
+++ b/crates/endpoint/src/assemble.rs
@@ -15,7 +15,7 @@
 /// Maximum number of chunks buffered while an earlier one is missing. An engine's batching reorders
 /// only a few chunks on one connection. A larger gap means a lost chunk, which only resuming
 /// recovers.
-pub const WINDOW: usize = 64;
+pub const MAX_BUFFERED: usize = 64;
 
 /// The state of one streamed response. It outlives connections: after an interruption, resume the
 /// attempt after [`Assembler::last_delivered`] and pass the events to the same assembler.
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// [`Fault::Invalid`] if the chunk is from another stream or version, is beyond the end, or if
-    /// [`WINDOW`] chunks are already buffered; the attempt can't be continued.
+    /// [`MAX_BUFFERED`] chunks are already buffered; the attempt can't be continued.
     pub fn accept(&mut self, event: Event) -> Result<(), Fault> {
         match event {
             Event::Done { .. } => {
@@ -72,9 +72,9 @@
             .binary_search_by_key(&sequence, |(n, _)| *n)
         {
             Ok(_) => self.duplicates += 1,
-            Err(_) if self.out_of_order.len() == WINDOW => {
+            Err(_) if self.out_of_order.len() == MAX_BUFFERED => {
                 return invalid(format_compact!(
-                    "{WINDOW} chunks are buffered, but chunk {} is missing",
+                    "{MAX_BUFFERED} chunks are buffered, but chunk {} is missing",
                     self.next_sequence
                 ));
             }
--- a/crates/endpoint/src/service.rs
+++ b/crates/endpoint/src/service.rs
@@ -112,8 +112,8 @@
     }
 }
 
-/// Hop-by-hop headers, which are never forwarded, and headers that the client sets itself.
-const HOP_BY_HOP: [&str; 10] = [
+/// Headers that are not forwarded: hop-by-hop headers and those that the client sets itself.
+const NOT_FORWARDED: [&str; 10] = [
     "connection",
     "content-length",
     "host",
@@ -133,15 +133,15 @@
         .get(CONNECTION)
         .and_then(|value| value.to_str().ok());
     let listed = listed.unwrap_or_default();
-    let is_hop_by_hop = |name: &str| {
-        HOP_BY_HOP.contains(&name)
+    let is_excluded = |name: &str| {
+        NOT_FORWARDED.contains(&name)
             || listed
                 .split(',')
                 .any(|n| n.trim().eq_ignore_ascii_case(name))
     };
     let mut forwarded = HeaderMap::new();
     for (name, value) in headers {
-        if !is_hop_by_hop(name.as_str()) {
+        if !is_excluded(name.as_str()) {
             forwarded.append(name.clone(), value.clone());
         }
     }
--- a/crates/endpoint/tests/all/assemble.rs
+++ b/crates/endpoint/tests/all/assemble.rs
@@ -3,7 +3,7 @@
 
 use pimento_endpoint::Assembler;
 use pimento_endpoint::Fault;
-use pimento_endpoint::assemble::WINDOW;
+use pimento_endpoint::assemble::MAX_BUFFERED;
 use pimento_endpoint::engine::Event;
 use pimento_wire::api::Chunk;
 use pimento_wire::api::ChunkChoice;
@@ -177,16 +177,16 @@
 #[test]
 fn the_buffer_is_bounded() {
     let mut assembler = Assembler::new(MODEL);
-    let window = WINDOW as u64;
-    for number in 1..=window {
+    let max_buffered = MAX_BUFFERED as u64;
+    for number in 1..=max_buffered {
         assembler.accept(event(number, 1_000)).unwrap();
     }
-    let refused = assembler.accept(event(window + 1, 1_000));
+    let refused = assembler.accept(event(max_buffered + 1, 1_000));
     assert!(matches!(refused, Err(Fault::Invalid { .. })));
 }
 
 /// A number of chunks, and the event numbers in random order, some of them twice. Fewer
-/// than 60 chunks, so that they fit into the window.
+/// than 60 chunks, so that they fit into the max_buffered.
 fn orders() -> impl Strategy<Value = (u64, Vec<u64>)> {
     (1u64..60).prop_flat_map(|chunks| {
         let numbers: Vec<u64> = (0..=chunks).collect();
