--- a/crates/control/src/fence.rs
+++ b/crates/control/src/fence.rs
@@ -14,30 +14,30 @@
 
 /// Whether an order may be sent now, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Gate {
+pub enum Decision {
     /// It may be sent, with this fencing number.
-    Open(u64),
+    Allowed(u64),
     /// Orders of an earlier holder may be in flight until then.
     WaitUntil(Instant),
     /// The lease is not held or is about to expire.
-    Closed,
+    Denied,
 }
 
 /// Decides on an order that would be sent at `now`. `order_timeout` is the maximum time that an
 /// order may take to reach its engine.
 #[must_use]
-pub fn gate(
+pub fn decide(
     held: Option<lease::Fencing>,
     fencing: Fencing,
     order_timeout: Duration,
     now: Instant,
-) -> Gate {
+) -> Decision {
     let Some(held) = held.filter(|held| now < held.until) else {
-        return Gate::Closed;
+        return Decision::Denied;
     };
     let safe_at = held.since + order_timeout;
     match fencing {
-        Fencing::Ignores if now < safe_at => Gate::WaitUntil(safe_at),
-        Fencing::Ignores | Fencing::Refuses => Gate::Open(held.number.0),
+        Fencing::Ignores if now < safe_at => Decision::WaitUntil(safe_at),
+        Fencing::Ignores | Fencing::Refuses => Decision::Allowed(held.number.0),
     }
 }
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -37,7 +37,7 @@
 use crate::controller::Controller;
 use crate::controller::Pass;
 use crate::fence;
-use crate::fence::Gate;
+use crate::fence::Decision;
 use crate::leases::PoolLeases;
 use crate::metrics::Metrics;
 use crate::metrics::Outcome;
@@ -132,16 +132,16 @@
         }
     }
 
-    fn gate(&self, pool: &id::Pool, fencing: Fencing) -> Gate {
+    fn decide(&self, pool: &id::Pool, fencing: Fencing) -> Decision {
         let held = self.leases.held(pool);
-        fence::gate(held, fencing, self.settings.order_timeout, Instant::now())
+        fence::decide(held, fencing, self.settings.order_timeout, Instant::now())
     }
 
     /// Reconciles one pool: orders versions whose weights are in the zone, and fetches missing ones
     /// for a later pass.
     async fn reconcile_pool(&mut self, state: &State, pool: &id::Pool, vms: &[Vm]) -> Pass {
         let fencing = state.pool(pool).map_or(Fencing::Ignores, |p| p.fencing);
-        if !matches!(self.gate(pool, fencing), Gate::Open(_)) {
+        if !matches!(self.decide(pool, fencing), Decision::Allowed(_)) {
             return Pass::Idle;
         }
         let demands = placement::demands(state, pool);
@@ -186,7 +186,7 @@
             let (this, slots) = (&*self, &slots);
             async move {
                 let _slot = slots.acquire().await.ok()?;
-                let Gate::Open(number) = this.gate(pool, fencing) else {
+                let Decision::Allowed(number) = this.decide(pool, fencing) else {
                     return None;
                 };
                 let accepted_at = this.send_order(live, versions.clone(), number).await;
@@ -274,7 +274,7 @@
         if self.fetcher.is_fetching() || !self.inventory.try_acquire_fetch(Instant::now()) {
             return false;
         }
-        if !matches!(self.gate(pool, fencing), Gate::Open(_)) {
+        if !matches!(self.decide(pool, fencing), Decision::Allowed(_)) {
             return false;
         }
         log::info!("orders: Fetching the weights of {version}.");
--- a/crates/control/tests/all/decisions.rs
+++ b/crates/control/tests/all/decisions.rs
@@ -1,11 +1,11 @@
-//! The pure decisions: the fencing gate, the weight store's token bucket and placement.
+//! The pure decisions: fencing, the weight store's token bucket and placement.
 
 use std::time::Duration;
 
 use pimento_contract::service::Fencing;
 use pimento_control::bucket::Bucket;
-use pimento_control::fence::Gate;
-use pimento_control::fence::gate;
+use pimento_control::fence::Decision;
+use pimento_control::fence::decide;
 use pimento_control::placement::Demand;
 use pimento_control::placement::Engine;
 use pimento_control::placement::assign;
@@ -22,7 +22,7 @@
 use crate::fakes::name;
 
 /// Each row: seconds since the lease was acquired, the lease, the engines' fencing, the expected
-/// gate.
+/// decision.
 #[test]
 fn an_order_is_sent_only_while_it_is_safe() {
     let start = Instant::now();
@@ -35,18 +35,18 @@
     };
     let (refuses, ignores) = (Fencing::Refuses, Fencing::Ignores);
     let table = [
-        (0, Some(held), refuses, Gate::Open(7)),
-        (99, Some(held), refuses, Gate::Open(7)),
-        (100, Some(held), refuses, Gate::Closed),
-        (0, Some(held), ignores, Gate::WaitUntil(at(30))),
-        (29, Some(held), ignores, Gate::WaitUntil(at(30))),
-        (30, Some(held), ignores, Gate::Open(7)),
-        (100, Some(held), ignores, Gate::Closed),
-        (0, None, refuses, Gate::Closed),
-        (0, None, ignores, Gate::Closed),
+        (0, Some(held), refuses, Decision::Allowed(7)),
+        (99, Some(held), refuses, Decision::Allowed(7)),
+        (100, Some(held), refuses, Decision::Denied),
+        (0, Some(held), ignores, Decision::WaitUntil(at(30))),
+        (29, Some(held), ignores, Decision::WaitUntil(at(30))),
+        (30, Some(held), ignores, Decision::Allowed(7)),
+        (100, Some(held), ignores, Decision::Denied),
+        (0, None, refuses, Decision::Denied),
+        (0, None, ignores, Decision::Denied),
     ];
     for (seconds, held, fencing, expected) in table {
-        let found = gate(held, fencing, order_timeout, at(seconds));
+        let found = decide(held, fencing, order_timeout, at(seconds));
         assert_eq!(found, expected, "{seconds} s, {fencing:?}");
     }
 }
--- a/crates/endpoint/tests/all/assemble.rs
+++ b/crates/endpoint/tests/all/assemble.rs
@@ -186,7 +186,7 @@
 }
 
 /// A number of chunks, and the event numbers in random order, some of them twice. Fewer
-/// than 60 chunks, so that they fit into the max_buffered.
+/// than 60 chunks, so that all can be buffered.
 fn orders() -> impl Strategy<Value = (u64, Vec<u64>)> {
     (1u64..60).prop_flat_map(|chunks| {
         let numbers: Vec<u64> = (0..=chunks).collect();
