--- a/crates/control/src/daemon.rs
+++ b/crates/control/src/daemon.rs
@@ -11,7 +11,7 @@
 use pimento_coordination::configuration;
 use pimento_coordination::configuration::Source;
 use pimento_coordination::lease::View;
-use pimento_coordination::log;
+use pimento_coordination::log as platform_log;
 use pimento_coordination::operators;
 use pimento_coordination::vms;
 use pimento_coordination::weights;
@@ -33,7 +33,7 @@
 use crate::leases::Leases;
 use crate::leases::Manager;
 use crate::metrics::Metrics;
-use crate::operators as http;
+use crate::operator_server;
 use crate::orders::Connector;
 use crate::orders::Dependencies;
 use crate::orders::Orders;
@@ -116,10 +116,10 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    ::log::info!("control: Shutting down after a signal.");
+    log::info!("control: Shutting down after a signal.");
     running.shut_down().await;
     token.cancel();
-    ::log::info!("control: Stopped.");
+    log::info!("control: Stopped.");
     Ok(())
 }
 
@@ -165,7 +165,7 @@
         .context(BindSnafu { address })?;
     let address = listener.local_addr().context(BindSnafu { address })?;
     let metrics = Metrics::new().context(MetricsSnafu)?;
-    let log = log::Remote::new(config.log_address, config.platform_timeout);
+    let log = platform_log::Remote::new(config.log_address, config.platform_timeout);
     let appender = Appender::start(log.clone(), appender::Config::default(), token.clone());
     let source = Source::start(
         log.clone(),
@@ -195,7 +195,7 @@
         leases_token: token.child_token(),
         tasks: TaskTracker::new(),
     };
-    let context = http::Context {
+    let context = operator_server::Context {
         node: config.node.clone(),
         zone: config.zone.clone(),
         source: source.clone(),
@@ -203,9 +203,13 @@
         metrics: metrics.clone(),
         shutdown: running.controllers_token.clone(),
     };
-    tokio::spawn(http::serve(listener, Arc::new(context), token.clone()));
+    tokio::spawn(operator_server::serve(
+        listener,
+        Arc::new(context),
+        token.clone(),
+    ));
     running.spawn_all(&config, &log, &source, &metrics);
-    ::log::info!(
+    log::info!(
         "control: {} in {} serves operators on {address}.",
         config.node,
         config.zone
@@ -214,7 +218,13 @@
 }
 
 impl Running {
-    fn spawn_all(&self, config: &Config, log: &log::Remote, source: &Source, metrics: &Metrics) {
+    fn spawn_all(
+        &self,
+        config: &Config,
+        log: &platform_log::Remote,
+        source: &Source,
+        metrics: &Metrics,
+    ) {
         let manager = Manager::new(
             self.setup.clone(),
             self.leases.clone(),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod fence;
 pub mod leases;
 pub mod metrics;
-pub mod operators;
+pub mod operator_server;
 pub mod orders;
 pub mod placement;
 pub mod rollout;
