--- a/crates/control/src/daemon.rs
+++ b/crates/control/src/daemon.rs
@@ -239,14 +239,14 @@
             source,
             metrics,
         );
-        let entries = config
+        let entry_vms = config
             .operators
             .iter()
             .map(|address| operators::Remote::new(*address, config.platform_timeout))
             .collect();
         let dependencies = rollout::Dependencies {
             log: log.clone(),
-            entries,
+            entry_vms,
             lease: self.leases.clone(),
         };
         let rollouts = Rollouts::new(config.node.clone(), dependencies, source.subscribe());
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -72,15 +72,15 @@
 
 /// What the controller uses.
 #[derive(Debug)]
-pub struct Dependencies<G, V, W, D> {
+pub struct Dependencies<Leases, Vms, Weights, Connect> {
     /// Leases on the orders to pools.
-    pub leases: G,
+    pub leases: Leases,
     /// The list of VMs.
-    pub list: V,
+    pub list: Vms,
     /// The weight store.
-    pub store: W,
+    pub store: Weights,
     /// Connects to engines.
-    pub connector: D,
+    pub connector: Connect,
 }
 
 /// Maximum number of orders in flight. More than one, so that an engine that hangs does not delay
@@ -89,12 +89,12 @@
 
 /// The controller that sends orders to engines.
 #[derive(Debug)]
-pub struct Orders<G, V, W, D> {
+pub struct Orders<Leases, Vms, Weights, Connect> {
     settings: Settings,
-    leases: G,
-    list: V,
-    connector: D,
-    fetcher: Fetcher<W>,
+    leases: Leases,
+    list: Vms,
+    connector: Connect,
+    fetcher: Fetcher<Weights>,
     state: watch::Receiver<Arc<State>>,
     metrics: Metrics,
     inventory: Inventory,
@@ -108,11 +108,13 @@
     measured_at: Instant,
 }
 
-impl<G: PoolLeases, V: List, W: Store, D: Connector> Orders<G, V, W, D> {
+impl<Leases: PoolLeases, Vms: List, Weights: Store, Connect: Connector>
+    Orders<Leases, Vms, Weights, Connect>
+{
     /// A controller that has sent no orders yet.
     pub fn new(
         settings: Settings,
-        dependencies: Dependencies<G, V, W, D>,
+        dependencies: Dependencies<Leases, Vms, Weights, Connect>,
         state: watch::Receiver<Arc<State>>,
         metrics: Metrics,
     ) -> Self {
@@ -179,7 +181,7 @@
         &mut self,
         pool: &id::Pool,
         fencing: Fencing,
-        due: Vec<(&LiveEngine<D::Engine>, Vec<id::Version>)>,
+        due: Vec<(&LiveEngine<Connect::Engine>, Vec<id::Version>)>,
     ) -> bool {
         let slots = Semaphore::new(MAX_CONCURRENT_ORDERS);
         let orders = due.into_iter().map(|(live, versions)| {
@@ -204,7 +206,7 @@
     }
 
     /// Engines of a pool in this zone that respond and are not leaving, sorted by name.
-    async fn engines(&self, pool: &id::Pool, vms: &[Vm]) -> Vec<LiveEngine<D::Engine>> {
+    async fn engines(&self, pool: &id::Pool, vms: &[Vm]) -> Vec<LiveEngine<Connect::Engine>> {
         let wanted = |vm: &&Vm| {
             let in_zone = vm.zone == self.settings.zone && !vm.leaving;
             in_zone && vm.role == Role::Engine(pool.clone())
@@ -234,7 +236,7 @@
     /// Sends one order. Returns when the engine's acceptance arrived, if it accepted.
     async fn send_order(
         &self,
-        live: &LiveEngine<D::Engine>,
+        live: &LiveEngine<Connect::Engine>,
         versions: Vec<id::Version>,
         number: u64,
     ) -> Option<Instant> {
@@ -311,7 +313,9 @@
     }
 }
 
-impl<G: PoolLeases, V: List, W: Store, D: Connector> Controller for Orders<G, V, W, D> {
+impl<Leases: PoolLeases, Vms: List, Weights: Store, Connect: Connector> Controller
+    for Orders<Leases, Vms, Weights, Connect>
+{
     type Error = vms::Error;
 
     const NAME: &'static str = "orders";
--- a/crates/control/src/rollout/controller.rs
+++ b/crates/control/src/rollout/controller.rs
@@ -38,31 +38,33 @@
 
 /// What the controller uses.
 #[derive(Debug)]
-pub struct Dependencies<L, O, T> {
+pub struct Dependencies<PlatformLog, EntryVm, Lease> {
     /// The log.
-    pub log: L,
+    pub log: PlatformLog,
     /// The entry VMs.
-    pub entries: Vec<O>,
+    pub entry_vms: Vec<EntryVm>,
     /// The lease on roll-outs.
-    pub lease: T,
+    pub lease: Lease,
 }
 
 /// The controller of roll-outs.
 #[derive(Debug)]
-pub struct Rollouts<L, O, T> {
+pub struct Rollouts<PlatformLog, EntryVm, Lease> {
     node: id::Node,
-    dependencies: Dependencies<L, O, T>,
+    dependencies: Dependencies<PlatformLog, EntryVm, Lease>,
     state: watch::Receiver<Arc<State>>,
     /// When this instance first saw each roll-out's revision, sorted by version. A stage's dwell
     /// time starts again with each instance, which can only slow a roll-out down.
     first_seen: Vec<(id::Version, Revision, Instant)>,
 }
 
-impl<L: Log, O: Operators, T: RolloutLease> Rollouts<L, O, T> {
+impl<PlatformLog: Log, EntryVm: Operators, Lease: RolloutLease>
+    Rollouts<PlatformLog, EntryVm, Lease>
+{
     /// A controller that proposes as `node`.
     pub const fn new(
         node: id::Node,
-        dependencies: Dependencies<L, O, T>,
+        dependencies: Dependencies<PlatformLog, EntryVm, Lease>,
         state: watch::Receiver<Arc<State>>,
     ) -> Self {
         Self {
@@ -74,7 +76,7 @@
     }
 
     async fn collect_evidence(&self) -> Vec<operators::State> {
-        let answers = join_all(self.dependencies.entries.iter().map(Operators::state)).await;
+        let answers = join_all(self.dependencies.entry_vms.iter().map(Operators::state)).await;
         let mut states = Vec::with_capacity(answers.len());
         for answer in answers {
             match answer {
@@ -137,7 +139,9 @@
     }
 }
 
-impl<L: Log, O: Operators, T: RolloutLease> Controller for Rollouts<L, O, T> {
+impl<PlatformLog: Log, EntryVm: Operators, Lease: RolloutLease> Controller
+    for Rollouts<PlatformLog, EntryVm, Lease>
+{
     type Error = log::Error;
 
     const NAME: &'static str = "rollout";
--- a/crates/control/tests/all/rollouts.rs
+++ b/crates/control/tests/all/rollouts.rs
@@ -106,7 +106,7 @@
     fn controller(&self, node: &str) -> Rollouts<Memory, EntryVm, AlwaysHeld> {
         let dependencies = Dependencies {
             log: self.log.clone(),
-            entries: vec![EntryVm(self.node.subscribe())],
+            entry_vms: vec![EntryVm(self.node.subscribe())],
             lease: AlwaysHeld,
         };
         Rollouts::new(name(node), dependencies, self.readers.subscribe())
