--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -31,7 +31,7 @@
 /// Leases on the orders to pools.
 pub trait PoolLeases: Send + Sync + 'static {
     /// The fencing number, if this node holds the lease of the pool now.
-    fn held(&self, pool: &id::Pool) -> Option<Fencing>;
+    fn fencing(&self, pool: &id::Pool) -> Option<Fencing>;
 }
 
 /// The lease on roll-outs.
@@ -56,7 +56,7 @@
 }
 
 #[derive(Debug)]
-struct Entry {
+struct ManagedLease {
     resource: id::Resource,
     lease: Lease,
     token: CancellationToken,
@@ -67,7 +67,7 @@
 pub struct Leases {
     zone: id::Zone,
     /// Sorted by resource.
-    entries: Arc<Mutex<Vec<Entry>>>,
+    entries: Arc<Mutex<Vec<ManagedLease>>>,
 }
 
 impl Leases {
@@ -80,7 +80,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Entry>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<ManagedLease>> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -94,7 +94,7 @@
         held.flatten().collect()
     }
 
-    fn held_lease(&self, resource: &id::Resource) -> Option<Fencing> {
+    fn resource_fencing(&self, resource: &id::Resource) -> Option<Fencing> {
         let entries = self.lock();
         let at = entries
             .binary_search_by(|entry| entry.resource.cmp(resource))
@@ -104,14 +104,14 @@
 }
 
 impl PoolLeases for Leases {
-    fn held(&self, pool: &id::Pool) -> Option<Fencing> {
-        self.held_lease(&pool_resource(pool, &self.zone))
+    fn fencing(&self, pool: &id::Pool) -> Option<Fencing> {
+        self.resource_fencing(&pool_resource(pool, &self.zone))
     }
 }
 
 impl RolloutLease for Leases {
     fn is_held(&self) -> bool {
-        self.held_lease(&rollout_resource()).is_some()
+        self.resource_fencing(&rollout_resource()).is_some()
     }
 }
 
@@ -144,7 +144,7 @@
         }
     }
 
-    fn start(&self, resource: id::Resource) -> Entry {
+    fn start(&self, resource: id::Resource) -> ManagedLease {
         let token = self.token.child_token();
         let lease = Lease::start(
             resource.clone(),
@@ -154,7 +154,7 @@
             self.setup.follower.clone(),
             token.clone(),
         );
-        Entry {
+        ManagedLease {
             resource,
             lease,
             token,
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -135,7 +135,7 @@
     }
 
     fn decide(&self, pool: &id::Pool, fencing: Fencing) -> Decision {
-        let held = self.leases.held(pool);
+        let held = self.leases.fencing(pool);
         fence::decide(held, fencing, self.settings.order_timeout, Instant::now())
     }
 
@@ -326,7 +326,7 @@
         let mut pools: Vec<id::Pool> = state.versions().map(|v| v.pool.clone()).collect();
         pools.sort();
         pools.dedup();
-        pools.retain(|pool| self.leases.held(pool).is_some());
+        pools.retain(|pool| self.leases.fencing(pool).is_some());
         if pools.is_empty() {
             return Ok(Pass::Idle);
         }
--- a/crates/control/tests/all/fakes.rs
+++ b/crates/control/tests/all/fakes.rs
@@ -116,7 +116,7 @@
 }
 
 impl PoolLeases for FakeLease {
-    fn held(&self, _: &id::Pool) -> Option<Fencing> {
+    fn fencing(&self, _: &id::Pool) -> Option<Fencing> {
         let held = *self.0.lock().expect("the lock is not poisoned");
         held.filter(|fencing| Instant::now() < fencing.until)
     }
