--- a/crates/control/src/bucket.rs
+++ b/crates/control/src/bucket.rs
@@ -1,5 +1,5 @@
-//! A token bucket, sans-IO. The holder of a zone's lease applies the weight store's rate limit with
-//! it.
+//! A token bucket without a clock or I/O. The holder of a pool's lease in a zone applies the weight
+//! store's rate limit with it.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 pub struct Bucket {
     interval: Duration,
     burst: u32,
-    /// When the bucket was, or will be, full again if no more permits are acquired.
-    level: Moment,
+    /// When the bucket is full again if no more permits are acquired. May be in the past.
+    full_at: Moment,
     blocked_until: Moment,
 }
 
@@ -23,7 +23,7 @@
         Self {
             interval,
             burst: if burst == 0 { 1 } else { burst },
-            level: Moment::ZERO,
+            full_at: Moment::ZERO,
             blocked_until: Moment::ZERO,
         }
     }
@@ -37,13 +37,13 @@
         if now < self.blocked_until {
             return Err(self.blocked_until.since(now));
         }
-        let level = self.level.max(now);
-        let backlog = level.since(now);
+        let full_at = self.full_at.max(now);
+        let backlog = full_at.since(now);
         let max_backlog = self.interval * (self.burst - 1);
         if backlog > max_backlog {
             return Err(backlog.saturating_sub(max_backlog));
         }
-        self.level = level + self.interval;
+        self.full_at = full_at + self.interval;
         Ok(())
     }
 
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -212,7 +212,7 @@
     pub period: Duration,
     /// Duration and margin of a lease.
     pub lease: lease::Config,
-    /// Maximum time that an order may take to reach its engine.
+    /// Timeout of an order to an engine, including its response.
     pub order_timeout: Duration,
     /// How long a withdrawn version stays loaded.
     pub drain: Duration,
--- a/crates/control/src/fence.rs
+++ b/crates/control/src/fence.rs
@@ -1,10 +1,10 @@
-//! Decides whether an order may be sent, sans-IO.
+//! Decides whether an order may be sent, without a clock or I/O.
 //!
 //! A lease holder may be paused past the end of its lease without noticing. Engines that refuse old
 //! fencing numbers reject its late orders. For engines that ignore the number, and for pools
 //! without a setting, two waits replace the check: the holder stops a margin before its lease ends
-//! and checks the clock right before each order, and a successor waits for the maximum time that an
-//! order may take before it sends its first one.
+//! and checks the clock right before each order, and a successor waits for the timeout of an order
+//! before it sends its first one.
 
 use std::time::Duration;
 
@@ -17,14 +17,14 @@
 pub enum Decision {
     /// It may be sent, with this fencing number.
     Allowed(u64),
-    /// Orders of an earlier holder may be in flight until then.
+    /// Orders of an earlier holder may be in flight until this time.
     WaitUntil(Instant),
     /// The lease is not held or is about to expire.
     Denied,
 }
 
-/// Decides on an order that would be sent at `now`. `order_timeout` is the maximum time that an
-/// order may take to reach its engine.
+/// Decides on an order that would be sent at `now`. `order_timeout` is the timeout of an order,
+/// including its response.
 #[must_use]
 pub fn decide(
     held: Option<lease::Fencing>,
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -58,7 +58,7 @@
 pub struct Settings {
     /// The zone whose engines get orders.
     pub zone: id::Zone,
-    /// Maximum time that an order may take to reach its engine.
+    /// Timeout of an order, including its response.
     pub order_timeout: Duration,
     /// How long a withdrawn version stays loaded, so that requests running on it can finish.
     pub drain: Duration,
@@ -154,7 +154,7 @@
         }
         let engines = self.engines(pool, vms).await;
         let reports: Vec<placement::Engine> = engines.iter().map(report).collect();
-        let retained = self.inventory.draining(state, pool, Instant::now());
+        let retained = self.inventory.update_draining(state, pool, Instant::now());
         let plans = placement::assign(&reports, &demands, &retained, self.settings.max_versions);
         self.inventory.add(reports.iter().flat_map(|r| &r.held));
         let mut due = Vec::new();
--- a/crates/control/src/orders/accepted.rs
+++ b/crates/control/src/orders/accepted.rs
@@ -1,4 +1,5 @@
-//! Orders that engines accepted. An order is not repeated because of a report from before it.
+//! Orders that engines accepted. A load report measured before an order was accepted does not cause
+//! the order to be sent again.
 
 use pimento_units::id;
 use pimento_wire::engine::Load;
--- a/crates/control/src/orders/inventory.rs
+++ b/crates/control/src/orders/inventory.rs
@@ -73,9 +73,10 @@
         self.bucket.block(now, retry_after);
     }
 
-    /// Withdrawn versions of a pool that are still draining. Requests that run on a version when it
+    /// Records versions seen as withdrawn for the first time, and returns those of a pool that are
+    /// still draining. Requests that run on a version when it
     /// is withdrawn may finish, so engines must not drop it immediately.
-    pub(super) fn draining(
+    pub(super) fn update_draining(
         &mut self,
         state: &State,
         pool: &id::Pool,
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -1,4 +1,4 @@
-//! Assigns versions to the engines of a pool, sans-IO.
+//! Assigns versions to the engines of a pool, without a clock or I/O.
 //!
 //! A version without a roll-out, or whose roll-out is done, goes to every engine. A version that is
 //! being rolled out goes to as many engines as its next stage needs. A version whose roll-out was
@@ -29,7 +29,7 @@
 pub struct Demand {
     /// The version.
     pub version: id::Version,
-    /// Share of the zone's engines, rounded up to at least one engine.
+    /// Share of the zone's engines. The number of engines is rounded up and is at least one.
     pub share: Share,
 }
 
@@ -94,11 +94,11 @@
     assignment.evict_excess();
     // Each version gets one engine first, so that none is starved in a pool short of capacity.
     for demand in demands {
-        assignment.add_replicas(&demand.version, 1, 1);
+        assignment.add_engines(&demand.version, 1, 1);
     }
     for demand in demands {
         let target = assignment.target(&demand.version);
-        assignment.add_replicas(&demand.version, target, 0);
+        assignment.add_engines(&demand.version, target, 0);
     }
     assignment.plans
 }
@@ -122,7 +122,7 @@
     ) -> Self {
         let retained_targets = retained.iter().map(|version| (version.clone(), 0));
         let demanded_targets = demands.iter().map(|demand| {
-            let target = target_replicas(demand.share, engines.len());
+            let target = target_engine_count(demand.share, engines.len());
             (demand.version.clone(), target)
         });
         let mut targets: Vec<_> = retained_targets.chain(demanded_targets).collect();
@@ -146,7 +146,7 @@
             .map_or(0, |(_, target)| *target)
     }
 
-    fn replicas(&self, version: &id::Version) -> usize {
+    fn engine_count(&self, version: &id::Version) -> usize {
         self.plans.iter().filter(|plan| plan.has(version)).count()
     }
 
@@ -171,7 +171,7 @@
     ) -> Option<id::Version> {
         let plan = &self.plans[at];
         let counts = plan.versions.iter().map(|version| {
-            let (placed, target) = (self.replicas(version), self.target(version));
+            let (placed, target) = (self.engine_count(version), self.target(version));
             (version, placed, target)
         });
         let candidates = counts.filter(|(_, placed, target)| may_evict(*placed, *target));
@@ -183,10 +183,10 @@
     }
 
     /// Adds a version to engines until `target` of them have it: where there is capacity, or in
-    /// place of a version that is above its target. If `min_remaining` is not 0, a version may also
-    /// be evicted that stays on at least that many engines.
-    fn add_replicas(&mut self, version: &id::Version, target: usize, min_remaining: usize) {
-        while self.replicas(version) < target {
+    /// place of a version that is above its target. If `min_remaining` is not 0, this may also evict a
+    /// version that remains on at least that many other engines.
+    fn add_engines(&mut self, version: &id::Version, target: usize, min_remaining: usize) {
+        while self.engine_count(version) < target {
             let Some((at, evicted)) = self.best_engine(version, min_remaining) else {
                 return;
             };
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The best engine for one more replica, and the version to evict there. A rendezvous hash
+    /// The best engine on which to add the version, and the version to evict there. A rendezvous hash
     /// breaks ties, so that all instances choose the same.
     fn best_engine(
         &self,
@@ -222,7 +222,7 @@
     }
 }
 
-fn target_replicas(share: Share, engines: usize) -> usize {
+fn target_engine_count(share: Share, engines: usize) -> usize {
     let engines = engines as u64;
     let parts = u64::from(share.parts()) * engines;
     let wanted = parts.div_ceil(u64::from(PARTS)).clamp(1, engines.max(1));
--- a/crates/control/src/rollout/decide.rs
+++ b/crates/control/src/rollout/decide.rs
@@ -1,4 +1,4 @@
-//! Decides on the next step of a roll-out, sans-IO.
+//! Decides on the next step of a roll-out, without a clock or I/O.
 
 use std::time::Duration;
 
@@ -87,7 +87,8 @@
             passed: evidence.passed,
             attempts: evidence.attempts,
             failed: evidence.failed,
-            // An entry VM with too few samples for a percentile reports 0.
+            // This is a 95th percentile. `evaluate` averages those of the VMs. An entry VM with too
+            // few samples for a percentile reports 0.
             mean_time: (evidence.latency_ms > 0).then(|| f64::from(evidence.latency_ms)),
         }));
     }
