--- a/crates/standin/src/bucket.rs
+++ b/crates/standin/src/bucket.rs
@@ -9,7 +9,7 @@
     rate: f64,
     size: f64,
     level: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl TokenBucket {
@@ -20,18 +20,18 @@
             rate,
             size: burst,
             level: burst,
-            at: now,
+            updated_at: now,
         }
     }
 
-    /// Takes the token for one call.
+    /// Acquires the token for one call.
     ///
     /// # Errors
     ///
     /// The time until a token is available.
-    pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = now;
+    pub fn try_acquire(&mut self, now: Instant) -> Result<(), Duration> {
+        let passed = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.updated_at = now;
         self.level = (self.level + passed * self.rate).min(self.size);
         if self.level >= 1.0 {
             self.level -= 1.0;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -252,12 +252,12 @@
             Ok(append) => append,
             Err(answer) => return answer,
         };
-        let taken = self.state.with(|state| {
-            let taken = state.bucket.take(Instant::now());
-            state.stats.limited += u64::from(taken.is_err());
-            taken
+        let acquired = self.state.with(|state| {
+            let acquired = state.bucket.try_acquire(Instant::now());
+            state.stats.limited += u64::from(acquired.is_err());
+            acquired
         });
-        if let Err(after) = taken {
+        if let Err(after) = acquired {
             return server::refusal(
                 StatusCode::TOO_MANY_REQUESTS,
                 after,
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -102,12 +102,12 @@
 
 impl Weights {
     async fn fetch(&self, fetch: Fetch) -> Answer {
-        let taken = self.0.with(|state| {
-            let taken = state.bucket.take(Instant::now());
-            state.stats.limited += u64::from(taken.is_err());
-            taken.map(|()| Duration::from_millis(state.settings.fetch_ms))
+        let acquired = self.0.with(|state| {
+            let acquired = state.bucket.try_acquire(Instant::now());
+            state.stats.limited += u64::from(acquired.is_err());
+            acquired.map(|()| Duration::from_millis(state.settings.fetch_ms))
         });
-        let time = match taken {
+        let time = match acquired {
             Ok(time) => time,
             Err(after) => {
                 return server::refusal(
