--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -76,8 +76,9 @@
     pub retry_after: Option<u64>,
 }
 
+/// The body of a call to the plain service.
 #[derive(Serialize)]
-struct Order<'a> {
+struct ServiceOrder<'a> {
     number: usize,
     customer: &'a id::Customer,
     note: String,
@@ -120,13 +121,13 @@
     }
 
     /// Sets the session token.
-    pub fn session(&mut self, token: HeaderValue) {
+    pub fn set_session(&mut self, token: HeaderValue) {
         let name = HeaderName::from_static(header::SESSION_TOKEN);
         self.message.headers.insert(name, token);
     }
 
     /// Sets the `request-timeout` header.
-    pub fn timeout(&mut self, timeout: Duration) {
+    pub fn set_timeout(&mut self, timeout: Duration) {
         let name = HeaderName::from_static(header::REQUEST_TIMEOUT);
         let seconds = format!("{:.3}", timeout.as_secs_f64());
         if let Ok(seconds) = HeaderValue::from_str(&seconds) {
@@ -136,7 +137,7 @@
 
     /// Whether the target is a plain service.
     #[must_use]
-    pub const fn service(&self) -> bool {
+    pub const fn is_service(&self) -> bool {
         matches!(self.content, Content::Service { .. })
     }
 
@@ -339,7 +340,7 @@
 ) -> Result<(String, Bytes, Content), CompactString> {
     let label = arrival.idempotency.as_deref().unwrap_or_default();
     let words = usize::try_from(arrival.prompt.0).unwrap_or(0);
-    let order = Order {
+    let order = ServiceOrder {
         number: words,
         customer: &arrival.customer,
         note: format!("{label}{}", " drum".repeat(words)),
--- a/crates/standin/src/load/drive.rs
+++ b/crates/standin/src/load/drive.rs
@@ -166,12 +166,12 @@
                 return sample;
             }
         };
-        sample.service = call.service();
+        sample.service = call.is_service();
         sample.prompt = call.prompt();
-        call.timeout(self.config.timeout);
+        call.set_timeout(self.config.timeout);
         let session = self.session(arrival);
         if let Some(session) = &session {
-            call.session(session.token.clone());
+            call.set_session(session.token.clone());
         }
         let answer = self.send(number, &call).await;
         sample.last = Some(scheduled.elapsed());
