--- a/crates/standin/src/load/cli.rs
+++ b/crates/standin/src/load/cli.rs
@@ -22,7 +22,7 @@
 use crate::load::files::json;
 use crate::load::files::read;
 use crate::load::gather;
-use crate::load::judge::Evidence;
+use crate::load::judge::Trial;
 use crate::load::mix::Mix;
 use crate::load::plot;
 use crate::load::promise::Promise;
@@ -368,7 +368,7 @@
         Ok((engines, services, endpoint_faults, platform_faults))
     };
     let (engines, services, endpoint_faults, platform_faults) = runtime()?.block_on(gather)?;
-    let evidence = Evidence {
+    let trial = Trial {
         report,
         bills,
         engines,
@@ -379,13 +379,13 @@
         platform_faults,
         quiet_customers,
     };
-    println!("{}\n", evidence.table());
-    println!("{}\n", evidence.figures().join("\n"));
-    let promises = evidence.promises();
+    println!("{}\n", trial.table());
+    println!("{}\n", trial.figures().join("\n"));
+    let promises = trial.promises();
     for promise in &promises {
         println!("{promise}");
     }
-    if promises.iter().all(Promise::kept) {
+    if promises.iter().all(Promise::is_kept) {
         Ok(())
     } else {
         Err(Failure::Broken)
--- a/crates/standin/src/load/judge.rs
+++ b/crates/standin/src/load/judge.rs
@@ -35,9 +35,9 @@
     pub cost: Money,
 }
 
-/// Everything known about a trial.
+/// The results of a trial: what callers saw, the bills and the counters of the stand-ins.
 #[derive(Debug, Clone)]
-pub struct Evidence {
+pub struct Trial {
     /// What callers saw.
     pub report: Report,
     /// The bills.
@@ -60,7 +60,7 @@
     pub quiet_customers: Vec<id::Customer>,
 }
 
-impl Evidence {
+impl Trial {
     /// Every promise with its result.
     #[must_use]
     pub fn promises(&self) -> Vec<Promise> {
--- a/crates/standin/src/load/overload.rs
+++ b/crates/standin/src/load/overload.rs
@@ -1,6 +1,6 @@
 //! Promises checked in trials with overload or faults.
 
-use crate::load::judge::Evidence;
+use crate::load::judge::Trial;
 use crate::load::judge::total;
 use crate::load::promise::Promise;
 use crate::load::result::Row;
@@ -8,7 +8,7 @@
 /// In an overload, at most one call in this many may be refused with `run: unknown`.
 const CALLS_PER_UNKNOWN: u64 = 100;
 
-impl Evidence {
+impl Trial {
     /// Few refusals say `unknown`. A call is refused that way if it found no slot after an earlier
     /// attempt, or if its only attempt hit a fault: correct, but the caller can't know whether the
     /// call ran. Admission has to keep the first kind rare, and the second can't exceed the number
--- a/crates/standin/src/load/promise.rs
+++ b/crates/standin/src/load/promise.rs
@@ -16,14 +16,14 @@
 impl Promise {
     /// Whether the promise was kept. It counts as broken if there was no case to check.
     #[must_use]
-    pub fn kept(&self) -> bool {
+    pub fn is_kept(&self) -> bool {
         self.violations.is_empty() && self.cases > 0
     }
 }
 
 impl fmt::Display for Promise {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = if self.kept() { "kept  " } else { "BROKEN" };
+        let word = if self.is_kept() { "kept  " } else { "BROKEN" };
         write!(f, "{word}  {} ({} cases)", self.name, self.cases)?;
         for violation in self.violations.iter().take(MAX_SHOWN) {
             write!(f, "\n          {violation}")?;
--- a/crates/standin/tests/all/load.rs
+++ b/crates/standin/tests/all/load.rs
@@ -14,7 +14,7 @@
 use pimento_standin::load::allowed::AllowedVersions;
 use pimento_standin::load::drive;
 use pimento_standin::load::judge::Bills;
-use pimento_standin::load::judge::Evidence;
+use pimento_standin::load::judge::Trial;
 use pimento_standin::load::plot;
 use pimento_standin::load::result::Report;
 use pimento_standin::load::trace;
@@ -131,7 +131,7 @@
     let lines = "0 garage service:desk 3 0 whole - k\n50 garage service:desk 3 0 whole - k";
     let report = run(&service, lines, "").await;
     assert_eq!(report.keyed.len(), 1);
-    let mut evidence = Evidence {
+    let mut trial = Trial {
         report,
         bills: vec![bills(1)],
         engines: Vec::new(),
@@ -143,12 +143,12 @@
         quiet_customers: Vec::new(),
     };
     assert!(!is_kept(
-        &evidence,
+        &trial,
         "each order runs at most once, and once if it was answered"
     ));
-    assert!(is_kept(&evidence, "each served request is billed once"));
-    evidence.bills = vec![bills(2)];
-    assert!(!is_kept(&evidence, "each served request is billed once"));
+    assert!(is_kept(&trial, "each served request is billed once"));
+    trial.bills = vec![bills(2)];
+    assert!(!is_kept(&trial, "each served request is billed once"));
 }
 
 /// A caller is told `not_run` although an engine started the call. The judge must detect it by the
@@ -160,7 +160,7 @@
     let engines = vec![engine.handler.stats()];
     let prompt = engines[0].prompts[0].key.clone();
     report.not_run = vec!["0000000000000000".into()];
-    let mut evidence = Evidence {
+    let mut trial = Trial {
         report,
         bills: vec![bills(1)],
         engines,
@@ -171,13 +171,10 @@
         platform_faults: 0,
         quiet_customers: Vec::new(),
     };
-    assert!(is_kept(
-        &evidence,
-        "a call refused with `not_run` did not run"
-    ));
-    evidence.report.not_run = vec![prompt];
+    assert!(is_kept(&trial, "a call refused with `not_run` did not run"));
+    trial.report.not_run = vec![prompt];
     assert!(!is_kept(
-        &evidence,
+        &trial,
         "a call refused with `not_run` did not run"
     ));
 }
@@ -193,7 +190,7 @@
         key: "429 overloaded unknown".into(),
         count: 1,
     }];
-    let mut evidence = Evidence {
+    let mut trial = Trial {
         report,
         bills: vec![bills(1)],
         engines: vec![engine.handler.stats()],
@@ -205,24 +202,24 @@
         quiet_customers: vec!["garage".parse().unwrap()],
     };
     let answered = "each call gets an answer or an expected refusal";
-    assert!(is_kept(&evidence, answered));
-    assert!(!is_kept(&evidence, "few refusals say `unknown`"));
-    evidence.report.rows[0].sent = 100;
-    assert!(is_kept(&evidence, "few refusals say `unknown`"));
+    assert!(is_kept(&trial, answered));
+    assert!(!is_kept(&trial, "few refusals say `unknown`"));
+    trial.report.rows[0].sent = 100;
+    assert!(is_kept(&trial, "few refusals say `unknown`"));
     assert!(!is_kept(
-        &evidence,
+        &trial,
         "calls of quiet customers are served during the overload"
     ));
-    evidence.overload = false;
-    assert!(!is_kept(&evidence, answered));
-    evidence.platform_faults = 1;
-    assert!(!is_kept(&evidence, "few refusals say `unknown`"));
-    evidence.platform_faults = 0;
-    evidence.endpoint_faults = 1;
-    assert!(is_kept(&evidence, answered));
-    assert!(is_kept(&evidence, "few refusals say `unknown`"));
-    evidence.report.rows[0].refused[0].count = 2;
-    assert!(!is_kept(&evidence, "few refusals say `unknown`"));
+    trial.overload = false;
+    assert!(!is_kept(&trial, answered));
+    trial.platform_faults = 1;
+    assert!(!is_kept(&trial, "few refusals say `unknown`"));
+    trial.platform_faults = 0;
+    trial.endpoint_faults = 1;
+    assert!(is_kept(&trial, answered));
+    assert!(is_kept(&trial, "few refusals say `unknown`"));
+    trial.report.rows[0].refused[0].count = 2;
+    assert!(!is_kept(&trial, "few refusals say `unknown`"));
 }
 
 fn bills(bills: u64) -> Bills {
@@ -234,13 +231,13 @@
     }
 }
 
-fn is_kept(evidence: &Evidence, name: &str) -> bool {
-    let promises = evidence.promises();
+fn is_kept(trial: &Trial, name: &str) -> bool {
+    let promises = trial.promises();
     promises
         .iter()
         .find(|promise| promise.name == name)
         .unwrap()
-        .kept()
+        .is_kept()
 }
 
 #[tokio::test]
