--- a/benches/capacity/codec.rs
+++ b/benches/capacity/codec.rs
@@ -1,4 +1,4 @@
-//! Sizes of records and frames, and the time to seal and open them.
+//! Sizes of records and frames, and the time to seal and open frames.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -62,7 +62,7 @@
         limit: Money::from_micros(1_000_000_000),
         revision: Revision(1_234),
     };
-    let take = Acquire {
+    let acquire = Acquire {
         id: id::Record(Uuid::now_v7()),
         resource: "orders:pimento-llm:kig-gikondo".parse().expect("a name"),
         holder: "entry-gikondo-17".parse().expect("a name"),
@@ -75,7 +75,10 @@
         ("outcome", text(&ClaimRecord::Outcome(outcome)).len()),
         ("bill", text(&bill(1)).len()),
         ("grant", text(&GrantRecord::Grant(grant)).len()),
-        ("take of a lease", text(&LeaseRecord::Acquire(take)).len()),
+        (
+            "take of a lease",
+            text(&LeaseRecord::Acquire(acquire)).len(),
+        ),
         (
             "change of a contract",
             text(&change::Entry::Change(change)).len(),
@@ -105,7 +108,7 @@
 fn heartbeats() {
     let key = Key::derive("a secret that peers share");
     let mut size = Points::default();
-    for heard in [0, 5, 20, 50_u32] {
+    for count in [0, 5, 20, 50_u32] {
         let beat = Heartbeat {
             node: "entry-gikondo-17".parse().expect("a name"),
             zone: "kig-gikondo".parse().expect("a name"),
@@ -117,7 +120,7 @@
             leaving: false,
             departures: departures(2),
             quarantined: Vec::new(),
-            last_seen: (0..heard)
+            last_seen: (0..count)
                 .map(|node| LastSeen {
                     node: node.wrapping_mul(0x9e37_79b9),
                     sequence: 1_800_000_000_000,
@@ -129,7 +132,7 @@
         let bytes = frame.bytes().len() as u64;
         size.add(
             "nodes heard of",
-            f64::from(heard),
+            f64::from(count),
             "bytes a heartbeat",
             number(bytes),
         );
@@ -168,13 +171,13 @@
     size.print("bill", "bytes");
 }
 
-/// Prints the mean time of sealing and opening.
+/// Prints the mean time that `work` takes, which seals and opens one frame.
 fn time(what: &str, mut work: impl FnMut()) {
     const ROUNDS: u32 = 2_000;
-    let began = Instant::now();
+    let started = Instant::now();
     for _ in 0..ROUNDS {
         work();
     }
-    let each = began.elapsed() / ROUNDS;
+    let each = started.elapsed() / ROUNDS;
     println!("  sealing and opening {what}: {each:?}");
 }
--- a/benches/capacity/entry.rs
+++ b/benches/capacity/entry.rs
@@ -1,4 +1,5 @@
-//! One entry VM in the path: added delay, requests a second, and memory of open streams.
+//! Measures one entry VM: the delay that it adds, its throughput, and memory and processor time of
+//! open streams.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -25,21 +26,21 @@
 
 const SECRET: &str = "capacity-key";
 const VERSION: &str = "pimento-mini@1";
-/// Requests of a delay measurement.
+/// Number of requests in a measurement of the delay.
 const REQUESTS: usize = 2_000;
-/// Callers of a throughput measurement, each with one request at a time.
+/// Number of callers in a measurement of the throughput. Each has one request in flight at a time.
 const CALLERS: usize = 64;
-/// How long throughput is measured.
-const LONG: Duration = Duration::from_secs(8);
+/// Duration of a measurement of throughput or of open streams.
+const DURATION: Duration = Duration::from_secs(8);
 
-/// Ports of the first entry VM; the second one has the next.
+/// Ports of the first entry VM. The second one uses the port after each.
 const CALLERS_PORT: u16 = 28_080;
 const OPERATORS_PORT: u16 = 28_090;
 const PEERS_PORT: u16 = 28_070;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// An engine and an entry VM before it, as processes.
+/// An engine and an entry VM that forwards to it, with the platform they need, as processes.
 struct Bench {
     engine: SocketAddr,
     entry: Program,
@@ -49,7 +50,7 @@
 }
 
 impl Bench {
-    /// `settings` are the engine's.
+    /// Starts the processes and waits until the entry VM serves. `settings` are the engine's.
     fn start(runtime: &Runtime, settings: &str) -> Self {
         let mut platform = Vec::new();
         let mut standin = |arguments: &[&str]| {
@@ -109,7 +110,7 @@
                 .env("PIMENTO_LOG_LEVEL", "warn");
             Program::start(command)
         };
-        // The second one holds copies of the first one's bills, as in any deployment.
+        // The first one stores copies of its bills at the second one, as in any deployment.
         platform.push(entry(1));
         let bench = Self {
             engine,
@@ -118,11 +119,11 @@
             client,
             _platform: platform,
         };
-        runtime.block_on(bench.serves());
+        runtime.block_on(bench.wait_until_serving());
         bench
     }
 
-    async fn serves(&self) {
+    async fn wait_until_serving(&self) {
         let deadline = Instant::now() + Duration::from_secs(30);
         while Instant::now() < deadline {
             if let Some((_, 200)) = timed(&self.client, self.callers, false, 1).await {
@@ -185,7 +186,7 @@
 }
 
 fn chat(address: SocketAddr, stream: bool, tokens: u64) -> Request<Full<Bytes>> {
-    // The engine wants the version, an entry VM the class; each takes its own here.
+    // An entry VM expects a class as the model, an engine a version.
     let model = if address.port() == CALLERS_PORT {
         "stock"
     } else {
@@ -210,26 +211,26 @@
     answer.status().is_success().then(|| answer.into_body())
 }
 
-/// Times to the first and the last byte of the body, and the status.
+/// Sends a request. Returns the times to the first and the last byte of the body, and the status.
 async fn timed(
     client: &Http,
     address: SocketAddr,
     stream: bool,
     tokens: u64,
 ) -> Option<([Duration; 2], u16)> {
-    let began = Instant::now();
+    let started = Instant::now();
     let answer = client.request(chat(address, stream, tokens)).await.ok()?;
     let status = answer.status().as_u16();
     let mut body = answer.into_body();
     body.frame().await?.ok()?;
-    let first = began.elapsed();
+    let first = started.elapsed();
     while let Some(frame) = body.frame().await {
         frame.ok()?;
     }
-    Some(([first, began.elapsed()], status))
+    Some(([first, started.elapsed()], status))
 }
 
-/// Prints the delay that the entry VM adds, and its throughput.
+/// Prints the response times with and without the entry VM, and its throughput.
 pub fn path() {
     let runtime = Runtime::new().expect("threads can be had");
     let settings = r#"{"batch":512,"waiting":512,"prompt_us":0,"token_us":1000,"crowding":0}"#;
@@ -249,9 +250,9 @@
         }
     }
     let before = bench.entry.cpu();
-    let served = runtime.block_on(throughput(&bench, LONG));
+    let served = runtime.block_on(throughput(&bench, DURATION));
     let used = bench.entry.cpu().saturating_sub(before);
-    let rate = number(served) / LONG.as_secs_f64();
+    let rate = number(served) / DURATION.as_secs_f64();
     let each = used.as_secs_f64() * 1e6 / number(served);
     println!("whole answers of 8 tokens from {CALLERS} callers: {rate:.0} a second");
     println!("  processor time of the entry VM: {each:.0} us a request");
@@ -298,15 +299,15 @@
 /// Prints memory and processor time of open streams.
 pub fn streams() {
     let runtime = Runtime::new().expect("threads can be had");
-    // A token each half second: streams stay open and trickle, as those of a loaded engine.
+    // One token every half second, so that streams stay open for long, as with a loaded engine.
     let settings = r#"{"batch":9000,"waiting":0,"prompt_us":0,"token_us":500000,"crowding":0}"#;
     let mut memory = Points::default();
     let mut cpu = Points::default();
     for count in [100, 1_000, 2_000, 4_000, 8_000_u64] {
         let bench = Bench::start(&runtime, settings);
-        let (bytes, used, open) = runtime.block_on(hold(&bench, count));
+        let (bytes, used, open) = runtime.block_on(measure_streams(&bench, count));
         memory.add("open streams", number(open), "kB", number(bytes / 1_024));
-        let tokens = number(open) * 2.0 * LONG.as_secs_f64();
+        let tokens = number(open) * 2.0 * DURATION.as_secs_f64();
         let each = used.as_secs_f64() * 1e6 / tokens;
         cpu.add(
             "open streams",
@@ -318,13 +319,15 @@
     memory.print("open stream", "kB");
 }
 
-/// Streams opened at a time, and the pause between: a client that opens all at once measures the
-/// entry VM's queue and not its streams.
-const STEP: u64 = 50;
-const PAUSE: Duration = Duration::from_millis(100);
+/// Number of streams opened at once. Opening all at once would measure the entry VM's queue instead
+/// of its streams.
+const BATCH_SIZE: u64 = 50;
+/// Time between batches of streams.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Opens streams and reads them; gives memory, processor time over [`LONG`] and how many were open.
-async fn hold(bench: &Bench, count: u64) -> (u64, Duration, u64) {
+/// Opens `count` streams and reads them. Returns the memory, the processor time used in
+/// [`DURATION`] and the number of streams that were open until the end.
+async fn measure_streams(bench: &Bench, count: u64) -> (u64, Duration, u64) {
     let (sender, stop) = watch::channel(false);
     let mut readers = Vec::new();
     for number in 0..count {
@@ -332,26 +335,26 @@
         let address = bench.callers;
         let stop = stop.clone();
         readers.push(tokio::spawn(read(client, address, stop)));
-        if number % STEP == STEP - 1 {
-            tokio::time::sleep(PAUSE).await;
+        if number % BATCH_SIZE == BATCH_SIZE - 1 {
+            tokio::time::sleep(BATCH_INTERVAL).await;
         }
     }
-    // The last ones have got their first token by now.
+    // Wait until the last streams have their first token.
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = bench.entry.cpu();
-    tokio::time::sleep(LONG).await;
+    tokio::time::sleep(DURATION).await;
     let used = bench.entry.cpu().saturating_sub(before);
     let memory = bench.entry.memory();
     sender.send_replace(true);
-    let mut held = 0;
+    let mut open = 0;
     for reader in readers {
-        held += u64::from(reader.await.expect("it runs"));
+        open += u64::from(reader.await.expect("it runs"));
     }
-    println!("  {count} wanted, {held} open to the end");
-    (memory, used, held)
+    println!("  {count} wanted, {open} open to the end");
+    (memory, used, open)
 }
 
-/// Reads one stream until told to stop; whether it was open until then.
+/// Reads one stream until `stop` changes. Returns whether it was open until then.
 async fn read(client: Http, address: SocketAddr, mut stop: watch::Receiver<bool>) -> bool {
     let Some(mut body) = open(&client, address, true, 1_000).await else {
         return false;
--- a/benches/capacity/fit.rs
+++ b/benches/capacity/fit.rs
@@ -1,4 +1,4 @@
-//! Points and the straight line through them.
+//! Measured points and the straight line fitted through them.
 
 /// Measured points of one quantity.
 #[derive(Debug, Default)]
@@ -11,8 +11,8 @@
         self.0.push((x, y));
     }
 
-    /// Prints slope and intercept of the least squares line, each point weighted by the inverse
-    /// square of its size, so that the small ones count too.
+    /// Prints slope and intercept of the least squares line. A point's weight is about `1 / x²`, so
+    /// that points with a small `x` count too.
     pub fn print(&self, per: &str, unit: &str) {
         let weight = |(x, _): &(f64, f64)| 1.0 / (1.0 + x * x);
         let sum = |of: fn(&(f64, f64)) -> f64| -> f64 {
@@ -26,7 +26,7 @@
     }
 }
 
-/// A count as a number to plot.
+/// Converts a count for [`Points`].
 #[expect(clippy::cast_precision_loss, reason = "counts here are far below 2^52")]
 pub const fn number(count: u64) -> f64 {
     count as f64
--- a/benches/capacity/folds.rs
+++ b/benches/capacity/folds.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of the folds that nodes hold.
+//! Memory and processor time of folds, the state that nodes compute from the log's records.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -33,6 +33,7 @@
 use crate::fit::Points;
 use crate::fit::number;
 
+/// The time of the first records, in seconds since the Unix epoch.
 const START: u64 = 1_800_000_000;
 
 /// Prints all tables.
@@ -42,7 +43,7 @@
     configuration_table();
 }
 
-/// A claim of a second, as a caller's id dates it.
+/// A claim whose request id has a timestamp of `second` seconds after [`START`].
 pub fn claim(second: u64, number: u64) -> Claim {
     let stamp = Timestamp::from_unix(NoContext, START + second, 0);
     let mut bytes = Uuid::new_v7(stamp).into_bytes();
@@ -62,12 +63,12 @@
     for count in [1_000, 10_000, 100_000, 1_000_000_u64] {
         let mut fold = claims::Fold::new(Duration::from_hours(1));
         let claims: Vec<Claim> = (0..count).map(|n| claim(n * 600 / count, n)).collect();
-        let began = Instant::now();
+        let started = Instant::now();
         for claim in claims {
             let at = claim.at;
             fold.apply(at, &ClaimRecord::Claim(claim));
         }
-        let each = began.elapsed().as_secs_f64() * 1e9 / number(count);
+        let each = started.elapsed().as_secs_f64() * 1e9 / number(count);
         memory.add(
             "claims held",
             number(count),
@@ -85,13 +86,13 @@
     let mut points = Points::default();
     for customers in [10, 100, 1_000_u64] {
         let mut fold = grants::Fold::default();
-        let began = Instant::now();
+        let started = Instant::now();
         for customer in 0..customers {
             for node in 0..400 {
                 fold.apply(&GrantRecord::Grant(grant(customer, node)));
             }
         }
-        let each = began.elapsed().as_secs_f64() * 1e9 / number(customers * 400);
+        let each = started.elapsed().as_secs_f64() * 1e9 / number(customers * 400);
         let memory = fold.bytes() as u64;
         println!("customers with grants at 400 nodes: {customers} -> {each:.0} ns a grant");
         points.add(
@@ -120,7 +121,7 @@
 fn configuration_table() {
     let mut bytes = Points::default();
     let mut time = Points::default();
-    let mut check = Points::default();
+    let mut checkpoint_time = Points::default();
     for contracts in [10, 100, 1_000_u64] {
         let mut state = State::default();
         for number in 0..contracts {
@@ -131,7 +132,7 @@
         let changes: Vec<Change> = (0..rounds)
             .map(|round| change(round % contracts, Revision(0)))
             .collect();
-        let began = Instant::now();
+        let started = Instant::now();
         for (offset, change) in (contracts..).zip(&changes) {
             let base = state.revision(&change.subject);
             let change = Change {
@@ -141,11 +142,11 @@
             };
             state.apply(Offset(offset), &change);
         }
-        let each = began.elapsed().as_secs_f64() * 1e6 / number(rounds);
-        let began = Instant::now();
+        let each = started.elapsed().as_secs_f64() * 1e6 / number(rounds);
+        let started = Instant::now();
         let checkpoint = Checkpoint::of(&state);
         let text = serde_json::to_string(&checkpoint).expect("encodes");
-        let taken = began.elapsed().as_secs_f64() * 1e3;
+        let millis = started.elapsed().as_secs_f64() * 1e3;
         bytes.add(
             "contracts",
             number(contracts),
@@ -153,14 +154,14 @@
             number(text.len() as u64),
         );
         time.add("contracts", number(contracts), "us a change", each);
-        check.add("contracts", number(contracts), "ms a checkpoint", taken);
+        checkpoint_time.add("contracts", number(contracts), "ms a checkpoint", millis);
     }
     bytes.print("contract", "bytes");
     time.print("contract", "us");
-    check.print("contract", "ms");
+    checkpoint_time.print("contract", "ms");
 }
 
-/// A change of one contract as large as those of the examples.
+/// A change of one contract, which is about as large as the contracts in `examples`.
 pub fn change(number: u64, base: Revision) -> Change {
     let versions = ["base@1", "base@2", "large@1", "mini@1", "mini@2"];
     let class = |name: &str| Class {
--- a/benches/capacity/log.rs
+++ b/benches/capacity/log.rs
@@ -1,4 +1,4 @@
-//! Processor time of a node for records that it appends and reads, over HTTP.
+//! Processor time that a node uses to append records to the log and to read them, over HTTP.
 
 use std::process::Command;
 use std::time::Duration;
@@ -22,8 +22,8 @@
 use crate::process;
 use crate::process::Program;
 
-/// How long each rate is held.
-const LONG: Duration = Duration::from_secs(5);
+/// How long each rate is measured.
+const DURATION: Duration = Duration::from_secs(5);
 
 /// Prints the tables.
 pub fn print() {
@@ -36,15 +36,16 @@
         let mut points = Points::default();
         for rate in [0, 20, 100, 500_u64] {
             let used = runtime.block_on(run(&log, rate, follow));
-            let share = used.as_secs_f64() * 1e3 / LONG.as_secs_f64();
+            let millis_per_second = used.as_secs_f64() * 1e3 / DURATION.as_secs_f64();
             let what = format!("claims a second, {what}");
-            points.add(&what, number(rate), "ms a second", share);
+            points.add(&what, number(rate), "ms a second", millis_per_second);
         }
         points.print("claim a second", "ms a second");
     }
 }
 
-/// Processor time while a node appends `rate` claims a second and, if told so, follows their stream.
+/// Measures processor time while a node appends `rate` claims per second. If `follow` is set, it
+/// also reads their stream.
 async fn run(log: &Remote, rate: u64, follow: bool) -> Duration {
     let token = CancellationToken::new();
     let view = View::new(Fold::new(Duration::from_mins(30)));
@@ -58,11 +59,11 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let before = process::own_cpu();
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + DURATION;
     let mut number = 0;
     while Instant::now() < end {
         if rate == 0 {
-            tokio::time::sleep(LONG).await;
+            tokio::time::sleep(DURATION).await;
             continue;
         }
         let appender = appender.clone();
@@ -76,8 +77,8 @@
 }
 
 async fn append(appender: &Appender, number: u64) {
-    let call = ClaimRecord::Claim(folds::claim(0, number));
-    let record = serde_json::to_string(&call).expect("encodes");
+    let claim = ClaimRecord::Claim(folds::claim(0, number));
+    let record = serde_json::to_string(&claim).expect("encodes");
     let deadline = Instant::now() + Duration::from_secs(5);
     if let Err(error) = appender.append(Stream::Claims, record, deadline).await {
         println!("  not appended: {error}");
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,7 +1,8 @@
-//! Slopes for `docs/CAPACITY.md`: what state, messages and processor time grow with.
+//! Measurements for `docs/CAPACITY.md`: how state, message sizes and processor time grow with load.
 //!
-//! `cargo bench --bench capacity` prints every table; names of sections as arguments print only
-//! those. Each section gives its points and a straight line through them.
+//! `cargo bench --bench capacity` runs every section and prints its tables. Names of sections as
+//! arguments select those. A table lists the measured points, most with a straight line fitted
+//! through them.
 
 mod codec;
 mod entry;
@@ -11,7 +12,7 @@
 mod mesh;
 mod process;
 
-/// A section's name and what prints it.
+/// A section's name and the function that runs it and prints its tables.
 type Section = (&'static str, fn());
 
 const SECTIONS: [Section; 6] = [
--- a/benches/capacity/mesh.rs
+++ b/benches/capacity/mesh.rs
@@ -1,4 +1,4 @@
-//! Processor time and bytes of heartbeats, with one zone's nodes in this process.
+//! Processor time that nodes use for heartbeats. All nodes of one zone run in this process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,14 +17,15 @@
 use crate::fit::number;
 use crate::process;
 
-/// How long the nodes find each other before the measurement.
-const WARM: Duration = Duration::from_secs(20);
-/// How long it lasts.
-const LONG: Duration = Duration::from_secs(10);
+/// Time for the nodes to discover each other before the measurement.
+const WARM_UP: Duration = Duration::from_secs(20);
+/// Duration of the measurement.
+const DURATION: Duration = Duration::from_secs(10);
 
-struct Nothing;
+/// Answers no calls, since heartbeats need none.
+struct NoAnswers;
 
-impl Handler for Nothing {
+impl Handler for NoAnswers {
     async fn handle(&self, _call: Call) -> Answer {
         Answer::Nothing
     }
@@ -36,7 +37,7 @@
     let mut cpu = Points::default();
     for nodes in [5, 10, 25, 50_u64] {
         let used = runtime.block_on(run(nodes));
-        let each = used.as_secs_f64() * 1e6 / LONG.as_secs_f64() / number(nodes);
+        let each = used.as_secs_f64() * 1e6 / DURATION.as_secs_f64() / number(nodes);
         cpu.add(
             "nodes in a zone",
             number(nodes),
@@ -56,24 +57,24 @@
         let listen = "127.0.0.1:0".parse().expect("an address");
         let key = Key::derive("a secret that peers share");
         let settings = Settings::new(name, zone, listen, key);
-        let config = Config::try_from(settings).expect("makes sense");
+        let config = Config::try_from(settings).expect("valid settings");
         let (mesh, listener) = Mesh::bind(config, token.clone()).await.expect("a port");
-        listener.serve(Nothing);
+        listener.serve(NoAnswers);
         meshes.push(mesh);
     }
-    // As the platform's list of VMs would tell them.
+    // In a deployment, the addresses come from the platform's list of VMs.
     let addresses: Vec<SocketAddr> = meshes.iter().map(Mesh::address).collect();
     for mesh in &meshes {
         mesh.add_addresses(addresses.iter().copied());
     }
-    tokio::time::sleep(WARM).await;
+    tokio::time::sleep(WARM_UP).await;
     let known = meshes.iter().map(|mesh| mesh.peers().len() as u64).min();
     println!(
         "  each of {nodes} nodes knows at least {} peers",
         known.unwrap_or(0)
     );
     let before = process::own_cpu();
-    tokio::time::sleep(LONG).await;
+    tokio::time::sleep(DURATION).await;
     let used = process::own_cpu().saturating_sub(before);
     token.cancel();
     used
--- a/benches/capacity/process.rs
+++ b/benches/capacity/process.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of processes, read from `/proc`, and programs under measurement.
+//! Starts programs and reads their processor time and memory from `/proc`.
 
 use std::fs;
 use std::io::BufRead;
@@ -9,7 +9,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// A process under measurement, ended when dropped.
+/// A running program, killed when dropped.
 pub struct Program(Child);
 
 impl Program {
@@ -27,13 +27,13 @@
         (Self(child), address)
     }
 
-    /// Starts a program that says nothing.
+    /// Starts a program and discards its output.
     pub fn start(mut command: Command) -> Self {
         command.stdout(Stdio::null()).stderr(Stdio::null());
         Self(command.spawn().expect("the program starts"))
     }
 
-    /// Processor time so far.
+    /// Processor time used so far.
     pub fn cpu(&self) -> Duration {
         cpu(&self.0.id().to_string())
     }
@@ -51,12 +51,13 @@
     }
 }
 
-/// Processor time of this process so far.
+/// Processor time used by this process so far.
 pub fn own_cpu() -> Duration {
     cpu("self")
 }
 
-/// The sum over the threads that are alive; programs here keep theirs.
+/// The sum over the threads that are alive. The measured programs end no threads while they run,
+/// so this is the time of the whole process.
 fn cpu(process: &str) -> Duration {
     let tasks = fs::read_dir(format!("/proc/{process}/task")).expect("it runs");
     let nanos = tasks.filter_map(|task| {
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -30,7 +30,7 @@
 
 /// Leases on the orders to pools.
 pub trait PoolLeases: Send + Sync + 'static {
-    /// The fencing number, if this node holds the lease of the pool now.
+    /// The fencing number and the times of the pool's lease, if this node holds it now.
     fn fencing(&self, pool: &id::Pool) -> Option<Fencing>;
 }
 
@@ -55,6 +55,7 @@
     pub follower: Follower<View>,
 }
 
+/// A lease that this node holds or waits for.
 #[derive(Debug)]
 struct ManagedLease {
     resource: id::Resource,
--- a/crates/control/src/orders/inventory.rs
+++ b/crates/control/src/orders/inventory.rs
@@ -74,8 +74,8 @@
     }
 
     /// Records versions seen as withdrawn for the first time, and returns those of a pool that are
-    /// still draining. Requests that run on a version when it
-    /// is withdrawn may finish, so engines must not drop it immediately.
+    /// still draining. Requests that run on a version when it is withdrawn may finish, so engines
+    /// must not drop it immediately.
     pub(super) fn update_draining(
         &mut self,
         state: &State,
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -183,8 +183,8 @@
     }
 
     /// Adds a version to engines until `target` of them have it: where there is capacity, or in
-    /// place of a version that is above its target. If `min_remaining` is not 0, this may also evict a
-    /// version that remains on at least that many other engines.
+    /// place of a version that is above its target. If `min_remaining` is not 0, this may also evict
+    /// a version that remains on at least that many other engines.
     fn add_engines(&mut self, version: &id::Version, target: usize, min_remaining: usize) {
         while self.engine_count(version) < target {
             let Some((at, evicted)) = self.best_engine(version, min_remaining) else {
@@ -197,8 +197,8 @@
         }
     }
 
-    /// The best engine on which to add the version, and the version to evict there. A rendezvous hash
-    /// breaks ties, so that all instances choose the same.
+    /// The best engine on which to add the version, and the version to evict there. A rendezvous
+    /// hash breaks ties, so that all instances choose the same.
     fn best_engine(
         &self,
         version: &id::Version,
--- a/crates/standin/src/body.rs
+++ b/crates/standin/src/body.rs
@@ -50,7 +50,8 @@
         })
     }
 
-    /// Injects faults into the body. The only fault for a whole body is a cut, in its middle.
+    /// Injects faults into the body. A whole body is cut in its middle; the other faults apply only
+    /// to streams.
     #[must_use]
     pub fn with_faults(self, faults: StreamFaults) -> Self {
         match self {
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -44,6 +44,7 @@
 use crate::weights;
 use crate::weights::Weights;
 
+// Offsets from the base port, as in the table above.
 const ENGINES: u16 = 10;
 const SERVICES: u16 = 30;
 const ENTRIES: u16 = 50;
@@ -67,8 +68,8 @@
     ("pimento-mini@1", 840_000),
     ("pimento-mini@2", 860_000),
 ];
-/// The version that no engine has loaded at the start, because trials roll it in.
-const ROLLED_IN: &str = "pimento-mini@2";
+/// The version that no engine has loaded at the start, because trials roll it out.
+const NOT_LOADED: &str = "pimento-mini@2";
 
 /// One of the two deployments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -259,7 +260,7 @@
 ) -> Result<Vec<Running<Engine>>, Error> {
     let versions: Result<Vec<_>, _> = VERSIONS
         .iter()
-        .filter(|(version, _)| *version != ROLLED_IN)
+        .filter(|(version, _)| *version != NOT_LOADED)
         .map(|(version, _)| id::Version::try_from(*version))
         .collect();
     let versions = versions.context(NameSnafu)?;
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -20,7 +20,7 @@
 struct PendingCall {
     priority: u8,
     number: u64,
-    grant: oneshot::Sender<Slot>,
+    slot_sender: oneshot::Sender<Slot>,
 }
 
 /// A slot in the batch, released when it is dropped.
@@ -41,7 +41,9 @@
     #[must_use]
     pub fn load(&self) -> (u32, u32) {
         self.0.with(|state| {
-            state.queue.retain(|pending| !pending.grant.is_closed());
+            state
+                .queue
+                .retain(|pending| !pending.slot_sender.is_closed());
             let waiting = u32::try_from(state.queue.len()).unwrap_or(u32::MAX);
             (state.running, waiting)
         })
@@ -51,7 +53,9 @@
     #[must_use]
     pub fn request(&self, priority: u8, size: u32, queue_limit: u32) -> Option<Ticket> {
         self.0.with(|state| {
-            state.queue.retain(|pending| !pending.grant.is_closed());
+            state
+                .queue
+                .retain(|pending| !pending.slot_sender.is_closed());
             if state.running < size {
                 state.running += 1;
                 return Some(Ticket::Slot(Slot(Some(self.clone()))));
@@ -59,24 +63,24 @@
             if state.queue.len() >= queue_limit as usize {
                 return None;
             }
-            let (grant, granted) = oneshot::channel();
+            let (slot_sender, slot_receiver) = oneshot::channel();
             let number = state.next;
             state.next += 1;
             let key = (priority, number);
             let index = state
                 .queue
-                .partition_point(|w| (w.priority, w.number) < key);
+                .partition_point(|call| (call.priority, call.number) < key);
             let pending = PendingCall {
                 priority,
                 number,
-                grant,
+                slot_sender,
             };
             state.queue.insert(index, pending);
-            Some(Ticket::Queued(granted))
+            Some(Ticket::Queued(slot_receiver))
         })
     }
 
-    /// Hands a slot to the first queued call, or frees it if none is queued.
+    /// Passes a slot on to the first queued call, or frees it if none is queued.
     fn release(self) {
         loop {
             let next = self.0.with(|state| {
@@ -87,10 +91,11 @@
                 Some(state.queue.remove(0))
             });
             let Some(pending) = next else { return };
-            let Err(mut slot) = pending.grant.send(Slot(Some(self.clone()))) else {
+            let Err(mut slot) = pending.slot_sender.send(Slot(Some(self.clone()))) else {
                 return;
             };
-            // This call was dropped. Disarm its slot, because the slot goes to the next call.
+            // This call was dropped. Its slot must not be released when it is dropped, because the
+            // next call gets it.
             slot.0 = None;
         }
     }
@@ -109,7 +114,7 @@
     pub async fn slot(self) -> Option<Slot> {
         match self {
             Self::Slot(slot) => Some(slot),
-            Self::Queued(granted) => granted.await.ok(),
+            Self::Queued(slot_receiver) => slot_receiver.await.ok(),
         }
     }
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -169,7 +169,7 @@
         self
     }
 
-    /// Limits the rule to the next `calls` calls.
+    /// Limits the rule to at most `calls` calls.
     #[must_use]
     pub fn times(mut self, calls: u64) -> Self {
         self.calls = Some(calls);
--- a/crates/standin/src/load/balancer.rs
+++ b/crates/standin/src/load/balancer.rs
@@ -1,4 +1,5 @@
-//! A simple load balancer for the entry VMs: round-robin, with targets that are not ready last.
+//! A simple load balancer for the entry VMs: round-robin over the ready targets, then over the
+//! others.
 
 use std::time::Duration;
 
--- a/crates/standin/src/load/overload.rs
+++ b/crates/standin/src/load/overload.rs
@@ -9,10 +9,10 @@
 const CALLS_PER_UNKNOWN: u64 = 100;
 
 impl Trial {
-    /// Few refusals say `unknown`. A call is refused that way if it found no slot after an earlier
-    /// attempt, or if its only attempt hit a fault: correct, but the caller can't know whether the
-    /// call ran. Admission has to keep the first kind rare, and the second can't exceed the number
-    /// of calls hit by faults.
+    /// Few refusals have `run: unknown`, which leaves the caller unable to tell whether the call ran.
+    /// Such a refusal is correct if the only attempt hit a fault, or if a later attempt found no free
+    /// slot. The first case can't occur more often than faults do. Admission has to keep the second
+    /// one rare.
     pub(super) fn few_unknown(&self) -> Promise {
         let rows = || self.report.rows.iter();
         let sent = total(rows(), |row| row.sent);
--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's VM list, which lags behind.
+//! Stand-in of the platform's VM list, which shows changes with a delay.
 //!
 //! `GET /vms` returns the list as it was `lag_ms` ago. `PUT /vms` replaces it, `PUT /vms/{name}`
 //! adds or replaces one VM and `DELETE /vms/{name}` removes one.
