--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -183,8 +183,8 @@
     }
 
     /// Adds a version to engines until `target` of them have it: where there is capacity, or in
-    /// place of a version that is above its target. If `min_remaining` is not 0, this may also evict
-    /// a version that remains on at least that many other engines.
+    /// place of a version that is above its target. If `min_remaining` is not 0, this may also
+    /// evict a version that remains on at least that many other engines.
     fn add_engines(&mut self, version: &id::Version, target: usize, min_remaining: usize) {
         while self.engine_count(version) < target {
             let Some((at, evicted)) = self.best_engine(version, min_remaining) else {
--- a/crates/standin/src/load/overload.rs
+++ b/crates/standin/src/load/overload.rs
@@ -9,8 +9,8 @@
 const CALLS_PER_UNKNOWN: u64 = 100;
 
 impl Trial {
-    /// Few refusals have `run: unknown`, which leaves the caller unable to tell whether the call ran.
-    /// Such a refusal is correct if the only attempt hit a fault, or if a later attempt found no free
+    /// Few refusals have `run: unknown`, which does not tell the caller whether the call ran. Such
+    /// a refusal is correct if the only attempt hit a fault, or if a later attempt found no free
     /// slot. The first case can't occur more often than faults do. Admission has to keep the second
     /// one rare.
     pub(super) fn few_unknown(&self) -> Promise {
