--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -16,9 +16,9 @@
     Leading,
     /// The VM reads for itself alone.
     Alone,
-    /// The VM is led by another one, which announced a change that it lacks.
+    /// The VM is served by a reader, which announced a change that it lacks.
     Lacking,
-    /// The VM is led by another one, whose last proof is too old.
+    /// The VM is served by a reader, whose last proof is too old.
     Unproven,
     /// A view is read once more on request: a caller uses something that it does not have, or another VM
     /// starts from it.
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -5,7 +5,7 @@
 //! late, and the topic may have grown since. Reads that get no answer are given up after a timeout and
 //! retried on another connection, because a connection may fall silent for good.
 //!
-//! In each zone one VM, the reader, reads for the others ([`Lead`]), which make no calls while nothing
+//! In each zone one VM, the reader, reads for the others ([`ReadRole`]), which make no calls while nothing
 //! changes. The reader's proof dates another VM's view by that VM's own clock: it names the last stamp
 //! which the reader had received from that VM before it sent the read. A datagram that was delayed, by
 //! the network or by a suspended VM, can therefore never make a view look younger than it is.
@@ -35,9 +35,9 @@
 pub use self::fold::Fold;
 pub use self::fold::RecordContext;
 use self::timing::AT_ONCE;
-use self::timing::LED_BACKOFF;
-pub use self::timing::Lead;
 pub use self::timing::Polling;
+pub use self::timing::ReadRole;
+use self::timing::SERVED_BACKOFF;
 use self::timing::TURN;
 pub use self::timing::Timing;
 pub use self::timing::answer_timeout;
@@ -257,17 +257,17 @@
     }
 
     async fn run(self) {
-        let mut lead = self.zone.lead.subscribe();
+        let mut role_changes = self.zone.read_role.subscribe();
         let mut backoff = INITIAL_BACKOFF;
-        let mut before = Lead::default();
+        let mut before = ReadRole::default();
         self.zone.wait_for_discovery().await;
         loop {
-            let role = *lead.borrow_and_update();
-            let succeeds = role == Lead::Leading && before != role;
+            let role = *role_changes.borrow_and_update();
+            let succeeds = role == ReadRole::Reader && before != role;
             before = role;
             // A view that lacks a change is read until it has the change. Otherwise a VM whose read was
             // refused would wait for the next proof, or until its last proof is too old.
-            let current = role == Lead::Led
+            let current = role == ReadRole::Served
                 && (!self.lacks_changes().await || self.fetch_from_reader().await);
             if current && self.has_recent_proof() {
                 let left = self
@@ -275,24 +275,28 @@
                     .map(|age| self.timing.max_proof_age.saturating_sub(age));
                 tokio::select! {
                     () = self.wake.notified() => continue,
-                    _ = lead.changed() => continue,
+                    _ = role_changes.changed() => continue,
                     () = tokio::time::sleep(left.unwrap_or_default()) => continue,
                 }
             }
             let state = self.zone.log_state();
-            let take_turns =
-                state.no_able_reader && role == Lead::Led && self.next_offset().is_some();
+            let take_turns = state.no_eligible_reader
+                && role == ReadRole::Served
+                && self.next_offset().is_some();
             let hesitate = take_turns || state.outage_suspected && succeeds;
-            if hesitate && self.wait_for_turn(role, &mut lead).await {
+            if hesitate && self.wait_for_turn(role, &mut role_changes).await {
                 continue;
             }
-            if role == Lead::Led && self.next_offset().is_none() && self.fetch_snapshot().await {
+            if role == ReadRole::Served
+                && self.next_offset().is_none()
+                && self.fetch_snapshot().await
+            {
                 continue;
             }
             let polling = match role {
-                Lead::Alone => self.timing.alone,
-                Lead::Leading => self.timing.leading,
-                Lead::Led => AT_ONCE,
+                ReadRole::Alone => self.timing.alone,
+                ReadRole::Reader => self.timing.reader,
+                ReadRole::Served => AT_ONCE,
             };
             match self.read(polling.wait, self.reason(role)).await {
                 Ok(complete) => {
@@ -309,14 +313,14 @@
                     if take_turns {
                         continue;
                     }
-                    if role == Lead::Led && failure.kind == zone::Failure::Refused {
+                    if role == ReadRole::Served && failure.kind == zone::Failure::Refused {
                         // A lost answer is often a single event, a refusal is not.
-                        backoff = backoff.max(LED_BACKOFF);
+                        backoff = backoff.max(SERVED_BACKOFF);
                     }
                     let share = rand::random_range(0.5..=1.0);
                     tokio::select! {
                         () = self.back_off(role, backoff.mul_f64(share)) => {}
-                        _ = lead.changed() => {}
+                        _ = role_changes.changed() => {}
                     }
                     backoff = (backoff * 2).min(self.max_backoff(role));
                 }
@@ -330,9 +334,13 @@
     /// The log may refuse one VM of a zone or all of them, and a VM learns this only for itself. If all VMs
     /// retried at once, most calls would be in vain. They try one after the other instead, and the first
     /// that is answered proves the views of the others. While no VM of the zone is known to get answers, a
-    /// VM that is led takes its turn after a random time.
-    async fn wait_for_turn(&self, role: Lead, lead: &mut watch::Receiver<Lead>) -> bool {
-        let pause = if role == Lead::Led {
+    /// VM that is served takes its turn after a random time.
+    async fn wait_for_turn(
+        &self,
+        role: ReadRole,
+        role_changes: &mut watch::Receiver<ReadRole>,
+    ) -> bool {
+        let pause = if role == ReadRole::Served {
             self.check_disconnected(role, AT_ONCE);
             let others = u32::try_from(self.zone.stamps().len()).unwrap_or(u32::MAX);
             let all = TURN.saturating_mul(others.saturating_add(1));
@@ -343,22 +351,22 @@
         tokio::select! {
             () = tokio::time::sleep(pause) => false,
             () = self.wake.notified() => true,
-            _ = lead.changed() => {
-                lead.mark_changed();
+            _ = role_changes.changed() => {
+                role_changes.mark_changed();
                 true
             }
         }
     }
 
     /// The reason under which a read in this role is counted.
-    fn reason(&self, role: Lead) -> Reason {
+    fn reason(&self, role: ReadRole) -> Reason {
         let inner = self.lock();
         match role {
             _ if inner.next.is_none() => Reason::Start,
-            Lead::Leading => Reason::Leading,
-            Lead::Alone => Reason::Alone,
-            Lead::Led if inner.lacks_changes() => Reason::Lacking,
-            Lead::Led => Reason::Unproven,
+            ReadRole::Reader => Reason::Leading,
+            ReadRole::Alone => Reason::Alone,
+            ReadRole::Served if inner.lacks_changes() => Reason::Lacking,
+            ReadRole::Served => Reason::Unproven,
         }
     }
 
@@ -374,7 +382,7 @@
     /// Waits after a failed read. A proof does not end the wait: proofs arrive several times a second, also
     /// while the log refuses this VM and serves its reader. It only shortens the wait to the limit for a
     /// view that lacks changes.
-    async fn back_off(&self, role: Lead, backoff: Duration) {
+    async fn back_off(&self, role: ReadRole, backoff: Duration) {
         let end = Instant::now() + backoff;
         tokio::select! {
             () = tokio::time::sleep_until(end) => return,
@@ -385,14 +393,14 @@
     }
 
     /// The longest wait after failed reads.
-    fn max_backoff(&self, role: Lead) -> Duration {
+    fn max_backoff(&self, role: ReadRole) -> Duration {
         max_backoff(role, self.zone.stamps().len(), self.lock().lacks_changes())
     }
 
     /// Whether this VM reads the log itself, and its reads are answered.
     #[must_use]
     pub fn is_reading(&self) -> bool {
-        let reads = *self.zone.lead.borrow() != Lead::Led || !self.has_recent_proof();
+        let reads = *self.zone.read_role.borrow() != ReadRole::Served || !self.has_recent_proof();
         reads && self.lock().connected_since.is_some()
     }
 
@@ -442,13 +450,13 @@
     /// Marks the log as disconnected if the view has not been proven for too long. Called after a failed
     /// read, and in place of one that must wait for its turn.
     ///
-    /// A VM that is led stays connected through its reader's proofs, which may be as old as
+    /// A VM that is served stays connected through its reader's proofs, which may be as old as
     /// `max_proof_age`. By its own reads alone it would disconnect and reconnect several times a second
     /// while the log refuses it.
-    fn check_disconnected(&self, role: Lead, polling: Polling) {
+    fn check_disconnected(&self, role: ReadRole, polling: Polling) {
         let interval = match role {
-            Lead::Led => self.timing.max_proof_age,
-            Lead::Alone | Lead::Leading => polling.wait + polling.pause,
+            ReadRole::Served => self.timing.max_proof_age,
+            ReadRole::Alone | ReadRole::Reader => polling.wait + polling.pause,
         };
         let now = boot::now();
         let mut inner = self.lock();
--- a/crates/relay/src/follow/timing.rs
+++ b/crates/relay/src/follow/timing.rs
@@ -17,15 +17,16 @@
 pub struct Timing {
     /// Polling of a VM that reads for itself.
     pub alone: Polling,
-    /// Polling of a VM that also reads for others, which receive its proofs later.
-    pub leading: Polling,
-    /// A VM that is led reads the log itself once its last proof is this old.
+    /// Polling of the reader, whose proofs the other VMs of the zone receive later.
+    pub reader: Polling,
+    /// A VM for which the reader reads, reads the log itself once its last proof is this old.
     pub max_proof_age: Duration,
     /// The longest time without data before an answer begins, beyond the wait, and within an answer.
     pub timeout: Duration,
 }
 
-/// Polling of a VM that is led but must read itself, because it lacks a change or its proof is too old.
+/// Polling of a VM that has a reader but must read itself, because it lacks a change or its proof is too
+/// old.
 pub const AT_ONCE: Polling = Polling {
     wait: Duration::ZERO,
     pause: Duration::ZERO,
@@ -33,25 +34,25 @@
 
 /// The role of this VM in reading the log for its zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Lead {
+pub enum ReadRole {
     /// It reads for itself; no other VM of the zone is alive.
     #[default]
     Alone,
     /// It is the reader: it reads for the other VMs as well.
-    Leading,
+    Reader,
     /// Another VM, the reader, reads for it.
-    Led,
+    Served,
 }
 
 /// The longest wait after failed reads. It bounds how long the recovery of the log goes unnoticed; the
 /// bounds on changes of the configuration and on leaving endpoints are two seconds.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// The longest wait of a VM that is led, whose reader reports as soon as the log is reachable again. All
+/// The longest wait of a VM that has a reader, which reports as soon as the log is reachable again. All
 /// calls are paid for, including refused ones.
-pub const LED_BACKOFF: Duration = Duration::from_millis(1_200);
+pub const SERVED_BACKOFF: Duration = Duration::from_millis(1_200);
 
-/// Number of other VMs in a zone up to which [`LED_BACKOFF`] applies unchanged. In larger zones it grows
+/// Number of other VMs in a zone up to which [`SERVED_BACKOFF`] applies unchanged. In larger zones it grows
 /// in proportion, up to [`MAX_FACTOR`] times, so that all VMs together call the log no more often. The
 /// first that is answered proves the views of the others.
 const SMALL_ZONE: u32 = 3;
@@ -85,13 +86,13 @@
 /// It does not grow with the zone if the view `lacks` a change: no other VM's read can replace its own, and
 /// it refuses callers once it has lacked the change for too long.
 #[must_use]
-pub fn max_backoff(role: Lead, others: usize, lacks: bool) -> Duration {
-    if role != Lead::Led {
+pub fn max_backoff(role: ReadRole, others: usize, lacks: bool) -> Duration {
+    if role != ReadRole::Served {
         return MAX_BACKOFF;
     }
     if lacks {
-        return LED_BACKOFF;
+        return SERVED_BACKOFF;
     }
     let others = u32::try_from(others).unwrap_or(u32::MAX);
-    LED_BACKOFF * (others / SMALL_ZONE).clamp(1, MAX_FACTOR)
+    SERVED_BACKOFF * (others / SMALL_ZONE).clamp(1, MAX_FACTOR)
 }
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -36,16 +36,16 @@
 use self::message::Message;
 use self::message::Prefill;
 use self::message::Proofs;
+use self::peers::Assignment;
 use self::peers::Peer;
 use self::peers::Peers;
 use self::peers::ReaderStatus;
-use self::peers::Role;
 use self::update::Update;
 use crate::boot;
 use crate::bundle::Bundle;
 use crate::bundle::SharedTopic;
 use crate::codec::Codec;
-use crate::follow::Lead;
+use crate::follow::ReadRole;
 use crate::follow::RecordRange;
 use crate::headers::HeaderCodec;
 use crate::node::Node;
@@ -154,16 +154,16 @@
 
     /// Whether another VM, which has read the log, reads it for this one.
     fn has_eligible_reader(&self) -> bool {
-        let role = self.role();
-        !role.state.no_able_reader && role.lead == Lead::Led
+        let assignment = self.assignment();
+        !assignment.state.no_eligible_reader && assignment.read_role == ReadRole::Served
     }
 
     /// This VM's part in reading the log for the zone, by what is known now.
-    fn role(&self) -> Role {
+    fn assignment(&self) -> Assignment {
         let config = &self.node.config;
         let status = self.reader_status();
         let peers = &self.lock().peers;
-        peers.role(&config.node, &config.zone, status, boot::now())
+        peers.assignment(&config.node, &config.zone, status, boot::now())
     }
 
     async fn listen(&self) {
@@ -196,7 +196,7 @@
         let starts = local && message.reader_status == ReaderStatus::Starting;
         let sender = starts.then(|| choice::hash(message.node.as_str()));
         self.merge(message, from);
-        let reads = *self.zone.lead.borrow() != Lead::Led;
+        let reads = *self.zone.read_role.borrow() != ReadRole::Served;
         if let Some(sender) = sender
             && reads
             && self.reader_status() == ReaderStatus::Eligible
@@ -291,7 +291,7 @@
 
     /// Whether this VM reads the log for its zone.
     fn is_zone_reader(&self) -> bool {
-        *self.zone.lead.borrow() == Lead::Leading
+        *self.zone.read_role.borrow() == ReadRole::Reader
     }
 
     /// Applies what the reads of another VM prove to this one.
@@ -333,17 +333,17 @@
 
     /// Updates who reads the log for whom.
     fn update_role(&self) {
-        let role = self.role();
-        self.zone.set_reader_address(role.reader);
-        self.zone.set_log_state(role.state);
-        let lead = role.lead;
-        let update = |known: &mut Lead| {
-            let changed = *known != lead;
-            *known = lead;
+        let assignment = self.assignment();
+        self.zone.set_reader_address(assignment.reader);
+        self.zone.set_log_state(assignment.state);
+        let role = assignment.read_role;
+        let update = |known: &mut ReadRole| {
+            let changed = *known != role;
+            *known = role;
             changed
         };
-        if self.zone.lead.send_if_modified(update) {
-            log::info!("neighbours: Role in reading the log: {lead:?}.");
+        if self.zone.read_role.send_if_modified(update) {
+            log::info!("neighbours: Role in reading the log: {role:?}.");
         }
     }
 
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -14,7 +14,7 @@
 use crate::codec::Codec;
 use crate::fleet;
 use crate::fleet::VmRecord;
-use crate::follow::Lead;
+use crate::follow::ReadRole;
 use crate::headers::HeaderCodec;
 use crate::topic::Log;
 use crate::topic::Topic;
@@ -143,7 +143,7 @@
             tokio::time::sleep(LEARNT_INTERVAL).await;
             let record = self.node.announcement();
             let known = !record.seconds_per_token.is_empty();
-            let alone = *self.zone.lead.borrow() != Lead::Led;
+            let alone = *self.zone.read_role.borrow() != ReadRole::Served;
             if known && alone && self.node.publish(&record, &self.log).await {
                 return;
             }
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::follow::Lead;
+use crate::follow::ReadRole;
 use crate::zone::LogState;
 
 /// A VM that sent no datagram for this long does not read for others. It is the time of three heartbeats,
@@ -97,9 +97,9 @@
 
 /// This VM's part in reading the log for its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Role {
+pub struct Assignment {
     /// Whether this VM reads for itself, for others, or another one for it.
-    pub lead: Lead,
+    pub read_role: ReadRole,
     /// The VM that reads for this one; none if this one reads itself.
     pub reader: Option<SocketAddr>,
     /// How the reads of the zone go.
@@ -184,15 +184,21 @@
     /// name that is eligible. If none is, a VM that has not tried lately tries, or else the first of all
     /// goes on trying; the others learn from it that the log is back.
     #[must_use]
-    pub fn role(&self, own: &id::Node, zone: &id::Zone, status: ReaderStatus, now: Moment) -> Role {
+    pub fn assignment(
+        &self,
+        own: &id::Node,
+        zone: &id::Zone,
+        status: ReaderStatus,
+        now: Moment,
+    ) -> Assignment {
         let alive = |peer: &&Peer| peer.zone == *zone && peer.is_alive(now);
         let others = self.peers.iter().filter(alive);
         let others: Vec<(ReaderStatus, &id::Node, Option<SocketAddr>)> = others
             .map(|peer| (peer.status, &peer.node, Some(peer.address)))
             .collect();
         if others.is_empty() {
-            return Role {
-                lead: Lead::Alone,
+            return Assignment {
+                read_role: ReadRole::Alone,
                 reader: None,
                 state: LogState::default(),
             };
@@ -205,11 +211,11 @@
         let reader = all.iter().min_by_key(|(status, node, _)| (*status, *node));
         let eligible = reader.is_some_and(|(status, ..)| *status == ReaderStatus::Eligible);
         let address = reader.and_then(|(.., address)| *address);
-        Role {
-            lead: address.map_or(Lead::Leading, |_| Lead::Led),
+        Assignment {
+            read_role: address.map_or(ReadRole::Reader, |_| ReadRole::Served),
             reader: address,
             state: LogState {
-                no_able_reader: !eligible,
+                no_eligible_reader: !eligible,
                 outage_suspected: all.iter().filter(unanswered).count() >= MANY_UNANSWERED,
             },
         }
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -64,7 +64,7 @@
 /// How the entry VMs' own topic is read while a roll-out is under way.
 const FLEET: Timing = Timing {
     alone: SECONDLY,
-    leading: SECONDLY,
+    reader: SECONDLY,
     max_proof_age: Duration::ZERO,
     timeout: Duration::from_millis(450),
 };
--- a/crates/relay/src/timings.rs
+++ b/crates/relay/src/timings.rs
@@ -31,15 +31,15 @@
 const REVOKE_SHARE: f64 = 0.4;
 
 /// Shares of the bound on leaving endpoints: the highest age of a proof, and the pauses between the reads of
-/// a VM that leads and of one that is alone. One proof may be lost before the last one is too old.
+/// the reader and of a VM that is alone. One proof may be lost before the last one is too old.
 const LEAVING_PROOF_AGE: f64 = 0.75;
-const LEAVING_LEADING: f64 = 0.25;
+const LEAVING_READER: f64 = 0.25;
 const LEAVING_ALONE: f64 = 0.45;
 
-/// Shares of the bound on changes: the highest age of a proof, the waits at the log of a VM that leads and
-/// of one that is alone, and the timeout. A proof is as old as the read behind it, up to twice the wait.
+/// Shares of the bound on changes: the highest age of a proof, the waits at the log of the reader and
+/// of a VM that is alone, and the timeout. A proof is as old as the read behind it, up to twice the wait.
 const CHANGE_PROOF_AGE: f64 = 1.15;
-const CHANGE_LEADING: f64 = 0.3;
+const CHANGE_READER: f64 = 0.3;
 const CHANGE_ALONE: f64 = 0.5;
 const CHANGE_TIMEOUT: f64 = 0.225;
 
@@ -51,7 +51,7 @@
 };
 const POISON: Timing = Timing {
     alone: POISON_WAIT,
-    leading: POISON_WAIT,
+    reader: POISON_WAIT,
     max_proof_age: Duration::from_secs(20),
     timeout: MAX_TIMEOUT,
 };
@@ -117,7 +117,7 @@
     };
     Ok(Timing {
         alone: waiting(CHANGE_ALONE),
-        leading: waiting(CHANGE_LEADING),
+        reader: waiting(CHANGE_READER),
         max_proof_age: bound.mul_f64(CHANGE_PROOF_AGE),
         timeout: bound.mul_f64(CHANGE_TIMEOUT).min(MAX_TIMEOUT),
     })
@@ -136,7 +136,7 @@
     let max_proof_age = bound.mul_f64(LEAVING_PROOF_AGE);
     Ok(Timing {
         alone: pausing(LEAVING_ALONE),
-        leading: pausing(LEAVING_LEADING),
+        reader: pausing(LEAVING_READER),
         max_proof_age,
         timeout: bound.saturating_sub(max_proof_age + RETRY).min(MAX_TIMEOUT),
     })
--- a/crates/relay/src/zone.rs
+++ b/crates/relay/src/zone.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use crate::config::Config;
-use crate::follow::Lead;
+use crate::follow::ReadRole;
 
 /// The last stamp received from another VM: a moment of that VM's own boot-time clock, which can't be
 /// compared with the clocks of other VMs.
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LogState {
     /// No VM is known whose reads are answered.
-    pub no_able_reader: bool,
+    pub no_eligible_reader: bool,
     /// The log refused several VMs just now, so that it may refuse the next one as well.
     pub outage_suspected: bool,
 }
@@ -94,7 +94,7 @@
     discovery_timeout: Duration,
     stamps: Arc<Mutex<Vec<Stamp>>>,
     /// Whether this VM reads for others, or another one for it.
-    pub lead: Arc<watch::Sender<Lead>>,
+    pub read_role: Arc<watch::Sender<ReadRole>>,
     /// Notified of each read of this VM that proved its view as of a later moment.
     pub proved: Arc<Notify>,
     /// Where the VM that reads for this one accepts connections.
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -10,8 +10,8 @@
 use pimento_relay::follow::Connectivity;
 use pimento_relay::follow::Fold;
 use pimento_relay::follow::Follower;
-use pimento_relay::follow::Lead;
 use pimento_relay::follow::Polling;
+use pimento_relay::follow::ReadRole;
 use pimento_relay::follow::RecordContext;
 use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
@@ -32,7 +32,7 @@
 
 pub const TIMING: Timing = Timing {
     alone: QUICK,
-    leading: QUICK,
+    reader: QUICK,
     max_proof_age: Duration::from_mins(1),
     timeout: Duration::from_millis(200),
 };
@@ -129,7 +129,7 @@
     pub async fn make_led(&self) {
         self.until("a first proof", |f| f.follower.proven_at().is_some())
             .await;
-        self.zone.lead.send_replace(Lead::Led);
+        self.zone.read_role.send_replace(ReadRole::Served);
         let mut calls = self.log.calls();
         // The running read ends first.
         loop {
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -4,8 +4,8 @@
 
 use pimento_relay::boot;
 use pimento_relay::calls::Reason;
-use pimento_relay::follow::Lead;
 use pimento_relay::follow::Proof;
+use pimento_relay::follow::ReadRole;
 use pimento_relay::follow::RecordRange;
 use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
@@ -71,7 +71,7 @@
         .await;
 }
 
-// A VM that is led makes no calls while nothing changes. Its view is as young as the stamp that the reader
+// A VM that is served makes no calls while nothing changes. Its view is as young as the stamp that the reader
 // had received before its read.
 #[tokio::test]
 async fn a_proof_dates_the_view_by_its_own_stamp() {
@@ -134,7 +134,7 @@
     fixture.log.set_behaviour(Behaviour::Refusing);
     // Long enough for the follower to count the log as disconnected.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    fixture.zone.lead.send_replace(Lead::Led);
+    fixture.zone.read_role.send_replace(ReadRole::Served);
     fixture.log.set_behaviour(Behaviour::Healthy);
     let back = boot::now();
     fixture.follower.receive_proof(Proof {
--- a/crates/relay/tests/all/large.rs
+++ b/crates/relay/tests/all/large.rs
@@ -4,8 +4,8 @@
 
 use compact_str::CompactString;
 use pimento_relay::boot;
-use pimento_relay::follow::Lead;
 use pimento_relay::follow::Proof;
+use pimento_relay::follow::ReadRole;
 use pimento_relay::follow::answer_timeout;
 use pimento_relay::follow::max_backoff;
 use pimento_units::Offset;
@@ -117,23 +117,23 @@
 }
 
 // Guards against a VM that refuses callers for the whole backoff of a large zone. After a long outage the
-// VMs that are led call the log seldom. When it is reachable again, operators write a configuration that is
+// VMs that are served call the log seldom. When it is reachable again, operators write a configuration that is
 // too large to be forwarded, and a VM that receives the announcement during its backoff must read it itself.
 #[test]
 fn a_vm_that_lacks_a_change_backs_off_less() {
     for others in [0, 5, 16, 400] {
-        let current = max_backoff(Lead::Led, others, false);
-        let lacking = max_backoff(Lead::Led, others, true);
+        let current = max_backoff(ReadRole::Served, others, false);
+        let lacking = max_backoff(ReadRole::Served, others, true);
         assert!(lacking <= current, "{others}: {lacking:?}, {current:?}");
         assert!(lacking <= Duration::from_millis(1_200), "{lacking:?}");
     }
-    let large = max_backoff(Lead::Led, 16, false);
-    let small = max_backoff(Lead::Led, 2, false);
+    let large = max_backoff(ReadRole::Served, 16, false);
+    let small = max_backoff(ReadRole::Served, 2, false);
     assert!(
         large > small,
         "the VMs of a large zone call an unreachable log less often"
     );
-    for role in [Lead::Alone, Lead::Leading] {
+    for role in [ReadRole::Alone, ReadRole::Reader] {
         assert!(max_backoff(role, 16, false) < small);
     }
 }
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pimento_relay::follow::Lead;
+use pimento_relay::follow::ReadRole;
 use pimento_relay::follow::Timing;
 use pimento_relay::neighbours::broadcast::zone_interval;
 use pimento_relay::neighbours::peers::Peer;
@@ -83,7 +83,7 @@
     read: Option<(Moment, Moment, Vec<Moment>)>,
     next_read: Moment,
     last_sent: Moment,
-    lead: Lead,
+    read_role: ReadRole,
     status: ReaderStatus,
     failures: u32,
 }
@@ -132,7 +132,7 @@
             read: None,
             next_read: start,
             last_sent: start,
-            lead: Lead::Alone,
+            read_role: ReadRole::Alone,
             status: ReaderStatus::Eligible,
             failures: 0,
         };
@@ -207,13 +207,13 @@
                 vm.proofs = stamps;
                 vm.failures = 0;
                 vm.zone.read_answered();
-                let polling = if vm.lead == Lead::Alone {
+                let polling = if vm.read_role == ReadRole::Alone {
                     timing.alone
                 } else {
-                    timing.leading
+                    timing.reader
                 };
                 vm.next_read = now + polling.pause;
-                if vm.lead == Lead::Leading {
+                if vm.read_role == ReadRole::Reader {
                     vm.last_sent = Moment::ZERO;
                 }
             }
@@ -246,8 +246,8 @@
             vm.last_sent = Moment::ZERO;
         }
         vm.status = status;
-        let role = vm.peers.role(&vm.name, &zone(), status, now);
-        if role.lead == Lead::Leading && vm.lead != Lead::Leading {
+        let role = vm.peers.assignment(&vm.name, &zone(), status, now);
+        if role.read_role == ReadRole::Reader && vm.read_role != ReadRole::Reader {
             let wait = if role.state.outage_suspected {
                 TURN
             } else {
@@ -255,7 +255,7 @@
             };
             vm.next_read = now + wait;
         }
-        vm.lead = role.lead;
+        vm.read_role = role.read_role;
         vm.zone.set_log_state(role.state);
     }
 
@@ -265,13 +265,13 @@
         let count = self.vms.len();
         let each = self.mutant == Mutant::EachReads;
         let vm = &mut self.vms[place];
-        let led = vm.lead == Lead::Led && !each;
+        let served = vm.read_role == ReadRole::Served && !each;
         let proven = now.since(vm.proven) < max_proof_age;
         // The model takes the turns in the order of names, where the real VMs take them at random.
         let turn = now.since(Moment::ZERO).as_millis() / TURN.as_millis();
-        let waits =
-            vm.zone.log_state().no_able_reader && usize::try_from(turn).unwrap() % count != place;
-        if vm.read.is_some() || vm.next_read > now || led && (proven || waits) {
+        let waits = vm.zone.log_state().no_eligible_reader
+            && usize::try_from(turn).unwrap() % count != place;
+        if vm.read.is_some() || vm.next_read > now || served && (proven || waits) {
             return;
         }
         let time = if vm.access == Access::Silent {
@@ -298,7 +298,7 @@
                 continue;
             }
             let vm = &self.vms[place];
-            let proof = (vm.lead == Lead::Leading).then_some(vm.proofs[to]);
+            let proof = (vm.read_role == ReadRole::Reader).then_some(vm.proofs[to]);
             let datagram = Datagram {
                 from: place,
                 status: vm.status,
@@ -322,7 +322,7 @@
             "the view of {} is {age:?} old, {:?} after the start: {:?}",
             vm.name,
             self.now.since(Moment::ZERO),
-            vm.lead
+            vm.read_role
         );
     }
 
--- a/crates/relay/tests/all/peers.rs
+++ b/crates/relay/tests/all/peers.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use pimento_policy::choice;
-use pimento_relay::follow::Lead;
+use pimento_relay::follow::ReadRole;
 use pimento_relay::neighbours::broadcast::zone_interval;
+use pimento_relay::neighbours::peers::Assignment;
 use pimento_relay::neighbours::peers::LIVENESS_TIMEOUT;
 use pimento_relay::neighbours::peers::Peer;
 use pimento_relay::neighbours::peers::Peers;
 use pimento_relay::neighbours::peers::ReaderStatus;
-use pimento_relay::neighbours::peers::Role;
 use pimento_scheduler::Participants;
 use pimento_units::Moment;
 use pimento_units::id;
@@ -44,19 +44,22 @@
     peers
 }
 
-fn role(peers: &Peers, own: &str, status: ReaderStatus) -> Role {
-    peers.role(&node(own), &zone(), status, now())
+fn role(peers: &Peers, own: &str, status: ReaderStatus) -> Assignment {
+    peers.assignment(&node(own), &zone(), status, now())
 }
 
 #[test]
 fn the_first_eligible_vm_by_name_reads() {
     let others = alive(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
     let led = role(&others, "b", ReaderStatus::Eligible);
-    assert_eq!((led.lead, led.reader), (Lead::Led, Some(address(1))));
+    assert_eq!(
+        (led.read_role, led.reader),
+        (ReadRole::Served, Some(address(1)))
+    );
     let others = alive(&[("b", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
     assert_eq!(
-        role(&others, "a", ReaderStatus::Eligible).lead,
-        Lead::Leading
+        role(&others, "a", ReaderStatus::Eligible).read_role,
+        ReadRole::Reader
     );
 }
 
@@ -65,12 +68,15 @@
 #[test]
 fn a_reader_whose_reads_are_not_answered_is_replaced_at_once() {
     let mut others = alive(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
-    assert_eq!(role(&others, "b", ReaderStatus::Eligible).lead, Lead::Led);
+    assert_eq!(
+        role(&others, "b", ReaderStatus::Eligible).read_role,
+        ReadRole::Served
+    );
     let failing = discovered("a", 1).with_datagram(ReaderStatus::Unanswered, now());
     assert!(others.update(failing, now()), "the roles are updated");
     assert_eq!(
-        role(&others, "b", ReaderStatus::Eligible).lead,
-        Lead::Leading
+        role(&others, "b", ReaderStatus::Eligible).read_role,
+        ReadRole::Reader
     );
     let others = alive(&[("b", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
     let replaced = role(&others, "a", ReaderStatus::Unanswered);
@@ -82,14 +88,17 @@
 fn vms_known_only_from_the_log_do_not_read_for_others() {
     let mut others = Peers::default();
     others.update(discovered("a", 1), now());
-    assert_eq!(role(&others, "b", ReaderStatus::Starting).lead, Lead::Alone);
+    assert_eq!(
+        role(&others, "b", ReaderStatus::Starting).read_role,
+        ReadRole::Alone
+    );
     others.update(
         discovered("c", 3).with_datagram(ReaderStatus::Starting, now()),
         now(),
     );
     assert_eq!(
-        role(&others, "b", ReaderStatus::Starting).lead,
-        Lead::Leading
+        role(&others, "b", ReaderStatus::Starting).read_role,
+        ReadRole::Reader
     );
     // A record that is read later does not undo that a datagram was received.
     assert!(!others.update(discovered("c", 3), now()));
@@ -121,14 +130,14 @@
         ("d", ReaderStatus::Eligible),
     ]);
     let doubtful = role(&three, "e", ReaderStatus::Eligible);
-    assert!(doubtful.state.outage_suspected && !doubtful.state.no_able_reader);
+    assert!(doubtful.state.outage_suspected && !doubtful.state.no_eligible_reader);
     let leaving = [
         ("a", ReaderStatus::Leaving),
         ("b", ReaderStatus::Leaving),
         ("c", ReaderStatus::Leaving),
     ];
     let leaving = role(&alive(&leaving), "d", ReaderStatus::Eligible);
-    assert_eq!(leaving.lead, Lead::Leading);
+    assert_eq!(leaving.read_role, ReadRole::Reader);
     assert!(!leaving.state.outage_suspected);
 }
 
@@ -141,14 +150,14 @@
         ("b", failing),
         ("c", ReaderStatus::Eligible),
     ]);
-    assert!(!role(&last, "d", failing).state.no_able_reader);
+    assert!(!role(&last, "d", failing).state.no_eligible_reader);
     let none = alive(&[
         ("a", failing),
         ("b", ReaderStatus::Untested),
         ("c", failing),
     ]);
     let role = role(&none, "d", failing);
-    assert!(role.state.no_able_reader);
+    assert!(role.state.no_eligible_reader);
     // The VM that has not tried lately tries.
     assert_eq!(role.reader, Some(address(2)));
 }
@@ -159,8 +168,8 @@
 fn a_vm_that_was_not_answered_reads_again_only_if_no_other_is_eligible() {
     let others = alive(&[("a", ReaderStatus::Untested), ("c", ReaderStatus::Eligible)]);
     assert_eq!(
-        role(&others, "b", ReaderStatus::Eligible).lead,
-        Lead::Leading
+        role(&others, "b", ReaderStatus::Eligible).read_role,
+        ReadRole::Reader
     );
     assert_eq!(
         role(&others, "d", ReaderStatus::Eligible).reader,
--- a/crates/relay/tests/all/timings.rs
+++ b/crates/relay/tests/all/timings.rs
@@ -42,7 +42,7 @@
         );
         assert!(timing.alone.pause + lost <= bounds.drain, "{bounds:?}");
         assert!(
-            timing.leading.pause + lost <= timing.max_proof_age,
+            timing.reader.pause + lost <= timing.max_proof_age,
             "{bounds:?}"
         );
     }
@@ -76,8 +76,8 @@
     let short = Timings::try_from(&bounds(2_000, 2_000, Some(5_000))).unwrap();
     let long = Timings::try_from(&bounds(4_000, 4_000, Some(5_000))).unwrap();
     assert_eq!(
-        long.endpoints.leading.pause,
-        short.endpoints.leading.pause * 2
+        long.endpoints.reader.pause,
+        short.endpoints.reader.pause * 2
     );
     let longest = Timings::try_from(&bounds(60_000, 60_000, None)).unwrap();
     assert_eq!(longest.endpoints, long.endpoints);
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use pimento_relay::boot;
-use pimento_relay::follow::Lead;
 use pimento_relay::follow::Proof;
+use pimento_relay::follow::ReadRole;
 use pimento_relay::follow::Timing;
 use pimento_relay::zone::Failure;
 use pimento_relay::zone::LogState;
@@ -19,7 +19,7 @@
 use crate::fixture::TIMING;
 use crate::log::Behaviour;
 
-/// Proofs expire so soon that a VM that is led has to read the log itself.
+/// Proofs expire so soon that a VM that is served has to read the log itself.
 const SHORT_PROOFS: Timing = Timing {
     max_proof_age: Duration::from_millis(50),
     ..TIMING
@@ -28,17 +28,17 @@
 /// Other VMs of the zone, so many that each gets a turn once in a dozen seconds.
 const OTHER_VMS: u64 = 60;
 
-/// Makes the fixture's VM one that is led, in a large zone in which the log answers no VM.
+/// Makes the fixture's VM one that is served, in a large zone in which the log answers no VM.
 fn leave_without_able_reader(fixture: &Fixture) {
     for node in 0..OTHER_VMS {
         let at = Moment::ZERO;
         fixture.zone.record_stamp(Stamp { node, at });
     }
     fixture.zone.set_log_state(LogState {
-        no_able_reader: true,
+        no_eligible_reader: true,
         outage_suspected: true,
     });
-    fixture.zone.lead.send_replace(Lead::Led);
+    fixture.zone.read_role.send_replace(ReadRole::Served);
 }
 
 // Guards against all VMs of a zone calling an unreachable log: each did as soon as its last proof expired,
@@ -71,11 +71,11 @@
     let fixture = Fixture::new();
     fixture.make_led().await;
     fixture.zone.set_log_state(LogState {
-        no_able_reader: false,
+        no_eligible_reader: false,
         outage_suspected: true,
     });
     let calls = fixture.log.calls();
-    fixture.zone.lead.send_replace(Lead::Leading);
+    fixture.zone.read_role.send_replace(ReadRole::Reader);
     tokio::time::sleep(Duration::from_millis(150)).await;
     assert_eq!(fixture.log.calls(), calls);
     fixture
@@ -131,7 +131,7 @@
         .await;
     fixture.log.set_behaviour(Behaviour::Refusing);
     tokio::time::sleep(QUICK.wait * 2).await;
-    fixture.zone.lead.send_replace(Lead::Led);
+    fixture.zone.read_role.send_replace(ReadRole::Served);
     tokio::time::sleep(QUICK.wait * 2).await;
     let calls = fixture.log.calls();
     tokio::time::sleep(Duration::from_millis(500)).await;
