--- a/crates/relay/src/codec.rs
+++ b/crates/relay/src/codec.rs
@@ -19,7 +19,7 @@
 
 /// An operators' order to move a service to another version of its software.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Rollout {
+pub struct Order {
     /// The service.
     pub pool: id::Pool,
     /// The new version.
@@ -34,7 +34,7 @@
     /// A complete configuration.
     Table(Box<Table>),
     /// An order to roll out a version.
-    Rollout(Rollout),
+    Rollout(Order),
     /// A record that this version of the program does not use.
     Other,
 }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -450,7 +450,7 @@
     /// Marks the log as disconnected if the view has not been proven for too long. Called after a failed
     /// read, and in place of one that must wait for its turn.
     ///
-    /// A VM that is served stays connected through its reader's proofs, which may be as old as
+    /// A served VM stays connected through its reader's proofs, which may be as old as
     /// `max_proof_age`. By its own reads alone it would disconnect and reconnect several times a second
     /// while the log refuses it.
     fn check_disconnected(&self, role: ReadRole, polling: Polling) {
--- a/crates/relay/src/follow/timing.rs
+++ b/crates/relay/src/follow/timing.rs
@@ -19,13 +19,13 @@
     pub alone: Polling,
     /// Polling of the reader, whose proofs the other VMs of the zone receive later.
     pub reader: Polling,
-    /// A VM for which the reader reads, reads the log itself once its last proof is this old.
+    /// A served VM reads the log itself once its last proof is this old.
     pub max_proof_age: Duration,
     /// The longest time without data before an answer begins, beyond the wait, and within an answer.
     pub timeout: Duration,
 }
 
-/// Polling of a VM that has a reader but must read itself, because it lacks a change or its proof is too
+/// Polling of a served VM that must read the log itself, because it lacks a change or its proof is too
 /// old.
 pub const AT_ONCE: Polling = Polling {
     wait: Duration::ZERO,
@@ -38,9 +38,9 @@
     /// It reads for itself; no other VM of the zone is alive.
     #[default]
     Alone,
-    /// It is the reader: it reads for the other VMs as well.
+    /// It is the reader of its zone: it reads for the other VMs as well.
     Reader,
-    /// Another VM, the reader, reads for it.
+    /// It is served: another VM, the reader, reads for it.
     Served,
 }
 
@@ -48,7 +48,7 @@
 /// bounds on changes of the configuration and on leaving endpoints are two seconds.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// The longest wait of a VM that has a reader, which reports as soon as the log is reachable again. All
+/// The longest wait of a served VM, whose reader reports as soon as the log is reachable again. All
 /// calls are paid for, including refused ones.
 pub const SERVED_BACKOFF: Duration = Duration::from_millis(1_200);
 
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -8,18 +8,18 @@
 use crate::boot;
 use crate::codec::Codec;
 use crate::codec::OperatorRecord;
-use crate::codec::Rollout;
+use crate::codec::Order;
 use crate::follow::Fold;
 use crate::follow::RecordContext;
 use crate::node::millis;
 use crate::table::Table;
 use crate::topic::Record;
 
-/// A roll-out order, with where and when it was read.
+/// An [`Order`], with where and when it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RolloutOrder {
+pub struct ReadOrder {
     /// The roll-out that is ordered.
-    pub rollout: Rollout,
+    pub rollout: Order,
     /// Its offset in the topic, which distinguishes it from an earlier identical order.
     pub offset: Offset,
     /// When this VM read it.
@@ -34,7 +34,7 @@
     codec: C,
     table: Option<Arc<Table>>,
     /// The newest order for each service, sorted by service.
-    orders: Vec<RolloutOrder>,
+    orders: Vec<ReadOrder>,
 }
 
 impl<C: Codec> Operators<C> {
@@ -56,12 +56,12 @@
 
     /// The newest order for each service, sorted by service.
     #[must_use]
-    pub fn orders(&self) -> &[RolloutOrder] {
+    pub fn orders(&self) -> &[ReadOrder] {
         &self.orders
     }
 
-    fn insert_order(&mut self, order: RolloutOrder) {
-        let find = |known: &RolloutOrder| known.rollout.pool.cmp(&order.rollout.pool);
+    fn insert_order(&mut self, order: ReadOrder) {
+        let find = |known: &ReadOrder| known.rollout.pool.cmp(&order.rollout.pool);
         match self.orders.binary_search_by(find) {
             Ok(index) => self.orders[index] = order,
             Err(index) => self.orders.insert(index, order),
@@ -100,7 +100,7 @@
                     lasts_ms = millis(rollout.time_limit);
                     "operators: Roll-out ordered."
                 );
-                self.insert_order(RolloutOrder {
+                self.insert_order(ReadOrder {
                     rollout,
                     offset: record.offset,
                     read_at: context.received,
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -26,7 +26,7 @@
 use self::state::Step;
 use self::state::Visibility;
 use crate::config::Exposure;
-use crate::operators::RolloutOrder;
+use crate::operators::ReadOrder;
 use crate::sessions::Sessions;
 
 /// The longest time between announcements of a VM, which show the others that it is alive.
@@ -138,13 +138,13 @@
 
     /// Whether this order, or a later one for the same service, was added.
     #[must_use]
-    pub fn has_order(&self, order: &RolloutOrder) -> bool {
+    pub fn has_order(&self, order: &ReadOrder) -> bool {
         let known = self.get(&order.rollout.pool);
         known.is_some_and(|known| known.offset() >= order.offset)
     }
 
     /// Adds an order. `ended` is how it ended, if that was before this process started.
-    pub fn add_order(&mut self, order: RolloutOrder, ended: Option<End>, now: Moment) {
+    pub fn add_order(&mut self, order: ReadOrder, ended: Option<End>, now: Moment) {
         let mut rollout = RolloutState::new(order, ended.map(|end| (end, now)));
         if ended.is_none() {
             for session in self.sessions.active(now) {
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -37,7 +37,7 @@
 use crate::follow::Timing;
 use crate::headers::HeaderCodec;
 use crate::node::Node;
-use crate::operators::RolloutOrder;
+use crate::operators::ReadOrder;
 use crate::pools;
 use crate::topic::Error;
 use crate::topic::Log;
@@ -178,9 +178,9 @@
     /// topic shows. While the service has a single version this makes no difference, and the topic is not
     /// read: VMs that start together would all call the log for nothing.
     async fn accept_orders(&mut self) -> Pending {
-        let orders: Vec<RolloutOrder> = self.node.operators.view(|view| view.orders().to_vec());
-        let known = |order: &RolloutOrder| self.node.rollouts(|r| r.has_order(order));
-        let new: Vec<RolloutOrder> = orders.into_iter().filter(|order| !known(order)).collect();
+        let orders: Vec<ReadOrder> = self.node.operators.view(|view| view.orders().to_vec());
+        let known = |order: &ReadOrder| self.node.rollouts(|r| r.has_order(order));
+        let new: Vec<ReadOrder> = orders.into_iter().filter(|order| !known(order)).collect();
         let now = boot::now();
         if new.iter().any(|order| order.initial) {
             // The pools may not know the versions of the endpoints yet.
@@ -322,7 +322,7 @@
 
     /// Reports an end to the operators unless one was reported already; whether one is known to be
     /// reported now.
-    async fn report_end(&self, order: &RolloutOrder, end: End) -> bool {
+    async fn report_end(&self, order: &ReadOrder, end: End) -> bool {
         let pool = &order.rollout.pool;
         let target = &order.rollout.target;
         let Some((statuses, at)) = self.read_statuses().await else {
@@ -407,7 +407,7 @@
 /// same version.
 fn reported_end(
     statuses: &[(Offset, RolloutStatus)],
-    order: &RolloutOrder,
+    order: &ReadOrder,
     since: Offset,
 ) -> Option<End> {
     let found = statuses.iter().find(|(offset, status)| {
--- a/crates/relay/src/rollouts/state.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -16,7 +16,7 @@
 use super::announcement::Outcome;
 use super::announcement::RequestCounts;
 use super::announcement::Route;
-use crate::operators::RolloutOrder;
+use crate::operators::ReadOrder;
 
 /// After this long without an announcement from a VM the roll-out no longer waits for it: the VM is
 /// down, or cut off from the log, in which case it admits no keys and sends no requests. It is the time of
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct RolloutState {
     /// The order.
-    pub order: RolloutOrder,
+    pub order: ReadOrder,
     /// How old the order was when this VM read it, by the announcements of other VMs.
     read_delay: Duration,
     /// How the roll-out ended, and when this VM knew of it.
@@ -83,7 +83,7 @@
 impl RolloutState {
     /// A roll-out that begins, or that ended before this process started.
     #[must_use]
-    pub const fn new(order: RolloutOrder, ended: Option<(End, Moment)>) -> Self {
+    pub const fn new(order: ReadOrder, ended: Option<(End, Moment)>) -> Self {
         Self {
             order,
             read_delay: Duration::ZERO,
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -71,7 +71,7 @@
         .await;
 }
 
-// A VM that is served makes no calls while nothing changes. Its view is as young as the stamp that the reader
+// A served VM makes no calls while nothing changes. Its view is as young as the stamp that the reader
 // had received before its read.
 #[tokio::test]
 async fn a_proof_dates_the_view_by_its_own_stamp() {
--- a/crates/relay/tests/all/peers.rs
+++ b/crates/relay/tests/all/peers.rs
@@ -51,9 +51,9 @@
 #[test]
 fn the_first_eligible_vm_by_name_reads() {
     let others = alive(&[("a", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
-    let led = role(&others, "b", ReaderStatus::Eligible);
+    let served = role(&others, "b", ReaderStatus::Eligible);
     assert_eq!(
-        (led.read_role, led.reader),
+        (served.read_role, served.reader),
         (ReadRole::Served, Some(address(1)))
     );
     let others = alive(&[("b", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
--- a/crates/relay/tests/all/rollouts.rs
+++ b/crates/relay/tests/all/rollouts.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use pimento_relay::codec::Rollout;
+use pimento_relay::codec::Order;
 use pimento_relay::config::Exposure;
-use pimento_relay::operators::RolloutOrder;
+use pimento_relay::operators::ReadOrder;
 use pimento_relay::rollouts::FinishedRequest;
 use pimento_relay::rollouts::Rollouts;
 use pimento_relay::rollouts::announcement::End;
@@ -50,9 +50,9 @@
     at(ORDERED)
 }
 
-fn order() -> RolloutOrder {
-    RolloutOrder {
-        rollout: Rollout {
+fn order() -> ReadOrder {
+    ReadOrder {
+        rollout: Order {
             pool: pool(),
             target: new(),
             time_limit: TIME_LIMIT,
@@ -233,7 +233,7 @@
     begin(&mut prompt);
     late.update_versions(&pool(), vec![(old(), 4), (new(), 4)]);
     let read = ordered() + Duration::from_secs(10);
-    let order = RolloutOrder {
+    let order = ReadOrder {
         read_at: read,
         ..order()
     };
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -19,7 +19,7 @@
 use crate::fixture::TIMING;
 use crate::log::Behaviour;
 
-/// Proofs expire so soon that a VM that is served has to read the log itself.
+/// Proofs expire so soon that a served VM has to read the log itself.
 const SHORT_PROOFS: Timing = Timing {
     max_proof_age: Duration::from_millis(50),
     ..TIMING
@@ -28,7 +28,7 @@
 /// Other VMs of the zone, so many that each gets a turn once in a dozen seconds.
 const OTHER_VMS: u64 = 60;
 
-/// Makes the fixture's VM one that is served, in a large zone in which the log answers no VM.
+/// Makes the fixture's VM a served one, in a large zone in which the log answers no VM.
 fn leave_without_able_reader(fixture: &Fixture) {
     for node in 0..OTHER_VMS {
         let at = Moment::ZERO;
