--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -6,9 +6,17 @@
 //! retried on another connection, because a connection may fall silent for good.
 //!
 //! In each zone one VM, the reader, reads for the others ([`ReadRole`]), which make no calls while nothing
-//! changes. The reader's proof dates another VM's view by that VM's own clock: it names the last stamp
-//! which the reader had received from that VM before it sent the read. A datagram that was delayed, by
-//! the network or by a suspended VM, can therefore never make a view look younger than it is.
+//! changes. The reader can't tell a served VM how old its view is by the reader's own clock, because their
+//! clocks can't be compared. A served VM B and its reader A proceed as follows:
+//!
+//! 1. B sends its time t, a [`Stamp`], to A with its datagrams.
+//! 2. A sends a read after it has received t, and reads the topic to its end.
+//! 3. A's next datagram holds a [`Proof`]: the offset after the last change, and t.
+//! 4. If B has all changes before that offset, its view is current as of t, by B's own clock. Otherwise B
+//!    first gets the changes that it lacks.
+//!
+//! A datagram that was delayed, by the network or by a suspended VM, makes a view look older than it is,
+//! never younger.
 
 mod exchange;
 mod fold;
@@ -55,12 +63,12 @@
 use crate::zone::Stamp;
 use crate::zone::Zone;
 
-/// What a VM that reads the log proves to another VM: a view that holds everything before `changed` was
+/// What a VM that reads the log proves to another VM: a view that holds everything before `change_end` was
 /// up to date at `stamp`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Proof {
     /// The offset after the last record that changed the sender's view.
-    pub changed: Offset,
+    pub change_end: Offset,
     /// The last stamp of the receiving VM that had reached the sender before it sent the read.
     pub stamp: Moment,
 }
@@ -88,7 +96,8 @@
     inner: Arc<Mutex<View<F>>>,
     /// Notified when another VM's proof arrives.
     wake: Arc<Notify>,
-    changed: Arc<watch::Sender<u64>>,
+    /// Number of changes of the view.
+    change_count: Arc<watch::Sender<u64>>,
     /// Held during a confirming read, so that callers share it.
     confirming: Arc<tokio::sync::Mutex<()>>,
     /// Notified at the end of each read of the follower's own task.
@@ -106,7 +115,7 @@
             started: self.started,
             wake: Arc::clone(&self.wake),
             inner: Arc::clone(&self.inner),
-            changed: Arc::clone(&self.changed),
+            change_count: Arc::clone(&self.change_count),
             confirming: Arc::clone(&self.confirming),
             read_ended: Arc::clone(&self.read_ended),
         }
@@ -134,12 +143,12 @@
             started: boot::now(),
             wake: Arc::default(),
             inner: Arc::new(Mutex::new(inner)),
-            changed: Arc::new(watch::Sender::new(0)),
+            change_count: Arc::new(watch::Sender::new(0)),
             confirming: Arc::default(),
             read_ended: Arc::default(),
         };
-        let reader = follower.clone();
-        tokio::spawn(async move { token.run_until_cancelled(reader.run()).await });
+        let task = follower.clone();
+        tokio::spawn(async move { token.run_until_cancelled(task.run()).await });
         follower
     }
 
@@ -199,7 +208,7 @@
         let inner = self.lock();
         let found = inner.stamps.iter().find(|stamp| stamp.node == node)?;
         Some(Proof {
-            changed: inner.changed,
+            change_end: inner.change_end,
             stamp: found.at,
         })
     }
@@ -210,7 +219,7 @@
     #[must_use]
     pub fn chunks_from(&self, from: Offset) -> (Option<Vec<Vec<Record>>>, Offset) {
         let inner = self.lock();
-        (inner.recent.chunks_from(from), inner.changed)
+        (inner.recent.chunks_from(from), inner.change_end)
     }
 
     /// The records from `from` on that changed the view, and the offset after the last of them. No records
@@ -218,7 +227,7 @@
     #[must_use]
     pub fn records_from(&self, from: Offset) -> (Option<Vec<Record>>, Offset) {
         let inner = self.lock();
-        (inner.recent.records_from(from), inner.changed)
+        (inner.recent.records_from(from), inner.change_end)
     }
 
     /// Receives records from another VM. They are buffered until the view holds everything before them. If
@@ -226,7 +235,7 @@
     pub fn receive(&self, range: RecordRange) {
         let changed = self.lock().receive(range, boot::now());
         if changed {
-            self.changed.send_modify(|count| *count += 1);
+            self.change_count.send_modify(|count| *count += 1);
         }
     }
 
@@ -253,7 +262,7 @@
     /// A channel that is notified of each change of the view.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.change_count.subscribe()
     }
 
     async fn run(self) {
@@ -433,7 +442,7 @@
         }
         drop(inner);
         if changed {
-            self.changed.send_modify(|count| *count += 1);
+            self.change_count.send_modify(|count| *count += 1);
         }
         complete
     }
--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -55,7 +55,7 @@
         let records = snapshot.records.len();
         let age_ms = millis(snapshot.age);
         log::info!(topic = self.topic.as_str(), records, age_ms; "follower: Adopted a neighbour's view.");
-        self.changed.send_modify(|count| *count += 1);
+        self.change_count.send_modify(|count| *count += 1);
     }
 
     /// The view for a VM that asked for it at `asked`; none if nothing was read yet. The log is read once
--- a/crates/relay/src/follow/view.rs
+++ b/crates/relay/src/follow/view.rs
@@ -41,7 +41,7 @@
     /// The offset of the next read; none before the first read.
     pub next: Option<Offset>,
     /// The offset after the last record that changed the view.
-    pub changed: Offset,
+    pub change_end: Offset,
     /// The most recent of the records that changed the view.
     pub recent: Recent,
     /// The newest record of each key that has a value, sorted by key, for VMs that start.
@@ -78,7 +78,7 @@
             fold,
             seen: Vec::new(),
             next: None,
-            changed: Offset::default(),
+            change_end: Offset::default(),
             recent: Recent::default(),
             newest: Vec::new(),
             early: Vec::new(),
@@ -111,7 +111,7 @@
         };
         let changed = self.fold.apply(record, context);
         if changed {
-            self.changed = self.changed.max(record.offset.next());
+            self.change_end = self.change_end.max(record.offset.next());
             self.recent.push(record);
             self.update_newest(record);
         }
@@ -193,8 +193,8 @@
 
     /// Receives another VM's proof: there were changes up to an offset, and none after it as of a moment.
     pub fn receive_proof(&mut self, proof: Proof, now: Moment) {
-        if proof.changed > self.announced {
-            self.announced = proof.changed;
+        if proof.change_end > self.announced {
+            self.announced = proof.change_end;
             self.announced_at = now;
         }
         let newer = |known: Proof| known.stamp < proof.stamp;
@@ -209,7 +209,7 @@
 
     /// Applies the pending proof if the view holds all changes that it covers.
     fn apply_pending_proof(&mut self) {
-        let holds = |proof: &Proof| self.next.is_some_and(|next| next >= proof.changed);
+        let holds = |proof: &Proof| self.next.is_some_and(|next| next >= proof.change_end);
         if let Some(proof) = self.pending_proof.filter(holds) {
             self.proven_at = self.proven_at.max(Some(proof.stamp));
             self.pending_proof = None;
--- a/crates/relay/src/neighbours/message.rs
+++ b/crates/relay/src/neighbours/message.rs
@@ -60,12 +60,12 @@
 
 /// Encodes a proof for a datagram.
 pub const fn encode_proof(proof: Proof) -> (Offset, Moment) {
-    (proof.changed, proof.stamp)
+    (proof.change_end, proof.stamp)
 }
 
 /// Decodes a proof.
-pub const fn decode_proof((changed, stamp): (Offset, Moment)) -> Proof {
-    Proof { changed, stamp }
+pub const fn decode_proof((change_end, stamp): (Offset, Moment)) -> Proof {
+    Proof { change_end, stamp }
 }
 
 /// A prompt that an engine prefilled.
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -126,7 +126,7 @@
     }
 
     /// Makes another VM read for this one, once this one has a view.
-    pub async fn make_led(&self) {
+    pub async fn make_served(&self) {
         self.until("a first proof", |f| f.follower.proven_at().is_some())
             .await;
         self.zone.read_role.send_replace(ReadRole::Served);
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -78,12 +78,12 @@
     let fixture = Fixture::new();
     let next = fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
-    fixture.make_led().await;
+    fixture.make_served().await;
     let calls = fixture.log.calls();
     let stamp = boot::now();
     tokio::time::sleep(Duration::from_millis(50)).await;
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp,
     });
     assert_eq!(fixture.follower.proven_at(), Some(stamp));
@@ -94,12 +94,12 @@
 #[tokio::test]
 async fn a_proof_with_a_change_makes_the_vm_read() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     let before = fixture.follower.proven_at();
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp,
     });
     assert_eq!(fixture.follower.proven_at(), before);
@@ -111,11 +111,11 @@
 #[tokio::test]
 async fn a_stamp_of_another_incarnation_proves_nothing() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     let before = fixture.follower.proven_at();
     for stamp in [boot::now() + MAX_WAIT, Moment::ZERO] {
         fixture.follower.receive_proof(Proof {
-            changed: Offset::default(),
+            change_end: Offset::default(),
             stamp,
         });
         assert_eq!(fixture.follower.proven_at(), before);
@@ -138,14 +138,14 @@
     fixture.log.set_behaviour(Behaviour::Healthy);
     let back = boot::now();
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp: back,
     });
     let proof_received = boot::now();
     tokio::time::sleep(Duration::from_millis(300)).await;
     let next = fixture.log.put("a", None);
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp: boot::now(),
     });
     fixture.until("a removed", |f| f.keys().len() == 2).await;
@@ -190,7 +190,7 @@
 async fn records_in_reordered_datagrams_need_no_read() {
     let other = Fixture::new();
     let own = Fixture::new();
-    own.make_led().await;
+    own.make_served().await;
     let calls = own.log.calls();
     let from = own.follower.next_offset().unwrap();
     let long = "x".repeat(500);
@@ -202,7 +202,7 @@
     let (chunks, to) = forwarded(&other, from);
     assert!(chunks.len() > 2, "they fit a datagram");
     let proof = Proof {
-        changed: to,
+        change_end: to,
         stamp: boot::now(),
     };
     own.follower.receive_proof(proof);
@@ -234,7 +234,7 @@
         fixture.log.put("a", Some("1"));
         fixture.until("a", |f| f.keys() == ["a"]).await;
     }
-    own.make_led().await;
+    own.make_served().await;
     let calls = own.log.calls();
     let from = own.follower.next_offset().unwrap();
     let stamp = boot::now();
@@ -243,7 +243,10 @@
     other.until("three", |f| f.keys() == ["a", "b", "a"]).await;
     let (chunks, to) = forwarded(&other, from);
     own.follower.receive(range(from, to, chunks.concat()));
-    own.follower.receive_proof(Proof { changed: to, stamp });
+    own.follower.receive_proof(Proof {
+        change_end: to,
+        stamp,
+    });
     assert_eq!(own.keys(), ["a", "b", "a"]);
     assert_eq!(own.follower.proven_at(), Some(stamp));
     assert_eq!(own.log.calls(), calls);
@@ -254,7 +257,7 @@
 #[tokio::test]
 async fn records_after_a_gap_are_read_instead() {
     let own = Fixture::new();
-    own.make_led().await;
+    own.make_served().await;
     own.log.put("lost", Some("1"));
     let from = own.log.put("c", Some("1"));
     let record = Record {
@@ -266,7 +269,7 @@
     own.follower.receive(range(from, to, vec![record]));
     assert!(own.keys().is_empty());
     own.follower.receive_proof(Proof {
-        changed: to,
+        change_end: to,
         stamp: boot::now(),
     });
     own.until("all three", |f| f.keys() == ["lost", "c", "d"])
@@ -287,7 +290,7 @@
     own.log.put("a", None);
     own.until("read", |f| f.follower.next_offset() == Some(Offset(2)))
         .await;
-    own.make_led().await;
+    own.make_served().await;
     let before = own.keys();
     let (chunks, to) = forwarded(&other, Offset(0));
     own.follower.receive(range(Offset(0), to, chunks.concat()));
@@ -324,13 +327,13 @@
 #[tokio::test]
 async fn proofs_do_not_shorten_the_backoff_of_a_refused_vm() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     let next = fixture.log.put("a", Some("1"));
     fixture.log.set_behaviour(Behaviour::Refusing);
     let calls = fixture.log.calls();
     for _ in 0..100 {
         fixture.follower.receive_proof(Proof {
-            changed: next,
+            change_end: next,
             stamp: boot::now(),
         });
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -351,11 +354,11 @@
         ..TIMING
     };
     let fixture = Fixture::with_timing(timing);
-    fixture.make_led().await;
+    fixture.make_served().await;
     fixture.log.set_behaviour(Behaviour::Refusing);
     for _ in 0..4 {
         fixture.follower.receive_proof(Proof {
-            changed: Offset::default(),
+            change_end: Offset::default(),
             stamp: boot::now(),
         });
         // The VM begins to read once the proof is older than its timing allows.
@@ -370,12 +373,12 @@
 #[tokio::test]
 async fn a_change_that_could_not_be_read_is_read_later() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     let next = fixture.log.put("a", Some("1"));
     fixture.log.set_behaviour(Behaviour::Refusing);
     let calls = fixture.log.calls();
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp: boot::now(),
     });
     fixture
@@ -389,10 +392,10 @@
 #[tokio::test]
 async fn calls_are_counted_by_reason() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     let next = fixture.log.put("a", Some("1"));
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp: boot::now(),
     });
     fixture.until("a", |f| f.keys() == ["a"]).await;
@@ -413,13 +416,13 @@
 #[tokio::test]
 async fn a_proof_counts_once_its_records_have_arrived() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     fixture.log.set_behaviour(Behaviour::Silent);
     let from = fixture.follower.next_offset().unwrap();
     let next = fixture.log.put("a", Some("1"));
     let stamp = boot::now();
-    let changed = next;
-    fixture.follower.receive_proof(Proof { changed, stamp });
+    let change_end = next;
+    fixture.follower.receive_proof(Proof { change_end, stamp });
     assert!(fixture.follower.proven_at() < Some(stamp));
     fixture.follower.receive(RecordRange {
         from,
@@ -438,7 +441,7 @@
 async fn records_of_endpoints_replaced_together_are_forwarded() {
     let other = Fixture::new();
     let own = Fixture::new();
-    own.make_led().await;
+    own.make_served().await;
     let from = own.follower.next_offset().unwrap();
     for place in 0..400 {
         other.log.put(&format!("old-{place}"), None);
--- a/crates/relay/tests/all/large.rs
+++ b/crates/relay/tests/all/large.rs
@@ -57,9 +57,9 @@
 #[tokio::test]
 async fn an_announcement_of_records_that_do_not_exist_is_dropped() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     fixture.follower.receive_proof(Proof {
-        changed: Offset(1_000),
+        change_end: Offset(1_000),
         stamp: boot::now(),
     });
     assert!(fixture.follower.behind().is_some());
@@ -76,14 +76,14 @@
 #[tokio::test]
 async fn a_view_knows_how_long_it_is_behind() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     assert_eq!(fixture.follower.behind(), None);
     fixture.log.set_behaviour(Behaviour::Refusing);
     let next = fixture.log.put("a", Some("1"));
     let announced = boot::now();
     for _ in 0..3 {
         fixture.follower.receive_proof(Proof {
-            changed: next,
+            change_end: next,
             stamp: boot::now(),
         });
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -145,13 +145,13 @@
 #[tokio::test]
 async fn the_timeout_grows_while_the_log_is_busy_with_a_change() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     fixture
         .log
         .set_behaviour(Behaviour::Delayed(TIMING.timeout * 3));
     let next = fixture.log.put("a", Some("1"));
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp: boot::now(),
     });
     fixture.until("a", |f| f.keys() == ["a"]).await;
--- a/crates/relay/tests/all/snapshot.rs
+++ b/crates/relay/tests/all/snapshot.rs
@@ -107,7 +107,7 @@
     fixture
         .until("a proof", |f| f.follower.proven_at().is_some())
         .await;
-    fixture.make_led().await;
+    fixture.make_served().await;
     let calls = fixture.log.calls();
     let requested = boot::now();
     let (one, other) = tokio::join!(
@@ -155,7 +155,7 @@
     let fixture = Fixture::new();
     fixture.log.put("a", Some("1"));
     fixture.until("a", |f| f.keys() == ["a"]).await;
-    fixture.make_led().await;
+    fixture.make_served().await;
     fixture.log.set_behaviour(Behaviour::Refusing);
     tokio::time::sleep(Duration::from_millis(100)).await;
     let calls = fixture.log.calls();
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -59,7 +59,7 @@
     fixture.log.set_behaviour(Behaviour::Healthy);
     let stamp = boot::now();
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp,
     });
     assert_eq!(fixture.follower.proven_at(), Some(stamp));
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn a_new_reader_waits_when_an_outage_is_suspected() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     fixture.zone.set_log_state(LogState {
         no_eligible_reader: false,
         outage_suspected: true,
@@ -113,7 +113,7 @@
     let next = fixture.log.put("a", Some("1"));
     fixture.zone.set_log_state(LogState::default());
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp: boot::now(),
     });
     let started = tokio::time::Instant::now();
