--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -318,7 +318,7 @@
             Err(_) => Fault::Timeout,
         };
         if matches!(fault, Fault::Timeout) {
-            self.record_evidence(&permit, self.time_to_answer());
+            self.record_evidence(&permit, self.outcome_now());
         }
         if fault.not_run() {
             self.state.runs -= 1;
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -91,7 +91,7 @@
     }
 
     /// The outcome of an answer that begins now.
-    pub(super) fn time_to_answer(&self) -> Outcome {
+    pub(super) fn outcome_now(&self) -> Outcome {
         let took = self.node.now().since(self.state.last_sent);
         Outcome::Served(took)
     }
@@ -113,7 +113,7 @@
         let outcome = if failed {
             Outcome::Failed
         } else {
-            self.time_to_answer()
+            self.outcome_now()
         };
         let result = if failed { "failed" } else { "answered" };
         self.node.metrics.count_attempt(&self.request.pool, result);
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -94,7 +94,7 @@
     }
 
     /// Stores a registration. Returns false if it only shows that the endpoint is still alive.
-    fn renew(&mut self, entry: Registration, offset: Offset) -> bool {
+    fn store(&mut self, entry: Registration, offset: Offset) -> bool {
         let known = self.member(&entry.id);
         let same = known.is_some_and(|member| member.grace_end.is_none() && member.entry == entry);
         if same {
@@ -170,7 +170,7 @@
             return true;
         };
         match self.codec.decode_registration(&record.key, value) {
-            Ok(entry) => self.renew(entry, record.offset),
+            Ok(entry) => self.store(entry, record.offset),
             Err(error) => {
                 // Without a valid registration the endpoint can't be used. If it is alive it writes again soon.
                 log::warn!(
--- a/crates/relay/src/follow/exchange.rs
+++ b/crates/relay/src/follow/exchange.rs
@@ -74,7 +74,7 @@
     }
 
     /// The failure of a read that the log answered with an error, or whose connection broke.
-    pub fn refused(&self, error: &Error) -> Failure {
+    pub fn failed_with(&self, error: &Error) -> Failure {
         let kind = match error {
             Error::Refused { .. } => zone::Failure::Refused,
             _ => zone::Failure::Unanswered,
@@ -83,7 +83,7 @@
     }
 
     /// The failure of a read that timed out.
-    pub fn given_up(&self, silent: TimedOut) -> Failure {
+    pub fn timed_out(&self, silent: TimedOut) -> Failure {
         self.failed(zone::Failure::Unanswered, silent.to_string())
     }
 
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -44,7 +44,9 @@
                     .is_some_and(|proven| proven >= exchange.sent)
             }
             Ok(Err(error)) => {
-                exchange.refused(&error).log("Could not confirm the view");
+                exchange
+                    .failed_with(&error)
+                    .log("Could not confirm the view");
                 false
             }
             Err(failure) => {
@@ -150,7 +152,7 @@
                 self.lock().next = None;
                 Ok(false)
             }
-            Err(error) => Err(exchange.refused(&error)),
+            Err(error) => Err(exchange.failed_with(&error)),
         }
     }
 
@@ -177,6 +179,6 @@
         if let Ok(Ok(_)) = &answer {
             exchange.answered();
         }
-        answer.map_err(|silent| exchange.given_up(silent))
+        answer.map_err(|silent| exchange.timed_out(silent))
     }
 }
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -355,10 +355,10 @@
         let ages = [self.node.operators.age(), self.node.directory.age()];
         let young = |age: &Option<Duration>| age.is_some_and(|age| age < MAX_VIEW_AGE);
         match self.zone.reachability(boot::now()) {
-            Reachability::Unreachable => ReaderStatus::Unanswered,
+            Reachability::Unreachable => ReaderStatus::Unreachable,
             Reachability::Reachable if ages.iter().any(Option::is_none) => ReaderStatus::Starting,
             Reachability::Reachable if ages.iter().all(young) => ReaderStatus::Eligible,
-            Reachability::Reachable | Reachability::Untested => ReaderStatus::Untested,
+            Reachability::Reachable | Reachability::Suspect => ReaderStatus::Untested,
         }
     }
 }
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -59,11 +59,7 @@
     /// Writes this VM's record to the log.
     async fn publish(&self) {
         let mut delay = RETRY_DELAY;
-        while !self
-            .node
-            .publish(&self.node.announcement(), &self.log)
-            .await
-        {
+        while !self.node.publish(&self.node.vm_record(), &self.log).await {
             delay = back_off(delay).await;
         }
     }
@@ -141,7 +137,7 @@
     async fn publish_rates(&self) {
         loop {
             tokio::time::sleep(LEARNT_INTERVAL).await;
-            let record = self.node.announcement();
+            let record = self.node.vm_record();
             let known = !record.seconds_per_token.is_empty();
             let alone = *self.zone.read_role.borrow() != ReadRole::Served;
             if known && alone && self.node.publish(&record, &self.log).await {
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -41,7 +41,7 @@
     /// Its view is old, or its reads were not answered some time ago and it has not tried since.
     Untested,
     /// Its reads are not answered.
-    Unanswered,
+    Unreachable,
     /// It is shutting down.
     Leaving,
 }
@@ -204,7 +204,7 @@
             };
         }
         let unanswered = |(status, ..): &&(ReaderStatus, &id::Node, Option<SocketAddr>)| {
-            *status == ReaderStatus::Unanswered
+            *status == ReaderStatus::Unreachable
         };
         let all: Vec<_> = others.into_iter().chain([(status, own, None)]).collect();
         // A VM with a better status comes first; among equal ones names decide.
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -219,7 +219,7 @@
     /// Whether the configuration is recent enough to admit keys.
     #[must_use]
     pub fn key_freshness(&self) -> Freshness {
-        self.within_revoke_bound(FRESH_SHARE)
+        self.age_freshness(FRESH_SHARE)
     }
 
     /// Whether the configuration is recent enough to handle requests, with a key or without.
@@ -229,12 +229,12 @@
     /// it would serve callers by an outdated configuration for as long as it can't reach the log.
     #[must_use]
     pub fn config_freshness(&self) -> Freshness {
-        self.caught_up(FRESH_SHARE)
+        self.change_freshness(FRESH_SHARE)
     }
 
     /// Whether no known change has been missing for longer than a share of the bound on configuration
     /// changes.
-    fn caught_up(&self, share: f64) -> Freshness {
+    fn change_freshness(&self, share: f64) -> Freshness {
         let bound = self.config.bounds.config_apply.mul_f64(share);
         match self.operators.behind() {
             Some(behind) if behind > bound => Freshness::Stale,
@@ -243,7 +243,7 @@
     }
 
     /// Whether the configuration is younger than a share of the bound on revoked keys.
-    fn within_revoke_bound(&self, share: f64) -> Freshness {
+    fn age_freshness(&self, share: f64) -> Freshness {
         let Some(revoke) = self.config.bounds.revoke else {
             return Freshness::Fresh;
         };
@@ -266,8 +266,8 @@
         let endpoints_read = self.directory.proven_at().is_some();
         let leaving = self.leaving.is_cancelled();
         let fresh = [
-            self.within_revoke_bound(READY_SHARE),
-            self.caught_up(READY_SHARE),
+            self.age_freshness(READY_SHARE),
+            self.change_freshness(READY_SHARE),
         ];
         let fresh = fresh.iter().all(|known| *known == Freshness::Fresh);
         endpoints_read && !leaving && self.table().is_some() && fresh
@@ -282,7 +282,7 @@
 
     /// This VM's announcement to the other VMs, without roll-outs.
     #[must_use]
-    pub fn announcement(&self) -> VmRecord {
+    pub fn vm_record(&self) -> VmRecord {
         VmRecord {
             zone: self.config.zone.clone(),
             address: self.config.peer_listen,
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -431,5 +431,5 @@
         || now
             .iter()
             .zip(before)
-            .any(|(one, other)| one.differs(other))
+            .any(|(one, other)| one.is_urgent_after(other))
 }
--- a/crates/relay/src/rollouts/announcement.rs
+++ b/crates/relay/src/rollouts/announcement.rs
@@ -105,7 +105,7 @@
 impl Announcement {
     /// Whether others should soon know of the difference to an earlier announcement.
     #[must_use]
-    pub fn differs(&self, before: &Self) -> bool {
+    pub fn is_urgent_after(&self, before: &Self) -> bool {
         let state = |one: &Self| (one.order, one.bad, one.drained, one.ended);
         state(self) != state(before) || self.failing.len() != before.failing.len()
     }
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -274,7 +274,7 @@
         }));
         let record = VmRecord {
             rollouts,
-            ..self.node.announcement()
+            ..self.node.vm_record()
         };
         if self.node.publish(&record, &self.log).await {
             self.published = own;
--- a/crates/relay/src/timings.rs
+++ b/crates/relay/src/timings.rs
@@ -13,12 +13,12 @@
 
 /// Longer bounds have the timings of these. They would save few calls, and callers would see new endpoints
 /// and changes later than necessary.
-const LONGEST_LEAVING: Duration = Duration::from_secs(4);
-const LONGEST_CHANGE: Duration = Duration::from_secs(2);
+const MAX_LEAVING_BOUND: Duration = Duration::from_secs(4);
+const MAX_CHANGE_BOUND: Duration = Duration::from_secs(2);
 
 /// The shortest bounds that can be held: an answer of the log takes up to a tenth of a second.
-const SHORTEST_LEAVING: Duration = Duration::from_millis(600);
-const SHORTEST_CHANGE: Duration = Duration::from_secs(1);
+const MIN_LEAVING_BOUND: Duration = Duration::from_millis(600);
+const MIN_CHANGE_BOUND: Duration = Duration::from_secs(1);
 
 /// The longest timeout of an answer.
 const MAX_TIMEOUT: Duration = Duration::from_millis(450);
@@ -33,14 +33,14 @@
 /// Shares of the bound on leaving endpoints: the highest age of a proof, and the pauses between the reads of
 /// the reader and of a VM that is alone. One proof may be lost before the last one is too old.
 const LEAVING_PROOF_AGE: f64 = 0.75;
-const LEAVING_READER: f64 = 0.25;
-const LEAVING_ALONE: f64 = 0.45;
+const LEAVING_READER_PAUSE: f64 = 0.25;
+const LEAVING_ALONE_PAUSE: f64 = 0.45;
 
 /// Shares of the bound on changes: the highest age of a proof, the waits at the log of the reader and
 /// of a VM that is alone, and the timeout. A proof is as old as the read behind it, up to twice the wait.
 const CHANGE_PROOF_AGE: f64 = 1.15;
-const CHANGE_READER: f64 = 0.3;
-const CHANGE_ALONE: f64 = 0.5;
+const CHANGE_READER_WAIT: f64 = 0.3;
+const CHANGE_ALONE_WAIT: f64 = 0.5;
 const CHANGE_TIMEOUT: f64 = 0.225;
 
 /// Timing of the topic of requests during which endpoints crashed. VMs also send them to each other in
@@ -74,7 +74,7 @@
 pub enum Error {
     /// The bound on leaving endpoints.
     #[snafu(display(
-        "leaving endpoints can't be known within {bound:?}; the shortest possible bound is {SHORTEST_LEAVING:?}"
+        "leaving endpoints can't be known within {bound:?}; the shortest possible bound is {MIN_LEAVING_BOUND:?}"
     ))]
     Leaving {
         /// The bound.
@@ -82,7 +82,7 @@
     },
     /// The bound on changes of the configuration, or on revoked keys.
     #[snafu(display(
-        "a change can't be known within {bound:?}; the bound on changes and {REVOKE_SHARE} of the bound on revoked keys must be at least {SHORTEST_CHANGE:?}"
+        "a change can't be known within {bound:?}; the bound on changes and {REVOKE_SHARE} of the bound on revoked keys must be at least {MIN_CHANGE_BOUND:?}"
     ))]
     Change {
         /// The bound on changes, or the share of the bound on revoked keys if that is shorter.
@@ -107,17 +107,17 @@
     let bound = bounds
         .config_apply
         .min(revoke.unwrap_or(bounds.config_apply));
-    if bound < SHORTEST_CHANGE {
+    if bound < MIN_CHANGE_BOUND {
         return Err(Error::Change { bound });
     }
-    let bound = bound.min(LONGEST_CHANGE);
+    let bound = bound.min(MAX_CHANGE_BOUND);
     let waiting = |share: f64| Polling {
         wait: bound.mul_f64(share),
         pause: Duration::ZERO,
     };
     Ok(Timing {
-        alone: waiting(CHANGE_ALONE),
-        reader: waiting(CHANGE_READER),
+        alone: waiting(CHANGE_ALONE_WAIT),
+        reader: waiting(CHANGE_READER_WAIT),
         max_proof_age: bound.mul_f64(CHANGE_PROOF_AGE),
         timeout: bound.mul_f64(CHANGE_TIMEOUT).min(MAX_TIMEOUT),
     })
@@ -125,18 +125,18 @@
 
 fn endpoints(bounds: &Bounds) -> Result<Timing, Error> {
     let bound = bounds.drain;
-    if bound < SHORTEST_LEAVING {
+    if bound < MIN_LEAVING_BOUND {
         return Err(Error::Leaving { bound });
     }
-    let bound = bound.min(LONGEST_LEAVING);
+    let bound = bound.min(MAX_LEAVING_BOUND);
     let pausing = |share: f64| Polling {
         wait: Duration::ZERO,
         pause: bound.mul_f64(share),
     };
     let max_proof_age = bound.mul_f64(LEAVING_PROOF_AGE);
     Ok(Timing {
-        alone: pausing(LEAVING_ALONE),
-        reader: pausing(LEAVING_READER),
+        alone: pausing(LEAVING_ALONE_PAUSE),
+        reader: pausing(LEAVING_READER_PAUSE),
         max_proof_age,
         timeout: bound.saturating_sub(max_proof_age + RETRY).min(MAX_TIMEOUT),
     })
--- a/crates/relay/src/zone.rs
+++ b/crates/relay/src/zone.rs
@@ -46,7 +46,7 @@
     /// It answers, or was not read yet.
     Reachable,
     /// The last reads failed, some time ago; none was made since.
-    Untested,
+    Suspect,
     /// The last reads failed just now.
     Unreachable,
 }
@@ -205,7 +205,7 @@
         let reads = self.reads.lock().unwrap_or_else(PoisonError::into_inner);
         match reads.unreachable {
             None => Reachability::Reachable,
-            Some(last) if now.since(last) >= UNREACHABLE_FOR => Reachability::Untested,
+            Some(last) if now.since(last) >= UNREACHABLE_FOR => Reachability::Suspect,
             Some(_) => Reachability::Unreachable,
         }
     }
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -237,8 +237,8 @@
         let vm = &mut self.vms[place];
         let young = now.since(vm.proven) < MAX_READER_AGE;
         let status = match vm.zone.reachability(now) {
-            Reachability::Unreachable if !late => ReaderStatus::Unanswered,
-            Reachability::Untested if !late => ReaderStatus::Untested,
+            Reachability::Unreachable if !late => ReaderStatus::Unreachable,
+            Reachability::Suspect if !late => ReaderStatus::Untested,
             _ if young => ReaderStatus::Eligible,
             _ => ReaderStatus::Untested,
         };
--- a/crates/relay/tests/all/peers.rs
+++ b/crates/relay/tests/all/peers.rs
@@ -72,14 +72,14 @@
         role(&others, "b", ReaderStatus::Eligible).read_role,
         ReadRole::Served
     );
-    let failing = discovered("a", 1).with_datagram(ReaderStatus::Unanswered, now());
+    let failing = discovered("a", 1).with_datagram(ReaderStatus::Unreachable, now());
     assert!(others.update(failing, now()), "the roles are updated");
     assert_eq!(
         role(&others, "b", ReaderStatus::Eligible).read_role,
         ReadRole::Reader
     );
     let others = alive(&[("b", ReaderStatus::Eligible), ("c", ReaderStatus::Eligible)]);
-    let replaced = role(&others, "a", ReaderStatus::Unanswered);
+    let replaced = role(&others, "a", ReaderStatus::Unreachable);
     assert_eq!(replaced.reader, Some(address(1)));
 }
 
@@ -112,7 +112,7 @@
 // VMs that shut down for such an outage.
 #[test]
 fn the_log_is_doubtful_when_it_does_not_answer_several_vms() {
-    let failing = ReaderStatus::Unanswered;
+    let failing = ReaderStatus::Unreachable;
     let two = alive(&[
         ("a", failing),
         ("b", failing),
@@ -144,7 +144,7 @@
 // Guards against VMs that wait for their turn to read, past the bounds, although another VM reads for them.
 #[test]
 fn a_zone_is_blind_only_if_no_vm_is_eligible() {
-    let failing = ReaderStatus::Unanswered;
+    let failing = ReaderStatus::Unreachable;
     let last = alive(&[
         ("a", failing),
         ("b", failing),
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -97,7 +97,7 @@
     zone.read_failed(Failure::Refused, now);
     assert_eq!(zone.reachability(now), Reachability::Unreachable);
     // It stays untested until a read is answered.
-    assert_eq!(zone.reachability(now + MAX_WAIT), Reachability::Untested);
+    assert_eq!(zone.reachability(now + MAX_WAIT), Reachability::Suspect);
 }
 
 // Guards against requests to leaving endpoints after the bound: a VM that waited for its turn, because the
