--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -122,7 +122,7 @@
 
     /// The refusal, without a promise that the request did not run if it may have run.
     #[must_use]
-    pub const fn refuse(&self, refusal: Refusal) -> Refusal {
+    pub const fn qualify(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run() {
             refusal.with_unknown_outcome()
         } else {
@@ -157,7 +157,7 @@
                 continue;
             }
             if self.state.sent > 0 && !self.consume_retry() {
-                return Err(self.refuse(Refusal::new(Cause::Failed)));
+                return Err(self.qualify(Refusal::new(Cause::Failed)));
             }
             if let Some(opened) = self.send(permit, connection, overrides).await? {
                 return Ok(opened);
@@ -192,7 +192,7 @@
                     pools::refresh(self.node);
                     continue;
                 }
-                Err(refused) => return Err(self.refuse(refused.into())),
+                Err(refused) => return Err(self.qualify(refused.into())),
             };
             if self.node.usable(permit.endpoint()) && !self.version_is_bad(&permit) {
                 return Ok(permit);
@@ -224,7 +224,7 @@
         self.state.declined += 1;
         if self.state.declined >= MAX_DECLINED {
             let refusal = Refusal::new(Cause::NoEndpoint).with_retry_after(NO_ENDPOINT_RETRY_AFTER);
-            return Err(self.refuse(refusal));
+            return Err(self.qualify(refusal));
         }
         Ok(())
     }
@@ -256,7 +256,7 @@
             left_ms = millis(left);
             "attempt: Not sent, the request is blocked because endpoints crashed on it."
         );
-        Err(self.refuse(Refusal::new(Cause::Poison).with_retry_after(left)))
+        Err(self.qualify(Refusal::new(Cause::Poison).with_retry_after(left)))
     }
 
     /// Checks that the request may still be sent.
@@ -269,11 +269,11 @@
         self.check_not_blocked()?;
         let request = self.request;
         let grant = admit::recheck(self.node, &request.info, request.path());
-        let grant = grant.map_err(|refusal| self.refuse(refusal))?;
+        let grant = grant.map_err(|refusal| self.qualify(refusal))?;
         let same_customer = grant.customer == request.grant.customer;
         if !same_customer || !grant.route.allows(&request.pool) {
             let refusal = Refusal::new(Cause::NoEndpoint).with_retry_after(NO_ENDPOINT_RETRY_AFTER);
-            return Err(self.refuse(refusal));
+            return Err(self.qualify(refusal));
         }
         Ok(())
     }
@@ -354,7 +354,7 @@
             Fault::Timeout => Cause::Timeout,
             _ => Cause::Failed,
         };
-        Err(self.refuse(Refusal::new(cause)))
+        Err(self.qualify(Refusal::new(cause)))
     }
 
     /// Records that a complete response was received. Whatever its status, the endpoint did not crash on the
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// The registration.
-    pub entry: Registration,
+    pub registration: Registration,
     /// If the registration expired during an outage of the log, the end of the time for its renewal.
     pub grace_end: Option<Moment>,
 }
@@ -64,7 +64,7 @@
     /// The endpoint of this id; none if it is not registered.
     #[must_use]
     pub fn member(&self, id: &id::Endpoint) -> Option<&Member> {
-        let found = self.members.binary_search_by(|m| m.entry.id.cmp(id));
+        let found = self.members.binary_search_by(|m| m.registration.id.cmp(id));
         found.ok().map(|place| &self.members[place])
     }
 
@@ -94,33 +94,35 @@
     }
 
     /// Stores a registration. Returns false if it only shows that the endpoint is still alive.
-    fn store(&mut self, entry: Registration, offset: Offset) -> bool {
-        let known = self.member(&entry.id);
-        let same = known.is_some_and(|member| member.grace_end.is_none() && member.entry == entry);
+    fn store(&mut self, registration: Registration, offset: Offset) -> bool {
+        let known = self.member(&registration.id);
+        let same = known.is_some_and(|member| {
+            member.grace_end.is_none() && member.registration == registration
+        });
         if same {
             return false;
         }
-        if known.is_none_or(|member| member.entry.leaving != entry.leaving) {
+        if known.is_none_or(|member| member.registration.leaving != registration.leaving) {
             log::info!(
                 topic = "endpoints",
                 offset = offset.0,
-                endpoint = entry.id.as_str(),
-                pool = entry.pool.as_str(),
-                version = entry.version.as_str(),
-                leaving = entry.leaving;
+                endpoint = registration.id.as_str(),
+                pool = registration.pool.as_str(),
+                version = registration.version.as_str(),
+                leaving = registration.leaving;
                 "directory: Endpoint registered."
             );
         }
-        self.insert(entry);
+        self.insert(registration);
         true
     }
 
-    fn insert(&mut self, entry: Registration) {
+    fn insert(&mut self, registration: Registration) {
         let member = Member {
-            entry,
+            registration,
             grace_end: None,
         };
-        let find = |known: &Member| known.entry.id.cmp(&member.entry.id);
+        let find = |known: &Member| known.registration.id.cmp(&member.registration.id);
         match self.members.binary_search_by(find) {
             Ok(place) => self.members[place] = member,
             Err(place) => self.members.insert(place, member),
@@ -128,12 +130,12 @@
     }
 
     fn remove(&mut self, id: &id::Endpoint, context: RecordContext) {
-        let Ok(place) = self.members.binary_search_by(|m| m.entry.id.cmp(id)) else {
+        let Ok(place) = self.members.binary_search_by(|m| m.registration.id.cmp(id)) else {
             return;
         };
         let grace_end = self.restored.map(|restored| restored + RENEWAL);
         match grace_end.filter(|end| context.received < *end) {
-            Some(end) if !self.members[place].entry.leaving => {
+            Some(end) if !self.members[place].registration.leaving => {
                 log::info!(
                     endpoint = id.as_str();
                     "directory: The registration expired during an outage of the log, waiting for its renewal."
@@ -152,7 +154,7 @@
     /// Whether new work may be sent to it.
     #[must_use]
     pub fn is_usable(&self, now: Moment) -> bool {
-        !self.entry.leaving && self.grace_end.is_none_or(|end| now < end)
+        !self.registration.leaving && self.grace_end.is_none_or(|end| now < end)
     }
 }
 
@@ -170,7 +172,7 @@
             return true;
         };
         match self.codec.decode_registration(&record.key, value) {
-            Ok(entry) => self.store(entry, record.offset),
+            Ok(registration) => self.store(registration, record.offset),
             Err(error) => {
                 // Without a valid registration the endpoint can't be used. If it is alive it writes again soon.
                 log::warn!(
@@ -178,7 +180,7 @@
                     record.offset
                 );
                 let before = self.members.len();
-                self.members.retain(|member| member.entry.id != id);
+                self.members.retain(|member| member.registration.id != id);
                 self.members.len() != before
             }
         }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -61,7 +61,7 @@
 use crate::topic::Topic;
 use crate::zone;
 use crate::zone::Stamp;
-use crate::zone::Zone;
+use crate::zone::ZoneReading;
 
 /// What a VM that reads the log proves to another VM: a view that holds everything before `change_end` was
 /// up to date at `stamp`.
@@ -90,7 +90,7 @@
     topic: Topic,
     log: L,
     timing: Timing,
-    zone: Zone,
+    zone: ZoneReading,
     calls: LogCalls,
     started: Moment,
     inner: Arc<Mutex<View<F>>>,
@@ -128,7 +128,7 @@
         log: L,
         topic: Topic,
         timing: Timing,
-        zone: Zone,
+        zone: ZoneReading,
         calls: LogCalls,
         fold: F,
         token: CancellationToken,
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -54,7 +54,7 @@
 use crate::topic::Log;
 use crate::zone::Reachability;
 use crate::zone::Stamp;
-use crate::zone::Zone;
+use crate::zone::ZoneReading;
 
 /// A VM whose view of the log is older than this does not read for others. The reads of other VMs prove a
 /// view at least every 2.2 s.
@@ -86,7 +86,7 @@
 struct Neighbours<P, L> {
     node: Node<P, L>,
     log: L,
-    zone: Zone,
+    zone: ZoneReading,
     socket: Arc<UdpSocket>,
     inner: Arc<Mutex<Inner>>,
     /// Notified of each datagram from a VM of the zone.
@@ -110,14 +110,14 @@
 pub fn start<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: L,
-    zone: Zone,
+    zone: ZoneReading,
     token: CancellationToken,
 ) {
     let node = node.clone();
     tokio::spawn(async move { token.run_until_cancelled(run(node, log, zone)).await });
 }
 
-async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L, zone: ZoneReading) {
     let address = node.config.peer_listen;
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Arc::new(socket),
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -37,7 +37,7 @@
 use crate::table::Table;
 use crate::topic::Log;
 use crate::topic::Topic;
-use crate::zone::Zone;
+use crate::zone::ZoneReading;
 
 /// Maximum age of a configuration that may admit keys, as a share of the bound on revoked keys. Also the
 /// maximum time for which it may lack a known change and still be used, as a share of the bound on
@@ -141,7 +141,7 @@
 impl<P: HeaderCodec + Codec, L: Log> Node<P, L> {
     /// Creates the state and starts the tasks that follow the log and exchange data with other VMs.
     pub fn start(config: Config, platform: P, log: L, token: &CancellationToken) -> Self {
-        let zone = Zone::starting(&config);
+        let zone = ZoneReading::starting(&config);
         let calls = LogCalls::default();
         let timings = config.timings;
         let operators = Follower::start(
--- a/crates/relay/src/poison.rs
+++ b/crates/relay/src/poison.rs
@@ -241,12 +241,12 @@
     }
     let known = node.directory.view(|view| view.member(endpoint).cloned());
     // An endpoint that leaves closes its connections on purpose.
-    let Some(member) = known.filter(|member| !member.entry.leaving) else {
+    let Some(member) = known.filter(|member| !member.registration.leaving) else {
         return;
     };
     let crash = Crash {
         endpoint: choice::hash(endpoint.as_str()),
-        incarnation: Some(member.entry.started_unix_ms),
+        incarnation: Some(member.registration.started_unix_ms),
     };
     let step = node.poison.lock().broken_runs.record(digest, crash);
     match step {
@@ -254,7 +254,7 @@
         Action::Probe => {
             let node = node.clone();
             // The task is bounded in time, and may be dropped when the VM stops.
-            tokio::spawn(async move { confirm_crash(&node, &member.entry, crash).await });
+            tokio::spawn(async move { confirm_crash(&node, &member.registration, crash).await });
         }
         Action::Wait => {}
     }
--- a/crates/relay/src/poison/crash_check.rs
+++ b/crates/relay/src/poison/crash_check.rs
@@ -67,6 +67,7 @@
 ) -> bool {
     node.directory.view(|view| {
         let known = view.member(&registration.id);
-        known.is_some_and(|known| known.entry.started_unix_ms == registration.started_unix_ms)
+        known
+            .is_some_and(|known| known.registration.started_unix_ms == registration.started_unix_ms)
     })
 }
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -56,7 +56,7 @@
         let members = view.members().iter();
         members
             .map(|m| {
-                let pool = m.entry.pool.clone();
+                let pool = m.registration.pool.clone();
                 let member = member(m, zone, kv_capacity(&pool), now);
                 (pool, member)
             })
@@ -95,26 +95,26 @@
     kv_capacity: Option<Tokens>,
     now: Moment,
 ) -> Member {
-    let entry = &member.entry;
-    let local = entry.zone == *zone;
+    let registration = &member.registration;
+    let local = registration.zone == *zone;
     let report = limit::Report {
         running: 0,
         waiting: 0,
-        batch: entry.slots,
+        batch: registration.slots,
     };
     Member {
-        endpoint: entry.id.clone(),
-        zone: entry.zone.clone(),
-        address: entry.address,
+        endpoint: registration.id.clone(),
+        zone: registration.zone.clone(),
+        address: registration.address,
         usable: member.is_usable(now),
         distance: if local {
             Duration::ZERO
         } else {
             REMOTE_ZONE_DELAY
         },
-        versions: Some(vec![entry.version.clone()]),
+        versions: Some(vec![registration.version.clone()]),
         report: Some((report, Moment::ZERO)),
         memory: kv_capacity,
-        incarnation: entry.started_unix_ms,
+        incarnation: registration.started_unix_ms,
     }
 }
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -43,7 +43,7 @@
 use crate::topic::Log;
 use crate::topic::Record;
 use crate::topic::Topic;
-use crate::zone::Zone;
+use crate::zone::ZoneReading;
 
 /// How often a roll-out is checked. Several times within the second that evidence may take to spread.
 const TICK: Duration = Duration::from_millis(250);
@@ -219,7 +219,7 @@
                 self.log.clone(),
                 Topic::Fleet,
                 FLEET,
-                Zone::default(),
+                ZoneReading::default(),
                 self.node.calls.clone(),
                 Unmerged::default(),
                 token.clone(),
--- a/crates/relay/src/zone.rs
+++ b/crates/relay/src/zone.rs
@@ -89,7 +89,7 @@
 
 /// The stamps of the other VMs of a zone, and which VM reads for the others. Clones share them.
 #[derive(Debug, Clone, Default)]
-pub struct Zone {
+pub struct ZoneReading {
     deployment: CompactString,
     discovery_timeout: Duration,
     stamps: Arc<Mutex<Vec<Stamp>>>,
@@ -106,7 +106,7 @@
     log_state: Arc<Mutex<LogState>>,
 }
 
-impl Zone {
+impl ZoneReading {
     /// The zone of a VM that starts and has not discovered the others yet.
     #[must_use]
     pub fn starting(config: &Config) -> Self {
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -16,7 +16,7 @@
 use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
 use pimento_relay::topic::Topic;
-use pimento_relay::zone::Zone;
+use pimento_relay::zone::ZoneReading;
 use pimento_units::Offset;
 use tokio_util::sync::CancellationToken;
 
@@ -76,7 +76,7 @@
 pub struct Fixture {
     pub log: MemoryLog,
     pub calls: LogCalls,
-    pub zone: Zone,
+    pub zone: ZoneReading,
     pub follower: Follower<All, MemoryLog>,
     _token: tokio_util::sync::DropGuard,
 }
@@ -91,7 +91,7 @@
     }
 
     pub fn with_log(log: MemoryLog, timing: Timing) -> Self {
-        let zone = Zone::default();
+        let zone = ZoneReading::default();
         let token = CancellationToken::new();
         let calls = LogCalls::default();
         let follower = Follower::start(
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -16,7 +16,7 @@
 use pimento_relay::timings::Timings;
 use pimento_relay::zone::Failure;
 use pimento_relay::zone::Reachability;
-use pimento_relay::zone::Zone;
+use pimento_relay::zone::ZoneReading;
 use pimento_units::Moment;
 use pimento_units::id;
 
@@ -70,7 +70,7 @@
 struct Vm {
     name: id::Node,
     peers: Peers,
-    zone: Zone,
+    zone: ZoneReading,
     up: bool,
     access: Access,
     /// When the log's treatment of the VM last changed.
@@ -122,7 +122,7 @@
         let vm = |place| Vm {
             name: name(place),
             peers: Peers::default(),
-            zone: Zone::default(),
+            zone: ZoneReading::default(),
             up: true,
             access: Access::Answered,
             access_since: start,
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -10,7 +10,7 @@
 use pimento_relay::zone::LogState;
 use pimento_relay::zone::Reachability;
 use pimento_relay::zone::Stamp;
-use pimento_relay::zone::Zone;
+use pimento_relay::zone::ZoneReading;
 use pimento_units::Moment;
 
 use crate::fixture::Fixture;
@@ -87,7 +87,7 @@
 #[test]
 fn one_lost_answer_is_not_an_outage_but_a_refusal_is() {
     let now = boot::now();
-    let zone = Zone::default();
+    let zone = ZoneReading::default();
     zone.read_failed(Failure::Unanswered, now);
     assert_eq!(zone.reachability(now), Reachability::Reachable);
     zone.read_failed(Failure::Unanswered, now);
