--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -22,18 +22,17 @@
 use crate::table::Table;
 use crate::topic::Log;
 
-/// Maximum age of a configuration that may deny the existence of a route or key, as a share of the bound
-/// on configuration changes. A younger configuration has all that were added longer ago than the bound;
-/// the rest of the bound covers the time until the caller gets the response. Without this limit, each
-/// request with an unknown key would cause a call of the log: revoked keys alone made up a third of all
-/// calls.
+/// Maximum age of a configuration by which an unknown route or key is denied without a call of the log, as a
+/// share of the bound on configuration changes. A younger configuration has every route and key that was added
+/// longer ago than the bound. The rest of the bound covers the time until the caller gets the response. Without
+/// this limit, each request with a revoked key would cause a call of the log.
 const DENIAL_MAX_AGE: f64 = 0.8;
 
 /// Retry delay for callers of a VM without a current configuration. By then the load balancer sends the
 /// caller to another VM of the zone.
 const OTHER_VM_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// The result of a successful admission.
+/// The result of a successful admission. It is no grant of money, as in [`pimento_policy::budget`].
 #[derive(Debug, Clone)]
 pub struct Grant {
     /// The configuration that the request was checked against.
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -49,7 +49,7 @@
 /// Values of one attempt that replace those of the caller's request.
 #[derive(Debug, Clone, Default)]
 pub struct Overrides {
-    /// The model to run.
+    /// The model to run. An [`id::Version`] names a model here, elsewhere a version of a service's software.
     pub model: Option<id::Version>,
     /// Id of the last event that the caller received.
     pub last_event_id: Option<u64>,
--- a/crates/relay/src/boot.rs
+++ b/crates/relay/src/boot.rs
@@ -1,5 +1,10 @@
 //! A monotonic clock that includes the time for which the VM is suspended.
 //!
+//! It measures the age of data that other processes write or send: views of the log, leaving endpoints,
+//! stamps, roll-outs, reports of crashes. [`pimento_scheduler::Clock`] measures what this process does
+//! itself: attempts, deadlines, queues. That clock starts with the process, so that moments of the two
+//! must not be compared.
+//!
 //! `CLOCK_MONOTONIC` stops during a suspension and the time of day jumps. Data whose age is measured
 //! by either could look fresh afterwards, and the VM would accept a key that was revoked in the
 //! meantime.
--- a/crates/relay/src/bundle.rs
+++ b/crates/relay/src/bundle.rs
@@ -90,7 +90,8 @@
     }
 }
 
-/// All records between two offsets of a topic that changed the sender's view.
+/// All records between two offsets of a topic that changed the sender's view: a
+/// [`RecordRange`](crate::follow::RecordRange) with its topic, as it is sent to other VMs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bundle {
     /// The topic.
@@ -131,7 +132,7 @@
         bundles.collect()
     }
 
-    /// The records.
+    /// The records in the form in which a follower receives them.
     #[must_use]
     pub fn records(&self) -> Vec<Record> {
         let records = self.records.iter();
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -1,5 +1,5 @@
 //! Chooses a request's model where the route offers several: a small model answers first, and a larger
-//! one replaces it if its confidence is too low.
+//! one replaces it if its confidence is too low. It uses [`pimento_policy::confidence`].
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -21,11 +21,11 @@
 use crate::node::millis;
 use crate::topic::Log;
 
-/// Priority class of a first answer. It takes an engine little time, and any larger model waits for it.
+/// Priority class at the engine of a first answer; lower classes run first. It takes an engine little time,
+/// and any larger model waits for it.
 const FIRST_URGENCY: u8 = 1;
 
-/// Priority class of a larger model's answer. It does not depend on the prompt's length: running the
-/// shortest prompts first had no benefit for callers.
+/// Priority class at the engine of a larger model's answer, whatever the length of its prompt.
 const LARGER_URGENCY: u8 = 4;
 
 /// Statistics of this VM for choosing models.
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -39,7 +39,7 @@
 /// Guarantees that an entry VM must keep, with their limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Time after which a leaving endpoint gets no new work.
+    /// The bound on leaving endpoints: the time after which one gets no new work.
     pub drain: Duration,
     /// Time within which a change of the configuration takes effect.
     pub config_apply: Duration,
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -254,8 +254,8 @@
         if inner.lacks_changes() {
             return;
         }
-        // The log is reachable as of now, not only once this VM reads it again. Until then the entry of an
-        // endpoint that leaves would seem to have expired because of the outage.
+        // The log is reachable as of now, not only once this VM reads it again. Until then the registration
+        // of an endpoint that leaves would seem to have expired because of the outage.
         self.mark_connected(&mut inner, boot::now());
     }
 
@@ -272,13 +272,13 @@
         self.zone.wait_for_discovery().await;
         loop {
             let role = *role_changes.borrow_and_update();
-            let succeeds = role == ReadRole::Reader && before != role;
+            let took_over = role == ReadRole::Reader && before != role;
             before = role;
             // A view that lacks a change is read until it has the change. Otherwise a VM whose read was
             // refused would wait for the next proof, or until its last proof is too old.
-            let current = role == ReadRole::Served
+            let lacks_nothing = role == ReadRole::Served
                 && (!self.lacks_changes().await || self.fetch_from_reader().await);
-            if current && self.has_recent_proof() {
+            if lacks_nothing && self.has_recent_proof() {
                 let left = self
                     .age()
                     .map(|age| self.timing.max_proof_age.saturating_sub(age));
@@ -292,8 +292,8 @@
             let take_turns = state.no_eligible_reader
                 && role == ReadRole::Served
                 && self.next_offset().is_some();
-            let hesitate = take_turns || state.outage_suspected && succeeds;
-            if hesitate && self.wait_for_turn(role, &mut role_changes).await {
+            let wait_first = take_turns || state.outage_suspected && took_over;
+            if wait_first && self.wait_for_turn(role, &mut role_changes).await {
                 continue;
             }
             if role == ReadRole::Served
@@ -406,7 +406,8 @@
         max_backoff(role, self.zone.stamps().len(), self.lock().lacks_changes())
     }
 
-    /// Whether this VM reads the log itself, and its reads are answered.
+    /// Whether this VM reads the topic itself and is answered, in whatever role: a served VM does so while its
+    /// last proof is too old.
     #[must_use]
     pub fn is_reading(&self) -> bool {
         let reads = *self.zone.read_role.borrow() != ReadRole::Served || !self.has_recent_proof();
--- a/crates/relay/src/follow/exchange.rs
+++ b/crates/relay/src/follow/exchange.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The failure of a read that the log answered with an error, or whose connection broke.
+    /// The failure of a read that ended with an error: the log refused it, or its connection broke.
     pub fn failed_with(&self, error: &Error) -> Failure {
         let kind = match error {
             Error::Refused { .. } => zone::Failure::Refused,
--- a/crates/relay/src/follow/fold.rs
+++ b/crates/relay/src/follow/fold.rs
@@ -1,10 +1,10 @@
-//! State that is built up from a topic's records.
+//! The interface between a follower and the state that it builds from a topic's records.
 
 use pimento_units::Moment;
 
 use crate::topic::Record;
 
-/// State that is built up from a topic's records.
+/// State that is built up from a topic's records, one after the other: a fold over the topic.
 pub trait Fold: Send + 'static {
     /// Applies a record that is newer than all earlier ones of its key. Returns whether the state changed
     /// in a way that other VMs must learn of soon.
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the entry VMs: how long engines take for their prompts, which prompts they have
+//! Datagrams between the entry VMs, of this zone and of others: how long engines take for their prompts, which prompts they have
 //! prefilled, and what the VM that reads the log for its zone found there. Endpoints' limits,
 //! announcements about roll-outs and reports of requests that crash endpoints go along.
 //!
@@ -152,7 +152,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether another VM, which has read the log, reads it for this one.
+    /// Whether this VM is served by a reader that has read the log already.
     fn has_eligible_reader(&self) -> bool {
         let assignment = self.assignment();
         !assignment.state.no_eligible_reader && assignment.read_role == ReadRole::Served
@@ -289,7 +289,8 @@
         }
     }
 
-    /// Whether this VM reads the log for its zone.
+    /// Whether this VM is the reader of its zone, by its role alone. A VM that is alone is not, although it
+    /// reads the log: see [`Node::reads_log`].
     fn is_zone_reader(&self) -> bool {
         *self.zone.read_role.borrow() == ReadRole::Reader
     }
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -19,8 +19,8 @@
 use crate::topic::Log;
 use crate::topic::Topic;
 
-/// How often a VM checks whether it has learnt rates worth publishing for VMs that start later.
-const LEARNT_INTERVAL: Duration = Duration::from_secs(5);
+/// How often a VM checks whether it has learnt prefill speeds worth publishing for VMs that start later.
+const PREFILL_SPEEDS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How long an answer of the log may take to begin, and how long it may stall.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -42,7 +42,7 @@
     ///
     /// Of two VMs that start together, the one whose record comes later must find the other's record.
     /// So a VM reads the records of the others once its own is there. A VM that restarts finds the record
-    /// of its last incarnation, with the rates learnt by then, and writes none if that is still true.
+    /// of its last incarnation, with the prefill speeds learnt by then, and writes none if that is still true.
     pub(super) async fn discover(&self) {
         if self.node.config.first_start {
             self.publish().await;
@@ -53,7 +53,7 @@
             self.publish().await;
             self.read_fleet().await;
         }
-        self.publish_rates().await;
+        self.publish_prefill_speeds().await;
     }
 
     /// Writes this VM's record to the log.
@@ -72,7 +72,7 @@
             let nothing = Update::default();
             self.send(peer.address, Some(peer.key), &nothing).await;
         }
-        // The first VM by name reads for the others in any case. They wait for it, and it for nobody.
+        // The first VM by name does not wait: it becomes the reader, for which the others wait.
         let own = &self.node.config.node;
         let first = peers.first().is_none_or(|peer| *own < peer.node);
         let eligible = async {
@@ -91,8 +91,8 @@
         self.zone.finish_discovery();
     }
 
-    /// Reads the other VMs' addresses and the rates that they learnt. Whether this VM's own record is
-    /// there and still true.
+    /// Reads the other VMs' addresses and the prefill speeds that they learnt. Returns true if this VM's
+    /// own record is there and still true.
     async fn read_fleet(&self) -> bool {
         let mut delay = RETRY_DELAY;
         loop {
@@ -134,9 +134,9 @@
 
     /// Writes this VM's record once more when it has learnt rates, for VMs that start later. A VM for
     /// which another one reads the log leaves this to that one.
-    async fn publish_rates(&self) {
+    async fn publish_prefill_speeds(&self) {
         loop {
-            tokio::time::sleep(LEARNT_INTERVAL).await;
+            tokio::time::sleep(PREFILL_SPEEDS_INTERVAL).await;
             let record = self.node.vm_record();
             let known = !record.seconds_per_token.is_empty();
             let alone = *self.zone.read_role.borrow() != ReadRole::Served;
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -21,8 +21,8 @@
 const ROTATION_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A VM that was not seen for this long is forgotten. In a zone of fifty VMs each VM of another zone is
-/// seen every 100 seconds. Until then it gets all datagrams: it may be cut off or suspended, and see this
-/// VM in the same way.
+/// seen every 100 seconds. Until then it still gets datagrams: it may only be cut off or suspended, and may
+/// think the same of this VM.
 const FORGET_TIMEOUT: Duration = Duration::from_mins(5);
 
 /// If the log does not answer this many VMs of a zone, it may be out for all of them.
@@ -40,7 +40,7 @@
     Starting,
     /// Its view is old, or its reads were not answered some time ago and it has not tried since.
     Untested,
-    /// Its reads are not answered.
+    /// The log is unreachable for it: it refused a read, or several reads got no answer.
     Unreachable,
     /// It is shutting down.
     Leaving,
@@ -113,7 +113,7 @@
 }
 
 impl Peers {
-    /// Adds or updates a VM. Whether that may change who reads the log.
+    /// Adds or updates a VM. Returns true if that may change who reads the log.
     pub fn update(&mut self, peer: Peer, now: Moment) -> bool {
         match self.peers.binary_search_by(|p| p.node.cmp(&peer.node)) {
             Ok(place) => {
@@ -180,9 +180,9 @@
         peers.cloned().collect()
     }
 
-    /// Who reads the log for this VM, which has this `status`: of the VMs that are alive the first by
-    /// name that is eligible. If none is, a VM that has not tried lately tries, or else the first of all
-    /// goes on trying; the others learn from it that the log is back.
+    /// Who reads the log for this VM, which has this `status`: of the VMs of the zone that are alive, the
+    /// one with the lowest status, and of several such the first by name. If none is eligible, the one
+    /// chosen goes on trying, and the others learn from it that the log is reachable again.
     #[must_use]
     pub fn assignment(
         &self,
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -39,11 +39,9 @@
 use crate::topic::Topic;
 use crate::zone::ZoneReading;
 
-/// Maximum age of a configuration that may admit keys, as a share of the bound on revoked keys. Also the
-/// maximum time for which it may lack a known change and still be used, as a share of the bound on
-/// configuration changes. A key that the configuration still lists was revoked, if at all, after the
-/// configuration was confirmed to be current, so any age below the bound would do; the rest allows for
-/// clock drift.
+/// Share of two bounds up to which a configuration may be used. Its age may reach this share of the bound on
+/// revoked keys; a known change may be missing for this share of the bound on configuration changes. The rest
+/// of each bound allows for clock drift.
 const FRESH_SHARE: f64 = 0.85;
 
 /// The same share for reporting readiness. A VM that is cut off alone should lose its callers to the other
@@ -273,14 +271,14 @@
         endpoints_read && !leaving && self.table().is_some() && fresh
     }
 
-    /// Whether this VM reads the log itself, either on behalf of other VMs or because it can't rely on
-    /// another VM's reads.
+    /// Whether this VM reads the log itself and is answered: as the reader, alone, or because its last proof
+    /// is too old although it is served.
     #[must_use]
     pub fn reads_log(&self) -> bool {
         self.operators.is_reading()
     }
 
-    /// This VM's announcement to the other VMs, without roll-outs.
+    /// The record by which other VMs discover this one, without roll-outs.
     #[must_use]
     pub fn vm_record(&self) -> VmRecord {
         VmRecord {
@@ -291,7 +289,7 @@
         }
     }
 
-    /// Appends an announcement to the log. Returns whether the append is known to have succeeded.
+    /// Appends this VM's record to the log. Returns whether the append is known to have succeeded.
     pub async fn publish(&self, record: &VmRecord, log: &impl Log) -> bool {
         self.calls.count(Topic::Fleet, Reason::Announcement);
         record.publish(&self.config.node, log).await
--- a/crates/relay/src/poison/writer.rs
+++ b/crates/relay/src/poison/writer.rs
@@ -80,8 +80,8 @@
     state.pending_writes.first().copied()
 }
 
-/// Writes a change; whether nothing is left to do for it, because it is known to be written or can't be
-/// encoded.
+/// Writes a change. Returns true if nothing is left to do for it, because it is known to be written or can't
+/// be encoded.
 async fn write<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: &L,
--- a/crates/relay/src/recent.rs
+++ b/crates/relay/src/recent.rs
@@ -1,7 +1,7 @@
 //! A cache of the most recent records that changed a view, for other VMs whose views lack them.
 //!
-//! Without it each VM of a zone would read the log for each change. When a tenth of a service's endpoints
-//! were replaced, sixty VMs made thousands of calls to read the same few records.
+//! Without it each VM of a zone would read the log for each change, so that the calls grow with the number of
+//! changes and of VMs.
 
 use std::collections::VecDeque;
 
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -1,7 +1,9 @@
 //! Roll-outs under way: which version a request uses, and the evidence on each version.
 //!
-//! [`pimento_policy::shift`] makes the decisions; this module supplies the orders, their ages and the
-//! evidence of all VMs. [`controller`] shares the evidence and reports the end to the operators.
+//! A roll-out is here a move to another version by a deadline, as [`pimento_policy::shift`] decides it. It is
+//! not the staged one of [`pimento_policy::rollout`], of which it only uses the positions of sessions and the
+//! type of evidence. This module supplies the orders, their ages and the evidence of all VMs. [`controller`]
+//! shares the evidence and reports the end to the operators.
 
 pub mod announcement;
 pub mod controller;
@@ -307,7 +309,7 @@
         let new = rollout.target() == request.version;
         rollout.count(request.route, new, request.endpoint, request.outcome);
         if new {
-            rollout.judge(endpoints);
+            rollout.detect_regression(endpoints);
         }
     }
 
@@ -336,7 +338,7 @@
         if let Some(rollout) = self.get_mut(&received.announcement.pool) {
             rollout.receive(&received.node, &received.announcement, now);
             if rollout.ended().is_none() {
-                rollout.judge(endpoints);
+                rollout.detect_regression(endpoints);
             }
         }
     }
--- a/crates/relay/src/rollouts/announcement.rs
+++ b/crates/relay/src/rollouts/announcement.rs
@@ -103,7 +103,8 @@
 }
 
 impl Announcement {
-    /// Whether others should soon know of the difference to an earlier announcement.
+    /// Whether other VMs must soon learn of the difference to an earlier announcement. Other counts of
+    /// requests alone are not urgent.
     #[must_use]
     pub fn is_urgent_after(&self, before: &Self) -> bool {
         let state = |one: &Self| (one.order, one.bad, one.drained, one.ended);
@@ -111,7 +112,8 @@
     }
 }
 
-/// A session that used the old version before the trial and stays on it during the trial.
+/// A session that used the old version before the trial and stays on it during the trial. It is not related
+/// to the pins of [`pimento_policy::session`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PinnedSession {
     /// The offset of the order in its topic.
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -114,8 +114,8 @@
     published: Vec<Announcement>,
     /// When this VM first found that an end is to be reported.
     report_due: Option<Moment>,
-    /// By the offset of an order, where the status topic ended when this VM accepted it. Only for orders
-    /// that were given while this VM ran and read the log.
+    /// For each order that was given while this VM ran and read the log: the order's offset, and the end of
+    /// the status topic when this VM accepted it. Reports before that end belong to earlier orders.
     status_ends: Vec<(Offset, Offset)>,
 }
 
@@ -320,8 +320,8 @@
         }
     }
 
-    /// Reports an end to the operators unless one was reported already; whether one is known to be
-    /// reported now.
+    /// Reports an end to the operators unless one was reported already. Returns true if one is known to be
+    /// reported.
     async fn report_end(&self, order: &ReadOrder, end: End) -> bool {
         let pool = &order.rollout.pool;
         let target = &order.rollout.target;
--- a/crates/relay/src/rollouts/state.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -211,7 +211,7 @@
     }
 
     /// The number of endpoints of the new version that failed a request, at any VM.
-    fn failing(&self) -> usize {
+    fn failing_count(&self) -> usize {
         let peers = self.peers.iter();
         let peer_failing = peers.flat_map(|peer| &peer.announcement.failing);
         let mut all: Vec<u64> = self.failing.iter().chain(peer_failing).copied().collect();
@@ -222,7 +222,7 @@
 
     /// Decides whether the new version is bad by the evidence of all VMs. `endpoints` is the number of
     /// its endpoints.
-    pub fn judge(&mut self, endpoints: usize) {
+    pub fn detect_regression(&mut self, endpoints: usize) {
         if self.bad.is_some() {
             return;
         }
@@ -230,7 +230,7 @@
         let cause = if reported {
             Some(CompactString::const_new("reported by another VM"))
         } else {
-            let cause = shift::regression(&self.tallies(), self.failing(), endpoints);
+            let cause = shift::regression(&self.tallies(), self.failing_count(), endpoints);
             cause.map(|cause| CompactString::from(format!("{cause:?}")))
         };
         if let Some(cause) = cause {
--- a/crates/relay/src/timings.rs
+++ b/crates/relay/src/timings.rs
@@ -11,8 +11,8 @@
 use crate::follow::Polling;
 use crate::follow::Timing;
 
-/// Longer bounds have the timings of these. They would save few calls, and callers would see new endpoints
-/// and changes later than necessary.
+/// Bounds above these count as these: a longer interval would save few calls, and callers would see new
+/// endpoints and changes later than necessary.
 const MAX_LEAVING_BOUND: Duration = Duration::from_secs(4);
 const MAX_CHANGE_BOUND: Duration = Duration::from_secs(2);
 
--- a/crates/relay/src/zone.rs
+++ b/crates/relay/src/zone.rs
@@ -43,11 +43,11 @@
 /// Whether the log answers this VM's reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// It answers, or was not read yet.
+    /// No failure is known: it answers, or was not read yet.
     Reachable,
-    /// The last reads failed, some time ago; none was made since.
+    /// The last reads failed some time ago, and none was made since.
     Suspect,
-    /// The last reads failed just now.
+    /// The last reads failed, at most some seconds ago.
     Unreachable,
 }
 
@@ -63,7 +63,7 @@
 /// Whether the log answers the VMs of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LogState {
-    /// No VM is known whose reads are answered.
+    /// No VM of the zone is known whose reads are answered.
     pub no_eligible_reader: bool,
     /// The log refused several VMs just now, so that it may refuse the next one as well.
     pub outage_suspected: bool,
@@ -87,7 +87,8 @@
     Done,
 }
 
-/// The stamps of the other VMs of a zone, and which VM reads for the others. Clones share them.
+/// How the VMs of a zone read the log together, as this VM knows it: their stamps, which of them is the
+/// reader, and whether the log answers. Clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct ZoneReading {
     deployment: CompactString,
@@ -107,7 +108,7 @@
 }
 
 impl ZoneReading {
-    /// The zone of a VM that starts and has not discovered the others yet.
+    /// The state of a VM that starts and has not discovered the others yet.
     #[must_use]
     pub fn starting(config: &Config) -> Self {
         let discovery_timeout = if config.first_start {
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -23,7 +23,10 @@
 }
 
 impl Clock {
-    /// Returns the time since the process began, on the monotonic clock.
+    /// Returns the time since the process began, on the monotonic clock. It is for what the process does
+    /// itself, such as attempts, deadlines and queues. It stops while the VM is suspended, so that the age
+    /// of data from other processes is measured by the relay's boot-time clock. Moments of the two clocks
+    /// must not be compared.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.moment(Instant::now())
