--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -22,10 +22,11 @@
 use crate::table::Table;
 use crate::topic::Log;
 
-/// Maximum age of a configuration by which an unknown route or key is denied without a call of the log, as a
-/// share of the bound on configuration changes. A younger configuration has every route and key that was added
-/// longer ago than the bound. The rest of the bound covers the time until the caller gets the response. Without
-/// this limit, each request with a revoked key would cause a call of the log.
+/// Maximum age of a configuration by which an unknown route or key is denied without a call of the log, as
+/// a share of the bound on configuration changes. A younger configuration has every route and key that was
+/// added longer ago than the bound. The rest of the bound covers the time until the caller gets the
+/// response. Without this limit, each request with an unknown key, such as a revoked one, would cause a call
+/// of the log.
 const DENIAL_MAX_AGE: f64 = 0.8;
 
 /// Retry delay for callers of a VM without a current configuration. By then the load balancer sends the
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -318,6 +318,7 @@
             Err(_) => Fault::Timeout,
         };
         if matches!(fault, Fault::Timeout) {
+            // Counts as an answer that begins only now, so that the evidence includes the time waited.
             self.record_evidence(&permit, self.outcome_now());
         }
         if fault.not_run() {
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -90,7 +90,7 @@
         );
     }
 
-    /// The outcome of an answer that begins now.
+    /// The outcome of an answer that begins now, or of one that has not begun by now.
     pub(super) fn outcome_now(&self) -> Outcome {
         let took = self.node.now().since(self.state.last_sent);
         Outcome::Served(took)
--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -12,7 +12,7 @@
 pub enum Reason {
     /// The VM has no view yet, or the log has dropped records that it needs.
     Start,
-    /// The VM reads for itself and the other VMs of its zone.
+    /// The VM is the reader of its zone.
     Leading,
     /// The VM reads for itself alone.
     Alone,
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -276,9 +276,9 @@
             before = role;
             // A view that lacks a change is read until it has the change. Otherwise a VM whose read was
             // refused would wait for the next proof, or until its last proof is too old.
-            let lacks_nothing = role == ReadRole::Served
+            let served_all_changes = role == ReadRole::Served
                 && (!self.lacks_changes().await || self.fetch_from_reader().await);
-            if lacks_nothing && self.has_recent_proof() {
+            if served_all_changes && self.has_recent_proof() {
                 let left = self
                     .age()
                     .map(|age| self.timing.max_proof_age.saturating_sub(age));
@@ -406,8 +406,8 @@
         max_backoff(role, self.zone.stamps().len(), self.lock().lacks_changes())
     }
 
-    /// Whether this VM reads the topic itself and is answered, in whatever role: a served VM does so while its
-    /// last proof is too old.
+    /// Whether this VM reads the topic itself and is answered, in whatever role: a served VM does so while
+    /// its last proof is too old.
     #[must_use]
     pub fn is_reading(&self) -> bool {
         let reads = *self.zone.read_role.borrow() != ReadRole::Served || !self.has_recent_proof();
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -1,6 +1,6 @@
-//! Datagrams between the entry VMs, of this zone and of others: how long engines take for their prompts, which prompts they have
-//! prefilled, and what the VM that reads the log for its zone found there. Endpoints' limits,
-//! announcements about roll-outs and reports of requests that crash endpoints go along.
+//! Datagrams between the entry VMs, of this zone and of others: how long engines take for their prompts,
+//! which prompts they have prefilled, and what the VM that reads the log for its zone found there.
+//! Endpoints' limits, announcements about roll-outs and reports of requests that crash endpoints go along.
 //!
 //! What is said of engines is a hint: if it is lost, a prompt waits a little longer or is prefilled once
 //! more. What the zone's reader found are records and proofs; if they are lost, a VM reads the log by
@@ -9,6 +9,9 @@
 //! the start; a VM that starts later is discovered by its first datagram. Records too large for datagrams
 //! are fetched over a connection.
 //!
+//! The peers are all other VMs that this one knows, in any zone. The topic in which they are recorded is the
+//! fleet's.
+//!
 //! Within a zone each VM sends to all others. In each other zone it sends to one VM, which forwards
 //! within that zone, so that traffic between zones grows with the number of zones and not of VMs.
 
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -40,9 +40,9 @@
 impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     /// Discovers the other VMs by the log, and joins those of the zone by datagrams.
     ///
-    /// Of two VMs that start together, the one whose record comes later must find the other's record.
-    /// So a VM reads the records of the others once its own is there. A VM that restarts finds the record
-    /// of its last incarnation, with the prefill speeds learnt by then, and writes none if that is still true.
+    /// Of two VMs that start together, the one whose record comes later must find the other's record. So a
+    /// VM reads the records of the others once its own is there. A VM that restarts finds the record of its
+    /// last incarnation, with the prefill speeds learnt by then, and writes none if that is still true.
     pub(super) async fn discover(&self) {
         if self.node.config.first_start {
             self.publish().await;
--- a/crates/relay/src/rollouts/state.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -183,7 +183,7 @@
     }
 
     /// The evidence of all VMs, for each route.
-    fn tallies(&self) -> Vec<shift::RouteEvidence> {
+    fn evidence(&self) -> Vec<shift::RouteEvidence> {
         let mut routes = self.routes.clone();
         let peers = self.peers.iter();
         for other in peers.flat_map(|peer| &peer.announcement.routes) {
@@ -191,11 +191,11 @@
             route.new.add(&other.new);
             route.old.add(&other.old);
         }
-        let tally = |route: &Route| shift::RouteEvidence {
+        let route_evidence = |route: &Route| shift::RouteEvidence {
             new: route.new.evidence(),
             old: route.old.evidence(),
         };
-        routes.iter().map(tally).collect()
+        routes.iter().map(route_evidence).collect()
     }
 
     /// Requests of all routes on the new version, at any VM.
@@ -230,7 +230,7 @@
         let cause = if reported {
             Some(CompactString::const_new("reported by another VM"))
         } else {
-            let cause = shift::regression(&self.tallies(), self.failing_count(), endpoints);
+            let cause = shift::regression(&self.evidence(), self.failing_count(), endpoints);
             cause.map(|cause| CompactString::from(format!("{cause:?}")))
         };
         if let Some(cause) = cause {
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -150,8 +150,8 @@
     decode(deployment, topic, &encoded.context(CallSnafu)?)
 }
 
-/// The moment as of which a fetched view is proven: `sent`, when it was requested, minus `age`, its age in the
-/// answer. None if that was before the clock began.
+/// The moment as of which a fetched view is proven: `sent`, when it was requested, minus `age`, its age in
+/// the answer. None if that was before the clock began.
 #[must_use]
 pub fn proven_at(sent: Moment, age: Duration) -> Option<Moment> {
     let since_boot = sent.since(Moment::ZERO);
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -119,7 +119,7 @@
 }
 
 /// A stream whose first event was received.
-struct Started {
+struct StartedStream {
     head: response::Parts,
     source: Source,
     event: Event,
@@ -128,9 +128,9 @@
 }
 
 /// The start of an endpoint's response.
-enum Start {
+enum FirstResponse {
     /// A stream, with its first event.
-    Stream(Box<Started>),
+    Stream(Box<StartedStream>),
     /// An error response, to be forwarded if no other response follows.
     Error(Response<ReplyBody>),
 }
@@ -156,8 +156,8 @@
             Ok(opened) => opened,
             Err(refusal) => return error.ok_or(refusal),
         };
-        match start(&mut attempts, node, &request, opened).await {
-            Ok(Some(Start::Stream(started))) => {
+        match read_start(&mut attempts, node, &request, opened).await {
+            Ok(Some(FirstResponse::Stream(started))) => {
                 let confidence = started.confidence;
                 let larger =
                     cascade::choose_larger(&attempts, &overrides, confidence, &mut dropped);
@@ -166,7 +166,7 @@
                 };
                 overrides.model = Some(model);
             }
-            Ok(Some(Start::Error(response))) => {
+            Ok(Some(FirstResponse::Error(response))) => {
                 if !attempts.may_retry() {
                     return Ok(response);
                 }
@@ -200,12 +200,12 @@
 }
 
 /// Reads a response up to its first event. Returns none if the attempt failed and another one may be made.
-async fn start<P: HeaderCodec + Codec, L: Log>(
+async fn read_start<P: HeaderCodec + Codec, L: Log>(
     attempts: &mut Attempts<'_, P, L>,
     node: &Node<P, L>,
     request: &AdmittedRequest,
     opened: Opened,
-) -> Result<Option<Start>, Refusal> {
+) -> Result<Option<FirstResponse>, Refusal> {
     let Opened {
         permit,
         response,
@@ -227,7 +227,7 @@
                 });
                 node.platform.strip_connection_headers(&mut head.headers);
                 let response = Response::from_parts(head, ReplyBody::whole(bytes));
-                Ok(Some(Start::Error(response)))
+                Ok(Some(FirstResponse::Error(response)))
             }
             Err(fault) => attempts.attempt_failed(permit, &fault).map(|()| None),
         };
@@ -237,7 +237,7 @@
         Ok(Item::Event(event)) => {
             source.permit.first_token();
             attempts.record_result(&source.permit, false);
-            Ok(Some(Start::Stream(Box::new(Started {
+            Ok(Some(FirstResponse::Stream(Box::new(StartedStream {
                 head,
                 source,
                 event,
--- a/crates/relay/src/timings.rs
+++ b/crates/relay/src/timings.rs
@@ -36,8 +36,8 @@
 const LEAVING_READER_PAUSE: f64 = 0.25;
 const LEAVING_ALONE_PAUSE: f64 = 0.45;
 
-/// Shares of the bound on changes: the highest age of a proof, the waits at the log of the reader and
-/// of a VM that is alone, and the timeout. A proof is as old as the read behind it, up to twice the wait.
+/// Shares of the bound on changes: the highest age of a proof, the waits at the log of the reader and of a
+/// VM that is alone, and the timeout. A proof is as old as the read behind it, up to twice the wait.
 const CHANGE_PROOF_AGE: f64 = 1.15;
 const CHANGE_READER_WAIT: f64 = 0.3;
 const CHANGE_ALONE_WAIT: f64 = 0.5;
--- a/crates/relay/tests/all/large.rs
+++ b/crates/relay/tests/all/large.rs
@@ -117,8 +117,8 @@
 }
 
 // Guards against a VM that refuses callers for the whole backoff of a large zone. After a long outage
-// served VMs call the log seldom. When it is reachable again, operators write a configuration that is too large
-// to be forwarded, and a VM that receives the announcement during its backoff must read it itself.
+// served VMs call the log seldom. When it is reachable again, operators write a configuration that is too
+// large to be forwarded, and a VM that receives the announcement during its backoff must read it itself.
 #[test]
 fn a_vm_that_lacks_a_change_backs_off_less() {
     for others in [0, 5, 16, 400] {
