--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -110,7 +110,7 @@
                 pool = registration.pool.as_str(),
                 version = registration.version.as_str(),
                 leaving = registration.leaving;
-                "directory: Endpoint registered."
+                "directory: Endpoint is new, or its state changed."
             );
         }
         self.insert(registration);
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -45,9 +45,9 @@
 use self::timing::AT_ONCE;
 pub use self::timing::Polling;
 pub use self::timing::ReadRole;
+pub use self::timing::ReadTiming;
 use self::timing::SERVED_BACKOFF;
 use self::timing::TURN;
-pub use self::timing::Timing;
 pub use self::timing::answer_timeout;
 pub use self::timing::max_backoff;
 pub use self::view::RecordRange;
@@ -89,7 +89,7 @@
 pub struct Follower<F, L> {
     topic: Topic,
     log: L,
-    timing: Timing,
+    timing: ReadTiming,
     zone: ZoneReading,
     calls: LogCalls,
     started: Moment,
@@ -127,7 +127,7 @@
     pub fn start(
         log: L,
         topic: Topic,
-        timing: Timing,
+        timing: ReadTiming,
         zone: ZoneReading,
         calls: LogCalls,
         fold: F,
@@ -432,7 +432,7 @@
             inner.extend(batch, now)
         };
         let complete = inner.next >= Some(batch.end);
-        if complete && inner.drop_false_announcement(sent) {
+        if complete && inner.drop_false_end(sent) {
             let topic = self.topic.as_str();
             log::warn!(topic; "follower: Another VM announced records that the log does not hold.");
         }
--- a/crates/relay/src/follow/timing.rs
+++ b/crates/relay/src/follow/timing.rs
@@ -14,7 +14,7 @@
 
 /// Intervals and timeouts of the reads of a topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Timing {
+pub struct ReadTiming {
     /// Polling of a VM that reads for itself.
     pub alone: Polling,
     /// Polling of the reader, whose proofs the other VMs of the zone receive later.
@@ -75,7 +75,7 @@
 /// anything keeps the normal timeout, because a longer one would only delay noticing that the log is
 /// reachable again.
 #[must_use]
-pub fn answer_timeout(timing: &Timing, lacks: bool, unanswered: u32) -> Duration {
+pub fn answer_timeout(timing: &ReadTiming, lacks: bool, unanswered: u32) -> Duration {
     if !lacks {
         return timing.timeout;
     }
--- a/crates/relay/src/follow/view.rs
+++ b/crates/relay/src/follow/view.rs
@@ -48,10 +48,10 @@
     pub newest: Vec<Record>,
     /// Ranges that arrived before the records that precede them, sorted by their first offset.
     early: Vec<RecordRange>,
-    /// The offset up to which another VM announced changes.
-    announced: Offset,
+    /// The end of the changes that other VMs announced: the highest [`Proof::change_end`] received.
+    known_end: Offset,
     /// When that offset was first announced.
-    announced_at: Moment,
+    known_end_at: Moment,
     /// The newest proof, until the view holds all changes that it covers.
     pending_proof: Option<Proof>,
     /// Since when the view has lacked an announced change.
@@ -82,8 +82,8 @@
             recent: Recent::default(),
             newest: Vec::new(),
             early: Vec::new(),
-            announced: Offset::default(),
-            announced_at: Moment::ZERO,
+            known_end: Offset::default(),
+            known_end_at: Moment::ZERO,
             pending_proof: None,
             behind_since: None,
             running_read: None,
@@ -193,9 +193,9 @@
 
     /// Receives another VM's proof: there were changes up to an offset, and none after it as of a moment.
     pub fn receive_proof(&mut self, proof: Proof, now: Moment) {
-        if proof.change_end > self.announced {
-            self.announced = proof.change_end;
-            self.announced_at = now;
+        if proof.change_end > self.known_end {
+            self.known_end = proof.change_end;
+            self.known_end_at = now;
         }
         let newer = |known: Proof| known.stamp < proof.stamp;
         if self.pending_proof.is_none_or(newer) {
@@ -225,14 +225,14 @@
         self.apply_pending_proof();
     }
 
-    /// Drops an announcement of records that the log does not hold, and returns whether there was one. The
-    /// caller has read up to the end of the topic with a read sent at `sent`. An announcement that came
+    /// Drops the end that another VM announced if the log holds no records up to it, and returns whether it
+    /// did. The caller has read up to the end of the topic with a read sent at `sent`. An end announced
     /// before must be wrong if the view still lacks its records, because the log never loses records. If it
     /// stayed, this VM would read all the time and refuse callers until the log holds as many records.
-    pub fn drop_false_announcement(&mut self, sent: Moment) -> bool {
-        let wrong = self.lacks_changes() && self.announced_at <= sent;
+    pub fn drop_false_end(&mut self, sent: Moment) -> bool {
+        let wrong = self.lacks_changes() && self.known_end_at <= sent;
         if wrong {
-            self.announced = self.next.unwrap_or_default();
+            self.known_end = self.next.unwrap_or_default();
             self.behind_since = None;
         }
         wrong
@@ -240,7 +240,7 @@
 
     /// Whether another VM announced a change that the view does not hold, or nothing was read yet.
     pub fn lacks_changes(&self) -> bool {
-        self.next.is_none_or(|next| next < self.announced)
+        self.next.is_none_or(|next| next < self.known_end)
     }
 
     /// Removes the keys that are not among the newest records of the log any more.
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -33,8 +33,8 @@
 use crate::follow::Fold;
 use crate::follow::Follower;
 use crate::follow::Polling;
+use crate::follow::ReadTiming;
 use crate::follow::RecordContext;
-use crate::follow::Timing;
 use crate::headers::HeaderCodec;
 use crate::node::Node;
 use crate::operators::ReadOrder;
@@ -62,7 +62,7 @@
 const MAX_RANK_DELAY: Duration = Duration::from_millis(1_500);
 
 /// How the entry VMs' own topic is read while a roll-out is under way.
-const FLEET: Timing = Timing {
+const FLEET: ReadTiming = ReadTiming {
     alone: SECONDLY,
     reader: SECONDLY,
     max_proof_age: Duration::ZERO,
--- a/crates/relay/src/timings.rs
+++ b/crates/relay/src/timings.rs
@@ -9,7 +9,7 @@
 
 use crate::config::Bounds;
 use crate::follow::Polling;
-use crate::follow::Timing;
+use crate::follow::ReadTiming;
 
 /// Bounds above these count as these: a longer interval would save few calls, and callers would see new
 /// endpoints and changes later than necessary.
@@ -49,7 +49,7 @@
     wait: Duration::from_secs(5),
     pause: Duration::ZERO,
 };
-const POISON: Timing = Timing {
+const POISON: ReadTiming = ReadTiming {
     alone: POISON_WAIT,
     reader: POISON_WAIT,
     max_proof_age: Duration::from_secs(20),
@@ -60,13 +60,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timings {
     /// The operators' topic. Changes are rare, so that a read can wait at the log for one.
-    pub operators: Timing,
+    pub operators: ReadTiming,
     /// The endpoints' topic. Each endpoint writes about once a second. A read that waits at the log would
     /// be answered for each of their records.
-    pub endpoints: Timing,
+    pub endpoints: ReadTiming,
     /// The topic of requests during which endpoints crashed. Records are rare, and a read that waits at the
     /// log returns them at once.
-    pub poison: Timing,
+    pub poison: ReadTiming,
 }
 
 /// A bound that can't be held.
@@ -102,7 +102,7 @@
     }
 }
 
-fn operators(bounds: &Bounds) -> Result<Timing, Error> {
+fn operators(bounds: &Bounds) -> Result<ReadTiming, Error> {
     let revoke = bounds.revoke.map(|revoke| revoke.mul_f64(REVOKE_SHARE));
     let bound = bounds
         .config_apply
@@ -115,7 +115,7 @@
         wait: bound.mul_f64(share),
         pause: Duration::ZERO,
     };
-    Ok(Timing {
+    Ok(ReadTiming {
         alone: waiting(CHANGE_ALONE_WAIT),
         reader: waiting(CHANGE_READER_WAIT),
         max_proof_age: bound.mul_f64(CHANGE_PROOF_AGE),
@@ -123,7 +123,7 @@
     })
 }
 
-fn endpoints(bounds: &Bounds) -> Result<Timing, Error> {
+fn endpoints(bounds: &Bounds) -> Result<ReadTiming, Error> {
     let bound = bounds.drain;
     if bound < MIN_LEAVING_BOUND {
         return Err(Error::Leaving { bound });
@@ -134,7 +134,7 @@
         pause: bound.mul_f64(share),
     };
     let max_proof_age = bound.mul_f64(LEAVING_PROOF_AGE);
-    Ok(Timing {
+    Ok(ReadTiming {
         alone: pausing(LEAVING_ALONE_PAUSE),
         reader: pausing(LEAVING_READER_PAUSE),
         max_proof_age,
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -12,8 +12,8 @@
 use pimento_relay::follow::Follower;
 use pimento_relay::follow::Polling;
 use pimento_relay::follow::ReadRole;
+use pimento_relay::follow::ReadTiming;
 use pimento_relay::follow::RecordContext;
-use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
 use pimento_relay::topic::Topic;
 use pimento_relay::zone::ZoneReading;
@@ -30,7 +30,7 @@
     pause: Duration::ZERO,
 };
 
-pub const TIMING: Timing = Timing {
+pub const TIMING: ReadTiming = ReadTiming {
     alone: QUICK,
     reader: QUICK,
     max_proof_age: Duration::from_mins(1),
@@ -86,11 +86,11 @@
         Self::with_timing(TIMING)
     }
 
-    pub fn with_timing(timing: Timing) -> Self {
+    pub fn with_timing(timing: ReadTiming) -> Self {
         Self::with_log(MemoryLog::new(), timing)
     }
 
-    pub fn with_log(log: MemoryLog, timing: Timing) -> Self {
+    pub fn with_log(log: MemoryLog, timing: ReadTiming) -> Self {
         let zone = ZoneReading::default();
         let token = CancellationToken::new();
         let calls = LogCalls::default();
--- a/crates/relay/tests/all/follow.rs
+++ b/crates/relay/tests/all/follow.rs
@@ -6,8 +6,8 @@
 use pimento_relay::calls::Reason;
 use pimento_relay::follow::Proof;
 use pimento_relay::follow::ReadRole;
+use pimento_relay::follow::ReadTiming;
 use pimento_relay::follow::RecordRange;
-use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
 use pimento_relay::zone::Stamp;
 use pimento_units::Moment;
@@ -349,7 +349,7 @@
 // each proof, and every entry that ended meanwhile would seem to have expired because of an outage.
 #[tokio::test]
 async fn a_refused_vm_stays_connected_through_its_readers_proofs() {
-    let timing = Timing {
+    let timing = ReadTiming {
         max_proof_age: Duration::from_millis(1_500),
         ..TIMING
     };
--- a/crates/relay/tests/all/model.rs
+++ b/crates/relay/tests/all/model.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use pimento_relay::follow::ReadRole;
-use pimento_relay::follow::Timing;
+use pimento_relay::follow::ReadTiming;
 use pimento_relay::neighbours::broadcast::zone_interval;
 use pimento_relay::neighbours::peers::Peer;
 use pimento_relay::neighbours::peers::Peers;
@@ -90,7 +90,7 @@
 
 struct Model {
     now: Moment,
-    timing: Timing,
+    timing: ReadTiming,
     bound: Duration,
     vms: Vec<Vm>,
     /// Datagrams in transit, with their receivers.
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -5,7 +5,7 @@
 use pimento_relay::boot;
 use pimento_relay::follow::Proof;
 use pimento_relay::follow::ReadRole;
-use pimento_relay::follow::Timing;
+use pimento_relay::follow::ReadTiming;
 use pimento_relay::zone::Failure;
 use pimento_relay::zone::LogState;
 use pimento_relay::zone::Reachability;
@@ -20,7 +20,7 @@
 use crate::log::Behaviour;
 
 /// Proofs expire so soon that a served VM has to read the log itself.
-const SHORT_PROOFS: Timing = Timing {
+const SHORT_PROOFS: ReadTiming = ReadTiming {
     max_proof_age: Duration::from_millis(50),
     ..TIMING
 };
