--- a/crates/relay/src/bundle.rs
+++ b/crates/relay/src/bundle.rs
@@ -91,7 +91,7 @@
 }
 
 /// All records between two offsets of a topic that changed the sender's view: a
-/// [`RecordRange`](crate::follow::RecordRange) with its topic, as it is sent to other VMs.
+/// [`RecordRange`] with its topic, as it is sent to other VMs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bundle {
     /// The topic.
--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -13,7 +13,7 @@
     /// The VM has no view yet, or the log has dropped records that it needs.
     Start,
     /// The VM is the reader of its zone.
-    Leading,
+    Reader,
     /// The VM reads for itself alone.
     Alone,
     /// The VM is served by a reader, which announced a change that it lacks.
@@ -37,7 +37,7 @@
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Start => "start",
-            Self::Leading => "leading",
+            Self::Reader => "leading",
             Self::Alone => "alone",
             Self::Lacking => "lacking",
             Self::Unproven => "unproven",
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -372,7 +372,7 @@
         let inner = self.lock();
         match role {
             _ if inner.next.is_none() => Reason::Start,
-            ReadRole::Reader => Reason::Leading,
+            ReadRole::Reader => Reason::Reader,
             ReadRole::Alone => Reason::Alone,
             ReadRole::Served if inner.lacks_changes() => Reason::Lacking,
             ReadRole::Served => Reason::Unproven,
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -94,7 +94,7 @@
         waited
     }
 
-    /// Fetches the records that the view lacks from the VM that reads for this one. Returns whether the
+    /// Fetches the records that the view lacks from this VM's reader. Returns whether the
     /// view lacks no announced change afterwards.
     pub(super) async fn fetch_from_reader(&self) -> bool {
         let (Some(reader), Some(next)) = (self.zone.reader_address(), self.next_offset()) else {
--- a/crates/relay/src/follow/start.rs
+++ b/crates/relay/src/follow/start.rs
@@ -19,7 +19,7 @@
 const FIRST_READ: Duration = Duration::from_millis(400);
 
 impl<F: Fold, L: Log> Follower<F, L> {
-    /// Fetches and adopts the view of the VM that reads for this one. Returns false if the log must be read
+    /// Fetches and adopts the view of this VM's reader. Returns false if the log must be read
     /// instead.
     pub(super) async fn fetch_snapshot(&self) -> bool {
         let reader = self.zone.reader_address();
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -1,5 +1,5 @@
 //! Datagrams between the entry VMs, of this zone and of others: how long engines take for their prompts,
-//! which prompts they have prefilled, and what the VM that reads the log for its zone found there.
+//! which prompts they have prefilled, and what the zone's reader found in the log.
 //! Endpoints' limits, announcements about roll-outs and reports of requests that crash endpoints go along.
 //!
 //! What is said of engines is a hint: if it is lost, a prompt waits a little longer or is prefilled once
--- a/crates/relay/src/neighbours/broadcast.rs
+++ b/crates/relay/src/neighbours/broadcast.rs
@@ -34,7 +34,7 @@
 const REMOTE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time between datagrams to the zone if there is nothing to send. They keep the VM counted as alive,
-/// and give the VM that reads the log a young stamp of it.
+/// and give the reader a young stamp of it.
 const ZONE_HEARTBEAT: Duration = Duration::from_millis(400);
 
 /// Time between datagrams to other zones if there is nothing to send.
@@ -62,7 +62,7 @@
 }
 
 impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
-    /// Records to forward to the zone; empty unless this VM reads the log for it.
+    /// Records to forward to the zone; empty unless this VM is its reader.
     fn take_bundles(&self) -> Vec<Bundle> {
         let forwarded = self.lock().forwarded.take();
         if !self.is_zone_reader() {
@@ -233,7 +233,7 @@
         }
     }
 
-    /// What this VM's last reads prove to another one; nothing unless this VM reads the log for the
+    /// What this VM's last reads prove to another one; nothing unless this VM is the reader of the
     /// zone. While endpoints register by the dozen, every read finds something new, and VMs that all sent
     /// each other proofs would make each other read without end.
     fn proofs(&self, node: u64) -> Proofs {
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -98,11 +98,11 @@
 /// This VM's part in reading the log for its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Assignment {
-    /// Whether this VM reads for itself, for others, or another one for it.
+    /// This VM's role.
     pub read_role: ReadRole,
-    /// The VM that reads for this one; none if this one reads itself.
+    /// The reader of this VM; none if this one reads itself.
     pub reader: Option<SocketAddr>,
-    /// How the reads of the zone go.
+    /// Whether the log answers the VMs of the zone.
     pub state: LogState,
 }
 
--- a/crates/relay/src/poison/writer.rs
+++ b/crates/relay/src/poison/writer.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Ends the blocks that have expired. The VM that reads the log for its zone also removes obsolete
-/// blocks from the log.
+/// Ends the blocks that have expired. A VM that reads the log itself also removes obsolete blocks from
+/// the log.
 fn expire_blocks<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let mut state = node.poison.lock();
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -1,9 +1,9 @@
 //! Carries roll-outs through: shares evidence with the other VMs, and reports to the operators when a
 //! roll-out is done or rolled back.
 //!
-//! There is no leader. Within a zone VMs announce to each other by datagrams. The VM that reads the log
-//! for its zone writes to the VMs' own topic what it knows of all VMs there, and reads what other zones
-//! wrote. Any such VM that sees that all VMs have drained the old version reports the end to the
+//! No VM leads the others. Within a zone VMs announce to each other by datagrams. A VM that reads the log
+//! itself, such as the zone's reader, writes to the VMs' own topic what it knows of all VMs of its zone, and
+//! reads what other zones wrote. Any such VM that sees that all VMs have drained the old version reports the end to the
 //! operators, by an append on condition that the topic has not moved since it was read. An append whose
 //! answer was lost is found by the next read.
 
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -335,7 +335,7 @@
 }
 
 /// How a stream ended.
-enum End {
+enum StreamEnd {
     /// All events were forwarded.
     Complete,
     /// The caller disconnected.
@@ -350,23 +350,23 @@
         let forwarding = self.forward(&writer, source, first);
         let end = tokio::select! {
             end = forwarding => end,
-            () = writer.disconnected() => End::Disconnected,
-            () = tokio::time::sleep(left) => End::Aborted(Cause::Timeout),
+            () = writer.disconnected() => StreamEnd::Disconnected,
+            () = tokio::time::sleep(left) => StreamEnd::Aborted(Cause::Timeout),
         };
         self.record_end(&end);
         // Dropping the writer without a call of end() aborts the connection.
-        if matches!(end, End::Complete) && writer.end().await.is_err() {
+        if matches!(end, StreamEnd::Complete) && writer.end().await.is_err() {
             log::debug!("stream: Caller disconnected at the end.");
         }
     }
 
     /// Records how the stream ended, in metrics and the log.
-    fn record_end(&self, end: &End) {
+    fn record_end(&self, end: &StreamEnd) {
         let took = self.node.now().since(self.request.began);
         let (end, cause) = match end {
-            End::Complete => ("whole", None),
-            End::Disconnected => ("caller_left", None),
-            End::Aborted(cause) => ("broken_off", Some(cause.as_str())),
+            StreamEnd::Complete => ("whole", None),
+            StreamEnd::Disconnected => ("caller_left", None),
+            StreamEnd::Aborted(cause) => ("broken_off", Some(cause.as_str())),
         };
         let route = &self.request.grant.route.name;
         self.node.metrics.observe_end(route, end, took);
@@ -381,7 +381,7 @@
         );
     }
 
-    async fn forward(&mut self, writer: &Writer, source: Source, first: Event) -> End {
+    async fn forward(&mut self, writer: &Writer, source: Source, first: Event) -> StreamEnd {
         let mut source = source;
         let mut batch = EventBatch::default();
         let mut item = Ok(Item::Event(first));
@@ -392,7 +392,7 @@
                         batch.push(&event, Instant::now());
                         item = match next(&mut source, writer, &mut batch).await {
                             Ok(item) => item,
-                            Err(Disconnected) => return End::Disconnected,
+                            Err(Disconnected) => return StreamEnd::Disconnected,
                         };
                     }
                     Ok(false) => item = source.next().await,
@@ -400,12 +400,12 @@
                 },
                 Ok(Item::End) => {
                     if batch.flush(writer).await.is_err() {
-                        return End::Disconnected;
+                        return StreamEnd::Disconnected;
                     }
                     self.attempts.response_complete();
                     self.attempts.record_session_version(&source.permit);
                     source.permit.served(Tokens(1));
-                    return End::Complete;
+                    return StreamEnd::Complete;
                 }
                 Err(Fault::Timeout)
                     if source.event_timeout < DEFAULT_EVENT_TIMEOUT && !self.may_resume() =>
@@ -415,14 +415,14 @@
                 }
                 Err(fault) => {
                     if batch.flush(writer).await.is_err() {
-                        return End::Disconnected;
+                        return StreamEnd::Disconnected;
                     }
                     if let Err(refusal) = self.attempts.attempt_failed(source.permit, &fault) {
-                        return End::Aborted(refusal.cause);
+                        return StreamEnd::Aborted(refusal.cause);
                     }
                     source = match self.resume().await {
                         Ok(source) => source,
-                        Err(refusal) => return End::Aborted(refusal.cause),
+                        Err(refusal) => return StreamEnd::Aborted(refusal.cause),
                     };
                     item = source.first(self.request.left(self.node.now())).await;
                     if matches!(item, Ok(Item::Event(_))) {
--- a/crates/relay/src/zone.rs
+++ b/crates/relay/src/zone.rs
@@ -98,7 +98,7 @@
     pub read_role: Arc<watch::Sender<ReadRole>>,
     /// Notified of each read of this VM that proved its view as of a later moment.
     pub proved: Arc<Notify>,
-    /// Where the VM that reads for this one accepts connections.
+    /// Where this VM's reader accepts connections.
     reader_address: Arc<Mutex<Option<SocketAddr>>>,
     reads: Arc<Mutex<Reads>>,
     discovery: Arc<watch::Sender<Discovery>>,
@@ -165,7 +165,7 @@
         stamps.clone()
     }
 
-    /// Sets the address of the VM that reads for this one; none if this VM reads itself.
+    /// Sets the address of this VM's reader; none if this VM reads itself.
     pub fn set_reader_address(&self, reader: Option<SocketAddr>) {
         *self
             .reader_address
@@ -173,7 +173,7 @@
             .unwrap_or_else(PoisonError::into_inner) = reader;
     }
 
-    /// Where the VM that reads for this one accepts connections; none if this VM reads itself.
+    /// Where this VM's reader accepts connections; none if this VM reads itself.
     #[must_use]
     pub fn reader_address(&self) -> Option<SocketAddr> {
         *self
