--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -25,7 +25,8 @@
 /// and any larger model waits for it.
 const FIRST_URGENCY: u8 = 1;
 
-/// Priority class at the engine of a larger model's answer, whatever the length of its prompt.
+/// Priority class at the engine of a larger model's answer. It does not depend on the prompt's length,
+/// because callers gain nothing if the shortest prompts run first.
 const LARGER_URGENCY: u8 = 4;
 
 /// Statistics of this VM for choosing models.
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -39,9 +39,10 @@
 use crate::topic::Topic;
 use crate::zone::ZoneReading;
 
-/// Share of two bounds up to which a configuration may be used. Its age may reach this share of the bound on
-/// revoked keys; a known change may be missing for this share of the bound on configuration changes. The rest
-/// of each bound allows for clock drift.
+/// Share of two bounds up to which a configuration may be used. Its age may reach this share of the bound
+/// on revoked keys; a known change may be missing for this share of the bound on configuration changes. A
+/// key that the configuration still lists was revoked, if at all, after the configuration was confirmed
+/// to be current, so that any age below the bound would do. The rest allows for clock drift.
 const FRESH_SHARE: f64 = 0.85;
 
 /// The same share for reporting readiness. A VM that is cut off alone should lose its callers to the other
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -2,10 +2,10 @@
 //! roll-out is done or rolled back.
 //!
 //! No VM leads the others. Within a zone VMs announce to each other by datagrams. A VM that reads the log
-//! itself, such as the zone's reader, writes to the VMs' own topic what it knows of all VMs of its zone, and
-//! reads what other zones wrote. Any such VM that sees that all VMs have drained the old version reports the end to the
-//! operators, by an append on condition that the topic has not moved since it was read. An append whose
-//! answer was lost is found by the next read.
+//! itself, such as the zone's reader, writes to the VMs' own topic what it knows of all VMs of its zone,
+//! and reads what other zones wrote. Any such VM that sees that all VMs have drained the old version
+//! reports the end to the operators, by an append on condition that the topic has not moved since it was
+//! read. An append whose answer was lost is found by the next read.
 
 use std::time::Duration;
 
