--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -25,8 +25,8 @@
 /// think the same of this VM.
 const FORGET_TIMEOUT: Duration = Duration::from_mins(5);
 
-/// If the log does not answer this many VMs of a zone, it may be out for all of them.
-const MANY_UNANSWERED: usize = 3;
+/// If the log is unreachable for this many VMs of a zone, it may be out for all of them.
+const MANY_UNREACHABLE: usize = 3;
 
 /// Whether a VM can read the log for others.
 ///
@@ -203,7 +203,7 @@
                 state: LogState::default(),
             };
         }
-        let unanswered = |(status, ..): &&(ReaderStatus, &id::Node, Option<SocketAddr>)| {
+        let unreachable = |(status, ..): &&(ReaderStatus, &id::Node, Option<SocketAddr>)| {
             *status == ReaderStatus::Unreachable
         };
         let all: Vec<_> = others.into_iter().chain([(status, own, None)]).collect();
@@ -216,7 +216,7 @@
             reader: address,
             state: LogState {
                 no_eligible_reader: !eligible,
-                outage_suspected: all.iter().filter(unanswered).count() >= MANY_UNANSWERED,
+                outage_suspected: all.iter().filter(unreachable).count() >= MANY_UNREACHABLE,
             },
         }
     }
