--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -12,13 +12,13 @@
 pub enum Reason {
     /// The VM has no view yet, or the log has dropped records that it needs.
     Start,
-    /// The VM reads for itself and the other VMs of its zone.
-    Leading,
+    /// The VM is the reader of its zone.
+    Reader,
     /// The VM reads for itself alone.
     Alone,
-    /// The VM is led by another one, which announced a change that it lacks.
+    /// The VM is served by a reader, which announced a change that it lacks.
     Lacking,
-    /// The VM is led by another one, whose last proof is too old.
+    /// The VM is served by a reader, whose last proof is too old.
     Unproven,
     /// A view is read once more on request: a caller uses something that it does not have, or another VM
     /// starts from it.
@@ -37,7 +37,7 @@
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Start => "start",
-            Self::Leading => "leading",
+            Self::Reader => "leading",
             Self::Alone => "alone",
             Self::Lacking => "lacking",
             Self::Unproven => "unproven",
--- a/crates/relay/src/poison/writer.rs
+++ b/crates/relay/src/poison/writer.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Ends the blocks that have expired. The VM that reads the log for its zone also removes obsolete
-/// blocks from the log.
+/// Ends the blocks that have expired. A VM that reads the log itself also removes obsolete blocks from
+/// the log.
 fn expire_blocks<P: HeaderCodec + Codec, L: Log>(node: &Node<P, L>) {
     let now = boot::now();
     let mut state = node.poison.lock();
@@ -80,8 +80,8 @@
     state.pending_writes.first().copied()
 }
 
-/// Writes a change; whether nothing is left to do for it, because it is known to be written or can't be
-/// encoded.
+/// Writes a change. Returns true if nothing is left to do for it, because it is known to be written or can't
+/// be encoded.
 async fn write<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: &L,
--- a/crates/relay/src/rollouts/controller.rs
+++ b/crates/relay/src/rollouts/controller.rs
@@ -1,11 +1,11 @@
 //! Carries roll-outs through: shares evidence with the other VMs, and reports to the operators when a
 //! roll-out is done or rolled back.
 //!
-//! There is no leader. Within a zone VMs announce to each other by datagrams. The VM that reads the log
-//! for its zone writes to the VMs' own topic what it knows of all VMs there, and reads what other zones
-//! wrote. Any such VM that sees that all VMs have drained the old version reports the end to the
-//! operators, by an append on condition that the topic has not moved since it was read. An append whose
-//! answer was lost is found by the next read.
+//! No VM leads the others. Within a zone VMs announce to each other by datagrams. A VM that reads the log
+//! itself, such as the zone's reader, writes to the VMs' own topic what it knows of all VMs of its zone,
+//! and reads what other zones wrote. Any such VM that sees that all VMs have drained the old version
+//! reports the end to the operators, by an append on condition that the topic has not moved since it was
+//! read. An append whose answer was lost is found by the next read.
 
 use std::time::Duration;
 
@@ -33,17 +33,17 @@
 use crate::follow::Fold;
 use crate::follow::Follower;
 use crate::follow::Polling;
+use crate::follow::ReadTiming;
 use crate::follow::RecordContext;
-use crate::follow::Timing;
 use crate::headers::HeaderCodec;
 use crate::node::Node;
-use crate::operators::RolloutOrder;
+use crate::operators::ReadOrder;
 use crate::pools;
 use crate::topic::Error;
 use crate::topic::Log;
 use crate::topic::Record;
 use crate::topic::Topic;
-use crate::zone::Zone;
+use crate::zone::ZoneReading;
 
 /// How often a roll-out is checked. Several times within the second that evidence may take to spread.
 const TICK: Duration = Duration::from_millis(250);
@@ -62,9 +62,9 @@
 const MAX_RANK_DELAY: Duration = Duration::from_millis(1_500);
 
 /// How the entry VMs' own topic is read while a roll-out is under way.
-const FLEET: Timing = Timing {
+const FLEET: ReadTiming = ReadTiming {
     alone: SECONDLY,
-    leading: SECONDLY,
+    reader: SECONDLY,
     max_proof_age: Duration::ZERO,
     timeout: Duration::from_millis(450),
 };
@@ -114,8 +114,8 @@
     published: Vec<Announcement>,
     /// When this VM first found that an end is to be reported.
     report_due: Option<Moment>,
-    /// By the offset of an order, where the status topic ended when this VM accepted it. Only for orders
-    /// that were given while this VM ran and read the log.
+    /// For each order that was given while this VM ran and read the log: the order's offset, and the end of
+    /// the status topic when this VM accepted it. Reports before that end belong to earlier orders.
     status_ends: Vec<(Offset, Offset)>,
 }
 
@@ -178,9 +178,9 @@
     /// topic shows. While the service has a single version this makes no difference, and the topic is not
     /// read: VMs that start together would all call the log for nothing.
     async fn accept_orders(&mut self) -> Pending {
-        let orders: Vec<RolloutOrder> = self.node.operators.view(|view| view.orders().to_vec());
-        let known = |order: &RolloutOrder| self.node.rollouts(|r| r.has_order(order));
-        let new: Vec<RolloutOrder> = orders.into_iter().filter(|order| !known(order)).collect();
+        let orders: Vec<ReadOrder> = self.node.operators.view(|view| view.orders().to_vec());
+        let known = |order: &ReadOrder| self.node.rollouts(|r| r.has_order(order));
+        let new: Vec<ReadOrder> = orders.into_iter().filter(|order| !known(order)).collect();
         let now = boot::now();
         if new.iter().any(|order| order.initial) {
             // The pools may not know the versions of the endpoints yet.
@@ -219,7 +219,7 @@
                 self.log.clone(),
                 Topic::Fleet,
                 FLEET,
-                Zone::default(),
+                ZoneReading::default(),
                 self.node.calls.clone(),
                 Unmerged::default(),
                 token.clone(),
@@ -274,7 +274,7 @@
         }));
         let record = VmRecord {
             rollouts,
-            ..self.node.announcement()
+            ..self.node.vm_record()
         };
         if self.node.publish(&record, &self.log).await {
             self.published = own;
@@ -320,9 +320,9 @@
         }
     }
 
-    /// Reports an end to the operators unless one was reported already; whether one is known to be
-    /// reported now.
-    async fn report_end(&self, order: &RolloutOrder, end: End) -> bool {
+    /// Reports an end to the operators unless one was reported already. Returns true if one is known to be
+    /// reported.
+    async fn report_end(&self, order: &ReadOrder, end: End) -> bool {
         let pool = &order.rollout.pool;
         let target = &order.rollout.target;
         let Some((statuses, at)) = self.read_statuses().await else {
@@ -407,7 +407,7 @@
 /// same version.
 fn reported_end(
     statuses: &[(Offset, RolloutStatus)],
-    order: &RolloutOrder,
+    order: &ReadOrder,
     since: Offset,
 ) -> Option<End> {
     let found = statuses.iter().find(|(offset, status)| {
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -119,7 +119,7 @@
 }
 
 /// A stream whose first event was received.
-struct Started {
+struct StartedStream {
     head: response::Parts,
     source: Source,
     event: Event,
@@ -128,9 +128,9 @@
 }
 
 /// The start of an endpoint's response.
-enum Start {
+enum FirstResponse {
     /// A stream, with its first event.
-    Stream(Box<Started>),
+    Stream(Box<StartedStream>),
     /// An error response, to be forwarded if no other response follows.
     Error(Response<ReplyBody>),
 }
@@ -156,8 +156,8 @@
             Ok(opened) => opened,
             Err(refusal) => return error.ok_or(refusal),
         };
-        match start(&mut attempts, node, &request, opened).await {
-            Ok(Some(Start::Stream(started))) => {
+        match read_start(&mut attempts, node, &request, opened).await {
+            Ok(Some(FirstResponse::Stream(started))) => {
                 let confidence = started.confidence;
                 let larger =
                     cascade::choose_larger(&attempts, &overrides, confidence, &mut dropped);
@@ -166,7 +166,7 @@
                 };
                 overrides.model = Some(model);
             }
-            Ok(Some(Start::Error(response))) => {
+            Ok(Some(FirstResponse::Error(response))) => {
                 if !attempts.may_retry() {
                     return Ok(response);
                 }
@@ -200,12 +200,12 @@
 }
 
 /// Reads a response up to its first event. Returns none if the attempt failed and another one may be made.
-async fn start<P: HeaderCodec + Codec, L: Log>(
+async fn read_start<P: HeaderCodec + Codec, L: Log>(
     attempts: &mut Attempts<'_, P, L>,
     node: &Node<P, L>,
     request: &AdmittedRequest,
     opened: Opened,
-) -> Result<Option<Start>, Refusal> {
+) -> Result<Option<FirstResponse>, Refusal> {
     let Opened {
         permit,
         response,
@@ -227,7 +227,7 @@
                 });
                 node.platform.strip_connection_headers(&mut head.headers);
                 let response = Response::from_parts(head, ReplyBody::whole(bytes));
-                Ok(Some(Start::Error(response)))
+                Ok(Some(FirstResponse::Error(response)))
             }
             Err(fault) => attempts.attempt_failed(permit, &fault).map(|()| None),
         };
@@ -237,7 +237,7 @@
         Ok(Item::Event(event)) => {
             source.permit.first_token();
             attempts.record_result(&source.permit, false);
-            Ok(Some(Start::Stream(Box::new(Started {
+            Ok(Some(FirstResponse::Stream(Box::new(StartedStream {
                 head,
                 source,
                 event,
@@ -335,7 +335,7 @@
 }
 
 /// How a stream ended.
-enum End {
+enum StreamEnd {
     /// All events were forwarded.
     Complete,
     /// The caller disconnected.
@@ -350,23 +350,23 @@
         let forwarding = self.forward(&writer, source, first);
         let end = tokio::select! {
             end = forwarding => end,
-            () = writer.disconnected() => End::Disconnected,
-            () = tokio::time::sleep(left) => End::Aborted(Cause::Timeout),
+            () = writer.disconnected() => StreamEnd::Disconnected,
+            () = tokio::time::sleep(left) => StreamEnd::Aborted(Cause::Timeout),
         };
         self.record_end(&end);
         // Dropping the writer without a call of end() aborts the connection.
-        if matches!(end, End::Complete) && writer.end().await.is_err() {
+        if matches!(end, StreamEnd::Complete) && writer.end().await.is_err() {
             log::debug!("stream: Caller disconnected at the end.");
         }
     }
 
     /// Records how the stream ended, in metrics and the log.
-    fn record_end(&self, end: &End) {
+    fn record_end(&self, end: &StreamEnd) {
         let took = self.node.now().since(self.request.began);
         let (end, cause) = match end {
-            End::Complete => ("whole", None),
-            End::Disconnected => ("caller_left", None),
-            End::Aborted(cause) => ("broken_off", Some(cause.as_str())),
+            StreamEnd::Complete => ("whole", None),
+            StreamEnd::Disconnected => ("caller_left", None),
+            StreamEnd::Aborted(cause) => ("broken_off", Some(cause.as_str())),
         };
         let route = &self.request.grant.route.name;
         self.node.metrics.observe_end(route, end, took);
@@ -381,7 +381,7 @@
         );
     }
 
-    async fn forward(&mut self, writer: &Writer, source: Source, first: Event) -> End {
+    async fn forward(&mut self, writer: &Writer, source: Source, first: Event) -> StreamEnd {
         let mut source = source;
         let mut batch = EventBatch::default();
         let mut item = Ok(Item::Event(first));
@@ -392,7 +392,7 @@
                         batch.push(&event, Instant::now());
                         item = match next(&mut source, writer, &mut batch).await {
                             Ok(item) => item,
-                            Err(Disconnected) => return End::Disconnected,
+                            Err(Disconnected) => return StreamEnd::Disconnected,
                         };
                     }
                     Ok(false) => item = source.next().await,
@@ -400,12 +400,12 @@
                 },
                 Ok(Item::End) => {
                     if batch.flush(writer).await.is_err() {
-                        return End::Disconnected;
+                        return StreamEnd::Disconnected;
                     }
                     self.attempts.response_complete();
                     self.attempts.record_session_version(&source.permit);
                     source.permit.served(Tokens(1));
-                    return End::Complete;
+                    return StreamEnd::Complete;
                 }
                 Err(Fault::Timeout)
                     if source.event_timeout < DEFAULT_EVENT_TIMEOUT && !self.may_resume() =>
@@ -415,14 +415,14 @@
                 }
                 Err(fault) => {
                     if batch.flush(writer).await.is_err() {
-                        return End::Disconnected;
+                        return StreamEnd::Disconnected;
                     }
                     if let Err(refusal) = self.attempts.attempt_failed(source.permit, &fault) {
-                        return End::Aborted(refusal.cause);
+                        return StreamEnd::Aborted(refusal.cause);
                     }
                     source = match self.resume().await {
                         Ok(source) => source,
-                        Err(refusal) => return End::Aborted(refusal.cause),
+                        Err(refusal) => return StreamEnd::Aborted(refusal.cause),
                     };
                     item = source.first(self.request.left(self.node.now())).await;
                     if matches!(item, Ok(Item::Event(_))) {
--- a/crates/relay/tests/all/large.rs
+++ b/crates/relay/tests/all/large.rs
@@ -4,8 +4,8 @@
 
 use compact_str::CompactString;
 use pimento_relay::boot;
-use pimento_relay::follow::Lead;
 use pimento_relay::follow::Proof;
+use pimento_relay::follow::ReadRole;
 use pimento_relay::follow::answer_timeout;
 use pimento_relay::follow::max_backoff;
 use pimento_units::Offset;
@@ -57,9 +57,9 @@
 #[tokio::test]
 async fn an_announcement_of_records_that_do_not_exist_is_dropped() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     fixture.follower.receive_proof(Proof {
-        changed: Offset(1_000),
+        change_end: Offset(1_000),
         stamp: boot::now(),
     });
     assert!(fixture.follower.behind().is_some());
@@ -76,14 +76,14 @@
 #[tokio::test]
 async fn a_view_knows_how_long_it_is_behind() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     assert_eq!(fixture.follower.behind(), None);
     fixture.log.set_behaviour(Behaviour::Refusing);
     let next = fixture.log.put("a", Some("1"));
     let announced = boot::now();
     for _ in 0..3 {
         fixture.follower.receive_proof(Proof {
-            changed: next,
+            change_end: next,
             stamp: boot::now(),
         });
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -116,24 +116,24 @@
     assert!(confirmed.await.unwrap());
 }
 
-// Guards against a VM that refuses callers for the whole backoff of a large zone. After a long outage the
-// VMs that are led call the log seldom. When it is reachable again, operators write a configuration that is
-// too large to be forwarded, and a VM that receives the announcement during its backoff must read it itself.
+// Guards against a VM that refuses callers for the whole backoff of a large zone. After a long outage
+// served VMs call the log seldom. When it is reachable again, operators write a configuration that is too
+// large to be forwarded, and a VM that receives the announcement during its backoff must read it itself.
 #[test]
 fn a_vm_that_lacks_a_change_backs_off_less() {
     for others in [0, 5, 16, 400] {
-        let current = max_backoff(Lead::Led, others, false);
-        let lacking = max_backoff(Lead::Led, others, true);
+        let current = max_backoff(ReadRole::Served, others, false);
+        let lacking = max_backoff(ReadRole::Served, others, true);
         assert!(lacking <= current, "{others}: {lacking:?}, {current:?}");
         assert!(lacking <= Duration::from_millis(1_200), "{lacking:?}");
     }
-    let large = max_backoff(Lead::Led, 16, false);
-    let small = max_backoff(Lead::Led, 2, false);
+    let large = max_backoff(ReadRole::Served, 16, false);
+    let small = max_backoff(ReadRole::Served, 2, false);
     assert!(
         large > small,
         "the VMs of a large zone call an unreachable log less often"
     );
-    for role in [Lead::Alone, Lead::Leading] {
+    for role in [ReadRole::Alone, ReadRole::Reader] {
         assert!(max_backoff(role, 16, false) < small);
     }
 }
@@ -145,13 +145,13 @@
 #[tokio::test]
 async fn the_timeout_grows_while_the_log_is_busy_with_a_change() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     fixture
         .log
         .set_behaviour(Behaviour::Delayed(TIMING.timeout * 3));
     let next = fixture.log.put("a", Some("1"));
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp: boot::now(),
     });
     fixture.until("a", |f| f.keys() == ["a"]).await;
--- a/crates/relay/tests/all/turns.rs
+++ b/crates/relay/tests/all/turns.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use pimento_relay::boot;
-use pimento_relay::follow::Lead;
 use pimento_relay::follow::Proof;
-use pimento_relay::follow::Timing;
+use pimento_relay::follow::ReadRole;
+use pimento_relay::follow::ReadTiming;
 use pimento_relay::zone::Failure;
 use pimento_relay::zone::LogState;
 use pimento_relay::zone::Reachability;
 use pimento_relay::zone::Stamp;
-use pimento_relay::zone::Zone;
+use pimento_relay::zone::ZoneReading;
 use pimento_units::Moment;
 
 use crate::fixture::Fixture;
@@ -19,8 +19,8 @@
 use crate::fixture::TIMING;
 use crate::log::Behaviour;
 
-/// Proofs expire so soon that a VM that is led has to read the log itself.
-const SHORT_PROOFS: Timing = Timing {
+/// Proofs expire so soon that a served VM has to read the log itself.
+const SHORT_PROOFS: ReadTiming = ReadTiming {
     max_proof_age: Duration::from_millis(50),
     ..TIMING
 };
@@ -28,17 +28,17 @@
 /// Other VMs of the zone, so many that each gets a turn once in a dozen seconds.
 const OTHER_VMS: u64 = 60;
 
-/// Makes the fixture's VM one that is led, in a large zone in which the log answers no VM.
+/// Makes the fixture's VM a served one, in a large zone in which the log answers no VM.
 fn leave_without_able_reader(fixture: &Fixture) {
     for node in 0..OTHER_VMS {
         let at = Moment::ZERO;
         fixture.zone.record_stamp(Stamp { node, at });
     }
     fixture.zone.set_log_state(LogState {
-        no_able_reader: true,
+        no_eligible_reader: true,
         outage_suspected: true,
     });
-    fixture.zone.lead.send_replace(Lead::Led);
+    fixture.zone.read_role.send_replace(ReadRole::Served);
 }
 
 // Guards against all VMs of a zone calling an unreachable log: each did as soon as its last proof expired,
@@ -59,7 +59,7 @@
     fixture.log.set_behaviour(Behaviour::Healthy);
     let stamp = boot::now();
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp,
     });
     assert_eq!(fixture.follower.proven_at(), Some(stamp));
@@ -69,13 +69,13 @@
 #[tokio::test]
 async fn a_new_reader_waits_when_an_outage_is_suspected() {
     let fixture = Fixture::new();
-    fixture.make_led().await;
+    fixture.make_served().await;
     fixture.zone.set_log_state(LogState {
-        no_able_reader: false,
+        no_eligible_reader: false,
         outage_suspected: true,
     });
     let calls = fixture.log.calls();
-    fixture.zone.lead.send_replace(Lead::Leading);
+    fixture.zone.read_role.send_replace(ReadRole::Reader);
     tokio::time::sleep(Duration::from_millis(150)).await;
     assert_eq!(fixture.log.calls(), calls);
     fixture
@@ -87,7 +87,7 @@
 #[test]
 fn one_lost_answer_is_not_an_outage_but_a_refusal_is() {
     let now = boot::now();
-    let zone = Zone::default();
+    let zone = ZoneReading::default();
     zone.read_failed(Failure::Unanswered, now);
     assert_eq!(zone.reachability(now), Reachability::Reachable);
     zone.read_failed(Failure::Unanswered, now);
@@ -97,7 +97,7 @@
     zone.read_failed(Failure::Refused, now);
     assert_eq!(zone.reachability(now), Reachability::Unreachable);
     // It stays untested until a read is answered.
-    assert_eq!(zone.reachability(now + MAX_WAIT), Reachability::Untested);
+    assert_eq!(zone.reachability(now + MAX_WAIT), Reachability::Suspect);
 }
 
 // Guards against requests to leaving endpoints after the bound: a VM that waited for its turn, because the
@@ -113,7 +113,7 @@
     let next = fixture.log.put("a", Some("1"));
     fixture.zone.set_log_state(LogState::default());
     fixture.follower.receive_proof(Proof {
-        changed: next,
+        change_end: next,
         stamp: boot::now(),
     });
     let started = tokio::time::Instant::now();
@@ -131,7 +131,7 @@
         .await;
     fixture.log.set_behaviour(Behaviour::Refusing);
     tokio::time::sleep(QUICK.wait * 2).await;
-    fixture.zone.lead.send_replace(Lead::Led);
+    fixture.zone.read_role.send_replace(ReadRole::Served);
     tokio::time::sleep(QUICK.wait * 2).await;
     let calls = fixture.log.calls();
     tokio::time::sleep(Duration::from_millis(500)).await;
