--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -23,7 +23,7 @@
 
 /// Requests per second that an endpoint accepts; finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
-pub struct Limit(f64);
+pub struct RateLimit(f64);
 
 /// Why a value is not a limit.
 #[derive(Debug, Clone, PartialEq, Snafu)]
@@ -42,7 +42,7 @@
     },
 }
 
-impl Limit {
+impl RateLimit {
     /// Returns the limit in requests per second.
     #[must_use]
     pub const fn per_second(self) -> f64 {
@@ -50,7 +50,7 @@
     }
 }
 
-impl TryFrom<f64> for Limit {
+impl TryFrom<f64> for RateLimit {
     type Error = Error;
 
     fn try_from(number: f64) -> Result<Self, Error> {
@@ -61,7 +61,7 @@
     }
 }
 
-impl FromStr for Limit {
+impl FromStr for RateLimit {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
@@ -70,7 +70,7 @@
     }
 }
 
-impl fmt::Display for Limit {
+impl fmt::Display for RateLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -97,7 +97,7 @@
 /// rendezvous hashing: all VMs that know the same participants find the same owners, and most owners stay
 /// when one VM leaves.
 #[must_use]
-pub fn share(limit: Limit, endpoint: u64, own: u64, participants: &[u64]) -> f64 {
+pub fn share(limit: RateLimit, endpoint: u64, own: u64, participants: &[u64]) -> f64 {
     let rate = (limit.0 * UTILIZATION).max(MIN_RATE);
     if participants.is_empty() {
         return rate;
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pimento_policy::throttle;
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_policy::throttle::Throttle;
 use pimento_units::Moment;
 
@@ -11,11 +11,11 @@
 #[test]
 fn a_limit_is_a_finite_number_of_requests_a_second() {
     for (text, limit) in [("1", 1.0), (" 1.1 ", 1.1), ("0", 0.0), ("1e9", 1e9)] {
-        let read: Limit = text.parse().unwrap();
+        let read: RateLimit = text.parse().unwrap();
         assert!((read.per_second() - limit).abs() < 1e-9, "{text:?}");
     }
     for text in ["", "few", "-1", "inf", "NaN", "1,5", "1/s"] {
-        assert!(text.parse::<Limit>().is_err(), "{text:?}");
+        assert!(text.parse::<RateLimit>().is_err(), "{text:?}");
     }
 }
 
@@ -34,7 +34,7 @@
 
 /// The VMs of one zone that send to an endpoint with a limit. Each would send more than it may.
 struct Zone {
-    limit: Limit,
+    limit: RateLimit,
     /// Whether each VM is up, and since when it is up or down.
     vms: Vec<(bool, Moment)>,
     throttles: Vec<Throttle>,
@@ -46,7 +46,7 @@
 
 impl Zone {
     fn new(count: usize, limit: f64) -> Self {
-        let limit = Limit::try_from(limit).unwrap();
+        let limit = RateLimit::try_from(limit).unwrap();
         // The VMs have been up for long when they all receive the limit.
         let now = Moment::ZERO + Duration::from_secs(100);
         Self {
@@ -200,7 +200,7 @@
 /// Guards against VMs with different views of each other that each use the whole limit.
 #[test]
 fn a_vm_that_does_not_participate_sends_nothing() {
-    let limit = Limit::try_from(3.0).unwrap();
+    let limit = RateLimit::try_from(3.0).unwrap();
     assert!(throttle::share(limit, 1, 9, &[1, 2, 3]).abs() < 1e-12);
     assert!((throttle::share(limit, 1, 9, &[]) - 2.7).abs() < 1e-9);
     let shares = (1..=40).map(|vm| throttle::share(limit, 1, vm, &(1..=40).collect::<Vec<_>>()));
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -2,7 +2,7 @@
 
 use pimento_endpoint::Fault;
 use pimento_policy::admission;
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_scheduler::Job;
 use pimento_scheduler::Permit;
 use pimento_units::Tokens;
@@ -59,7 +59,7 @@
         };
         let pool = self.node.scheduler.pool(&self.request.pool);
         if pool.record_limit(endpoint, limit, self.state.last_sent) {
-            let limit = limit.map(Limit::per_second);
+            let limit = limit.map(RateLimit::per_second);
             let endpoint = endpoint.as_str();
             log::info!(request, endpoint, limit; "attempt: The endpoint announced a new rate limit.");
             self.node.limit_changed.notify_one();
--- a/crates/relay/src/headers.rs
+++ b/crates/relay/src/headers.rs
@@ -111,7 +111,7 @@
     #[default]
     Absent,
     /// This limit.
-    Limit(throttle::Limit),
+    Limit(throttle::RateLimit),
     /// The value is not a valid limit.
     Invalid(throttle::Error),
 }
--- a/crates/relay/src/neighbours/limit.rs
+++ b/crates/relay/src/neighbours/limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_scheduler::endpoint_limit;
 use serde::Deserialize;
 use serde::Serialize;
@@ -22,14 +22,14 @@
 pub fn encode(report: &endpoint_limit::Report) -> LimitMessage {
     LimitMessage {
         endpoint: report.endpoint,
-        limit: report.limit.map(Limit::per_second),
+        limit: report.limit.map(RateLimit::per_second),
         age_ms: u32::try_from(report.age.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
 /// Decodes a limit; none if its rate is not valid.
 pub fn decode(message: &LimitMessage) -> Option<endpoint_limit::Report> {
-    let limit = match message.limit.map(Limit::try_from).transpose() {
+    let limit = match message.limit.map(RateLimit::try_from).transpose() {
         Ok(limit) => limit,
         Err(error) => {
             log::warn!("neighbours: Ignoring a limit that is not valid: {error}.");
--- a/crates/scheduler/src/endpoint_limit.rs
+++ b/crates/scheduler/src/endpoint_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_policy::throttle::Throttle;
 use pimento_units::Moment;
 
@@ -15,7 +15,7 @@
     /// Hash of the endpoint's name.
     pub endpoint: u64,
     /// The limit; `None` if the endpoint no longer has one.
-    pub limit: Option<Limit>,
+    pub limit: Option<RateLimit>,
     /// Time since the endpoint's answer.
     pub age: Duration,
 }
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Observation {
     /// The limit; `None` if the endpoint has none.
-    pub limit: Option<Limit>,
+    pub limit: Option<RateLimit>,
     /// How this VM knows it.
     pub source: Source,
     /// When the endpoint answered.
@@ -54,7 +54,7 @@
     pub fn new(
         observation: Observation,
         before: Option<Throttle>,
-        share: impl Fn(Limit) -> f64,
+        share: impl Fn(RateLimit) -> f64,
         now: Moment,
     ) -> Self {
         let throttle = observation.limit.map(|limit| {
@@ -74,14 +74,14 @@
     }
 
     /// Sets this VM's share of the limit, after the VMs that share it have changed.
-    pub fn set_share(&mut self, share: impl Fn(Limit) -> f64, now: Moment) {
+    pub fn set_share(&mut self, share: impl Fn(RateLimit) -> f64, now: Moment) {
         if let Some((limit, throttle)) = self.observation.limit.zip(self.throttle.as_mut()) {
             throttle.set_rate(share(limit), now);
         }
     }
 
     /// Returns the limit, if there is one.
-    pub const fn limit(&self) -> Option<Limit> {
+    pub const fn limit(&self) -> Option<RateLimit> {
         self.observation.limit
     }
 
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/inner/limits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_units::Moment;
 use pimento_units::id;
 
@@ -33,7 +33,7 @@
     pub fn record_limit(
         &mut self,
         endpoint: &id::Endpoint,
-        limit: Option<Limit>,
+        limit: Option<RateLimit>,
         sent: Moment,
         now: Moment,
     ) -> bool {
--- a/crates/scheduler/src/participants.rs
+++ b/crates/scheduler/src/participants.rs
@@ -2,7 +2,7 @@
 
 use pimento_policy::choice;
 use pimento_policy::throttle;
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_units::id;
 
 /// The VMs of all zones, each by a hash of its name. The VMs of an endpoint's own zone share its limit:
@@ -40,7 +40,7 @@
     }
 
     /// Returns this VM's share of an endpoint's limit, in requests per second.
-    pub(crate) fn share(&self, limit: Limit, zone: &id::Zone, endpoint: u64) -> f64 {
+    pub(crate) fn share(&self, limit: RateLimit, zone: &id::Zone, endpoint: u64) -> f64 {
         throttle::share(limit, endpoint, self.own, self.of(zone, endpoint))
     }
 }
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -10,7 +10,7 @@
 use pimento_policy::admission;
 use pimento_policy::engine::Prompt;
 use pimento_policy::queue;
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_units::Moment;
 use pimento_units::Tokens;
 use pimento_units::id;
@@ -214,7 +214,7 @@
     pub fn record_limit(
         &self,
         endpoint: &id::Endpoint,
-        limit: Option<Limit>,
+        limit: Option<RateLimit>,
         sent: Moment,
     ) -> bool {
         let now = self.shared.clock.now();
--- a/crates/scheduler/tests/endpoint_limit.rs
+++ b/crates/scheduler/tests/endpoint_limit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pimento_endpoint::Fault;
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_scheduler::Clock;
 use pimento_scheduler::Job;
 use pimento_scheduler::Member;
@@ -59,7 +59,7 @@
 }
 
 fn observe(clock: Clock, pool: &Pool, limit: Option<f64>, sent: Moment) -> bool {
-    let limit = limit.map(|limit| Limit::try_from(limit).unwrap());
+    let limit = limit.map(|limit| RateLimit::try_from(limit).unwrap());
     let endpoint = "i-1".parse().unwrap();
     assert!(clock.now() >= sent);
     pool.record_limit(&endpoint, limit, sent)
@@ -113,7 +113,7 @@
     tokio::time::sleep(Duration::from_millis(5)).await;
     let newer = Report {
         age: Duration::ZERO,
-        limit: Some(Limit::try_from(3.0).unwrap()),
+        limit: Some(RateLimit::try_from(3.0).unwrap()),
         ..reports[0]
     };
     pool.merge_limit(newer);
