--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -69,7 +69,7 @@
     /// Prefill queue and prefix cache, for an engine.
     pub(crate) engine: Option<Engine>,
     /// The limit that it named for all VMs together.
-    pub(crate) limit: Option<EndpointLimit>,
+    pub(crate) rate_limit: Option<EndpointLimit>,
 }
 
 /// Time after which to retry at an endpoint if this VM has no share of its limit.
@@ -89,7 +89,7 @@
 
     /// Returns the token bucket of an endpoint that named a limit.
     pub(crate) fn throttle(&self) -> Option<Throttle> {
-        self.limit.as_ref()?.throttle()
+        self.rate_limit.as_ref()?.throttle()
     }
 
     /// Returns when this VM may send the next call.
@@ -149,7 +149,7 @@
         closed_until: Moment::ZERO,
         retry_at: Moment::ZERO,
         engine: member.memory.map(Engine::new),
-        limit: None,
+        rate_limit: None,
         member,
     }
 }
@@ -207,7 +207,7 @@
         state.consecutive_refusals = 0;
         state.closed_until = Moment::ZERO;
         state.retry_at = Moment::ZERO;
-        state.limit = None;
+        state.rate_limit = None;
     }
     if let Some((report, at)) = member.report
         && state.member.report.is_none_or(|(_, seen)| seen < at)
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -300,7 +300,7 @@
         if !state.limiter.acquire() {
             return None;
         }
-        if let Some(limit) = &mut state.limit {
+        if let Some(limit) = &mut state.rate_limit {
             limit.consume(now);
         }
         self.health.record_sent(&state.member.endpoint, now);
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/inner/limits.rs
@@ -41,8 +41,10 @@
             return false;
         };
         let state = &mut self.endpoints[index];
-        let known = state.limit.and_then(|limited| limited.limit());
-        let outdated = state.limit.is_some_and(|limited| limited.observed() < sent);
+        let known = state.rate_limit.and_then(|limited| limited.limit());
+        let outdated = state
+            .rate_limit
+            .is_some_and(|limited| limited.observed() < sent);
         if limit.is_none() && (known.is_none() || !outdated) {
             return false;
         }
@@ -62,7 +64,7 @@
         };
         let observed = now.before(report.age);
         if state
-            .limit
+            .rate_limit
             .is_some_and(|limited| limited.observed() >= observed)
         {
             return;
@@ -78,7 +80,7 @@
     /// Returns the reports for other VMs.
     pub fn limit_reports(&self, now: Moment) -> Vec<Report> {
         let states = self.endpoints.iter();
-        let reports = states.filter_map(|state| state.limit?.report(state.key, now));
+        let reports = states.filter_map(|state| state.rate_limit?.report(state.key, now));
         reports.collect()
     }
 
@@ -87,7 +89,7 @@
         self.participants = participants;
         for state in &mut self.endpoints {
             let (zone, key) = (&state.member.zone, state.key);
-            if let Some(limited) = &mut state.limit {
+            if let Some(limited) = &mut state.rate_limit {
                 limited.set_share(|limit| self.participants.share(limit, zone, key), now);
             }
         }
@@ -104,7 +106,7 @@
             let throttle = state.throttle()?;
             share += throttle.rate();
             ready += u32::from(throttle.is_open(now));
-            total += state.limit?.limit()?.per_second();
+            total += state.rate_limit?.limit()?.per_second();
         }
         if share <= 0.0 {
             return Some(seconds(1.0 / total).clamp(MIN_RETRY_AFTER, NO_SHARE_RETRY_AFTER));
@@ -160,7 +162,7 @@
 ) {
     let (zone, key, before) = (&state.member.zone, state.key, state.throttle());
     let share = |limit| participants.share(limit, zone, key);
-    state.limit = Some(EndpointLimit::new(observation, before, share, now));
+    state.rate_limit = Some(EndpointLimit::new(observation, before, share, now));
 }
 
 fn seconds(seconds: f64) -> Duration {
