--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -65,9 +65,9 @@
     /// Share of the time left that waiting and running together are expected to take at most. It
     /// is below one because the estimates err: of the requests admitted up to the last moment,
     /// about half would be late.
-    pub headroom: f64,
+    pub usable_share: f64,
     /// The same share for a request that comes back after its `Retry-After`.
-    pub returning_headroom: f64,
+    pub returning_usable_share: f64,
     /// Share of the drain rate that is set aside for returning requests. `Retry-After` times are
     /// spaced by it.
     pub returning_share: f64,
@@ -86,8 +86,8 @@
 impl Default for Config {
     fn default() -> Self {
         Self {
-            headroom: 0.5,
-            returning_headroom: 0.9,
+            usable_share: 0.5,
+            returning_usable_share: 0.9,
             returning_share: 0.3,
             half_life: Duration::from_secs(10),
             initial_rate: 50.0,
@@ -191,7 +191,7 @@
     /// Decides on a request that comes for the first time.
     #[must_use]
     pub fn decide(&mut self, demand: Demand, now: Moment, random: u64) -> Verdict {
-        self.decide_within(demand, self.config.headroom, now, random)
+        self.decide_within(demand, self.config.usable_share, now, random)
     }
 
     /// Decides on a request that was refused before and comes back after its `Retry-After`. It may
@@ -199,18 +199,20 @@
     /// node can recognise such a request by the caller's request id, which tells when it was made.
     #[must_use]
     pub fn decide_returning(&mut self, demand: Demand, now: Moment, random: u64) -> Verdict {
-        self.decide_within(demand, self.config.returning_headroom, now, random)
+        self.decide_within(demand, self.config.returning_usable_share, now, random)
     }
 
     fn decide_within(
         &mut self,
         demand: Demand,
-        headroom: f64,
+        usable_share: f64,
         now: Moment,
         random: u64,
     ) -> Verdict {
         let time_left = demand.deadline.since(now);
-        let max_wait = time_left.mul_f64(headroom).saturating_sub(demand.run_time);
+        let max_wait = time_left
+            .mul_f64(usable_share)
+            .saturating_sub(demand.run_time);
         let wait = self.expected_wait(demand);
         if wait <= max_wait && !time_left.is_zero() {
             let start_by = now + time_left.saturating_sub(demand.run_time);
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/inner/limits.rs
@@ -19,7 +19,7 @@
 use crate::pool::Shared;
 
 /// Share of a job's remaining time that its wait and its run may take, as at the admission gate.
-const HEADROOM: f64 = 0.5;
+const USABLE_SHARE: f64 = 0.5;
 
 /// Minimum time after which a job that this VM can't send may be retried.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -114,7 +114,7 @@
         let ahead = self.waiting_jobs(version) + 1;
         let missing = f64::from(ahead.saturating_sub(ready));
         let wait = seconds(missing / share);
-        let budget = job.deadline.since(now).mul_f64(HEADROOM);
+        let budget = job.deadline.since(now).mul_f64(USABLE_SHARE);
         let slack = budget.saturating_sub(self.expected_run_time(version, job.tokens));
         (wait > slack).then(|| wait.clamp(MIN_RETRY_AFTER, NO_SHARE_RETRY_AFTER))
     }
