--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -54,7 +54,7 @@
 
     /// The expected length, at most `most`, the caller's limit.
     #[must_use]
-    pub fn expect(&self, most: Tokens) -> Tokens {
+    pub fn estimate(&self, most: Tokens) -> Tokens {
         Tokens(number::floor(self.mean).max(1)).min(most)
     }
 }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -169,7 +169,7 @@
 
     /// Estimated work of a request.
     pub fn estimate(&self, arrival: &Arrival) -> Tokens {
-        let output = self.lengths[arrival.class].expect(Tokens(4_000));
+        let output = self.lengths[arrival.class].estimate(Tokens(4_000));
         admission::work(Tokens(arrival.input), output)
     }
 
