--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -74,7 +74,7 @@
 
 impl Candidate {
     /// Whether it may be chosen and has a free slot.
-    fn is_open(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.usable && self.own < self.limit
     }
 
@@ -150,7 +150,9 @@
         let rank = number::mix(candidate.key, prefix);
         let ranks_higher = best.is_none_or(|(highest, _)| rank > highest);
         // The load is checked last, because few candidates rank higher than all before them.
-        if ranks_higher && candidate.is_open() && candidate.load(config.half_weight_age) <= max_load
+        if ranks_higher
+            && candidate.has_free_slot()
+            && candidate.load(config.half_weight_age) <= max_load
         {
             best = Some((rank, index));
         }
@@ -184,7 +186,7 @@
     half_weight_age: Duration,
     filter: impl Fn(&Candidate) -> bool,
 ) -> Option<usize> {
-    let open = |index: usize| candidates[index].is_open() && filter(&candidates[index]);
+    let open = |index: usize| candidates[index].has_free_slot() && filter(&candidates[index]);
     let (one, other) = draw_pair(candidates.len(), random, &open)
         .or_else(|| count_pair(candidates.len(), random, &open))?;
     let better = candidates[other].score(half_weight_age) < candidates[one].score(half_weight_age);
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -161,7 +161,7 @@
 
     /// Returns whether a request may be sent now.
     #[must_use]
-    pub fn is_open(&self, now: Moment) -> bool {
+    pub fn can_send(&self, now: Moment) -> bool {
         self.rate > 0.0 && self.available(now) >= 1.0
     }
 
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -89,7 +89,7 @@
     fn step(&mut self, now: Moment) {
         self.update_shares(now);
         for ((up, _), own) in self.vms.iter().zip(&mut self.throttles) {
-            while *up && own.is_open(now) {
+            while *up && own.can_send(now) {
                 own.consume(now);
                 self.arrived.push(now);
             }
@@ -187,14 +187,14 @@
 fn a_lowered_rate_reduces_what_is_available() {
     let at = |seconds| Moment::ZERO + Duration::from_secs(seconds);
     let mut throttle = Throttle::new(40.0, at(0));
-    assert!(!throttle.is_open(at(0)));
+    assert!(!throttle.can_send(at(0)));
     throttle.set_rate(0.5, at(10));
     throttle.consume(at(10));
-    assert!(!throttle.is_open(at(11)));
+    assert!(!throttle.can_send(at(11)));
     assert_eq!(throttle.wait(at(11)), Some(Duration::from_secs(1)));
     throttle.set_rate(0.0, at(12));
     assert_eq!(throttle.wait(at(100)), None);
-    assert!(!throttle.is_open(at(100)));
+    assert!(!throttle.can_send(at(100)));
 }
 
 /// Guards against VMs with different views of each other that each use the whole limit.
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -78,12 +78,14 @@
 impl EndpointState {
     /// Returns whether the endpoint accepts the job from this VM now.
     pub(crate) fn accepts(&self, job: &Job, now: Moment) -> bool {
-        self.is_open(now) && self.member.holds(job.version.as_ref())
+        self.accepts_calls(now) && self.member.holds(job.version.as_ref())
     }
 
     /// Returns whether the endpoint accepts calls from this VM now.
-    pub(crate) fn is_open(&self, now: Moment) -> bool {
-        let allowed = self.throttle().is_none_or(|throttle| throttle.is_open(now));
+    pub(crate) fn accepts_calls(&self, now: Moment) -> bool {
+        let allowed = self
+            .throttle()
+            .is_none_or(|throttle| throttle.can_send(now));
         self.member.usable && now >= self.closed_until && allowed
     }
 
@@ -115,7 +117,7 @@
     pub(crate) fn free(&self, now: Moment) -> u32 {
         let free = self.limiter.free();
         match self.throttle() {
-            _ if !self.is_open(now) => 0,
+            _ if !self.accepts_calls(now) => 0,
             None => free,
             Some(_) => free.min(1),
         }
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -279,7 +279,7 @@
     fn any_open(&self, version: Option<&id::Version>, now: Moment) -> bool {
         self.endpoints.iter().any(|state| {
             let ejected = self.health.state(&state.member.endpoint, now) == eject::State::Ejected;
-            state.is_open(now)
+            state.accepts_calls(now)
                 && state.member.holds(version)
                 && !ejected
                 && state.limiter.free() > 0
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/inner/limits.rs
@@ -105,7 +105,7 @@
         for state in self.endpoints.iter().filter(usable) {
             let throttle = state.throttle()?;
             share += throttle.rate();
-            ready += u32::from(throttle.is_open(now));
+            ready += u32::from(throttle.can_send(now));
             total += state.rate_limit?.limit()?.per_second();
         }
         if share <= 0.0 {
@@ -133,7 +133,9 @@
             return;
         }
         let closed = self.endpoints.iter().filter_map(|state| {
-            let throttle = state.throttle().filter(|throttle| !throttle.is_open(now))?;
+            let throttle = state
+                .throttle()
+                .filter(|throttle| !throttle.can_send(now))?;
             throttle.wait(now)
         });
         let Some(wait) = closed.min() else { return };
