--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -35,7 +35,7 @@
     gate: admission::Gate,
     queue: queue::Queue,
     limiters: Vec<limit::Limiter>,
-    health: eject::Pool,
+    health: eject::Health,
     endpoints: Vec<id::Endpoint>,
     customers: Vec<id::Customer>,
     candidates: Vec<Candidate>,
@@ -54,8 +54,8 @@
     fn new(endpoints: usize, customers: usize) -> Self {
         let endpoints: Vec<id::Endpoint> = (0..endpoints).map(|e| name("engine", e)).collect();
         let customers: Vec<id::Customer> = (0..customers).map(|c| name("workspace", c)).collect();
-        let mut health = eject::Pool::new(eject::Config::default());
-        health.retain(endpoints.iter().cloned());
+        let mut health = eject::Health::new(eject::Config::default());
+        health.set_endpoints(endpoints.iter().cloned());
         let limiter = limit::Limiter::new(limit::Config::default());
         let candidate = |(place, endpoint): (usize, &id::Endpoint)| Candidate {
             key: choice::hash(endpoint.as_str()),
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -16,7 +16,7 @@
 use pimento_units::Moment;
 use pimento_units::id;
 
-/// Settings of a [`Pool`].
+/// Settings of a [`Health`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
     /// Consecutive errors that eject an endpoint. In a full pool two occur by chance, since a
@@ -114,7 +114,7 @@
 
 /// The health of a pool's endpoints as one node sees it.
 #[derive(Debug, Clone)]
-pub struct Pool {
+pub struct Health {
     config: Config,
     /// Sorted by endpoint.
     members: Vec<Member>,
@@ -172,8 +172,8 @@
     }
 }
 
-impl Pool {
-    /// Creates a pool without endpoints.
+impl Health {
+    /// Creates the health of a pool without endpoints.
     #[must_use]
     pub const fn new(config: Config) -> Self {
         Self {
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Sets the endpoints of the pool. Those that stay keep their state.
-    pub fn retain(&mut self, endpoints: impl IntoIterator<Item = id::Endpoint>) {
+    /// Sets the endpoints of the pool, and inserts those that are new. Those that stay keep their state.
+    pub fn set_endpoints(&mut self, endpoints: impl IntoIterator<Item = id::Endpoint>) {
         let mut members: Vec<Member> = endpoints.into_iter().map(Member::new).collect();
         members.sort_by(|one, other| one.endpoint.cmp(&other.endpoint));
         members.dedup_by(|one, other| one.endpoint == other.endpoint);
@@ -292,14 +292,14 @@
         } else if self.is_bad(place) && self.can_eject() {
             self.eject(place, now);
         } else if self.is_failing(place) {
-            self.eject_instead(place, now);
+            self.replace_ejected(place, now);
         }
     }
 
     /// Ejects a failing endpoint in place of one that is already ejected and may be healthy by now.
     /// With the bound alone, the last endpoint in use would stay so after it was cut off, and all
     /// calls would go to it beside an endpoint that has recovered.
-    fn eject_instead(&mut self, place: usize, now: Moment) {
+    fn replace_ejected(&mut self, place: usize, now: Moment) {
         let ejected = self.members.iter_mut().filter(|member| member.is_ejected());
         if let Some(member) = ejected.min_by_key(|member| member.ejected_until) {
             member.readmit();
--- a/crates/policy/tests/eject.rs
+++ b/crates/policy/tests/eject.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use pimento_policy::eject::Config;
+use pimento_policy::eject::Health;
 use pimento_policy::eject::Outcome;
-use pimento_policy::eject::Pool;
 use pimento_policy::eject::State;
 use pimento_units::Moment;
 use pimento_units::id;
@@ -14,13 +14,13 @@
     format!("i-{number}").parse().unwrap()
 }
 
-fn pool(size: usize) -> Pool {
-    let mut pool = Pool::new(Config::default());
-    pool.retain((0..size).map(endpoint));
+fn pool(size: usize) -> Health {
+    let mut pool = Health::new(Config::default());
+    pool.set_endpoints((0..size).map(endpoint));
     pool
 }
 
-fn served(pool: &mut Pool, number: usize, millis: f64, times: usize, now: Moment) {
+fn served(pool: &mut Health, number: usize, millis: f64, times: usize, now: Moment) {
     for _ in 0..times {
         let seconds_per_token = millis / 1_000.0;
         pool.record(
@@ -79,7 +79,7 @@
     assert_eq!(pool.state(&endpoint(0), now), State::Active);
 }
 
-fn failed(pool: &mut Pool, number: usize, now: Moment) {
+fn failed(pool: &mut Health, number: usize, now: Moment) {
     for _ in 0..3 {
         pool.record(&endpoint(number), Outcome::Failed, now);
     }
@@ -94,7 +94,7 @@
     let now = Moment::ZERO;
     failed(&mut pool, 0, now);
     assert_eq!(pool.state(&endpoint(0), now), State::Ejected);
-    pool.retain([endpoint(0)]);
+    pool.set_endpoints([endpoint(0)]);
     assert_eq!(pool.state(&endpoint(0), now), State::Active);
     assert_eq!(pool.ejected(), 0);
 }
@@ -109,7 +109,7 @@
     failed(&mut pool, 4, begin);
     failed(&mut pool, 5, later);
     assert_eq!(pool.ejected(), 2);
-    pool.retain([3, 4, 5].map(endpoint));
+    pool.set_endpoints([3, 4, 5].map(endpoint));
     let states = [3, 4, 5].map(|number| pool.state(&endpoint(number), later));
     assert_eq!(states, [State::Active, State::Active, State::Ejected]);
 }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -90,7 +90,7 @@
     pub gate: admission::Gate,
     pub queue: queue::Queue,
     pub limiters: Vec<limit::Limiter>,
-    pub health: eject::Pool,
+    pub health: eject::Health,
     pub tails: [hedge::LatencyHistogram; CLASSES.len()],
     pub lengths: [admission::AnswerLength; CLASSES.len()],
     pub customers: Vec<retry::Budget>,
@@ -118,8 +118,8 @@
 impl Node {
     pub fn new(number: usize, mechanisms: Mechanisms, seed: u64) -> Self {
         let endpoints: Vec<id::Endpoint> = (0..ENDPOINTS).map(|e| name("engine", e)).collect();
-        let mut health = eject::Pool::new(eject::Config::default());
-        health.retain(endpoints.iter().cloned());
+        let mut health = eject::Health::new(eject::Config::default());
+        health.set_endpoints(endpoints.iter().cloned());
         let limits = limit::Config::default();
         let fixed = limit::Config {
             initial: 16.0,
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -5,7 +5,7 @@
 use pimento_policy::choice;
 use pimento_policy::choice::Candidate;
 use pimento_policy::eject;
-use pimento_policy::eject::Pool;
+use pimento_policy::eject::Health;
 use pimento_policy::hedge;
 use pimento_policy::limit;
 use pimento_policy::limit::Limiter;
@@ -90,8 +90,8 @@
     #[test]
     fn ejection_is_bounded(size in 1_usize..20, events in vec((0_usize..20, any::<bool>(), 0_u64..3_000), 1..300)) {
         let config = eject::Config::default();
-        let mut pool = Pool::new(config);
-        pool.retain((0..size).map(endpoint));
+        let mut pool = Health::new(config);
+        pool.set_endpoints((0..size).map(endpoint));
         let mut now = Moment::ZERO;
         for (place, good, after) in events {
             now = now + Duration::from_millis(after);
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -49,7 +49,7 @@
 pub(crate) struct Inner {
     endpoints: Vec<EndpointState>,
     versions: Vec<VersionQueue>,
-    health: eject::Pool,
+    health: eject::Health,
     choice: choice::Config,
     engine_choice: engine::Config,
     prefill: engine::PrefillEstimator,
@@ -70,7 +70,7 @@
         Self {
             endpoints: Vec::new(),
             versions: Vec::new(),
-            health: eject::Pool::new(eject::Config::default()),
+            health: eject::Health::new(eject::Config::default()),
             choice: choice::Config::default(),
             engine_choice: engine::Config::default(),
             prefill: engine::PrefillEstimator::default(),
@@ -89,7 +89,8 @@
         members.sort_by(|one, other| one.endpoint.cmp(&other.endpoint));
         // Ejection must not count an endpoint that is leaving among those that remain.
         let usable = members.iter().filter(|member| member.usable);
-        self.health.retain(usable.map(|m| m.endpoint.clone()));
+        self.health
+            .set_endpoints(usable.map(|m| m.endpoint.clone()));
         // Both lists are sorted, so that one pass over them finds each endpoint's state.
         let former = std::mem::take(&mut self.endpoints);
         let mut former = former.into_iter().peekable();
