--- a/crates/entry/src/retries.rs
+++ b/crates/entry/src/retries.rs
@@ -74,8 +74,8 @@
     /// Credits both budgets for a success.
     pub fn record_success(&self, customer: &id::Customer, pool: &id::Pool, now: Moment) {
         let inner = &mut *self.lock();
-        entry(&mut inner.customers, customer, new_budget).success(now);
-        entry(&mut inner.pools, pool, new_budget).success(now);
+        entry(&mut inner.customers, customer, new_budget).record_success(now);
+        entry(&mut inner.pools, pool, new_budget).record_success(now);
     }
 
     /// How long to wait for the first token before a hedge; none if there is to be no hedge.
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -61,7 +61,7 @@
     }
 
     /// Adds to the balance for a success.
-    pub fn success(&mut self, now: Moment) {
+    pub fn record_success(&mut self, now: Moment) {
         self.update(now);
         self.balance =
             (self.balance + self.config.retries_per_success).min(self.config.max_balance);
--- a/crates/policy/tests/model/world/attempts.rs
+++ b/crates/policy/tests/model/world/attempts.rs
@@ -181,8 +181,8 @@
         let owner = &mut self.nodes[node];
         owner.gate.record(tokens, took, moment(self.now));
         owner.lengths[arrival.class].record(Tokens(arrival.output));
-        owner.customers[arrival.customer].success(moment(self.now));
-        owner.pool.success(moment(self.now));
+        owner.customers[arrival.customer].record_success(moment(self.now));
+        owner.pool.record_success(moment(self.now));
         self.close(
             attempt,
             served,
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -123,7 +123,7 @@
         for (success, after) in events {
             now = now + Duration::from_millis(after);
             if success {
-                budget.success(now);
+                budget.record_success(now);
                 successes += 1;
             } else {
                 retries += u32::from(budget.withdraw(now));
