--- a/crates/coordination/src/grants/shared.rs
+++ b/crates/coordination/src/grants/shared.rs
@@ -135,7 +135,7 @@
         let balance = self.balance(&mut balances, &customer, period);
         // The request also ends if its result is unknown: a grant accepted later is found by
         // reading.
-        balance.grants.request_done();
+        balance.grants.clear_request();
         read.is_some()
     }
 
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -115,7 +115,7 @@
     /// Ends the pending request, so that the next one may be made. To be called when the request
     /// was refused, can't have been written, or its outcome is unknown; a grant that is accepted
     /// all the same is added by [`add`](Self::add) once it is read.
-    pub const fn request_done(&mut self) {
+    pub const fn clear_request(&mut self) {
         self.requested = None;
     }
 
@@ -167,18 +167,21 @@
 
     /// The amount to request now, if any. `left` is the limit less all accepted grants, `nodes` the
     /// number of live nodes. Only one request is pending at a time: the next may follow a grant
-    /// ([`add`](Self::add)) or [`request_done`](Self::request_done).
+    /// ([`add`](Self::add)) or [`clear_request`](Self::clear_request).
     pub fn request(&mut self, left: Money, nodes: u32, now: Moment) -> Option<Money> {
         let pieces = u64::from(self.config.grant_divisor.max(1)) * u64::from(nodes.max(1));
         let share = left.scale(1, pieces);
         // A node that holds its share of what is left requests no more, however long that share
         // would last: if the node crashes the others can't use it, and near the limit they need it.
-        let wanted = self.needed(now).min(share.max(self.floor()));
+        let wanted = self.needed(now).min(share.max(self.min_request()));
         if self.requested.is_some() || left == Money::ZERO || self.available() >= wanted {
             return None;
         }
         let missing = wanted - self.available();
-        let amount = share.min(missing + missing).max(self.floor()).min(left);
+        let amount = share
+            .min(missing + missing)
+            .max(self.min_request())
+            .min(left);
         self.requested = Some(amount);
         Some(amount)
     }
@@ -206,10 +209,12 @@
         let rate = self.rate * number::decay(now.since(self.updated), self.config.half_life);
         let expected = number::floor(rate * self.config.lookahead.as_secs_f64());
         let calls = self.largest.scale(u64::from(self.config.min_calls), 1);
-        self.floor().max(Money::from_micros(expected)).max(calls)
+        self.min_request()
+            .max(Money::from_micros(expected))
+            .max(calls)
     }
 
-    fn floor(&self) -> Money {
+    fn min_request(&self) -> Money {
         self.config.min_grant.max(self.unmet)
     }
 
--- a/crates/policy/tests/model/spend.rs
+++ b/crates/policy/tests/model/spend.rs
@@ -69,7 +69,7 @@
                 if fold.grant(amount) {
                     node.add(amount);
                 } else {
-                    node.request_done();
+                    node.clear_request();
                 }
             }
             let total: Money = fold.granted;
--- a/crates/policy/tests/spend.rs
+++ b/crates/policy/tests/spend.rs
@@ -42,7 +42,7 @@
     let now = Moment::ZERO;
     assert!(node.request(money(1_000_000), NODES, now).is_some());
     assert!(node.request(money(1_000_000), NODES, now).is_none());
-    node.request_done();
+    node.clear_request();
     assert!(node.request(money(1_000_000), NODES, now).is_some());
 }
 
