--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -138,7 +138,7 @@
     /// the capacity over the calls present, as every node scales its own. The base is the number of calls
     /// in flight and not the limit, since reports lag: three reports on one burst would lower the limit
     /// three times. The limit is raised only while it is used.
-    pub fn report(&mut self, report: Report) {
+    pub fn apply_report(&mut self, report: Report) {
         let capacity = f64::from(report.batch) * self.config.max_batches;
         let present = f64::from(report.running) + f64::from(report.waiting);
         if report.batch == 0 || present <= 0.0 {
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -278,7 +278,7 @@
         let own = self.limiters[place].in_flight();
         let others = (load.0 + load.1).saturating_sub(own);
         self.reports[place] = LoadReport { others, measured };
-        self.limiters[place].report(limit::Report {
+        self.limiters[place].apply_report(limit::Report {
             running: load.0,
             waiting: load.1,
             batch: u32::try_from(BATCH).unwrap_or(u32::MAX),
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -74,7 +74,7 @@
                 0 | 1 => if limiter.acquire() {
                     assert!(limiter.in_flight() <= limiter.limit());
                 },
-                2 => limiter.report(limit::Report { running: one, waiting: other, batch: 16 }),
+                2 => limiter.apply_report(limit::Report { running: one, waiting: other, batch: 16 }),
                 3 => limiter.release(limit::Outcome::Overload),
                 _ => limiter.release(limit::Outcome::Served {
                     tokens: Tokens(u64::from(one)),
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -214,7 +214,7 @@
     if let Some((report, at)) = member.report
         && state.member.report.is_none_or(|(_, seen)| seen < at)
     {
-        state.limiter.report(report);
+        state.limiter.apply_report(report);
     }
     let fresh = LimiterInputs::of(&member);
     if fresh != state.inputs && state.limiter.in_flight() == 0 {
