--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -224,7 +224,7 @@
         self.bills_waiting.set(to_f64(bills));
         self.answer_bytes.set(to_f64(answer_bytes));
         for (name, pool) in scheduler.pools() {
-            for (which, count) in pool.depth().figures() {
+            for (which, count) in pool.metrics().figures() {
                 self.pools
                     .with_label_values(&[name.as_str(), which])
                     .set(to_f64(count));
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -152,7 +152,7 @@
 fn pools(node: &Node) -> Vec<Pool> {
     let pools = node.scheduler.pools().into_iter();
     let pool = |(name, pool): (id::Pool, pimento_scheduler::Pool)| {
-        let depth = pool.depth();
+        let depth = pool.metrics();
         Pool {
             name,
             waiting: depth.waiting,
--- a/crates/entry/tests/all/refusals.rs
+++ b/crates/entry/tests/all/refusals.rs
@@ -186,7 +186,7 @@
         tokio::spawn(request.header("request-timeout", "600").send())
     };
     let pending: Vec<_> = (0..60).map(|_| send_long()).collect();
-    wait_until("many requests wait", || pool.depth().waiting > 20).await;
+    wait_until("many requests wait", || pool.metrics().waiting > 20).await;
     let answer = chat(&entry).header("request-timeout", "1").send().await;
     assert_eq!(answer.status, StatusCode::TOO_MANY_REQUESTS, "{answer:?}");
     assert_eq!(answer.error_body().error.code, "overloaded");
--- a/crates/entry/tests/all/scheduler.rs
+++ b/crates/entry/tests/all/scheduler.rs
@@ -82,7 +82,7 @@
 
     async fn fill(&self) -> Vec<pimento_scheduler::Permit> {
         let mut permits = Vec::new();
-        for _ in 0..self.pool.depth().slots {
+        for _ in 0..self.pool.metrics().slots {
             permits.push(self.pool.acquire(self.job(), &self.token).await.unwrap());
         }
         permits
@@ -96,7 +96,7 @@
     let waiting = fixture.pool.acquire(fixture.job(), &fixture.token);
     tokio::pin!(waiting);
     assert!(futures::poll!(waiting.as_mut()).is_pending());
-    assert_eq!(fixture.pool.depth().waiting, 1);
+    assert_eq!(fixture.pool.metrics().waiting, 1);
     permits.pop().unwrap().served(Tokens(50));
     let permit = waiting.await.unwrap();
     assert_eq!(permit.endpoint().as_str(), "a");
@@ -107,7 +107,7 @@
 async fn no_slot_is_lost_by_disconnected_callers() {
     let fixture = Fixture::new(&["a"]);
     let permits = fixture.fill().await;
-    let in_flight = fixture.pool.depth().in_flight;
+    let in_flight = fixture.pool.metrics().in_flight;
     let waiting = fixture.pool.acquire(fixture.job(), &fixture.token);
     let mut first = Box::pin(waiting);
     let mut second = Box::pin(fixture.pool.acquire(fixture.job(), &fixture.token));
@@ -116,9 +116,9 @@
     drop(first);
     drop(permits);
     // The second caller was assigned a slot and does not poll for it.
-    assert_eq!(fixture.pool.depth().waiting, 0);
+    assert_eq!(fixture.pool.metrics().waiting, 0);
     drop(second);
-    assert_eq!(fixture.pool.depth().in_flight, 0, "of {in_flight}");
+    assert_eq!(fixture.pool.metrics().in_flight, 0, "of {in_flight}");
 }
 
 #[tokio::test]
@@ -165,7 +165,7 @@
     };
     let ejected = tokio::time::timeout(TIMEOUT, failed).await;
     assert!(ejected.is_ok());
-    assert_eq!(fixture.pool.depth().ejected, 1);
+    assert_eq!(fixture.pool.metrics().ejected, 1);
     for _ in 0..20 {
         let permit = fixture
             .pool
@@ -187,7 +187,7 @@
         prefix += 1;
     }
     let fault = Fault::Failed { status: 500 };
-    while fixture.pool.depth().ejected == 0 {
+    while fixture.pool.metrics().ejected == 0 {
         let permit = fixture
             .pool
             .acquire(fixture.job(), &fixture.token)
@@ -223,10 +223,10 @@
     let disconnected = CancellationToken::new();
     let (pool, job, token) = (fixture.pool.clone(), fixture.job(), disconnected.clone());
     let waiting = tokio::spawn(async move { pool.acquire(job, &token).await.map(drop) });
-    wait_until("the job waits", || fixture.pool.depth().waiting == 1).await;
+    wait_until("the job waits", || fixture.pool.metrics().waiting == 1).await;
     disconnected.cancel();
     let refusal = waiting.await.unwrap().unwrap_err();
     let refusal = Refusal::from(refusal);
     assert_eq!(refusal.code, Code::CallerGone);
-    assert_eq!(fixture.pool.depth().waiting, 0);
+    assert_eq!(fixture.pool.metrics().waiting, 0);
 }
--- a/crates/entry/tests/all/support.rs
+++ b/crates/entry/tests/all/support.rs
@@ -372,7 +372,7 @@
         wait_until("the entry VM knows configuration and endpoints", || {
             let node = &entry.running.node;
             let pools = node.scheduler.pools();
-            let usable: usize = pools.iter().map(|(_, pool)| pool.depth().usable).sum();
+            let usable: usize = pools.iter().map(|(_, pool)| pool.metrics().usable).sum();
             let known = node.state.current().offset >= self.state().offset;
             let claims = node.claimer.follower().caught_up();
             node.ready() && claims && known && usable == self.engines.len() + self.desks.len()
--- a/crates/entry/tests/all/versions.rs
+++ b/crates/entry/tests/all/versions.rs
@@ -43,7 +43,7 @@
     let pending: Vec<_> = (0..16).map(|_| tokio::spawn(send())).collect();
     let pool = entry.running.node.scheduler.pool(&name("pimento-llm"));
     wait_until("some requests run and some wait", || {
-        fixture.started() > 0 && pool.depth().waiting > 0
+        fixture.started() > 0 && pool.metrics().waiting > 0
     })
     .await;
     fixture.withdraw(SMALL);
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -223,7 +223,7 @@
 
     fn set_pool_depths(&self, scheduler: &Scheduler) {
         for (name, pool) in scheduler.pools() {
-            for (which, count) in pool.depth().figures() {
+            for (which, count) in pool.metrics().figures() {
                 self.set_pool_figure(&name, which, to_f64(count));
             }
         }
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -28,9 +28,9 @@
 use crate::participants::Participants;
 use crate::permit::Permit;
 use crate::permit::Slot;
-use crate::pool::Depth;
 use crate::pool::Job;
 use crate::pool::PendingJob;
+use crate::pool::PoolMetrics;
 use crate::pool::Shared;
 
 /// Jobs for one version, with their own drain rate. Versions differ in speed, and a job for one version
@@ -498,9 +498,9 @@
         others.map(|state| state.limiter.in_flight()).sum()
     }
 
-    pub fn depth(&self) -> Depth {
+    pub fn metrics(&self) -> PoolMetrics {
         let usable = self.endpoints.iter().filter(|s| s.member.usable);
-        Depth {
+        PoolMetrics {
             waiting: self.versions.iter().map(|s| s.queue.len()).sum(),
             in_flight: self.endpoints.iter().map(|s| s.limiter.in_flight()).sum(),
             slots: usable.clone().map(EndpointState::slots).sum(),
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -249,8 +249,8 @@
 
     /// Returns the pool's metrics.
     #[must_use]
-    pub fn depth(&self) -> Depth {
-        self.shared.lock().depth()
+    pub fn metrics(&self) -> PoolMetrics {
+        self.shared.lock().metrics()
     }
 }
 
@@ -270,7 +270,7 @@
 
 /// Metrics of a pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Depth {
+pub struct PoolMetrics {
     /// Waiting jobs.
     pub waiting: usize,
     /// Calls in flight from this node.
@@ -285,7 +285,7 @@
     pub limited: usize,
 }
 
-impl Depth {
+impl PoolMetrics {
     /// Returns the values with their names in metrics.
     #[must_use]
     pub fn figures(&self) -> [(&'static str, u64); 6] {
--- a/crates/scheduler/tests/endpoint_limit.rs
+++ b/crates/scheduler/tests/endpoint_limit.rs
@@ -66,7 +66,7 @@
 }
 
 fn limited(pool: &Pool) -> usize {
-    pool.depth().limited
+    pool.metrics().limited
 }
 
 /// Guards against an answer that was on its way when the endpoint named its limit, and removes it.
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -100,7 +100,7 @@
         assert_eq!(permit.endpoint().as_str(), name);
         permit.failed(&Fault::Failed { status: 500 });
     }
-    assert_eq!(pool.depth().ejected, 1);
+    assert_eq!(pool.metrics().ejected, 1);
 }
 
 // One of three endpoints is ejected when the two others announce that they leave. It is the only one that
@@ -286,13 +286,13 @@
     eject(&pool, "i-1", &["i-2"]).await;
     // A list without changes does not undo the ejection.
     pool.update(both);
-    assert_eq!(pool.depth().ejected, 1);
+    assert_eq!(pool.metrics().ejected, 1);
     let restarted = Member {
         incarnation: 2,
         ..desk(1, true)
     };
     pool.update(vec![restarted, desk(2, true)]);
-    assert_eq!(pool.depth().ejected, 0);
+    assert_eq!(pool.metrics().ejected, 0);
     let cancel = CancellationToken::new();
     let job = Job {
         tried: vec!["i-2".parse().unwrap()],
