--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -10,7 +10,7 @@
 use hyper::header::ALLOW;
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderValue;
-use pimento_scheduler::Refused;
+use pimento_scheduler::NoSlot;
 use pimento_serve::ReplyBody;
 use pimento_wire::api::Error;
 use pimento_wire::api::ErrorBody;
@@ -137,16 +137,16 @@
     pub retry_after: Option<Duration>,
 }
 
-impl From<Refused> for Refusal {
-    fn from(refused: Refused) -> Self {
-        let (code, after) = match refused {
-            Refused::NoEndpoint { after } => (Code::NoEndpoint, Some(after)),
-            Refused::Overloaded { after } | Refused::Expired { after } => {
+impl From<NoSlot> for Refusal {
+    fn from(no_slot: NoSlot) -> Self {
+        let (code, after) = match no_slot {
+            NoSlot::NoEndpoint { after } => (Code::NoEndpoint, Some(after)),
+            NoSlot::Overloaded { after } | NoSlot::Expired { after } => {
                 (Code::Overloaded, Some(after))
             }
-            Refused::CallerGone => (Code::CallerGone, None),
+            NoSlot::CallerGone => (Code::CallerGone, None),
         };
-        let refusal = Self::not_run(code, refused.to_string());
+        let refusal = Self::not_run(code, no_slot.to_string());
         Self {
             retry_after: after,
             ..refusal
--- a/crates/relay/src/attempts.rs
+++ b/crates/relay/src/attempts.rs
@@ -10,8 +10,8 @@
 
 use pimento_endpoint::Fault;
 use pimento_scheduler::Estimate;
+use pimento_scheduler::NoSlot;
 use pimento_scheduler::Permit;
-use pimento_scheduler::Refused;
 use pimento_units::Moment;
 use pimento_units::id;
 use tokio_util::sync::CancellationToken;
@@ -187,7 +187,7 @@
                 Ok(permit) => permit,
                 // A suitable endpoint may have registered since the pool was last updated. One refresh is
                 // enough, since no other task runs between the refresh and the next try.
-                Err(Refused::NoEndpoint { .. }) if !refreshed => {
+                Err(NoSlot::NoEndpoint { .. }) if !refreshed => {
                     refreshed = true;
                     pools::refresh(self.node);
                     continue;
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -15,7 +15,7 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderValue;
 use hyper::header::RETRY_AFTER;
-use pimento_scheduler::Refused;
+use pimento_scheduler::NoSlot;
 use pimento_serve::ReplyBody;
 
 /// Why a request is refused.
@@ -191,13 +191,13 @@
     }
 }
 
-impl From<Refused> for Refusal {
-    fn from(refused: Refused) -> Self {
-        match refused {
-            Refused::NoEndpoint { after } => Self::new(Cause::NoEndpoint).with_retry_after(after),
-            Refused::Overloaded { after } => Self::new(Cause::Overloaded).with_retry_after(after),
-            Refused::Expired { after } => Self::new(Cause::Expired).with_retry_after(after),
-            Refused::CallerGone => Self::new(Cause::Expired),
+impl From<NoSlot> for Refusal {
+    fn from(no_slot: NoSlot) -> Self {
+        match no_slot {
+            NoSlot::NoEndpoint { after } => Self::new(Cause::NoEndpoint).with_retry_after(after),
+            NoSlot::Overloaded { after } => Self::new(Cause::Overloaded).with_retry_after(after),
+            NoSlot::Expired { after } => Self::new(Cause::Expired).with_retry_after(after),
+            NoSlot::CallerGone => Self::new(Cause::Expired),
         }
     }
 }
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -268,7 +268,7 @@
             return true;
         };
         permit.set_dispatch(dispatch);
-        if let Err(permit) = pending.slot.send(permit) {
+        if let Err(permit) = pending.permit_sender.send(permit) {
             // The lock is held here, so the permit must not release its slot on drop.
             let slot = permit.into_slot();
             let unknown = limit::Outcome::Unknown;
--- a/crates/scheduler/src/refused.rs
+++ b/crates/scheduler/src/no_slot.rs
@@ -6,7 +6,7 @@
 
 /// Why a job got no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum Refused {
+pub enum NoSlot {
     /// No endpoint can take the job.
     #[snafu(display("no endpoint can take the call now"))]
     NoEndpoint {
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -21,9 +21,9 @@
 use crate::endpoint_limit;
 use crate::endpoint_state::Member;
 use crate::inner::Inner;
+use crate::no_slot::NoSlot;
 use crate::participants::Participants;
 use crate::permit::Permit;
-use crate::refused::Refused;
 
 /// A job that needs a slot.
 #[derive(Debug, Clone)]
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(crate) struct PendingJob {
     pub(crate) job: Job,
-    pub(crate) slot: oneshot::Sender<Permit>,
+    pub(crate) permit_sender: oneshot::Sender<Permit>,
 }
 
 /// The scheduler of one pool. Clones share its state.
@@ -101,12 +101,12 @@
     ///
     /// # Errors
     ///
-    /// [`Refused`], at once if the job can't start in time, else when its latest start has passed.
-    pub async fn acquire(&self, job: Job, cancel: &CancellationToken) -> Result<Permit, Refused> {
-        let (slot, granted) = oneshot::channel();
+    /// [`NoSlot`], at once if the job can't start in time, else when its latest start has passed.
+    pub async fn acquire(&self, job: Job, cancel: &CancellationToken) -> Result<Permit, NoSlot> {
+        let (permit_sender, granted) = oneshot::channel();
         let version = job.version.clone();
         let expired = job.clone();
-        let (ticket, start_by) = self.enqueue(PendingJob { job, slot })?;
+        let (ticket, start_by) = self.enqueue(PendingJob { job, permit_sender })?;
         let _guard = CancelOnDrop {
             pool: self,
             version: &version,
@@ -116,30 +116,30 @@
         tokio::select! {
             // A permit that has arrived takes precedence, or it would be released unused.
             biased;
-            slot = granted => match slot {
+            received = granted => match received {
                 Ok(permit) => Ok(permit),
                 Err(_) => Err(no_endpoint()),
             },
-            () = cancel.cancelled() => Err(Refused::CallerGone),
+            () = cancel.cancelled() => Err(NoSlot::CallerGone),
             () = tokio::time::sleep_until(deadline) => Err(self.expired(&expired)),
         }
     }
 
-    fn enqueue(&self, pending: PendingJob) -> Result<(queue::Ticket, Moment), Refused> {
+    fn enqueue(&self, pending: PendingJob) -> Result<(queue::Ticket, Moment), NoSlot> {
         let now = self.shared.clock.now();
         let mut inner = self.shared.lock();
         let demand = inner.demand(&pending.job, now).ok_or_else(no_endpoint)?;
         if let Some(after) = inner.unavailable_for(&pending.job, now) {
-            return Err(Refused::Overloaded { after });
+            return Err(NoSlot::Overloaded { after });
         }
         if let Some(after) = inner.throttled_for(&pending.job, now) {
-            return Err(Refused::Overloaded { after });
+            return Err(NoSlot::Overloaded { after });
         }
         let verdict = inner.decide(&pending.job, demand, now, rand::random());
         let start_by = match verdict {
             admission::Verdict::Admit { start_by } => start_by,
             admission::Verdict::Refuse { retry_after } => {
-                return Err(Refused::Overloaded { after: retry_after });
+                return Err(NoSlot::Overloaded { after: retry_after });
             }
         };
         let ticket = inner.enqueue(pending, start_by);
@@ -154,10 +154,10 @@
         self.shared.lock().try_acquire(&self.shared, job, now)
     }
 
-    fn expired(&self, job: &Job) -> Refused {
+    fn expired(&self, job: &Job) -> NoSlot {
         let now = self.shared.clock.now();
         let after = self.shared.lock().retry_after(job, now, rand::random());
-        Refused::Expired { after }
+        NoSlot::Expired { after }
     }
 
     /// Estimates the wait and the prefill time at the engine that a job with a prompt would get. Returns
@@ -316,10 +316,10 @@
     }
 }
 
-const fn no_endpoint() -> Refused {
+const fn no_endpoint() -> NoSlot {
     /// Within this time an update of the list or a load report may make an endpoint available.
     const RETRY_AFTER: Duration = Duration::from_secs(2);
-    Refused::NoEndpoint { after: RETRY_AFTER }
+    NoSlot::NoEndpoint { after: RETRY_AFTER }
 }
 
 /// All pools of a node. Clones share them.
--- a/crates/scheduler/tests/endpoint_limit.rs
+++ b/crates/scheduler/tests/endpoint_limit.rs
@@ -9,9 +9,9 @@
 use pimento_scheduler::Clock;
 use pimento_scheduler::Job;
 use pimento_scheduler::Member;
+use pimento_scheduler::NoSlot;
 use pimento_scheduler::Participants;
 use pimento_scheduler::Pool;
-use pimento_scheduler::Refused;
 use pimento_scheduler::Scheduler;
 use pimento_scheduler::endpoint_limit::Report;
 use pimento_units::Moment;
@@ -143,7 +143,7 @@
     let cancel = CancellationToken::new();
     let job = || call(clock, Duration::from_secs(10));
     let refused = pool.acquire(job(), &cancel).await.unwrap_err();
-    let Refused::Overloaded { after } = refused else {
+    let NoSlot::Overloaded { after } = refused else {
         panic!("{refused:?}");
     };
     assert!((0.5..=30.0).contains(&after.as_secs_f64()), "{after:?}");
@@ -177,7 +177,7 @@
         .acquire(call(clock, Duration::from_secs(3)), &cancel)
         .await;
     assert!(
-        matches!(refused, Err(Refused::Overloaded { .. })),
+        matches!(refused, Err(NoSlot::Overloaded { .. })),
         "{refused:?}"
     );
     assert!(clock.now().since(began) < Duration::from_secs(1));
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -10,8 +10,8 @@
 use pimento_scheduler::Clock;
 use pimento_scheduler::Job;
 use pimento_scheduler::Member;
+use pimento_scheduler::NoSlot;
 use pimento_scheduler::Pool;
-use pimento_scheduler::Refused;
 use pimento_scheduler::Scheduler;
 use pimento_units::Moment;
 use pimento_units::Tokens;
@@ -133,7 +133,7 @@
         ..call()
     };
     let refused = pool.acquire(job, &CancellationToken::new()).await;
-    let Err(Refused::Overloaded { after }) = refused else {
+    let Err(NoSlot::Overloaded { after }) = refused else {
         panic!("{refused:?}");
     };
     assert!(after > Duration::from_secs(3), "{after:?}");
