--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -235,7 +235,7 @@
     let mut source = Source::new(permit, body, &request.grant.route);
     match source.first(left).await {
         Ok(Item::Event(event)) => {
-            source.permit.first_token();
+            source.permit.record_first_token();
             attempts.record_result(&source.permit, false);
             Ok(Some(Start::Stream(Box::new(Started {
                 head,
@@ -426,7 +426,7 @@
                     };
                     item = source.first(self.request.left(self.node.now())).await;
                     if matches!(item, Ok(Item::Event(_))) {
-                        source.permit.first_token();
+                        source.permit.record_first_token();
                     }
                 }
             }
--- a/crates/scheduler/src/inner/placement.rs
+++ b/crates/scheduler/src/inner/placement.rs
@@ -175,7 +175,7 @@
     }
 
     /// Records that the first token of a call has arrived.
-    pub fn first_token(&mut self, slot: &Slot, now: Moment) {
+    pub fn record_first_token(&mut self, slot: &Slot, now: Moment) {
         let Some(call) = slot.call else { return };
         let Some(index) = self.index_of(&slot.endpoint) else {
             return;
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -83,10 +83,10 @@
     }
 
     /// Records that the first token has arrived: the prompt is prefilled.
-    pub fn first_token(&mut self) {
+    pub fn record_first_token(&mut self) {
         let now = self.shared.clock.now();
         let mut inner = self.shared.lock();
-        inner.first_token(&self.slot, now);
+        inner.record_first_token(&self.slot, now);
         inner.dispatch_waiting(&self.shared, now);
     }
 
