--- a/crates/entry/src/registry/poll.rs
+++ b/crates/entry/src/registry/poll.rs
@@ -201,7 +201,7 @@
             zone: endpoint.zone.clone(),
             address: endpoint.address,
             usable,
-            distance: if local {
+            extra_delay: if local {
                 Duration::ZERO
             } else {
                 self.config.zone_delay
--- a/crates/entry/tests/all/scheduler.rs
+++ b/crates/entry/tests/all/scheduler.rs
@@ -26,7 +26,7 @@
         zone: name("kig-remera"),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         usable: true,
-        distance: Duration::ZERO,
+        extra_delay: Duration::ZERO,
         versions: Some(vec![name(SMALL)]),
         report: None,
         memory: None,
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -60,7 +60,7 @@
         let candidate = |(place, endpoint): (usize, &id::Endpoint)| Candidate {
             key: choice::hash(endpoint.as_str()),
             usable: true,
-            distance: Duration::from_millis(if place % 3 == 0 { 0 } else { 10 }),
+            extra_delay: Duration::from_millis(if place % 3 == 0 { 0 } else { 10 }),
             own: 0,
             limit: 8,
             others: u32::try_from(place % 7).expect("a small number"),
--- a/crates/policy/examples/proxy.rs
+++ b/crates/policy/examples/proxy.rs
@@ -19,7 +19,7 @@
     choice::Candidate {
         key: choice::hash(["a", "b", "c"][place]),
         usable: true,
-        distance: Duration::ZERO,
+        extra_delay: Duration::ZERO,
         own: limiter.in_flight(),
         limit: limiter.limit(),
         others: 0,
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -53,7 +53,7 @@
     /// Whether it may be chosen: it holds the version and was not tried before, ejected or leaving.
     pub usable: bool,
     /// Round-trip time to its zone beyond that within the local zone; zero for the local zone.
-    pub distance: Duration,
+    pub extra_delay: Duration,
     /// Calls in flight from this node.
     pub own: u32,
     /// This node's limit of calls in flight to it.
@@ -110,13 +110,13 @@
         return Some(found);
     }
     let local = two_choices(candidates, random, config.half_weight_age, |c| {
-        c.distance.is_zero()
+        c.extra_delay.is_zero()
     });
     let remote = two_choices(
         candidates,
         number::mix(random, 1),
         config.half_weight_age,
-        |c| !c.distance.is_zero(),
+        |c| !c.extra_delay.is_zero(),
     );
     match (local, remote) {
         (Some(local), Some(remote))
@@ -131,7 +131,8 @@
 
 fn should_spill(local: &Candidate, remote: &Candidate, config: &Config) -> bool {
     let saved = local.score(config.half_weight_age) - remote.score(config.half_weight_age);
-    let cost = remote.distance.as_secs_f64() + config.spill_margin * local.run_time.as_secs_f64();
+    let cost =
+        remote.extra_delay.as_secs_f64() + config.spill_margin * local.run_time.as_secs_f64();
     saved > cost
 }
 
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -324,7 +324,7 @@
         let candidate = |e: usize| choice::Candidate {
             key: choice::hash(self.endpoints[e].as_str()),
             usable: open.contains(&e),
-            distance: if e % 3 == self.zone {
+            extra_delay: if e % 3 == self.zone {
                 Duration::ZERO
             } else {
                 ZONE_RTT
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -34,7 +34,7 @@
         let candidate = |(key, usable, zones, own, limit, others, age)| Candidate {
             key,
             usable,
-            distance: Duration::from_millis(zones * 5),
+            extra_delay: Duration::from_millis(zones * 5),
             own,
             limit,
             others,
@@ -222,7 +222,7 @@
         let candidate = |number: &usize| Candidate {
             key: choice::hash(endpoint(*number).as_str()),
             usable: true,
-            distance: Duration::ZERO,
+            extra_delay: Duration::ZERO,
             own: 0,
             limit: 8,
             others: 0,
@@ -254,7 +254,7 @@
     let candidate = |zone: u64, own: u32, run: u64| Candidate {
         key: 0,
         usable: true,
-        distance: Duration::from_millis(zone * 10),
+        extra_delay: Duration::from_millis(zone * 10),
         own,
         limit: 8,
         others: 0,
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -107,7 +107,7 @@
         zone: entry.zone.clone(),
         address: entry.address,
         usable: member.is_usable(now),
-        distance: if local {
+        extra_delay: if local {
             Duration::ZERO
         } else {
             REMOTE_ZONE_DELAY
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -32,7 +32,7 @@
     /// Whether it may take new work.
     pub usable: bool,
     /// Delay to its zone in addition to the delay within the local zone.
-    pub distance: Duration,
+    pub extra_delay: Duration,
     /// Versions that it holds, sorted; `None` for a plain service.
     pub versions: Option<Vec<id::Version>>,
     /// Its last load report, and when that was measured.
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -391,7 +391,7 @@
             choice::Candidate {
                 key: state.key,
                 usable: state.accepts(job, now) && healthy,
-                distance: state.member.distance,
+                extra_delay: state.member.extra_delay,
                 own,
                 limit: state.limiter.limit(),
                 others,
@@ -410,7 +410,7 @@
         let local = self
             .endpoints
             .iter()
-            .filter(|s| s.member.distance.is_zero());
+            .filter(|s| s.member.extra_delay.is_zero());
         let measured = local
             .map(|s| s.limiter.seconds_per_token())
             .filter(|seconds| *seconds > 0.0);
--- a/crates/scheduler/src/inner/placement.rs
+++ b/crates/scheduler/src/inner/placement.rs
@@ -78,7 +78,7 @@
             engine::Candidate {
                 key: state.key,
                 usable: self.is_free(state, job, now),
-                remote: !state.member.distance.is_zero(),
+                remote: !state.member.extra_delay.is_zero(),
                 wait,
                 prefill_time,
             }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -18,7 +18,7 @@
         zone: "a".parse().unwrap(),
         address: "127.0.0.1:9".parse().unwrap(),
         usable: true,
-        distance: Duration::ZERO,
+        extra_delay: Duration::ZERO,
         versions: None,
         report: Some((report, Moment::ZERO)),
         memory: None,
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -192,7 +192,7 @@
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"desk".parse().unwrap());
     let remote = |number| Member {
-        distance: Duration::from_millis(10),
+        extra_delay: Duration::from_millis(10),
         zone: format!("zone-{number}").parse().unwrap(),
         ..desk(number, true)
     };
@@ -217,7 +217,7 @@
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"desk".parse().unwrap());
     let remote = Member {
-        distance: Duration::from_millis(10),
+        extra_delay: Duration::from_millis(10),
         zone: "b".parse().unwrap(),
         ..desk(2, true)
     };
