--- a/crates/entry/src/registry/poll.rs
+++ b/crates/entry/src/registry/poll.rs
@@ -208,7 +208,7 @@
             },
             versions,
             report,
-            memory: None,
+            kv_capacity: None,
             incarnation: endpoint.incarnation(),
         }
     }
--- a/crates/entry/tests/all/scheduler.rs
+++ b/crates/entry/tests/all/scheduler.rs
@@ -29,7 +29,7 @@
         extra_delay: Duration::ZERO,
         versions: Some(vec![name(SMALL)]),
         report: None,
-        memory: None,
+        kv_capacity: None,
         incarnation: 0,
     }
 }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -96,7 +96,7 @@
 /// What a node knows of one engine's prefill queue and prefix cache.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    memory: Tokens,
+    kv_capacity: Tokens,
     pending: Vec<Pending>,
     /// Sorted by node.
     peers: Vec<Peer>,
@@ -118,11 +118,11 @@
 const MAX_IDLE_WAIT: Duration = Duration::from_millis(5);
 
 impl Engine {
-    /// Creates an engine with an empty prefix cache. `memory` holds running requests and cached parts.
+    /// Creates an engine with an empty prefix cache. `kv_capacity` is the size of its KV cache, which holds running requests and cached parts.
     #[must_use]
-    pub const fn new(memory: Tokens) -> Self {
+    pub const fn new(kv_capacity: Tokens) -> Self {
         Self {
-            memory,
+            kv_capacity,
             pending: Vec::new(),
             peers: Vec::new(),
             cached: Vec::new(),
@@ -217,7 +217,7 @@
                 }
             }
         }
-        while self.cached_tokens > self.memory {
+        while self.cached_tokens > self.kv_capacity {
             self.evict();
         }
     }
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -114,7 +114,7 @@
         },
         versions: Some(vec![entry.version.clone()]),
         report: Some((report, Moment::ZERO)),
-        memory: kv_capacity,
+        kv_capacity,
         incarnation: entry.started_unix_ms,
     }
 }
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -38,7 +38,7 @@
     /// Its last load report, and when that was measured.
     pub report: Option<(limit::Report, Moment)>,
     /// For an engine whose calls carry their prompts: its memory for running calls and cached prefixes.
-    pub memory: Option<Tokens>,
+    pub kv_capacity: Option<Tokens>,
     /// Distinguishes successive endpoints of the same name, which share no state.
     pub incarnation: u64,
 }
@@ -150,7 +150,7 @@
         consecutive_refusals: 0,
         closed_until: Moment::ZERO,
         retry_at: Moment::ZERO,
-        engine: member.memory.map(Engine::new),
+        engine: member.kv_capacity.map(Engine::new),
         rate_limit: None,
         member,
     }
@@ -170,7 +170,7 @@
         let batch = member.report.map(|(report, _)| report.batch);
         Self {
             batch: batch.filter(|batch| *batch > 0),
-            engine: member.memory.is_some(),
+            engine: member.kv_capacity.is_some(),
         }
     }
 }
@@ -202,8 +202,8 @@
     // engine were not created then, it would look idle for ever, and each prompt as if its prefill took no
     // time.
     let restarted = state.member.incarnation != member.incarnation;
-    if restarted || state.member.memory != member.memory {
-        state.engine = member.memory.map(Engine::new);
+    if restarted || state.member.kv_capacity != member.kv_capacity {
+        state.engine = member.kv_capacity.map(Engine::new);
     }
     if restarted {
         state.consecutive_refusals = 0;
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -21,7 +21,7 @@
         extra_delay: Duration::ZERO,
         versions: None,
         report: Some((report, Moment::ZERO)),
-        memory: None,
+        kv_capacity: None,
         incarnation: 1,
     }
 }
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -21,10 +21,10 @@
 
 const MEMORY: Tokens = Tokens(600_000);
 
-fn engine(memory: Option<Tokens>) -> Member {
+fn engine(kv_capacity: Option<Tokens>) -> Member {
     Member {
         versions: Some(vec!["v1".parse().unwrap()]),
-        memory,
+        kv_capacity,
         ..member(64)
     }
 }
@@ -73,7 +73,7 @@
     Member {
         endpoint: format!("i-{number}").parse().unwrap(),
         usable,
-        memory: None,
+        kv_capacity: None,
         ..engine(None)
     }
 }
