--- a/crates/policy/src/engine/prefill.rs
+++ b/crates/policy/src/engine/prefill.rs
@@ -138,7 +138,7 @@
     }
 
     /// Adopts another node's estimates for models that are unknown here.
-    pub fn seed(&mut self, models: impl IntoIterator<Item = (u64, f64)>) {
+    pub fn merge_estimates(&mut self, models: impl IntoIterator<Item = (u64, f64)>) {
         for (model, seconds) in models {
             if let Err(index) = self.models.binary_search_by_key(&model, |(m, _)| *m) {
                 self.models.insert(index, (model, seconds));
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -57,7 +57,7 @@
 #[test]
 fn unknown_cached_parts_do_not_make_a_model_look_fast() {
     let mut prefill = PrefillEstimator::default();
-    prefill.seed([(MODEL, SECONDS_PER_TOKEN)]);
+    prefill.merge_estimates([(MODEL, SECONDS_PER_TOKEN)]);
     let mut engine = engine();
     for round in 0..10 {
         let prompt = prompt(&[(round, 4_000)]);
@@ -126,7 +126,7 @@
 fn the_prefill_speed_follows_idle_engines() {
     for (start, truth) in [(0.000_008, 0.000_057), (0.000_057, 0.000_017)] {
         let mut prefill = PrefillEstimator::default();
-        prefill.seed([(MODEL, start)]);
+        prefill.merge_estimates([(MODEL, start)]);
         let mut engine = engine();
         for round in 0..12 {
             let prompt = prompt(&[(round + 1, 1_000)]);
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -128,7 +128,9 @@
     }
 
     fn add_record(&self, node: id::Node, record: VmRecord) {
-        self.node.scheduler.seed_prefill(&record.seconds_per_token);
+        self.node
+            .scheduler
+            .merge_prefill_speeds(&record.seconds_per_token);
         if node != self.node.config.node {
             let now = boot::now();
             let peer = Peer::discovered(node, record.zone, record.address, now);
--- a/crates/scheduler/src/inner/placement.rs
+++ b/crates/scheduler/src/inner/placement.rs
@@ -137,8 +137,9 @@
         &self.prefill
     }
 
-    pub fn seed_prefill(&mut self, seconds_per_token: &[(u64, f64)]) {
-        self.prefill.seed(seconds_per_token.iter().copied());
+    pub fn merge_prefill_speeds(&mut self, seconds_per_token: &[(u64, f64)]) {
+        self.prefill
+            .merge_estimates(seconds_per_token.iter().copied());
     }
 
     /// Merges another VM's report of how long engines take for its calls; its calls take no time at engines
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -365,7 +365,7 @@
                     .seconds_per_token
                     .read()
                     .unwrap_or_else(PoisonError::into_inner);
-                pool.shared.lock().seed_prefill(&known);
+                pool.shared.lock().merge_prefill_speeds(&known);
                 let participants = self
                     .participants
                     .read()
@@ -380,9 +380,9 @@
     }
 
     /// Merges prefill speeds that another VM reported, for all pools.
-    pub fn seed_prefill(&self, seconds_per_token: &[(u64, f64)]) {
+    pub fn merge_prefill_speeds(&self, seconds_per_token: &[(u64, f64)]) {
         for (_, pool) in self.pools() {
-            pool.shared.lock().seed_prefill(seconds_per_token);
+            pool.shared.lock().merge_prefill_speeds(seconds_per_token);
         }
         let mut known = self
             .seconds_per_token
