--- a/crates/policy/src/confidence.rs
+++ b/crates/policy/src/confidence.rs
@@ -117,7 +117,7 @@
 
 /// Pass rates of one larger model by the confidence of one smaller model.
 #[derive(Debug, Clone)]
-struct Row {
+struct ModelPair {
     smaller: u64,
     larger: u64,
     /// For each band, the sum of the pass rates at the larger model's confidences, and their
@@ -129,7 +129,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PassRates {
     /// Sorted by the two models.
-    rows: Vec<Row>,
+    rows: Vec<ModelPair>,
 }
 
 const fn band(confidence: u8) -> usize {
@@ -147,7 +147,7 @@
     /// hash of its model.
     pub fn record(&mut self, smaller: (u64, u8), larger: (u64, u8)) {
         let index = self.find(smaller.0, larger.0).unwrap_or_else(|index| {
-            let row = Row {
+            let row = ModelPair {
                 smaller: smaller.0,
                 larger: larger.0,
                 bands: [(0.0, 0.0); BANDS],
@@ -183,7 +183,7 @@
     /// Its place between the smallest model, 0, and the largest, 1.
     pub rank: f64,
     /// Price of its use, as a share of the most expensive model's.
-    pub cost: f64,
+    pub price: f64,
     /// Wait for the prompts ahead at its engine.
     pub wait: Duration,
     /// Time to prefill what is not in the engine's prefix cache.
@@ -229,8 +229,8 @@
             let in_time = first_token <= answer.target.mul_f64(self.target_share);
             let value = if in_time { 1.0 } else { self.late_value };
             let expected = pass_rates.pass_rate(answer.model, answer.confidence, model) * value;
-            let taken = model.prefill.as_secs_f64() / baseline;
-            expected - passes - price * model.cost - load * taken
+            let engine_time = model.prefill.as_secs_f64() / baseline;
+            expected - passes - price * model.price - load * engine_time
         };
         let gains = larger.iter().map(gain).enumerate();
         let best = gains.max_by(|one, other| one.1.total_cmp(&other.1))?;
--- a/crates/policy/tests/value.rs
+++ b/crates/policy/tests/value.rs
@@ -65,7 +65,7 @@
     let larger = LargerModel {
         model: LARGE,
         rank: 1.0,
-        cost: 1.0,
+        price: 1.0,
         wait: Duration::ZERO,
         prefill: prefill(request),
     };
--- a/crates/relay/src/cascade.rs
+++ b/crates/relay/src/cascade.rs
@@ -140,7 +140,7 @@
         candidates.push(LargerModel {
             model: model_hash(larger),
             rank: confidence::rank(rank, models.len()),
-            cost: relative_cost(request, larger),
+            price: relative_cost(request, larger),
             wait: estimate.wait,
             prefill: estimate.prefill,
         });
