--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -58,7 +58,7 @@
         health.set_endpoints(endpoints.iter().cloned());
         let limiter = limit::Limiter::new(limit::Config::default());
         let candidate = |(place, endpoint): (usize, &id::Endpoint)| Candidate {
-            key: choice::hash(endpoint.as_str()),
+            name_hash: choice::hash(endpoint.as_str()),
             usable: true,
             extra_delay: Duration::from_millis(if place % 3 == 0 { 0 } else { 10 }),
             own: 0,
--- a/crates/policy/examples/proxy.rs
+++ b/crates/policy/examples/proxy.rs
@@ -17,7 +17,7 @@
 
 fn candidate(place: usize, limiter: &limit::Limiter) -> choice::Candidate {
     choice::Candidate {
-        key: choice::hash(["a", "b", "c"][place]),
+        name_hash: choice::hash(["a", "b", "c"][place]),
         usable: true,
         extra_delay: Duration::ZERO,
         own: limiter.in_flight(),
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// [`hash`] of the endpoint's name, which is the same at every node.
-    pub key: u64,
+    pub name_hash: u64,
     /// Whether it may be chosen: it holds the version and was not tried before, ejected or leaving.
     pub usable: bool,
     /// Round-trip time to its zone beyond that within the local zone; zero for the local zone.
@@ -66,7 +66,7 @@
     pub run_time: Duration,
 }
 
-/// A hash of a name that is the same at every node, such as for [`Candidate::key`].
+/// A hash of a name that is the same at every node, such as for [`Candidate::name_hash`].
 #[must_use]
 pub fn hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
@@ -148,7 +148,7 @@
     let max_load = (config.load_factor * mean(candidates, config.half_weight_age)).ceil();
     let mut best = None;
     for (index, candidate) in candidates.iter().enumerate() {
-        let rank = number::mix(candidate.key, prefix);
+        let rank = number::mix(candidate.name_hash, prefix);
         let ranks_higher = best.is_none_or(|(highest, _)| rank > highest);
         // The load is checked last, because few candidates rank higher than all before them.
         if ranks_higher
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -317,7 +317,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Candidate {
     /// Hash of the engine's name, the same at every node.
-    pub key: u64,
+    pub name_hash: u64,
     /// Whether it may be chosen.
     pub usable: bool,
     /// Whether it is in another zone.
@@ -360,6 +360,6 @@
         .min_by(f64::total_cmp)?;
     let cheapest = usable().filter(|(_, c)| c.cost(config) <= least + COST_TOLERANCE);
     cheapest
-        .max_by_key(|(_, c)| number::mix(c.key, prefix))
+        .max_by_key(|(_, c)| number::mix(c.name_hash, prefix))
         .map(|(index, _)| index)
 }
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -322,7 +322,7 @@
     fn choose_by_policy(&mut self, arrival: &Arrival, open: &[usize], now: f64) -> Option<usize> {
         let random = self.random.bits();
         let candidate = |e: usize| choice::Candidate {
-            key: choice::hash(self.endpoints[e].as_str()),
+            name_hash: choice::hash(self.endpoints[e].as_str()),
             usable: open.contains(&e),
             extra_delay: if e % 3 == self.zone {
                 Duration::ZERO
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -32,7 +32,7 @@
     );
     vec(one, 0..40).prop_map(|drawn| {
         let candidate = |(key, usable, zones, own, limit, others, age)| Candidate {
-            key,
+            name_hash: key,
             usable,
             extra_delay: Duration::from_millis(zones * 5),
             own,
@@ -220,7 +220,7 @@
 fn prefix_stays_with_its_endpoint() {
     let make = |names: &[usize]| -> Vec<Candidate> {
         let candidate = |number: &usize| Candidate {
-            key: choice::hash(endpoint(*number).as_str()),
+            name_hash: choice::hash(endpoint(*number).as_str()),
             usable: true,
             extra_delay: Duration::ZERO,
             own: 0,
@@ -252,7 +252,7 @@
 #[test]
 fn local_zone_first_until_the_wait_outweighs_the_link() {
     let candidate = |zone: u64, own: u32, run: u64| Candidate {
-        key: 0,
+        name_hash: 0,
         usable: true,
         extra_delay: Duration::from_millis(zone * 10),
         own,
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -60,7 +60,7 @@
     pub(crate) limiter: limit::Limiter,
     /// The properties for which the limiter was configured.
     inputs: LimiterInputs,
-    pub(crate) key: u64,
+    pub(crate) name_hash: u64,
     /// Successive refusals, and until when no further call is sent because of them.
     pub(crate) consecutive_refusals: u32,
     pub(crate) closed_until: Moment,
@@ -144,7 +144,7 @@
 pub(crate) fn initial_state(member: Member) -> EndpointState {
     let inputs = LimiterInputs::of(&member);
     EndpointState {
-        key: choice::hash(member.endpoint.as_str()),
+        name_hash: choice::hash(member.endpoint.as_str()),
         limiter: limiter(inputs),
         inputs,
         consecutive_refusals: 0,
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/inner.rs
@@ -389,7 +389,7 @@
                         (all.saturating_sub(own), now.since(at))
                     });
             choice::Candidate {
-                key: state.key,
+                name_hash: state.name_hash,
                 usable: state.accepts(job, now) && healthy,
                 extra_delay: state.member.extra_delay,
                 own,
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/inner/limits.rs
@@ -59,7 +59,11 @@
 
     /// Merges another VM's report of an endpoint's limit.
     pub fn merge_limit(&mut self, report: Report, now: Moment) {
-        let Some(state) = self.endpoints.iter_mut().find(|s| s.key == report.endpoint) else {
+        let Some(state) = self
+            .endpoints
+            .iter_mut()
+            .find(|s| s.name_hash == report.endpoint)
+        else {
             return;
         };
         let observed = now.before(report.age);
@@ -80,7 +84,7 @@
     /// Returns the reports for other VMs.
     pub fn limit_reports(&self, now: Moment) -> Vec<Report> {
         let states = self.endpoints.iter();
-        let reports = states.filter_map(|state| state.rate_limit?.report(state.key, now));
+        let reports = states.filter_map(|state| state.rate_limit?.report(state.name_hash, now));
         reports.collect()
     }
 
@@ -88,7 +92,7 @@
     pub fn set_participants(&mut self, participants: Participants, now: Moment) {
         self.participants = participants;
         for state in &mut self.endpoints {
-            let (zone, key) = (&state.member.zone, state.key);
+            let (zone, key) = (&state.member.zone, state.name_hash);
             if let Some(limited) = &mut state.rate_limit {
                 limited.set_share(|limit| self.participants.share(limit, zone, key), now);
             }
@@ -162,7 +166,7 @@
     observation: Observation,
     now: Moment,
 ) {
-    let (zone, key, before) = (&state.member.zone, state.key, state.throttle());
+    let (zone, key, before) = (&state.member.zone, state.name_hash, state.throttle());
     let share = |limit| participants.share(limit, zone, key);
     state.rate_limit = Some(EndpointLimit::new(observation, before, share, now));
 }
--- a/crates/scheduler/src/inner/placement.rs
+++ b/crates/scheduler/src/inner/placement.rs
@@ -76,7 +76,7 @@
                 .prefill_time(prompt.model, prefill_tokens, total);
             let wait = engine.map_or(Duration::ZERO, |engine| engine.wait(now));
             engine::Candidate {
-                key: state.key,
+                name_hash: state.name_hash,
                 usable: self.is_free(state, job, now),
                 remote: !state.member.extra_delay.is_zero(),
                 wait,
@@ -128,8 +128,8 @@
 
     pub fn engine_waits(&self, now: Moment) -> Vec<(u64, Duration)> {
         let engines = self.endpoints.iter();
-        let waits =
-            engines.filter_map(|state| Some((state.key, state.engine.as_ref()?.own_wait(now))));
+        let waits = engines
+            .filter_map(|state| Some((state.name_hash, state.engine.as_ref()?.own_wait(now))));
         waits.filter(|(_, wait)| !wait.is_zero()).collect()
     }
 
@@ -154,7 +154,10 @@
         let dropped = before.iter().filter(|key| !named.contains(key));
         let dropped = dropped.map(|key| (*key, Duration::ZERO));
         for (key, wait) in waits.iter().copied().chain(dropped) {
-            let state = self.endpoints.iter_mut().find(|state| state.key == key);
+            let state = self
+                .endpoints
+                .iter_mut()
+                .find(|state| state.name_hash == key);
             if let Some(engine) = state.and_then(|state| state.engine.as_mut()) {
                 engine.record_peer_wait(node, wait, now);
             }
@@ -166,7 +169,11 @@
     }
 
     pub fn merge_prefilled(&mut self, key: u64, prompt: &Prompt, now: Moment) {
-        let Some(state) = self.endpoints.iter_mut().find(|state| state.key == key) else {
+        let Some(state) = self
+            .endpoints
+            .iter_mut()
+            .find(|state| state.name_hash == key)
+        else {
             return;
         };
         let Some(engine) = state.engine.as_mut() else {
@@ -189,7 +196,7 @@
         if let Some(prompt) = &slot.prompt
             && self.prefilled.len() < MAX_PREFILLED
         {
-            self.prefilled.push((state.key, prompt.clone()));
+            self.prefilled.push((state.name_hash, prompt.clone()));
         }
     }
 }
