--- a/crates/policy/src/cascade.rs
+++ b/crates/policy/src/cascade.rs
@@ -188,7 +188,7 @@
         .rating_time
         .and_then(|rating| cheapest_chain(candidates, terms, rating));
     match (unrated, chain) {
-        (Some((price, step)), Some((chain_price, _))) if price <= chain_price => {
+        (Some((cost, step)), Some((chain_cost, _))) if cost <= chain_cost => {
             Some(release_unrated(step))
         }
         (_, Some((_, step))) => Some(Plan {
@@ -218,17 +218,17 @@
 }
 
 /// Cost of the call and of the time it takes, in millionths of the currency unit.
-fn price(candidate: &Candidate, rating: Duration, terms: &Terms) -> f64 {
+fn total_cost(candidate: &Candidate, rating: Duration, terms: &Terms) -> f64 {
     let time = (candidate.run_time + rating).as_secs_f64();
     number::float(candidate.cost.micros()) + time * number::float(terms.cost_per_second.micros())
 }
 
 /// The cheapest candidate whose lower bound meets the target, so that it needs no rating, and its
-/// price.
+/// cost.
 fn cheapest_unrated(candidates: &[Candidate], terms: &Terms) -> Option<(f64, usize)> {
     fitting(candidates, terms)
         .filter(|(_, c)| c.lower_bound >= terms.target.value())
-        .map(|(step, c)| (price(&c, Duration::ZERO, terms), step))
+        .map(|(step, c)| (total_cost(&c, Duration::ZERO, terms), step))
         .min_by(|one, other| one.0.total_cmp(&other.0))
 }
 
@@ -250,7 +250,7 @@
     found.map(|(step, _)| step)
 }
 
-/// The first step of the chain of rated steps with the least expected price, and that price. Each
+/// The first step of the chain of rated steps with the least expected cost, and that cost. Each
 /// chain ends at the best candidate, for which time and budget must suffice.
 fn cheapest_chain(
     candidates: &[Candidate],
@@ -259,7 +259,7 @@
 ) -> Option<(f64, usize)> {
     let last = best(candidates, terms)?;
     let top = candidates[last];
-    let end = price(&top, rating, terms);
+    let end = total_cost(&top, rating, terms);
     let mut cheapest = (end, last);
     for (step, candidate) in fitting(candidates, terms) {
         let fits = candidate.run_time + rating + top.run_time <= terms.time_left
@@ -267,8 +267,8 @@
         if step == last || candidate.cost >= top.cost || !fits {
             continue;
         }
-        let rest = price_after(candidates, terms, rating, &candidate, end);
-        let expected = price(&candidate, rating, terms) + (1.0 - candidate.mean) * rest;
+        let rest = cost_after(candidates, terms, rating, &candidate, end);
+        let expected = total_cost(&candidate, rating, terms) + (1.0 - candidate.mean) * rest;
         if expected < cheapest.0 {
             cheapest = (expected, step);
         }
@@ -276,9 +276,9 @@
     Some(cheapest)
 }
 
-/// The expected price after `first` failed: that of one intermediate step before the best
+/// The expected cost after `first` failed: that of one intermediate step before the best
 /// candidate, or of the best at once. Longer chains gain little and take the caller's time.
-fn price_after(
+fn cost_after(
     candidates: &[Candidate],
     terms: &Terms,
     rating: Duration,
@@ -288,6 +288,6 @@
     let left = terms.time_left.saturating_sub(first.run_time + rating);
     fitting(candidates, terms)
         .filter(|(_, c)| c.cost > first.cost && c.mean > first.mean && c.run_time + rating <= left)
-        .map(|(_, c)| price(&c, rating, terms) + (1.0 - c.mean) * end)
+        .map(|(_, c)| total_cost(&c, rating, terms) + (1.0 - c.mean) * end)
         .fold(end, f64::min)
 }
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -189,7 +189,7 @@
 ) -> Option<usize> {
     let open = |index: usize| candidates[index].has_free_slot() && filter(&candidates[index]);
     let (one, other) = draw_pair(candidates.len(), random, &open)
-        .or_else(|| count_pair(candidates.len(), random, &open))?;
+        .or_else(|| draw_pair_exhaustively(candidates.len(), random, &open))?;
     let better = candidates[other].score(half_weight_age) < candidates[one].score(half_weight_age);
     Some(if better { other } else { one })
 }
@@ -205,7 +205,11 @@
 }
 
 /// Two different open indices by counting all of them, or the only one twice; none if none is open.
-fn count_pair(count: usize, random: u64, open: &impl Fn(usize) -> bool) -> Option<(usize, usize)> {
+fn draw_pair_exhaustively(
+    count: usize,
+    random: u64,
+    open: &impl Fn(usize) -> bool,
+) -> Option<(usize, usize)> {
     let indices = || (0..count).filter(|index| open(*index));
     let total = indices().count();
     if total == 0 {
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -258,10 +258,10 @@
         if suspect.blocked_until.is_some() || suspect.crashes.len() < block_threshold {
             return Verdict::Suspected(suspect.crashes.len());
         }
-        let lasts = block_duration
+        let duration = block_duration
             .saturating_mul(1 << suspect.blocks.min(16))
             .min(max_block_duration);
-        suspect.blocked_until = Some(now + lasts);
+        suspect.blocked_until = Some(now + duration);
         suspect.blocks += 1;
         Verdict::Blocked
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -130,14 +130,14 @@
     /// is to be called when a slot is free. A job past its latest start is skipped, and left for
     /// [`expire`](Self::expire).
     pub fn next(&mut self, now: Moment, slots: u32) -> Option<Dispatch> {
-        let long = self.running_long < self.max_long(slots);
-        let chosen = self.choose_lane(now, long)?;
+        let allow_long = self.running_long < self.max_long(slots);
+        let chosen = self.choose_lane(now, allow_long)?;
         let lane = &mut self.lanes[chosen];
-        let (entry, flow) = lane.pop(now, long, self.config.quantum)?;
+        let (entry, flow) = lane.pop(now, allow_long, self.config.quantum)?;
         let priority = lane.priority();
         self.waiting -= 1;
         self.running_long += u32::from(entry.long);
-        self.account(chosen, entry.tokens);
+        self.settle_credits(chosen, entry.tokens);
         Some(Dispatch {
             ticket: Ticket {
                 sequence: entry.sequence,
@@ -276,17 +276,17 @@
 
     /// Returns the class to serve: the first one whose credit covers its next job, or else the first one
     /// that has a job which may start.
-    fn choose_lane(&self, now: Moment, long: bool) -> Option<usize> {
-        let ready = |lane: &Lane| lane.is_ready(now, long);
+    fn choose_lane(&self, now: Moment, allow_long: bool) -> Option<usize> {
+        let ready = |lane: &Lane| lane.is_ready(now, allow_long);
         let due = self
             .lanes
             .iter()
-            .position(|lane| lane.credit() >= 1.0 && lane.credit_covers_next(now, long));
+            .position(|lane| lane.credit() >= 1.0 && lane.credit_covers_next(now, allow_long));
         due.or_else(|| self.lanes.iter().position(ready))
     }
 
     /// Debits the served class, and credits the minimum share to all other classes that wait.
-    fn account(&mut self, chosen: usize, tokens: Tokens) {
+    fn settle_credits(&mut self, chosen: usize, tokens: Tokens) {
         let min_share = self.config.min_share;
         for (index, lane) in self.lanes.iter_mut().enumerate() {
             if index == chosen {
--- a/crates/policy/src/queue/lane.rs
+++ b/crates/policy/src/queue/lane.rs
@@ -71,10 +71,10 @@
 
     /// Returns the oldest job that may start. Jobs past their latest start are skipped and left for
     /// `expire`: a slot would be wasted on an answer that comes too late.
-    fn next_entry(&self, now: Moment, long: bool) -> Option<Entry> {
+    fn next_entry(&self, now: Moment, allow_long: bool) -> Option<Entry> {
         let first = |jobs: &VecDeque<Entry>| jobs.iter().find(|e| e.start_by >= now).copied();
         let short = first(&self.short);
-        if !long {
+        if !allow_long {
             return short;
         }
         match (short, first(&self.long)) {
@@ -152,20 +152,20 @@
         self.credit = (self.credit - tokens).max(0.0);
     }
 
-    pub(super) fn is_ready(&self, now: Moment, long: bool) -> bool {
-        self.next_entries(now, long).next().is_some()
+    pub(super) fn is_ready(&self, now: Moment, allow_long: bool) -> bool {
+        self.next_entries(now, allow_long).next().is_some()
     }
 
     /// Returns whether the credit covers the next job that may start.
-    pub(super) fn credit_covers_next(&self, now: Moment, long: bool) -> bool {
-        let next = self.next_entries(now, long).next();
+    pub(super) fn credit_covers_next(&self, now: Moment, allow_long: bool) -> bool {
+        let next = self.next_entries(now, allow_long).next();
         next.is_some_and(|entry| self.credit >= number::float(entry.tokens.0))
     }
 
-    fn next_entries(&self, now: Moment, long: bool) -> impl Iterator<Item = Entry> {
+    fn next_entries(&self, now: Moment, allow_long: bool) -> impl Iterator<Item = Entry> {
         self.ring
             .iter()
-            .filter_map(move |flow| self.flows[*flow as usize].next_entry(now, long))
+            .filter_map(move |flow| self.flows[*flow as usize].next_entry(now, allow_long))
     }
 
     pub(super) fn push(&mut self, job: Job, sequence: u64, long: bool, quantum: Tokens) -> u32 {
@@ -197,12 +197,17 @@
 
     /// Dispatches a job of the customer whose turn it is. A turn lasts while the deficit covers the next
     /// job; then the customer moves to the back and is granted its quantum for the next turn.
-    pub(super) fn pop(&mut self, now: Moment, long: bool, quantum: Tokens) -> Option<(Entry, u32)> {
+    pub(super) fn pop(
+        &mut self,
+        now: Moment,
+        allow_long: bool,
+        quantum: Tokens,
+    ) -> Option<(Entry, u32)> {
         let mut skipped = 0;
         loop {
             let index = *self.ring.front()?;
             let flow = &self.flows[index as usize];
-            match flow.next_entry(now, long) {
+            match flow.next_entry(now, allow_long) {
                 Some(head) if head.tokens.0 <= flow.deficit => {
                     return self.serve(index, head.sequence);
                 }
@@ -216,7 +221,7 @@
                 }
             }
             if skipped == self.ring.len() {
-                self.grant_skipped_rounds(now, long, quantum)?;
+                self.grant_skipped_rounds(now, allow_long, quantum)?;
                 skipped = 0;
             }
         }
@@ -224,9 +229,14 @@
 
     /// Grants all customers the rounds that would pass until a job can be dispatched, after a round without
     /// one. A job of many quanta then takes one pass instead of hundreds.
-    fn grant_skipped_rounds(&mut self, now: Moment, long: bool, quantum: Tokens) -> Option<()> {
+    fn grant_skipped_rounds(
+        &mut self,
+        now: Moment,
+        allow_long: bool,
+        quantum: Tokens,
+    ) -> Option<()> {
         let rounds = |flow: &Flow| {
-            let head = flow.next_entry(now, long)?;
+            let head = flow.next_entry(now, allow_long)?;
             let missing = head.tokens.0.saturating_sub(flow.deficit);
             Some(missing.div_ceil(flow.turn_quantum(quantum)))
         };
@@ -234,7 +244,7 @@
         let least = flows.filter_map(rounds).min()?;
         for index in &self.ring {
             let flow = &mut self.flows[*index as usize];
-            if flow.next_entry(now, long).is_some() {
+            if flow.next_entry(now, allow_long).is_some() {
                 flow.deficit += least * flow.turn_quantum(quantum);
             }
         }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -43,9 +43,9 @@
     attempts: f64,
     failed: f64,
     /// Sum of the times of timed attempts.
-    time: f64,
+    time_sum: f64,
     /// Attempts whose time is known.
-    timed: f64,
+    timed_attempts: f64,
     /// When the sums were last updated.
     updated: Moment,
 }
@@ -77,8 +77,8 @@
             passed: f64::from(counts.passed),
             attempts: f64::from(counts.attempts),
             failed: f64::from(counts.failed),
-            time: counts.mean_time.unwrap_or(0.0) * timed,
-            timed,
+            time_sum: counts.mean_time.unwrap_or(0.0) * timed,
+            timed_attempts: timed,
             updated: Moment::ZERO,
         }
     }
@@ -118,8 +118,8 @@
     pub fn record_answer(&mut self, seconds_per_token: f64, now: Moment) {
         self.decay(now);
         self.attempts += 1.0;
-        self.time += seconds_per_token;
-        self.timed += 1.0;
+        self.time_sum += seconds_per_token;
+        self.timed_attempts += 1.0;
     }
 
     /// Records an attempt that failed because of the version or its engine.
@@ -135,8 +135,8 @@
         self.passed += other.passed;
         self.attempts += other.attempts;
         self.failed += other.failed;
-        self.time += other.time;
-        self.timed += other.timed;
+        self.time_sum += other.time_sum;
+        self.timed_attempts += other.timed_attempts;
         self.updated = self.updated.max(other.updated);
     }
 
@@ -154,11 +154,11 @@
             passed,
             attempts,
             failed,
-            time,
-            timed,
+            time_sum,
+            timed_attempts,
             updated: _,
         } = self;
-        for sum in [rated, passed, attempts, failed, time, timed] {
+        for sum in [rated, passed, attempts, failed, time_sum, timed_attempts] {
             *sum *= decay;
         }
     }
@@ -174,7 +174,7 @@
     }
 
     fn mean_time(&self) -> Option<f64> {
-        (self.timed >= MIN_SAMPLES).then(|| self.time / self.timed)
+        (self.timed_attempts >= MIN_SAMPLES).then(|| self.time_sum / self.timed_attempts)
     }
 }
 
@@ -206,7 +206,8 @@
         return Some(Cause::Errors);
     }
     let ratio = new.mean_time()? / old.mean_time()?;
-    let slow = new.timed >= f64::from(gate.samples) && ratio * 100.0 > f64::from(gate.latency);
+    let slow =
+        new.timed_attempts >= f64::from(gate.samples) && ratio * 100.0 > f64::from(gate.latency);
     slow.then_some(Cause::Latency)
 }
 
@@ -246,13 +247,13 @@
 
 /// The version that a session uses in place of `version`, following the roll-outs that replace it.
 /// `allowed` tells whether a version may be used; a roll-out to one that may not is skipped. With
-/// `settled` set, only roll-outs that are done are followed.
+/// `only_done` set, only roll-outs that are done are followed.
 #[must_use]
 pub fn version_for<'a>(
     session: id::Session,
     version: &'a id::Version,
     rollouts: &[&'a Rollout],
-    settled: bool,
+    only_done: bool,
     allowed: impl Fn(&id::Version) -> bool,
 ) -> &'a id::Version {
     let mut current = version;
@@ -260,7 +261,7 @@
     // cycle.
     for _ in 0..rollouts.len() {
         let next = rollouts.iter().find(|rollout| {
-            let counts = !settled || rollout.status == Status::Done;
+            let counts = !only_done || rollout.status == Status::Done;
             let applies = counts && rollout.from == *current && allowed(&rollout.to);
             applies && uses_new_version(session, &rollout.to, rollout.weight())
         });
--- a/crates/policy/src/shift.rs
+++ b/crates/policy/src/shift.rs
@@ -78,10 +78,10 @@
         to_share((exposure * self.trial_exposure).clamp(0.0, 1.0))
     }
 
-    /// The phase of a shift whose order is `age` old and must be done `lasts` after it was given.
+    /// The phase of a shift whose order is `age` old and must be done `time_limit` after it was given.
     #[must_use]
-    pub fn phase(&self, age: Duration, lasts: Duration, exposure: f64) -> Phase {
-        let trial_end = lasts.mul_f64(self.trial_time) + self.clock_margin;
+    pub fn phase(&self, age: Duration, time_limit: Duration, exposure: f64) -> Phase {
+        let trial_end = time_limit.mul_f64(self.trial_time) + self.clock_margin;
         let share = (exposure * self.trial_exposure).clamp(0.0, 1.0);
         if age < self.observation {
             return Phase::Observation;
@@ -165,15 +165,19 @@
     (several || cause == Cause::Latency).then_some(cause)
 }
 
-/// `timed` tells whether times are compared, which is done within a route only, because routes
+/// `compare_times` tells whether times are compared, which is done within a route only, because routes
 /// differ in them.
-fn route_regression(route: &RouteEvidence, timed: bool) -> Option<Cause> {
+fn route_regression(route: &RouteEvidence, compare_times: bool) -> Option<Cause> {
     let errors = to_share((MAX_ERROR_INCREASE + route.old.error_rate()).min(1.0));
     let gate = Gate {
         samples: MIN_TIMED_ANSWERS,
         quality: Share::ZERO,
         errors,
-        latency: if timed { MAX_LATENCY_PERCENT } else { u32::MAX },
+        latency: if compare_times {
+            MAX_LATENCY_PERCENT
+        } else {
+            u32::MAX
+        },
         dwell: Span::ZERO,
     };
     rollout::regression(&route.new, &route.old, &gate)
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/inner/limits.rs
@@ -42,10 +42,10 @@
         };
         let state = &mut self.endpoints[index];
         let known = state.rate_limit.and_then(|limited| limited.limit());
-        let outdated = state
+        let predates_call = state
             .rate_limit
             .is_some_and(|limited| limited.observed() < sent);
-        if limit.is_none() && (known.is_none() || !outdated) {
+        if limit.is_none() && (known.is_none() || !predates_call) {
             return false;
         }
         let observation = Observation {
