--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -8,11 +8,11 @@
 pub mod clock;
 pub mod endpoint_limit;
 mod endpoint_state;
-mod inner;
 pub mod no_slot;
 pub mod participants;
 pub mod permit;
 mod pool;
+mod pool_state;
 
 pub use clock::Clock;
 pub use endpoint_state::Member;
--- a/crates/scheduler/src/permit.rs
+++ b/crates/scheduler/src/permit.rs
@@ -85,9 +85,9 @@
     /// Records that the first token has arrived: the prompt is prefilled.
     pub fn record_first_token(&mut self) {
         let now = self.shared.clock.now();
-        let mut inner = self.shared.lock();
-        inner.record_first_token(&self.slot, now);
-        inner.dispatch_waiting(&self.shared, now);
+        let mut state = self.shared.lock();
+        state.record_first_token(&self.slot, now);
+        state.dispatch_waiting(&self.shared, now);
     }
 
     /// Releases the slot after a complete answer. `tokens` includes the prompt.
@@ -140,9 +140,9 @@
 
     fn release(&mut self, limit: limit::Outcome, health: eject::Outcome, now: Moment) {
         self.released = true;
-        let mut inner = self.shared.lock();
-        inner.release(&self.slot, limit, health, now);
-        inner.dispatch_waiting(&self.shared, now);
+        let mut state = self.shared.lock();
+        state.release(&self.slot, limit, health, now);
+        state.dispatch_waiting(&self.shared, now);
     }
 }
 
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -20,10 +20,10 @@
 use crate::clock::Clock;
 use crate::endpoint_limit;
 use crate::endpoint_state::Member;
-use crate::inner::Inner;
 use crate::no_slot::NoSlot;
 use crate::participants::Participants;
 use crate::permit::Permit;
+use crate::pool_state::PoolState;
 
 /// A job that needs a slot.
 #[derive(Debug, Clone)]
@@ -68,13 +68,13 @@
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
-    inner: Mutex<Inner>,
+    state: Mutex<PoolState>,
 }
 
 impl Shared {
-    pub(crate) fn lock(&self) -> MutexGuard<'_, Inner> {
+    pub(crate) fn lock(&self) -> MutexGuard<'_, PoolState> {
         // A panic between two updates of the state is a bug; continuing is better than refusing all jobs.
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -82,7 +82,7 @@
     fn new(clock: Clock) -> Self {
         let shared = Shared {
             clock,
-            inner: Mutex::new(Inner::default()),
+            state: Mutex::new(PoolState::default()),
         };
         Self {
             shared: Arc::new(shared),
@@ -92,9 +92,9 @@
     /// Replaces the endpoints of the pool.
     pub fn update(&self, members: Vec<Member>) {
         let now = self.shared.clock.now();
-        let mut inner = self.shared.lock();
-        inner.update(members);
-        inner.dispatch_waiting(&self.shared, now);
+        let mut state = self.shared.lock();
+        state.update(members);
+        state.dispatch_waiting(&self.shared, now);
     }
 
     /// Waits for a slot.
@@ -127,23 +127,23 @@
 
     fn enqueue(&self, pending: PendingJob) -> Result<(queue::Ticket, Moment), NoSlot> {
         let now = self.shared.clock.now();
-        let mut inner = self.shared.lock();
-        let demand = inner.demand(&pending.job, now).ok_or_else(no_endpoint)?;
-        if let Some(after) = inner.unavailable_for(&pending.job, now) {
+        let mut state = self.shared.lock();
+        let demand = state.demand(&pending.job, now).ok_or_else(no_endpoint)?;
+        if let Some(after) = state.unavailable_for(&pending.job, now) {
             return Err(NoSlot::Overloaded { after });
         }
-        if let Some(after) = inner.throttled_for(&pending.job, now) {
+        if let Some(after) = state.throttled_for(&pending.job, now) {
             return Err(NoSlot::Overloaded { after });
         }
-        let verdict = inner.decide(&pending.job, demand, now, rand::random());
+        let verdict = state.decide(&pending.job, demand, now, rand::random());
         let start_by = match verdict {
             admission::Verdict::Admit { start_by } => start_by,
             admission::Verdict::Refuse { retry_after } => {
                 return Err(NoSlot::Overloaded { after: retry_after });
             }
         };
-        let ticket = inner.enqueue(pending, start_by);
-        inner.dispatch_waiting(&self.shared, now);
+        let ticket = state.enqueue(pending, start_by);
+        state.dispatch_waiting(&self.shared, now);
         Ok((ticket, start_by))
     }
 
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/pool_state.rs
@@ -46,9 +46,9 @@
 
 /// The state of one pool.
 #[derive(Debug)]
-pub(crate) struct Inner {
+pub(crate) struct PoolState {
     endpoints: Vec<EndpointState>,
-    versions: Vec<VersionQueue>,
+    queues: Vec<VersionQueue>,
     health: eject::Health,
     choice: choice::Config,
     engine_choice: engine::Config,
@@ -58,18 +58,19 @@
     peer_engines: Vec<(u64, Vec<u64>)>,
     /// Prompts that engines prefilled since the last report to other VMs.
     prefilled: Vec<(u64, Prompt)>,
-    last_served: usize,
+    /// Index of the version whose queue was last tried for a dispatch.
+    last_queue: usize,
     /// The VMs that share the limits of endpoints.
     participants: Participants,
     /// When dispatch is next tried because an endpoint with a limit accepts another call.
     wake_at: Option<Moment>,
 }
 
-impl Default for Inner {
+impl Default for PoolState {
     fn default() -> Self {
         Self {
             endpoints: Vec::new(),
-            versions: Vec::new(),
+            queues: Vec::new(),
             health: eject::Health::new(eject::Config::default()),
             choice: choice::Config::default(),
             engine_choice: engine::Config::default(),
@@ -77,14 +78,14 @@
             last_call: 0,
             peer_engines: Vec::new(),
             prefilled: Vec::new(),
-            last_served: 0,
+            last_queue: 0,
             participants: Participants::default(),
             wake_at: None,
         }
     }
 }
 
-impl Inner {
+impl PoolState {
     pub fn update(&mut self, mut members: Vec<Member>) {
         members.sort_by(|one, other| one.endpoint.cmp(&other.endpoint));
         // Ejection must not count an endpoint that is leaving among those that remain.
@@ -124,7 +125,7 @@
     }
 
     pub fn expected_run_time(&self, version: Option<&id::Version>, tokens: Tokens) -> Duration {
-        let entry = self.versions.iter().find(|s| s.version.as_ref() == version);
+        let entry = self.queues.iter().find(|s| s.version.as_ref() == version);
         entry.map_or(INITIAL_RUN_TIME, |s| s.gate.run_time(tokens))
     }
 
@@ -213,7 +214,7 @@
 
     fn version_queue(&mut self, version: Option<&id::Version>) -> &mut VersionQueue {
         let index = self
-            .versions
+            .queues
             .binary_search_by(|s| s.version.as_ref().cmp(&version));
         let index = index.unwrap_or_else(|index| {
             let entry = VersionQueue {
@@ -222,19 +223,19 @@
                 queue: queue::Queue::new(queue::Config::default()),
                 pending: Vec::new(),
             };
-            self.versions.insert(index, entry);
+            self.queues.insert(index, entry);
             index
         });
-        &mut self.versions[index]
+        &mut self.queues[index]
     }
 
     /// Gives free slots to waiting jobs. Versions take turns, since an endpoint may hold several.
     pub fn dispatch_waiting(&mut self, shared: &Arc<Shared>, now: Moment) {
-        let count = self.versions.len();
+        let count = self.queues.len();
         let mut idle = 0;
         while count > 0 && idle < count {
-            self.last_served = (self.last_served + 1) % count;
-            if self.dispatch_one(shared, self.last_served, now) {
+            self.last_queue = (self.last_queue + 1) % count;
+            if self.dispatch_one(shared, self.last_queue, now) {
                 idle = 0;
             } else {
                 idle += 1;
@@ -245,12 +246,12 @@
 
     /// Gives one slot to one job of a version. Returns false if there is no slot or no job.
     fn dispatch_one(&mut self, shared: &Arc<Shared>, index: usize, now: Moment) -> bool {
-        let version = self.versions[index].version.clone();
-        if self.versions[index].queue.is_empty() || !self.any_open(version.as_ref(), now) {
+        let version = self.queues[index].version.clone();
+        if self.queues[index].queue.is_empty() || !self.any_accepts(version.as_ref(), now) {
             return false;
         }
         let slots = self.slots(version.as_ref());
-        let entry = &mut self.versions[index];
+        let entry = &mut self.queues[index];
         let Some(dispatch) = entry.queue.next(now, slots) else {
             return false;
         };
@@ -263,8 +264,8 @@
         };
         let (_, pending) = entry.pending.remove(found);
         let Some(mut permit) = self.try_acquire(shared, &pending.job, now) else {
-            // No endpoint is open after all. Dropping the job drops its sender, which refuses the job.
-            self.versions[index].queue.release(&dispatch);
+            // No endpoint accepts the job after all. Dropping the job drops its sender, which refuses the job.
+            self.queues[index].queue.release(&dispatch);
             return true;
         };
         permit.set_dispatch(dispatch);
@@ -277,7 +278,7 @@
         true
     }
 
-    fn any_open(&self, version: Option<&id::Version>, now: Moment) -> bool {
+    fn any_accepts(&self, version: Option<&id::Version>, now: Moment) -> bool {
         self.endpoints.iter().any(|state| {
             let ejected = self.health.state(&state.member.endpoint, now) == eject::State::Ejected;
             state.accepts_calls(now)
@@ -501,7 +502,7 @@
     pub fn metrics(&self) -> PoolMetrics {
         let usable = self.endpoints.iter().filter(|s| s.member.usable);
         PoolMetrics {
-            waiting: self.versions.iter().map(|s| s.queue.len()).sum(),
+            waiting: self.queues.iter().map(|s| s.queue.len()).sum(),
             in_flight: self.endpoints.iter().map(|s| s.limiter.in_flight()).sum(),
             slots: usable.clone().map(EndpointState::slots).sum(),
             ejected: self.health.ejected(),
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/pool_state/limits.rs
@@ -7,7 +7,7 @@
 use pimento_units::Moment;
 use pimento_units::id;
 
-use super::Inner;
+use super::PoolState;
 use crate::endpoint_limit::EndpointLimit;
 use crate::endpoint_limit::Observation;
 use crate::endpoint_limit::Report;
@@ -24,7 +24,7 @@
 /// Minimum time after which a job that this VM can't send may be retried.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-impl Inner {
+impl PoolState {
     /// Records the limit, or its absence, in an endpoint's answer to a call that was sent at `sent`.
     /// Returns whether the limit changed.
     ///
@@ -125,7 +125,7 @@
 
     /// Returns the number of jobs that wait for a version.
     fn waiting_jobs(&self, version: Option<&id::Version>) -> u32 {
-        let entry = self.versions.iter().find(|s| s.version.as_ref() == version);
+        let entry = self.queues.iter().find(|s| s.version.as_ref() == version);
         let waiting = entry.map_or(0, |entry| entry.queue.len());
         u32::try_from(waiting).unwrap_or(u32::MAX - 1)
     }
@@ -133,7 +133,7 @@
     /// Schedules the next dispatch for when an endpoint with a limit accepts another call. Without it
     /// nothing might trigger one, since there may be no call in flight that could end before.
     pub(super) fn schedule_wake(&mut self, shared: &Arc<Shared>, now: Moment) {
-        if self.versions.iter().all(|entry| entry.queue.is_empty()) {
+        if self.queues.iter().all(|entry| entry.queue.is_empty()) {
             return;
         }
         let closed = self.endpoints.iter().filter_map(|state| {
--- a/crates/scheduler/src/inner/placement.rs
+++ b/crates/scheduler/src/pool_state/placement.rs
@@ -8,7 +8,7 @@
 use pimento_units::Moment;
 use pimento_units::Tokens;
 
-use super::Inner;
+use super::PoolState;
 use crate::endpoint_state::EndpointState;
 use crate::permit::Slot;
 use crate::pool::Estimate;
@@ -34,7 +34,7 @@
     }
 }
 
-impl Inner {
+impl PoolState {
     /// Chooses the engine for a prompt.
     pub(super) fn place_prompt(
         &self,
