--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -128,7 +128,8 @@
     },
 }
 
-/// Measures the drain rate of one pool and decides on the requests for it.
+/// Measures the drain rate of one pool and decides on the requests for it. It is not the gate of a
+/// roll-out (`pimento_contract::rollout::Gate`), which sets limits for a new version.
 #[derive(Debug, Clone)]
 pub struct Gate {
     config: Config,
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -3,10 +3,10 @@
 //! Several nodes spend the same customer's money, and some of them may be cut off or crash. If each
 //! checked against a sum that it read a moment ago, they would together overrun the limit by
 //! whatever is in flight everywhere; a single shared counter would stop all spending while it can't
-//! be reached. So a node spends only out of grants that the fold of the log accepted, which
-//! together never exceed the limit. It reserves the maximum cost of a call before sending it and
-//! settles the actual cost afterwards. It requests grants ahead of need, as a share of what is
-//! left, so that they shrink near the limit, and may release what it does not need.
+//! be reached. So a node spends only out of grants that the log has accepted, which together never
+//! exceed the limit. It reserves the maximum cost of a call before sending it and settles the
+//! actual cost afterwards. It requests grants ahead of need, as a share of what is left, so that
+//! they shrink near the limit, and may release what it does not need.
 //!
 //! The scheme is escrow transactions (O'Neil, 1986) and demarcation (Barbará and Garcia-Molina,
 //! 1992): a bound on a sum holds without coordination at each update if each site stays within its
@@ -23,8 +23,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
     /// What is left of the limit is divided by the number of nodes and by this for the size of a
-    /// grant. Two halves a node's share with each grant, so that the last money is granted in
-    /// small pieces to the nodes that spend it.
+    /// grant. With the value 2, each grant is half of what is left of the node's share, so that the
+    /// last money is granted in small pieces to the nodes that spend it.
     pub grant_divisor: u32,
     /// How far ahead spending is covered by requested grants. A node that is cut off from the log
     /// spends only these, and the log may be unavailable for long stretches.
--- a/crates/policy/src/cascade.rs
+++ b/crates/policy/src/cascade.rs
@@ -1,4 +1,8 @@
-//! Cascade over model versions: the least expected cost at the contracted quality.
+//! Cascade over model versions by ratings of their answers: the least expected cost at the
+//! contracted quality.
+//!
+//! The entry uses this cascade. The relay uses that of [`crate::confidence`], which needs no rating
+//! service.
 //!
 //! Requests differ in difficulty and versions in cost and quality; a version may turn bad, and the
 //! rating service may be slow or unavailable. Always using the cheapest version misses the quality,
@@ -168,8 +172,8 @@
 }
 
 /// Share of unrated answers that are rated after their release, to keep the estimate that they were
-/// released on current. At one in five, a version that turns bad is found by its first one or two
-/// failures, within about ten answers of a customer's class (see `docs/MEASUREMENTS.md`).
+/// released on current. A smaller share finds a version that turns bad later; a larger one costs
+/// more ratings.
 pub const SAMPLED_SHARE: f64 = 0.2;
 
 /// Whether an answer that was released unrated is rated afterwards.
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -177,10 +177,10 @@
     load / f64::from(count.max(1))
 }
 
-/// Random draws before the open candidates are counted instead.
+/// Random draws before [`draw_pair_exhaustively`] is used instead.
 const MAX_DRAWS: u64 = 32;
 
-/// The better of two different open candidates drawn among those that match `filter`.
+/// The better of two different candidates with a free slot, drawn among those that match `filter`.
 fn two_choices(
     candidates: &[Candidate],
     random: u64,
@@ -194,8 +194,8 @@
     Some(if better { other } else { one })
 }
 
-/// Two different open indices by repeated draws, which takes a few draws if most candidates are
-/// open. None if [`MAX_DRAWS`] did not find two.
+/// Two different indices with `open`, by repeated draws, which takes a few draws if most candidates are open.
+/// None if [`MAX_DRAWS`] did not find two.
 fn draw_pair(count: usize, random: u64, open: &impl Fn(usize) -> bool) -> Option<(usize, usize)> {
     let draws = (0..MAX_DRAWS).map(|turn| below(number::mix(random, turn), count));
     let mut found = draws.filter(|index| *index < count && open(*index));
@@ -204,7 +204,8 @@
     Some((one, other))
 }
 
-/// Two different open indices by counting all of them, or the only one twice; none if none is open.
+/// Two different indices with `open`, drawn among all of them after a count, or the only one twice; none if
+/// there is none.
 fn draw_pair_exhaustively(
     count: usize,
     random: u64,
--- a/crates/policy/src/confidence.rs
+++ b/crates/policy/src/confidence.rs
@@ -1,20 +1,20 @@
 //! Cascade by a model's own confidence: whether an answer is dropped in favour of a larger model's.
 //!
-//! Requests differ in difficulty, and models differ tenfold in cost and prefill speed. The small
-//! model alone answers half of the requests too poorly to be of use. The large one alone takes
-//! seven times the engines' time, and under load a third of the callers get no answer. So the
-//! smallest model answers first, and the head of its answer carries its confidence before the
-//! caller has received anything. The expected gain of each larger model, scaled by the value of the
-//! answer, is set against its price and against the engine time it takes from other requests; the
-//! fuller the engines, the larger the gain must be. An answer after the caller's target counts for
-//! little, so that a prompt which the largest model prefills too slowly goes to a middle one. The
-//! confidences of larger models for requests that a smaller one was unsure of are recorded and
-//! replace the initial estimate.
+//! The relay uses this cascade. The entry uses that of [`crate::cascade`], which has answers rated.
+//!
+//! Requests differ in difficulty, and models in cost and prefill speed. The small model alone
+//! answers many requests too poorly to be of use. The large one alone takes several times the
+//! engines' time, and under load many callers get no answer. So the smallest model answers first,
+//! and the head of its answer carries its confidence before the caller has received anything. The
+//! expected gain of each larger model, scaled by the value of the answer, is set against its price
+//! and against the engine time it takes from other requests; the fuller the engines, the larger the
+//! gain must be. An answer after the caller's target counts for little, so that a prompt which the
+//! largest model prefills too slowly goes to a middle one. The confidences of larger models for
+//! requests that a smaller one was unsure of are recorded and replace the initial estimate.
 //!
 //! Cascades by a score are those of `FrugalGPT` (Chen, Zaharia and Zou, 2023). A price on a shared
-//! resource that rises with its queue is the textbook one (Kelly, 1997). The pass rates below come
-//! from answers of one day that were requested again at the middle and at the largest model, below
-//! rising confidences: the gain divided by the number of repeated requests
+//! resource that rises with its queue is the textbook one (Kelly, 1997). The pass rates below are
+//! initial estimates. They come from requests that were answered by several models
 //! (`docs/MEASUREMENTS.md`).
 
 use std::time::Duration;
@@ -30,17 +30,17 @@
     /// Value of an answer after the target, as a share of that of an answer in time.
     pub late_value: f64,
     /// Weight of a model's price: the increase in the pass rate that the most expensive model must
-    /// bring to an answer with the baseline price per value. At 0.35, one useful answer in a
-    /// hundred is lost over whole days; at 0.17, some answers don't earn their price.
+    /// bring to an answer with the baseline price per value. A higher weight loses useful answers;
+    /// with a lower one, some answers don't earn their price.
     pub price_weight: f64,
-    /// Weight of the engines' load: the increase in the pass rate that must be gained by prefilling
-    /// a baseline prompt at the largest model for an answer of baseline value, for each target
-    /// duration that the next prompt would wait at the engines. At 3.5, one useful answer in a
-    /// hundred is lost, at 5 four; at 1.8, other requests wait for what is gained.
+    /// Weight of the engines' load. The required increase in the pass rate is `load_weight *
+    /// (next_wait / target) * prefill / (baseline_prefill * value)`, where `prefill` is the prefill
+    /// time at the larger model. A higher weight loses useful answers; with a lower one, other
+    /// requests wait for what is gained.
     pub load_weight: f64,
-    /// Share of the target that an estimated time may take. For prompts with more than half a
-    /// second of prefill, the estimate errs by 2% of the target at the median. A greater margin
-    /// keeps long prompts from a model that would be in time.
+    /// Share of the target that an estimated time may take. The margin covers the error of the
+    /// estimate for long prompts. A greater margin keeps long prompts from a model that would be in
+    /// time.
     pub target_share: f64,
 }
 
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -66,7 +66,8 @@
 /// endpoint that answers.
 const SMALL_POOL: usize = 8;
 
-/// How a call ended, with regard to the endpoint's health.
+/// How a call ended, with regard to the endpoint's health. [`crate::limit::Outcome`] is the same with regard to
+/// its load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
     /// Answered; the time counts towards the endpoint's speed.
@@ -142,8 +143,8 @@
         self.ejected_until.is_some()
     }
 
-    /// A probe that is never answered must not keep the endpoint ejected for ever: after the
-    /// longest ejection the next probe may be sent.
+    /// The state at `now`. A probe without an answer expires after `longest`, so that it does not keep the
+    /// endpoint ejected for ever.
     fn state(&self, now: Moment, longest: Duration) -> State {
         match (self.ejected_until, self.probe_sent) {
             (None, _) => State::Active,
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -118,7 +118,8 @@
 const MAX_IDLE_WAIT: Duration = Duration::from_millis(5);
 
 impl Engine {
-    /// Creates an engine with an empty prefix cache. `kv_capacity` is the size of its KV cache, which holds running requests and cached parts.
+    /// Creates an engine with an empty prefix cache. `kv_capacity` is the size of its KV cache, which holds
+    /// running requests and cached parts.
     #[must_use]
     pub const fn new(kv_capacity: Tokens) -> Self {
         Self {
--- a/crates/policy/src/engine/prefill.rs
+++ b/crates/policy/src/engine/prefill.rs
@@ -17,7 +17,7 @@
     samples: u32,
 }
 
-/// Samples after which the estimates are reported to other nodes: some for each of three models.
+/// Samples after which the estimates are reported to other nodes: enough for several models.
 const MIN_SAMPLES: u32 = 40;
 
 /// Seconds per token before any were measured: a medium-sized model on a fast accelerator. The first prompt
@@ -37,9 +37,9 @@
 const OUTLIER_GROWTH: f64 = 1.15;
 
 /// A sample below this share of the estimate means that the prompt's parts were cached without this node
-/// knowing, as are all parts from before its restart. It only lowers the estimate by the factor
-/// `OUTLIER_DECAY`. With the usual weight, ten such samples would make the largest model look free, and all
-/// prompts would go to it. Twenty in a row still lower an estimate that is much too high.
+/// knowing. After a restart of this node, that is the case for all cached parts. Such a sample only lowers the
+/// estimate by the factor `OUTLIER_DECAY`. With the usual weight, ten such samples would make the largest model
+/// look free, and all prompts would go to it. Twenty in a row still lower an estimate that is much too high.
 const OUTLIER_BELOW: f64 = 0.2;
 const OUTLIER_DECAY: f64 = 0.95;
 
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Adopts another node's estimates for models that are unknown here.
+    /// Merges another node's estimates: adds those for models that are unknown here.
     pub fn merge_estimates(&mut self, models: impl IntoIterator<Item = (u64, f64)>) {
         for (model, seconds) in models {
             if let Err(index) = self.models.binary_search_by_key(&model, |(m, _)| *m) {
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -124,9 +124,9 @@
 
 /// How long an attempt may go without a first token before it is abandoned for another one, so that
 /// a call at an endpoint that hangs does not wait for the caller's whole timeout. To be applied
-/// only if the retry budget allows a retry: in a burst a full pool gives no first tokens for long,
-/// too, and an attempt abandoned without a retry fails a caller who would have been served. None
-/// while too few latencies are recorded; then the deadline bounds the attempt.
+/// only if the retry budget allows a retry. A full pool also sends no first tokens for a long time
+/// in a burst; an attempt abandoned without a retry then fails a caller who would have been served.
+/// None while too few latencies are recorded; then the deadline bounds the attempt.
 #[must_use]
 pub fn first_token_timeout(latencies: &LatencyHistogram) -> Option<Duration> {
     let percentile = latencies.quantile(0.95)?;
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,4 +1,5 @@
-//! Concurrency limit of each endpoint, derived from its latency and from the load that it reports.
+//! Concurrency limit of each endpoint, derived from its latency and from the load that it reports. Limits in
+//! requests per second are those of [`crate::throttle`].
 //!
 //! Without a limit, work piles up at a slow endpoint, since it stays there longest. A fixed limit is either
 //! too low for a healthy endpoint or too high for one that is slow or has lost capacity.
@@ -62,7 +63,7 @@
     }
 }
 
-/// How a call at an endpoint ended.
+/// How a call at an endpoint ended, with regard to the endpoint's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// A complete answer.
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -79,7 +79,8 @@
     Cleared,
     /// This crash was counted before.
     Duplicate,
-    /// The request is suspected, with this number of crashes.
+    /// The crash counts but does not block the request, because too few crashes count so far or the request is
+    /// blocked already. Holds the number of crashes that count.
     Suspected(usize),
     /// The request is blocked from now on.
     Blocked,
--- a/crates/policy/src/poison/broken_runs.rs
+++ b/crates/policy/src/poison/broken_runs.rs
@@ -1,4 +1,5 @@
-//! Runs whose connections broke, until it is known whether their endpoints crashed.
+//! Runs whose connections broke, until it is known whether their endpoints crashed. A run is one execution of a
+//! request at an endpoint.
 
 use pimento_units::Digest;
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,7 +1,7 @@
 //! Fair queue of one pool: deficit round robin over customers, and classes by priority.
 //!
-//! In a common queue one workspace at ten times its share starves the other nine, and a batch-history
-//! review that holds every slot makes stock answers wait for minutes. Three rules prevent that:
+//! In a common queue one workspace at ten times its share starves the other nine, and long jobs that hold every
+//! slot make short ones wait for minutes. Three rules prevent that:
 //! - Within a class each customer has its own queue. The queues are served in turns, by weight and in
 //!   tokens.
 //! - Classes are served by priority, but each waiting class gets at least a minimum share of the work, so
@@ -25,8 +25,8 @@
 /// Parameters of a [`Queue`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Tokens that a customer of weight one may dispatch in one turn: some short answers. A turn of one
-    /// short answer (200 tokens) serves less at three times the capacity: 60.1% instead of 61.2%.
+    /// Tokens that a customer of weight one may dispatch in one turn: some short answers. With shorter turns,
+    /// slightly fewer requests are served under overload.
     pub quantum: Tokens,
     /// Minimum share of the work for each waiting class.
     pub min_share: f64,
@@ -63,7 +63,8 @@
     pub start_by: Moment,
 }
 
-/// Identifies a waiting job. Tickets are never reused.
+/// Identifies a waiting job. Tickets are never reused. `flow` is the index of the customer's flow in the lane
+/// of the class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
     sequence: u64,
@@ -82,7 +83,8 @@
     pub long: bool,
 }
 
-/// Jobs that wait for the slots of one pool.
+/// Jobs that wait for the slots of one pool. A lane holds the jobs of one class, and a flow in it those of one
+/// customer.
 #[derive(Debug, Clone)]
 pub struct Queue {
     config: Config,
--- a/crates/policy/src/queue/lane.rs
+++ b/crates/policy/src/queue/lane.rs
@@ -13,7 +13,7 @@
 /// to average over job sizes, and few enough to follow a change of load within seconds.
 const SERVED_DECAY: f64 = 0.99;
 
-/// A waiting job.
+/// What a lane keeps of a waiting [`Job`]. The scheduler keeps the rest of it, by its ticket.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Entry {
     pub(super) sequence: u64,
@@ -22,7 +22,7 @@
     start_by: Moment,
 }
 
-/// The waiting jobs of one customer.
+/// The waiting jobs of one customer: a flow, in the terms of deficit round robin.
 #[derive(Debug, Clone)]
 struct Flow {
     weight: u32,
@@ -69,8 +69,8 @@
         self.short.is_empty() && self.long.is_empty()
     }
 
-    /// Returns the oldest job that may start. Jobs past their latest start are skipped and left for
-    /// `expire`: a slot would be wasted on an answer that comes too late.
+    /// Returns the oldest job that may start; a long one may only with `allow_long`. Jobs past their latest
+    /// start are skipped and left for `expire`: a slot would be wasted on an answer that comes too late.
     fn next_entry(&self, now: Moment, allow_long: bool) -> Option<Entry> {
         let first = |jobs: &VecDeque<Entry>| jobs.iter().find(|e| e.start_by >= now).copied();
         let short = first(&self.short);
@@ -227,8 +227,9 @@
         }
     }
 
-    /// Grants all customers the rounds that would pass until a job can be dispatched, after a round without
-    /// one. A job of many quanta then takes one pass instead of hundreds.
+    /// Called after a whole round without a dispatch: grants all customers at once the quanta of the rounds
+    /// that would pass until a job can be dispatched. A job of many quanta then takes one pass instead of
+    /// hundreds.
     fn grant_skipped_rounds(
         &mut self,
         now: Moment,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,10 +1,12 @@
-//! Retry budgets: successes pay for retries.
+//! Limits on retries, of two kinds: a [`Budget`], which the entry uses, and a [`Window`], which the
+//! relay uses.
 //!
 //! When endpoints fail and each failed attempt becomes two or three, a pool that lost half its
-//! capacity gets twice its load and does not recover. Here each success adds a fraction of a retry
-//! to a budget, and each retry withdraws one. There is one budget for each customer and one for
-//! each pool, and both must cover the retry. Only repeatable requests are retried, at another
-//! endpoint, within the deadline of the first attempt.
+//! capacity gets twice its load and does not recover. In a budget, each success adds a fraction of
+//! a retry to a budget, and each retry withdraws one. There is one budget for each customer and one
+//! for each pool, and both must cover the retry. Only repeatable requests are retried, at another
+//! endpoint, within the deadline of the first attempt. A window allows as many retries as a share
+//! of the requests in a sliding time, plus a constant.
 //!
 //! Retry budgets are those of Finagle's `RetryBudget` and of the SRE book's chapter on overload (10
 //! to 20% of requests). The reserve lets customers with little traffic retry at all.
@@ -105,27 +107,27 @@
     }
 }
 
-/// Slices that a window is counted in. Requests and repeats leave the window a slice at a time,
+/// Slices that a window is counted in. Requests and retries leave the window a slice at a time,
 /// which errs by a twentieth of the window at most.
 const SLICES: usize = 20;
 
 /// Settings of a [`Window`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowConfig {
-    /// Repeats allowed per request.
+    /// Retries allowed per request.
     pub share: f64,
-    /// Repeats allowed in addition.
+    /// Retries allowed in addition.
     pub extra: f64,
     /// Length of the window.
     pub span: Duration,
 }
 
-/// Limits repeats, the calls beyond one for each request, by the number of requests in a sliding
+/// Limits retries, the calls beyond one for each request, by the number of requests in a sliding
 /// window.
 #[derive(Debug, Clone)]
 pub struct Window {
     config: WindowConfig,
-    /// Requests and repeats in each slice.
+    /// Requests and retries in each slice.
     slices: [(u32, u32); SLICES],
     /// Number of the newest slice.
     newest: u64,
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Sets how many repeats are allowed in addition to the share.
+    /// Sets how many retries are allowed in addition to the share.
     pub const fn set_extra(&mut self, extra: f64) {
         self.config.extra = extra;
     }
@@ -153,7 +155,7 @@
         self.slices[index].0 = self.slices[index].0.saturating_add(1);
     }
 
-    /// Repeats that are still allowed; may be negative.
+    /// Retries that are still allowed; may be negative.
     #[must_use]
     pub fn remaining(&mut self, now: Moment) -> f64 {
         self.advance(now);
@@ -164,13 +166,13 @@
         requests * self.config.share + self.config.extra - repeats
     }
 
-    /// Whether a repeat is allowed.
+    /// Whether a retry is allowed.
     #[must_use]
     pub fn can_acquire(&mut self, now: Moment) -> bool {
         self.remaining(now) >= 1.0
     }
 
-    /// Records a repeat if it is allowed, and returns whether it is.
+    /// Records a retry if it is allowed, and returns whether it is.
     #[must_use]
     pub fn try_acquire(&mut self, now: Moment) -> bool {
         if !self.can_acquire(now) {
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,4 +1,6 @@
-//! Roll-outs: which sessions use the new version, and when the next stage or a withdrawal is due.
+//! Roll-outs in stages: which sessions use the new version, and when the next stage or a withdrawal
+//! is due. The crates entry and control use these. Roll-outs by a deadline, which the relay uses,
+//! are those of [`crate::shift`].
 //!
 //! A version may turn bad while it is rolled out. A weight drawn for each request would move
 //! sessions back and forth, a split by `hash mod n` would move most sessions at each change of
@@ -42,7 +44,8 @@
     passed: f64,
     attempts: f64,
     failed: f64,
-    /// Sum of the times of timed attempts.
+    /// Sum of the times of timed attempts, in the unit of the caller: seconds per token, or seconds
+    /// to the first byte.
     time_sum: f64,
     /// Attempts whose time is known.
     timed_attempts: f64,
--- a/crates/policy/src/session.rs
+++ b/crates/policy/src/session.rs
@@ -7,7 +7,8 @@
 //! quarantined here; otherwise the roll-outs decide, and the pin changes.
 //!
 //! A node whose configuration is older than a bound can't know whether a version that was still in
-//! roll-out has been withdrawn meanwhile. It uses settled versions only, for pins too.
+//! roll-out has been withdrawn meanwhile. It uses only versions that are not in roll-out, for pins
+//! too.
 
 use std::time::Duration;
 
@@ -108,7 +109,7 @@
 }
 
 /// The version that the roll-outs assign to a session. If it may not be used, the newest usable
-/// version of the lineage, settled ones first.
+/// version of the lineage, first those that are not in roll-out.
 fn assigned<'a>(
     session: id::Session,
     root: &'a id::Version,
--- a/crates/policy/src/shift.rs
+++ b/crates/policy/src/shift.rs
@@ -1,13 +1,14 @@
-//! Moving a service to another version of its software by a deadline, without stages of its own.
+//! Roll-outs by a deadline: moving a service to another version of its software, without stages of its own. The
+//! relay uses these; roll-outs in stages are those of [`crate::rollout`].
 //!
-//! Operators order a version and set the deadline by which the move must be done or undone. The
-//! version may fail or be slow, on one route only, late, or only under load. Without care, either
-//! all requests meet a bad version at once, or a good one is not in place in time. The move has
-//! three phases by the age of the order. In the trial, a small fixed share of the sessions uses the
-//! new version, well below what a bad version may get, and no known session changes its version.
-//! Then the share rises to all sessions within seconds. The evidence of all nodes is summed for
-//! each route. A version that is slow on one of them, or fails there at more than one endpoint, is
-//! bad, and its share is zero from then on.
+//! Operators order a version and set the deadline by which the move must be done or undone. The version may
+//! fail or be slow, on one route only, late, or only under load. Without care, either all requests meet a bad
+//! version at once, or a good one is not in place in time. The move has three phases by the age of the order.
+//! In the trial, a small fixed share of the sessions uses the new version, well below what a bad version may
+//! get, and no known session changes its version. A session is known once it has used one of the versions. Then
+//! the share rises to all sessions within seconds. The evidence of all nodes is summed for each route. A
+//! version that is slow on one of them, or fails there at more than one endpoint, is bad, and its share is zero
+//! from then on.
 //!
 //! The fixed position of a session and the bounds on evidence are those of [`crate::rollout`].
 //! Routes are evaluated separately because a fault in one class of requests is lost in the sum.
@@ -27,9 +28,9 @@
 /// Settings of a shift.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Part of the allowed exposure that the trial uses. The rest is for repeats of requests that
-    /// failed in the trial, and for the seconds of the ramp until a fault that shows only under
-    /// load is seen.
+    /// Part of the allowed exposure that the trial uses. The exposure is the share of requests that a bad
+    /// version may get. The rest is for repeats of requests that failed in the trial, and for the seconds of
+    /// the ramp until a fault that shows only under load is seen.
     pub trial_exposure: f64,
     /// Part of the time until the deadline that the trial lasts. Sessions may only change their
     /// version after it.
@@ -128,9 +129,8 @@
     pub old: Evidence,
 }
 
-/// The largest share of failed attempts beyond that of the old version. Bad versions fail a third
-/// of their requests or more. A single failing endpoint that fails half of its own requests adds a
-/// twelfth of that.
+/// The largest share of failed attempts beyond that of the old version. It is well below the share that bad
+/// versions fail, and above what a single failing endpoint adds.
 const MAX_ERROR_INCREASE: f64 = 0.1;
 
 /// The largest ratio of the new version's mean time to the old one's, in percent. Bad versions are
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -1,4 +1,5 @@
-//! Distributed rate limit: requests per second that an endpoint accepts from all VMs together.
+//! Distributed rate limit: requests per second that an endpoint accepts from all VMs together. The limit on
+//! concurrent calls is that of [`crate::limit`].
 //!
 //! An endpoint under stress names a limit, and many VMs send to it. If each VM applied the whole limit by
 //! itself, all of them together would exceed it, the more so the more VMs there are. Token buckets that
@@ -76,17 +77,18 @@
     }
 }
 
-/// Sets the number of owners: one more than the requests that the limit allows in this time.
+/// The number of owners is one more than the number of requests that the limit allows in this time.
 const OWNER_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Share of the limit that is used. Delays in transit can bring requests closer together than they were
 /// sent.
 const UTILIZATION: f64 = 0.9;
 
-/// Minimum rate in requests per second. With a limit of zero, somebody still has to ask whether it holds.
+/// Minimum rate in requests per second. With a limit of zero, some VM must still send requests to learn whether
+/// the limit has changed.
 const MIN_RATE: f64 = 0.1;
 
-/// Time for which an owner's bucket fills, unless that is less than one request.
+/// A bucket holds as many requests as it earns in this time, and at least one.
 const BURST_WINDOW: Duration = Duration::from_millis(250);
 
 /// Returns this VM's share of an endpoint's limit, in requests per second; zero if it is not an owner.
--- a/crates/policy/src/value.rs
+++ b/crates/policy/src/value.rs
@@ -17,8 +17,8 @@
 use crate::admission;
 use crate::number;
 
-/// Value at one priority relative to the next higher one. Operators only order routes by priority,
-/// and the exact figure matters little: at 0.45, callers get one useful answer in a hundred less.
+/// Value at one priority relative to the next higher one. Operators only order routes by priority.
+/// The exact figure matters little; a much lower one loses useful answers of low priority.
 const PRIORITY_FACTOR: f64 = 0.6;
 
 /// Price of a prompt token relative to a generated one, as in common price lists of models.
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -23,7 +23,9 @@
 }
 
 impl Clock {
-    /// Returns the time since the process began, on the monotonic clock.
+    /// Returns the time since the process began, on the monotonic clock, which stops while the VM
+    /// is suspended. The relay also has moments since the VM booted; the two kinds must not be
+    /// compared.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.moment(Instant::now())
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -20,7 +20,8 @@
 /// Expected run time of a call before any was measured.
 pub(crate) const INITIAL_RUN_TIME: Duration = Duration::from_secs(1);
 
-/// An endpoint of the pool.
+/// An endpoint of the pool, as the list of endpoints describes it. [`EndpointState`] adds what this node
+/// observes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// The endpoint's name.
@@ -31,13 +32,14 @@
     pub address: SocketAddr,
     /// Whether it may take new work.
     pub usable: bool,
-    /// Delay to its zone in addition to the delay within the local zone.
+    /// Round-trip time to its zone beyond that within the local zone; zero for the local zone.
     pub extra_delay: Duration,
     /// Versions that it holds, sorted; `None` for a plain service.
     pub versions: Option<Vec<id::Version>>,
     /// Its last load report, and when that was measured.
     pub report: Option<(limit::Report, Moment)>,
-    /// For an engine whose calls carry their prompts: its memory for running calls and cached prefixes.
+    /// For an engine whose calls carry their prompts: the size of its KV cache, for running calls and cached
+    /// prefixes.
     pub kv_capacity: Option<Tokens>,
     /// Distinguishes successive endpoints of the same name, which share no state.
     pub incarnation: u64,
@@ -60,15 +62,17 @@
     pub(crate) limiter: limit::Limiter,
     /// The properties for which the limiter was configured.
     inputs: LimiterInputs,
+    /// Hash of the endpoint's name, the same at every node.
     pub(crate) name_hash: u64,
-    /// Successive refusals, and until when no further call is sent because of them.
+    /// Successive refusals. They determine `closed_until`.
     pub(crate) consecutive_refusals: u32,
+    /// When the backoff after its last refusal ends; no call is sent before.
     pub(crate) closed_until: Moment,
     /// When it accepts calls again according to its last refusal.
     pub(crate) retry_at: Moment,
     /// Prefill queue and prefix cache, for an engine.
     pub(crate) engine: Option<Engine>,
-    /// The limit that it named for all VMs together.
+    /// The limit in requests per second that it named for all VMs together.
     pub(crate) rate_limit: Option<EndpointLimit>,
 }
 
--- a/crates/scheduler/src/no_slot.rs
+++ b/crates/scheduler/src/no_slot.rs
@@ -13,7 +13,8 @@
         /// Time after which an endpoint may be available.
         after: Duration,
     },
-    /// The job cannot start by its deadline.
+    /// The job cannot start by its deadline: too much work is ahead of it, or each endpoint is
+    /// ejected, asked for a later retry, or is at its rate limit for longer than the job can wait.
     #[snafu(display("the work could not start by its deadline"))]
     Overloaded {
         /// Time after which it may be retried.
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -268,7 +268,7 @@
     pub next_wait: Duration,
 }
 
-/// Metrics of a pool.
+/// Metrics of a pool: its jobs, slots and endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PoolMetrics {
     /// Waiting jobs.
--- a/crates/scheduler/src/pool_state.rs
+++ b/crates/scheduler/src/pool_state.rs
@@ -354,8 +354,8 @@
         !job.tried.contains(&self.endpoints[index].member.endpoint)
     }
 
-    /// Returns whether a job that other endpoints failed may go to the endpoint at `index` although that is
-    /// ejected. It has not failed this job, and is a better choice than one that did.
+    /// Returns whether a job that other endpoints failed may go to the endpoint at `index`, whether that is
+    /// ejected or not. An ejected endpoint that has not failed this job is a better choice than one that has.
     fn is_fallback(&self, index: usize, job: &Job, now: Moment) -> bool {
         let state = &self.endpoints[index];
         let free = state.accepts(job, now) && state.limiter.free() > 0;
@@ -451,10 +451,10 @@
         }
     }
 
-    /// Returns when a job may be retried that no endpoint will accept in time, or `None` if one may accept
-    /// it. No endpoint will if each one is ejected, or asked with its last refusal to be left alone, beyond
-    /// the job's latest start. Refusing such a job at once is better than trying the endpoints until its
-    /// time is up.
+    /// Returns the time after which to retry if every usable endpoint is unavailable beyond the job's latest
+    /// start: it is ejected, its last refusal names a later time, or its rate limit allows this VM no call
+    /// before. Returns `None` if an endpoint may accept the job. Refusing such a job at once is better than
+    /// trying the endpoints until its time is up.
     pub fn unavailable_for(&self, job: &Job, now: Moment) -> Option<Duration> {
         let version = job.version.as_ref();
         let slack = job
--- a/crates/scheduler/src/pool_state/limits.rs
+++ b/crates/scheduler/src/pool_state/limits.rs
@@ -99,9 +99,9 @@
         }
     }
 
-    /// Returns when a job may be retried that must be refused at once, because all usable endpoints have
-    /// limits and its turn there would come too late, or this VM has no share of them. Returns `None` if
-    /// the job may wait.
+    /// Returns `None` if the job may wait for the rate limits of the endpoints, else the time after which to
+    /// retry. It must be refused at once if all usable endpoints have limits, and its turn would come too late
+    /// or this VM has no share of the limits.
     pub fn throttled_for(&self, job: &Job, now: Moment) -> Option<Duration> {
         let version = job.version.as_ref();
         let usable = |s: &&EndpointState| s.member.usable && s.member.holds(version);
--- a/crates/scheduler/tests/endpoint_limit.rs
+++ b/crates/scheduler/tests/endpoint_limit.rs
@@ -24,7 +24,7 @@
 const OWN: u64 = 1;
 const OTHER: u64 = 2;
 
-fn desk(incarnation: u64) -> Member {
+fn plain_member(incarnation: u64) -> Member {
     Member {
         incarnation,
         ..member(6)
@@ -33,7 +33,7 @@
 
 fn call(clock: Clock, wait: Duration) -> Job {
     Job {
-        customer: "garage".parse().unwrap(),
+        customer: "customer".parse().unwrap(),
         weight: 1,
         priority: 1,
         tokens: Tokens(1),
@@ -53,8 +53,8 @@
     let scheduler = Scheduler::new(clock);
     let zone = "a".parse().unwrap();
     scheduler.set_participants(&Participants::new(OWN, vec![(zone, vms.to_vec())]));
-    let pool = scheduler.pool(&"desk".parse().unwrap());
-    pool.update(vec![desk(1)]);
+    let pool = scheduler.pool(&"service".parse().unwrap());
+    pool.update(vec![plain_member(1)]);
     (clock, scheduler, pool)
 }
 
@@ -88,9 +88,9 @@
 async fn a_restarted_endpoint_has_no_limit() {
     let (clock, _scheduler, pool) = pool(&[OWN]);
     observe(clock, &pool, Some(2.0), clock.now());
-    pool.update(vec![desk(1)]);
+    pool.update(vec![plain_member(1)]);
     assert_eq!(limited(&pool), 1);
-    pool.update(vec![desk(2)]);
+    pool.update(vec![plain_member(2)]);
     assert_eq!(limited(&pool), 0);
 }
 
@@ -161,9 +161,9 @@
     let (clock, _scheduler, pool) = pool(&[OTHER]);
     let second = Member {
         endpoint: "i-2".parse().unwrap(),
-        ..desk(1)
+        ..plain_member(1)
     };
-    pool.update(vec![desk(1), second]);
+    pool.update(vec![plain_member(1), second]);
     let cancel = CancellationToken::new();
     for _ in 0..3 {
         let mut job = call(clock, Duration::from_secs(3));
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -35,7 +35,7 @@
         tokens: Tokens(tokens),
     };
     Job {
-        customer: "garage".parse().unwrap(),
+        customer: "customer".parse().unwrap(),
         weight: 1,
         priority: 1,
         tokens: Tokens(20_000),
@@ -69,7 +69,7 @@
     assert_eq!(late.estimate(&job()), Some(known));
 }
 
-fn desk(number: usize, usable: bool) -> Member {
+fn plain_member(number: usize, usable: bool) -> Member {
     Member {
         endpoint: format!("i-{number}").parse().unwrap(),
         usable,
@@ -109,10 +109,14 @@
 #[tokio::test]
 async fn the_only_endpoint_that_is_not_leaving_gets_calls() {
     let scheduler = Scheduler::new(Clock::default());
-    let pool = scheduler.pool(&"desk".parse().unwrap());
-    pool.update((1..=3).map(|number| desk(number, true)).collect());
+    let pool = scheduler.pool(&"service".parse().unwrap());
+    pool.update((1..=3).map(|number| plain_member(number, true)).collect());
     eject(&pool, "i-1", &["i-2", "i-3"]).await;
-    pool.update((1..=3).map(|number| desk(number, number == 1)).collect());
+    pool.update(
+        (1..=3)
+            .map(|number| plain_member(number, number == 1))
+            .collect(),
+    );
     let permit = pool.acquire(call(), &CancellationToken::new()).await;
     assert_eq!(permit.unwrap().endpoint().as_str(), "i-1");
 }
@@ -122,10 +126,10 @@
 #[tokio::test]
 async fn a_call_that_only_an_ejected_endpoint_could_take_is_refused_at_once() {
     let scheduler = Scheduler::new(Clock::default());
-    let pool = scheduler.pool(&"desk".parse().unwrap());
-    let mut other = desk(2, true);
+    let pool = scheduler.pool(&"service".parse().unwrap());
+    let mut other = plain_member(2, true);
     other.versions = Some(vec!["v2".parse().unwrap()]);
-    pool.update(vec![desk(1, true), other]);
+    pool.update(vec![plain_member(1, true), other]);
     eject(&pool, "i-1", &["i-2"]).await;
     let job = Job {
         version: Some("v1".parse().unwrap()),
@@ -145,8 +149,8 @@
 #[tokio::test]
 async fn a_failed_call_goes_to_an_ejected_endpoint_before_the_one_that_failed_it() {
     let scheduler = Scheduler::new(Clock::default());
-    let pool = scheduler.pool(&"desk".parse().unwrap());
-    pool.update(vec![desk(1, true), desk(2, true)]);
+    let pool = scheduler.pool(&"service".parse().unwrap());
+    pool.update(vec![plain_member(1, true), plain_member(2, true)]);
     eject(&pool, "i-1", &["i-2"]).await;
     let job = Job {
         tried: vec!["i-2".parse().unwrap()],
@@ -180,23 +184,19 @@
 }
 
 // Calls get slower as the whole machine gets busy. The endpoints of other zones have not been called yet,
-// and must not be assumed as fast as the local endpoint was one call ago. An order would then leave its
+// and must not be assumed as fast as the local endpoint was one call ago. A call would then leave its
 // zone for a difference that does not exist. If it reaches an endpoint that was just cut off, its caller
-// waits for 20 s and gets nothing, since an order can't be sent twice.
-//
-// Evidence: in the log of a VM whose local endpoint had answered its last orders in 16, 43 and 37 ms, the
-// next order went to the endpoint of a zone that had been cut off, and stayed unanswered for 20.03 s, with
-// no failure before.
+// waits until its timeout and gets nothing, since a call that is not repeatable can't be sent twice.
 #[tokio::test]
 async fn unmeasured_endpoints_of_other_zones_do_not_look_fast() {
     let scheduler = Scheduler::new(Clock::default());
-    let pool = scheduler.pool(&"desk".parse().unwrap());
+    let pool = scheduler.pool(&"service".parse().unwrap());
     let remote = |number| Member {
         extra_delay: Duration::from_millis(10),
         zone: format!("zone-{number}").parse().unwrap(),
-        ..desk(number, true)
+        ..plain_member(number, true)
     };
-    pool.update(vec![desk(1, true), remote(2), remote(3)]);
+    pool.update(vec![plain_member(1, true), remote(2), remote(3)]);
     for millis in [5, 5, 20, 40, 40, 80, 80, 80] {
         let job = Job {
             tokens: Tokens(100),
@@ -215,13 +215,13 @@
 #[tokio::test]
 async fn calls_leave_their_zone_when_its_endpoint_is_full() {
     let scheduler = Scheduler::new(Clock::default());
-    let pool = scheduler.pool(&"desk".parse().unwrap());
+    let pool = scheduler.pool(&"service".parse().unwrap());
     let remote = Member {
         extra_delay: Duration::from_millis(10),
         zone: "b".parse().unwrap(),
-        ..desk(2, true)
+        ..plain_member(2, true)
     };
-    pool.update(vec![desk(1, true), remote]);
+    pool.update(vec![plain_member(1, true), remote]);
     let cancel = CancellationToken::new();
     let mut held = Vec::new();
     for _ in 0..200 {
@@ -280,8 +280,8 @@
 #[tokio::test]
 async fn a_restarted_endpoint_gets_calls() {
     let scheduler = Scheduler::new(Clock::default());
-    let pool = scheduler.pool(&"desk".parse().unwrap());
-    let both = vec![desk(1, true), desk(2, true)];
+    let pool = scheduler.pool(&"service".parse().unwrap());
+    let both = vec![plain_member(1, true), plain_member(2, true)];
     pool.update(both.clone());
     eject(&pool, "i-1", &["i-2"]).await;
     // A list without changes does not undo the ejection.
@@ -289,9 +289,9 @@
     assert_eq!(pool.metrics().ejected, 1);
     let restarted = Member {
         incarnation: 2,
-        ..desk(1, true)
+        ..plain_member(1, true)
     };
-    pool.update(vec![restarted, desk(2, true)]);
+    pool.update(vec![restarted, plain_member(2, true)]);
     assert_eq!(pool.metrics().ejected, 0);
     let cancel = CancellationToken::new();
     let job = Job {
