--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -96,7 +96,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Member {
+struct EndpointHealth {
     endpoint: id::Endpoint,
     /// Average seconds per token.
     seconds_per_token: f64,
@@ -118,14 +118,14 @@
 pub struct Health {
     config: Config,
     /// Sorted by endpoint.
-    members: Vec<Member>,
+    members: Vec<EndpointHealth>,
     ejected: usize,
     median: Option<f64>,
     /// When the median was updated.
     median_at: Moment,
 }
 
-impl Member {
+impl EndpointHealth {
     fn new(endpoint: id::Endpoint) -> Self {
         Self {
             endpoint,
@@ -188,7 +188,8 @@
 
     /// Sets the endpoints of the pool, and inserts those that are new. Those that stay keep their state.
     pub fn set_endpoints(&mut self, endpoints: impl IntoIterator<Item = id::Endpoint>) {
-        let mut members: Vec<Member> = endpoints.into_iter().map(Member::new).collect();
+        let mut members: Vec<EndpointHealth> =
+            endpoints.into_iter().map(EndpointHealth::new).collect();
         members.sort_by(|one, other| one.endpoint.cmp(&other.endpoint));
         members.dedup_by(|one, other| one.endpoint == other.endpoint);
         for member in &mut members {
@@ -207,7 +208,7 @@
         if let Some(place) = self.find(endpoint) {
             let member = &mut self.members[place];
             self.ejected -= usize::from(member.is_ejected());
-            *member = Member::new(endpoint.clone());
+            *member = EndpointHealth::new(endpoint.clone());
         }
     }
 
@@ -256,7 +257,7 @@
     #[must_use]
     pub fn probe_due(&self, now: Moment) -> Option<&id::Endpoint> {
         let longest = self.config.longest_ejection;
-        let due = |member: &&Member| member.state(now, longest) == State::Probe;
+        let due = |member: &&EndpointHealth| member.state(now, longest) == State::Probe;
         self.members.iter().find(due).map(|member| &member.endpoint)
     }
 
@@ -418,7 +419,7 @@
 }
 
 /// The median of seconds per token over the members that have timed answers.
-fn median<'a>(members: impl Iterator<Item = &'a Member>) -> Option<f64> {
+fn median<'a>(members: impl Iterator<Item = &'a EndpointHealth>) -> Option<f64> {
     let known = members.filter(|member| member.samples > 0);
     let mut times: Vec<f64> = known.map(|member| member.seconds_per_token).collect();
     times.sort_by(f64::total_cmp);
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -5,11 +5,11 @@
 //! prompt of 30,000 tokens as less busy than one that generates five short answers, and the next caller
 //! would wait seconds for a first token. Each engine would also prefill each shared prefix again.
 //!
-//! Engines prefill prompts in turn, between the decode steps of running answers. The wait for a first token
-//! is therefore the pending prefill work that was sent to the engine before, plus the prompt's own parts
-//! that are not cached there. A node knows both for its own calls: a prompt is pending until its first
-//! token has arrived. Peers report theirs. The module also tracks each engine's prefix cache: when its
-//! memory is full, the least recently used parts are evicted.
+//! Engines prefill prompts in turn, between the decode steps of running answers. The wait for a first token is
+//! therefore the pending prefill work that was sent to the engine before, plus the prompt's own parts that are
+//! not cached there. A node knows both for its own calls: a prompt is pending until its first token has
+//! arrived. Peers report theirs. The module also tracks each engine's prefix cache: when its KV cache is full,
+//! the least recently used parts are evicted.
 //!
 //! This is join the shortest queue with known work (Harchol-Balter, Crovella and Murta, 1999, for sizes
 //! that differ this much), and prefix-aware placement that weighs a cache hit against the wait for it, as
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,6 +5,10 @@
 //! without it and where its figures come from. The modules take the current time and random bits as
 //! arguments and return decisions, so that a server, a replay or a test can drive them with its own
 //! clock. Nothing here awaits, locks or logs.
+//!
+//! A caller sends a request. Each try to have it answered is an attempt, which sends one call to an
+//! endpoint. A job is a call that waits for a slot in a queue, until its dispatch. A run is an
+//! execution of a request at an endpoint, which the entry VM can't always observe.
 
 pub mod admission;
 pub mod budget;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -3,10 +3,10 @@
 //!
 //! When endpoints fail and each failed attempt becomes two or three, a pool that lost half its
 //! capacity gets twice its load and does not recover. In a budget, each success adds a fraction of
-//! a retry to a budget, and each retry withdraws one. There is one budget for each customer and one
-//! for each pool, and both must cover the retry. Only repeatable requests are retried, at another
-//! endpoint, within the deadline of the first attempt. A window allows as many retries as a share
-//! of the requests in a sliding time, plus a constant.
+//! a retry to the balance, and each retry withdraws one. There is one budget for each customer and
+//! one for each pool, and both must cover the retry. Only repeatable requests are retried, at
+//! another endpoint, within the deadline of the first attempt. A window allows as many retries as a
+//! share of the requests in a sliding time, plus a constant.
 //!
 //! Retry budgets are those of Finagle's `RetryBudget` and of the SRE book's chapter on overload (10
 //! to 20% of requests). The reserve lets customers with little traffic retry at all.
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -94,7 +94,7 @@
     Wait,
     /// The next stage may begin.
     Advance,
-    /// The new version is worse than the gate allows.
+    /// The new version is worse than the gate allows, and must no longer be used.
     Withdraw(Cause),
 }
 
--- a/crates/policy/src/session.rs
+++ b/crates/policy/src/session.rs
@@ -21,7 +21,7 @@
 
 use crate::rollout;
 
-/// What a node knows at the time of a decision.
+/// What a node knows at the time of a decision: the configuration, its age and its own evidence.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// The configuration in force here.
