--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -152,14 +152,14 @@
 fn pools(node: &Node) -> Vec<Pool> {
     let pools = node.scheduler.pools().into_iter();
     let pool = |(name, pool): (id::Pool, pimento_scheduler::Pool)| {
-        let depth = pool.metrics();
+        let metrics = pool.metrics();
         Pool {
             name,
-            waiting: depth.waiting,
-            in_flight: depth.in_flight,
-            slots: depth.slots,
-            usable: depth.usable,
-            ejected: depth.ejected,
+            waiting: metrics.waiting,
+            in_flight: metrics.in_flight,
+            slots: metrics.slots,
+            usable: metrics.usable,
+            ejected: metrics.ejected,
         }
     };
     pools.map(pool).collect()
--- a/crates/policy/src/cascade.rs
+++ b/crates/policy/src/cascade.rs
@@ -172,8 +172,8 @@
 }
 
 /// Share of unrated answers that are rated after their release, to keep the estimate that they were
-/// released on current. A smaller share finds a version that turns bad later; a larger one costs
-/// more ratings.
+/// released on current. With a smaller share, a version that turns bad is found later; a larger
+/// share costs more ratings.
 pub const SAMPLED_SHARE: f64 = 0.2;
 
 /// Whether an answer that was released unrated is rated afterwards.
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -10,8 +10,8 @@
 //! - Otherwise two endpoints are drawn, and the one with less expected work gets the attempt. Its
 //!   work is this node's own calls in flight, which are known exactly, and those of other nodes,
 //!   discounted by the age of the report.
-//! - Endpoints are drawn from the local zone first. Another zone is used if the wait saved outweighs
-//!   the delay and cost of the link.
+//! - Endpoints are drawn from the local zone first. Another zone is used if the wait saved
+//!   outweighs the delay and cost of the link.
 //!
 //! The methods are two random choices (Mitzenmacher, 2001; with stale information, 2000),
 //! rendezvous hashing (Thaler and Ravishankar, 1998), consistent hashing with bounded loads
@@ -194,8 +194,8 @@
     Some(if better { other } else { one })
 }
 
-/// Two different indices with `open`, by repeated draws, which takes a few draws if most candidates are open.
-/// None if [`MAX_DRAWS`] did not find two.
+/// Two different indices with `open`, by repeated draws, which takes a few draws if most candidates
+/// are open. None if [`MAX_DRAWS`] did not find two.
 fn draw_pair(count: usize, random: u64, open: &impl Fn(usize) -> bool) -> Option<(usize, usize)> {
     let draws = (0..MAX_DRAWS).map(|turn| below(number::mix(random, turn), count));
     let mut found = draws.filter(|index| *index < count && open(*index));
@@ -204,8 +204,8 @@
     Some((one, other))
 }
 
-/// Two different indices with `open`, drawn among all of them after a count, or the only one twice; none if
-/// there is none.
+/// Two different indices with `open`, drawn among all of them after a count, or the only one twice;
+/// none if there is none.
 fn draw_pair_exhaustively(
     count: usize,
     random: u64,
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -66,8 +66,8 @@
 /// endpoint that answers.
 const SMALL_POOL: usize = 8;
 
-/// How a call ended, with regard to the endpoint's health. [`crate::limit::Outcome`] is the same with regard to
-/// its load.
+/// How a call ended, with regard to the endpoint's health. [`crate::limit::Outcome`] is the same
+/// with regard to its load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
     /// Answered; the time counts towards the endpoint's speed.
@@ -143,8 +143,8 @@
         self.ejected_until.is_some()
     }
 
-    /// The state at `now`. A probe without an answer expires after `longest`, so that it does not keep the
-    /// endpoint ejected for ever.
+    /// The state at `now`. A probe without an answer expires after `longest`, so that it does not
+    /// keep the endpoint ejected for ever.
     fn state(&self, now: Moment, longest: Duration) -> State {
         match (self.ejected_until, self.probe_sent) {
             (None, _) => State::Active,
@@ -186,7 +186,8 @@
         }
     }
 
-    /// Sets the endpoints of the pool, and inserts those that are new. Those that stay keep their state.
+    /// Sets the endpoints of the pool, and inserts those that are new. Those that stay keep their
+    /// state.
     pub fn set_endpoints(&mut self, endpoints: impl IntoIterator<Item = id::Endpoint>) {
         let mut members: Vec<EndpointHealth> =
             endpoints.into_iter().map(EndpointHealth::new).collect();
--- a/crates/policy/src/shift.rs
+++ b/crates/policy/src/shift.rs
@@ -1,14 +1,15 @@
-//! Roll-outs by a deadline: moving a service to another version of its software, without stages of its own. The
-//! relay uses these; roll-outs in stages are those of [`crate::rollout`].
+//! Roll-outs by a deadline: moving a service to another version of its software, without stages of
+//! its own. The relay uses these; roll-outs in stages are those of [`crate::rollout`].
 //!
-//! Operators order a version and set the deadline by which the move must be done or undone. The version may
-//! fail or be slow, on one route only, late, or only under load. Without care, either all requests meet a bad
-//! version at once, or a good one is not in place in time. The move has three phases by the age of the order.
-//! In the trial, a small fixed share of the sessions uses the new version, well below what a bad version may
-//! get, and no known session changes its version. A session is known once it has used one of the versions. Then
-//! the share rises to all sessions within seconds. The evidence of all nodes is summed for each route. A
-//! version that is slow on one of them, or fails there at more than one endpoint, is bad, and its share is zero
-//! from then on.
+//! Operators order a version and set the deadline by which the move must be done or undone. The
+//! version may fail or be slow, on one route only, late, or only under load. Without care, either
+//! all requests meet a bad version at once, or a good one is not in place in time. The move has
+//! three phases by the age of the order. In the trial, a small fixed share of the sessions uses the
+//! new version, well below what a bad version may get, and no known session changes its version. A
+//! session is known once it has used one of the versions. Then the share rises to all sessions
+//! within seconds. The evidence of all nodes is summed for each route. A version that is slow on
+//! one of them, or fails there at more than one endpoint, is bad, and its share is zero from then
+//! on.
 //!
 //! The fixed position of a session and the bounds on evidence are those of [`crate::rollout`].
 //! Routes are evaluated separately because a fault in one class of requests is lost in the sum.
@@ -28,9 +29,9 @@
 /// Settings of a shift.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Part of the allowed exposure that the trial uses. The exposure is the share of requests that a bad
-    /// version may get. The rest is for repeats of requests that failed in the trial, and for the seconds of
-    /// the ramp until a fault that shows only under load is seen.
+    /// Part of the exposure that the trial uses. The exposure is the share of requests that a bad
+    /// version may get. What the trial leaves of it is for repeats of requests that failed in the
+    /// trial, and for the seconds of the ramp until a fault that shows only under load is seen.
     pub trial_exposure: f64,
     /// Part of the time until the deadline that the trial lasts. Sessions may only change their
     /// version after it.
@@ -79,7 +80,8 @@
         to_share((exposure * self.trial_exposure).clamp(0.0, 1.0))
     }
 
-    /// The phase of a shift whose order is `age` old and must be done `time_limit` after it was given.
+    /// The phase of a shift whose order is `age` old and must be done `time_limit` after it was
+    /// given.
     #[must_use]
     pub fn phase(&self, age: Duration, time_limit: Duration, exposure: f64) -> Phase {
         let trial_end = time_limit.mul_f64(self.trial_time) + self.clock_margin;
@@ -129,8 +131,8 @@
     pub old: Evidence,
 }
 
-/// The largest share of failed attempts beyond that of the old version. It is well below the share that bad
-/// versions fail, and above what a single failing endpoint adds.
+/// The largest share of failed attempts beyond that of the old version. It is well below the share
+/// that bad versions fail, and above what a single failing endpoint adds.
 const MAX_ERROR_INCREASE: f64 = 0.1;
 
 /// The largest ratio of the new version's mean time to the old one's, in percent. Bad versions are
@@ -165,8 +167,8 @@
     (several || cause == Cause::Latency).then_some(cause)
 }
 
-/// `compare_times` tells whether times are compared, which is done within a route only, because routes
-/// differ in them.
+/// `compare_times` tells whether times are compared, which is done within a route only, because
+/// routes differ in them.
 fn route_regression(route: &RouteEvidence, compare_times: bool) -> Option<Cause> {
     let errors = to_share((MAX_ERROR_INCREASE + route.old.error_rate()).min(1.0));
     let gate = Gate {
--- a/crates/policy/src/value.rs
+++ b/crates/policy/src/value.rs
@@ -18,7 +18,7 @@
 use crate::number;
 
 /// Value at one priority relative to the next higher one. Operators only order routes by priority.
-/// The exact figure matters little; a much lower one loses useful answers of low priority.
+/// The exact figure matters little; a lower one loses some useful answers.
 const PRIORITY_FACTOR: f64 = 0.6;
 
 /// Price of a prompt token relative to a generated one, as in common price lists of models.
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -20,7 +20,7 @@
 /// Expected run time of a call before any was measured.
 pub(crate) const INITIAL_RUN_TIME: Duration = Duration::from_secs(1);
 
-/// An endpoint of the pool, as the list of endpoints describes it. [`EndpointState`] adds what this node
+/// An endpoint of the pool, as the list of endpoints describes it. `EndpointState` adds what this node
 /// observes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
--- a/crates/scheduler/tests/pool.rs
+++ b/crates/scheduler/tests/pool.rs
@@ -19,7 +19,7 @@
 
 use self::common::member;
 
-const MEMORY: Tokens = Tokens(600_000);
+const KV_CAPACITY: Tokens = Tokens(600_000);
 
 fn engine(kv_capacity: Option<Tokens>) -> Member {
     Member {
@@ -60,12 +60,12 @@
 async fn an_endpoint_becomes_an_engine_once_its_memory_is_known() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"llm".parse().unwrap());
-    pool.update(vec![engine(Some(MEMORY))]);
+    pool.update(vec![engine(Some(KV_CAPACITY))]);
     let known = pool.estimate(&job()).unwrap();
     assert!(known.prefill > Duration::from_millis(100), "{known:?}");
     let late = scheduler.pool(&"late".parse().unwrap());
     late.update(vec![engine(None)]);
-    late.update(vec![engine(Some(MEMORY))]);
+    late.update(vec![engine(Some(KV_CAPACITY))]);
     assert_eq!(late.estimate(&job()), Some(known));
 }
 
@@ -168,9 +168,9 @@
     let pool = scheduler.pool(&"llm".parse().unwrap());
     let other = Member {
         endpoint: "i-2".parse().unwrap(),
-        ..engine(Some(MEMORY))
+        ..engine(Some(KV_CAPACITY))
     };
-    pool.update(vec![engine(Some(MEMORY)), other]);
+    pool.update(vec![engine(Some(KV_CAPACITY)), other]);
     eject(&pool, "i-1", &["i-2"]).await;
     for (failed, chosen) in [(&["i-2"][..], "i-1"), (&["i-1", "i-2"], "i-2")] {
         let job = Job {
@@ -241,7 +241,7 @@
 async fn waits_that_another_vm_no_longer_reports_are_removed() {
     let scheduler = Scheduler::new(Clock::default());
     let pool = scheduler.pool(&"llm".parse().unwrap());
-    pool.update(vec![engine(Some(MEMORY))]);
+    pool.update(vec![engine(Some(KV_CAPACITY))]);
     let key = pimento_policy::choice::hash("i-1");
     let wait = || pool.estimate(&job()).unwrap().wait;
     let busy = Duration::from_secs(20);
@@ -261,7 +261,7 @@
     let pool = scheduler.pool(&"llm".parse().unwrap());
     let member = |name: &str| Member {
         endpoint: name.parse().unwrap(),
-        ..engine(Some(MEMORY))
+        ..engine(Some(KV_CAPACITY))
     };
     pool.update(vec![member("i-5"), member("i-3"), member("i-1")]);
     let key = pimento_policy::choice::hash("i-3");
