--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -10,8 +10,8 @@
 //! - Otherwise two endpoints are drawn, and the one with less expected work gets the attempt. Its
 //!   work is this node's own calls in flight, which are known exactly, and those of other nodes,
 //!   discounted by the age of the report.
-//! - Endpoints are drawn from the local zone first. Another zone is used if the wait saved outweighs
-//!   the delay and cost of the link.
+//! - Endpoints are drawn from the local zone first. Another zone is used if the wait saved
+//!   outweighs the delay and cost of the link.
 //!
 //! The methods are two random choices (Mitzenmacher, 2001; with stale information, 2000),
 //! rendezvous hashing (Thaler and Ravishankar, 1998), consistent hashing with bounded loads
@@ -49,11 +49,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// [`hash`] of the endpoint's name, which is the same at every node.
-    pub key: u64,
+    pub name_hash: u64,
     /// Whether it may be chosen: it holds the version and was not tried before, ejected or leaving.
     pub usable: bool,
     /// Round-trip time to its zone beyond that within the local zone; zero for the local zone.
-    pub distance: Duration,
+    pub extra_delay: Duration,
     /// Calls in flight from this node.
     pub own: u32,
     /// This node's limit of calls in flight to it.
@@ -66,7 +66,7 @@
     pub run_time: Duration,
 }
 
-/// A hash of a name that is the same at every node, such as for [`Candidate::key`].
+/// A hash of a name that is the same at every node, such as for [`Candidate::name_hash`].
 #[must_use]
 pub fn hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
@@ -74,7 +74,7 @@
 
 impl Candidate {
     /// Whether it may be chosen and has a free slot.
-    fn is_open(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.usable && self.own < self.limit
     }
 
@@ -110,13 +110,13 @@
         return Some(found);
     }
     let local = two_choices(candidates, random, config.half_weight_age, |c| {
-        c.distance.is_zero()
+        c.extra_delay.is_zero()
     });
     let remote = two_choices(
         candidates,
         number::mix(random, 1),
         config.half_weight_age,
-        |c| !c.distance.is_zero(),
+        |c| !c.extra_delay.is_zero(),
     );
     match (local, remote) {
         (Some(local), Some(remote))
@@ -131,7 +131,8 @@
 
 fn should_spill(local: &Candidate, remote: &Candidate, config: &Config) -> bool {
     let saved = local.score(config.half_weight_age) - remote.score(config.half_weight_age);
-    let cost = remote.distance.as_secs_f64() + config.spill_margin * local.run_time.as_secs_f64();
+    let cost =
+        remote.extra_delay.as_secs_f64() + config.spill_margin * local.run_time.as_secs_f64();
     saved > cost
 }
 
@@ -147,10 +148,12 @@
     let max_load = (config.load_factor * mean(candidates, config.half_weight_age)).ceil();
     let mut best = None;
     for (index, candidate) in candidates.iter().enumerate() {
-        let rank = number::mix(candidate.key, prefix);
+        let rank = number::mix(candidate.name_hash, prefix);
         let ranks_higher = best.is_none_or(|(highest, _)| rank > highest);
         // The load is checked last, because few candidates rank higher than all before them.
-        if ranks_higher && candidate.is_open() && candidate.load(config.half_weight_age) <= max_load
+        if ranks_higher
+            && candidate.has_free_slot()
+            && candidate.load(config.half_weight_age) <= max_load
         {
             best = Some((rank, index));
         }
@@ -174,25 +177,25 @@
     load / f64::from(count.max(1))
 }
 
-/// Random draws before the open candidates are counted instead.
+/// Random draws before [`draw_pair_exhaustively`] is used instead.
 const MAX_DRAWS: u64 = 32;
 
-/// The better of two different open candidates drawn among those that match `filter`.
+/// The better of two different candidates with a free slot, drawn among those that match `filter`.
 fn two_choices(
     candidates: &[Candidate],
     random: u64,
     half_weight_age: Duration,
     filter: impl Fn(&Candidate) -> bool,
 ) -> Option<usize> {
-    let open = |index: usize| candidates[index].is_open() && filter(&candidates[index]);
+    let open = |index: usize| candidates[index].has_free_slot() && filter(&candidates[index]);
     let (one, other) = draw_pair(candidates.len(), random, &open)
-        .or_else(|| count_pair(candidates.len(), random, &open))?;
+        .or_else(|| draw_pair_exhaustively(candidates.len(), random, &open))?;
     let better = candidates[other].score(half_weight_age) < candidates[one].score(half_weight_age);
     Some(if better { other } else { one })
 }
 
-/// Two different open indices by repeated draws, which takes a few draws if most candidates are
-/// open. None if [`MAX_DRAWS`] did not find two.
+/// Two different indices with `open`, by repeated draws, which takes a few draws if most candidates
+/// are open. None if [`MAX_DRAWS`] did not find two.
 fn draw_pair(count: usize, random: u64, open: &impl Fn(usize) -> bool) -> Option<(usize, usize)> {
     let draws = (0..MAX_DRAWS).map(|turn| below(number::mix(random, turn), count));
     let mut found = draws.filter(|index| *index < count && open(*index));
@@ -201,8 +204,13 @@
     Some((one, other))
 }
 
-/// Two different open indices by counting all of them, or the only one twice; none if none is open.
-fn count_pair(count: usize, random: u64, open: &impl Fn(usize) -> bool) -> Option<(usize, usize)> {
+/// Two different indices with `open`, drawn among all of them after a count, or the only one twice;
+/// none if there is none.
+fn draw_pair_exhaustively(
+    count: usize,
+    random: u64,
+    open: &impl Fn(usize) -> bool,
+) -> Option<(usize, usize)> {
     let indices = || (0..count).filter(|index| open(*index));
     let total = indices().count();
     if total == 0 {
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -16,7 +16,7 @@
 use pimento_units::Moment;
 use pimento_units::id;
 
-/// Settings of a [`Pool`].
+/// Settings of a [`Health`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
     /// Consecutive errors that eject an endpoint. In a full pool two occur by chance, since a
@@ -66,7 +66,8 @@
 /// endpoint that answers.
 const SMALL_POOL: usize = 8;
 
-/// How a call ended, with regard to the endpoint's health.
+/// How a call ended, with regard to the endpoint's health. [`crate::limit::Outcome`] is the same
+/// with regard to its load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
     /// Answered; the time counts towards the endpoint's speed.
@@ -95,7 +96,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Member {
+struct EndpointHealth {
     endpoint: id::Endpoint,
     /// Average seconds per token.
     seconds_per_token: f64,
@@ -114,17 +115,17 @@
 
 /// The health of a pool's endpoints as one node sees it.
 #[derive(Debug, Clone)]
-pub struct Pool {
+pub struct Health {
     config: Config,
     /// Sorted by endpoint.
-    members: Vec<Member>,
+    members: Vec<EndpointHealth>,
     ejected: usize,
     median: Option<f64>,
     /// When the median was updated.
     median_at: Moment,
 }
 
-impl Member {
+impl EndpointHealth {
     fn new(endpoint: id::Endpoint) -> Self {
         Self {
             endpoint,
@@ -142,8 +143,8 @@
         self.ejected_until.is_some()
     }
 
-    /// A probe that is never answered must not keep the endpoint ejected for ever: after the
-    /// longest ejection the next probe may be sent.
+    /// The state at `now`. A probe without an answer expires after `longest`, so that it does not
+    /// keep the endpoint ejected for ever.
     fn state(&self, now: Moment, longest: Duration) -> State {
         match (self.ejected_until, self.probe_sent) {
             (None, _) => State::Active,
@@ -172,8 +173,8 @@
     }
 }
 
-impl Pool {
-    /// Creates a pool without endpoints.
+impl Health {
+    /// Creates the health of a pool without endpoints.
     #[must_use]
     pub const fn new(config: Config) -> Self {
         Self {
@@ -185,9 +186,11 @@
         }
     }
 
-    /// Sets the endpoints of the pool. Those that stay keep their state.
-    pub fn retain(&mut self, endpoints: impl IntoIterator<Item = id::Endpoint>) {
-        let mut members: Vec<Member> = endpoints.into_iter().map(Member::new).collect();
+    /// Sets the endpoints of the pool, and inserts those that are new. Those that stay keep their
+    /// state.
+    pub fn set_endpoints(&mut self, endpoints: impl IntoIterator<Item = id::Endpoint>) {
+        let mut members: Vec<EndpointHealth> =
+            endpoints.into_iter().map(EndpointHealth::new).collect();
         members.sort_by(|one, other| one.endpoint.cmp(&other.endpoint));
         members.dedup_by(|one, other| one.endpoint == other.endpoint);
         for member in &mut members {
@@ -206,7 +209,7 @@
         if let Some(place) = self.find(endpoint) {
             let member = &mut self.members[place];
             self.ejected -= usize::from(member.is_ejected());
-            *member = Member::new(endpoint.clone());
+            *member = EndpointHealth::new(endpoint.clone());
         }
     }
 
@@ -255,7 +258,7 @@
     #[must_use]
     pub fn probe_due(&self, now: Moment) -> Option<&id::Endpoint> {
         let longest = self.config.longest_ejection;
-        let due = |member: &&Member| member.state(now, longest) == State::Probe;
+        let due = |member: &&EndpointHealth| member.state(now, longest) == State::Probe;
         self.members.iter().find(due).map(|member| &member.endpoint)
     }
 
@@ -292,14 +295,14 @@
         } else if self.is_bad(place) && self.can_eject() {
             self.eject(place, now);
         } else if self.is_failing(place) {
-            self.eject_instead(place, now);
+            self.replace_ejected(place, now);
         }
     }
 
     /// Ejects a failing endpoint in place of one that is already ejected and may be healthy by now.
     /// With the bound alone, the last endpoint in use would stay so after it was cut off, and all
     /// calls would go to it beside an endpoint that has recovered.
-    fn eject_instead(&mut self, place: usize, now: Moment) {
+    fn replace_ejected(&mut self, place: usize, now: Moment) {
         let ejected = self.members.iter_mut().filter(|member| member.is_ejected());
         if let Some(member) = ejected.min_by_key(|member| member.ejected_until) {
             member.readmit();
@@ -417,7 +420,7 @@
 }
 
 /// The median of seconds per token over the members that have timed answers.
-fn median<'a>(members: impl Iterator<Item = &'a Member>) -> Option<f64> {
+fn median<'a>(members: impl Iterator<Item = &'a EndpointHealth>) -> Option<f64> {
     let known = members.filter(|member| member.samples > 0);
     let mut times: Vec<f64> = known.map(|member| member.seconds_per_token).collect();
     times.sort_by(f64::total_cmp);
--- a/crates/policy/tests/model/node.rs
+++ b/crates/policy/tests/model/node.rs
@@ -90,7 +90,7 @@
     pub gate: admission::Gate,
     pub queue: queue::Queue,
     pub limiters: Vec<limit::Limiter>,
-    pub health: eject::Pool,
+    pub health: eject::Health,
     pub tails: [hedge::LatencyHistogram; CLASSES.len()],
     pub lengths: [admission::AnswerLength; CLASSES.len()],
     pub customers: Vec<retry::Budget>,
@@ -118,8 +118,8 @@
 impl Node {
     pub fn new(number: usize, mechanisms: Mechanisms, seed: u64) -> Self {
         let endpoints: Vec<id::Endpoint> = (0..ENDPOINTS).map(|e| name("engine", e)).collect();
-        let mut health = eject::Pool::new(eject::Config::default());
-        health.retain(endpoints.iter().cloned());
+        let mut health = eject::Health::new(eject::Config::default());
+        health.set_endpoints(endpoints.iter().cloned());
         let limits = limit::Config::default();
         let fixed = limit::Config {
             initial: 16.0,
@@ -169,7 +169,7 @@
 
     /// Estimated work of a request.
     pub fn estimate(&self, arrival: &Arrival) -> Tokens {
-        let output = self.lengths[arrival.class].expect(Tokens(4_000));
+        let output = self.lengths[arrival.class].estimate(Tokens(4_000));
         admission::work(Tokens(arrival.input), output)
     }
 
@@ -278,7 +278,7 @@
         let own = self.limiters[place].in_flight();
         let others = (load.0 + load.1).saturating_sub(own);
         self.reports[place] = LoadReport { others, measured };
-        self.limiters[place].report(limit::Report {
+        self.limiters[place].apply_report(limit::Report {
             running: load.0,
             waiting: load.1,
             batch: u32::try_from(BATCH).unwrap_or(u32::MAX),
@@ -322,9 +322,9 @@
     fn choose_by_policy(&mut self, arrival: &Arrival, open: &[usize], now: f64) -> Option<usize> {
         let random = self.random.bits();
         let candidate = |e: usize| choice::Candidate {
-            key: choice::hash(self.endpoints[e].as_str()),
+            name_hash: choice::hash(self.endpoints[e].as_str()),
             usable: open.contains(&e),
-            distance: if e % 3 == self.zone {
+            extra_delay: if e % 3 == self.zone {
                 Duration::ZERO
             } else {
                 ZONE_RTT
--- a/crates/relay/src/pools.rs
+++ b/crates/relay/src/pools.rs
@@ -107,14 +107,14 @@
         zone: registration.zone.clone(),
         address: registration.address,
         usable: member.is_usable(now),
-        distance: if local {
+        extra_delay: if local {
             Duration::ZERO
         } else {
             REMOTE_ZONE_DELAY
         },
         versions: Some(vec![registration.version.clone()]),
         report: Some((report, Moment::ZERO)),
-        memory: kv_capacity,
+        kv_capacity,
         incarnation: registration.started_unix_ms,
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -8,19 +8,19 @@
 pub mod clock;
 pub mod endpoint_limit;
 mod endpoint_state;
-mod inner;
+pub mod no_slot;
 pub mod participants;
 pub mod permit;
 mod pool;
-pub mod refused;
+mod pool_state;
 
 pub use clock::Clock;
 pub use endpoint_state::Member;
+pub use no_slot::NoSlot;
 pub use participants::Participants;
 pub use permit::Permit;
-pub use pool::Depth;
 pub use pool::Estimate;
 pub use pool::Job;
 pub use pool::Pool;
+pub use pool::PoolMetrics;
 pub use pool::Scheduler;
-pub use refused::Refused;
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -10,7 +10,7 @@
 use pimento_policy::admission;
 use pimento_policy::engine::Prompt;
 use pimento_policy::queue;
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_units::Moment;
 use pimento_units::Tokens;
 use pimento_units::id;
@@ -20,10 +20,10 @@
 use crate::clock::Clock;
 use crate::endpoint_limit;
 use crate::endpoint_state::Member;
-use crate::inner::Inner;
+use crate::no_slot::NoSlot;
 use crate::participants::Participants;
 use crate::permit::Permit;
-use crate::refused::Refused;
+use crate::pool_state::PoolState;
 
 /// A job that needs a slot.
 #[derive(Debug, Clone)]
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(crate) struct PendingJob {
     pub(crate) job: Job,
-    pub(crate) slot: oneshot::Sender<Permit>,
+    pub(crate) permit_sender: oneshot::Sender<Permit>,
 }
 
 /// The scheduler of one pool. Clones share its state.
@@ -68,13 +68,13 @@
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
-    inner: Mutex<Inner>,
+    state: Mutex<PoolState>,
 }
 
 impl Shared {
-    pub(crate) fn lock(&self) -> MutexGuard<'_, Inner> {
+    pub(crate) fn lock(&self) -> MutexGuard<'_, PoolState> {
         // A panic between two updates of the state is a bug; continuing is better than refusing all jobs.
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -82,7 +82,7 @@
     fn new(clock: Clock) -> Self {
         let shared = Shared {
             clock,
-            inner: Mutex::new(Inner::default()),
+            state: Mutex::new(PoolState::default()),
         };
         Self {
             shared: Arc::new(shared),
@@ -92,21 +92,21 @@
     /// Replaces the endpoints of the pool.
     pub fn update(&self, members: Vec<Member>) {
         let now = self.shared.clock.now();
-        let mut inner = self.shared.lock();
-        inner.update(members);
-        inner.dispatch_waiting(&self.shared, now);
+        let mut state = self.shared.lock();
+        state.update(members);
+        state.dispatch_waiting(&self.shared, now);
     }
 
     /// Waits for a slot.
     ///
     /// # Errors
     ///
-    /// [`Refused`], at once if the job can't start in time, else when its latest start has passed.
-    pub async fn acquire(&self, job: Job, cancel: &CancellationToken) -> Result<Permit, Refused> {
-        let (slot, granted) = oneshot::channel();
+    /// [`NoSlot`], at once if the job can't start in time, else when its latest start has passed.
+    pub async fn acquire(&self, job: Job, cancel: &CancellationToken) -> Result<Permit, NoSlot> {
+        let (permit_sender, granted) = oneshot::channel();
         let version = job.version.clone();
         let expired = job.clone();
-        let (ticket, start_by) = self.enqueue(PendingJob { job, slot })?;
+        let (ticket, start_by) = self.enqueue(PendingJob { job, permit_sender })?;
         let _guard = CancelOnDrop {
             pool: self,
             version: &version,
@@ -116,34 +116,34 @@
         tokio::select! {
             // A permit that has arrived takes precedence, or it would be released unused.
             biased;
-            slot = granted => match slot {
+            received = granted => match received {
                 Ok(permit) => Ok(permit),
                 Err(_) => Err(no_endpoint()),
             },
-            () = cancel.cancelled() => Err(Refused::CallerGone),
+            () = cancel.cancelled() => Err(NoSlot::CallerGone),
             () = tokio::time::sleep_until(deadline) => Err(self.expired(&expired)),
         }
     }
 
-    fn enqueue(&self, pending: PendingJob) -> Result<(queue::Ticket, Moment), Refused> {
+    fn enqueue(&self, pending: PendingJob) -> Result<(queue::Ticket, Moment), NoSlot> {
         let now = self.shared.clock.now();
-        let mut inner = self.shared.lock();
-        let demand = inner.demand(&pending.job, now).ok_or_else(no_endpoint)?;
-        if let Some(after) = inner.unavailable_for(&pending.job, now) {
-            return Err(Refused::Overloaded { after });
+        let mut state = self.shared.lock();
+        let demand = state.demand(&pending.job, now).ok_or_else(no_endpoint)?;
+        if let Some(after) = state.unavailable_for(&pending.job, now) {
+            return Err(NoSlot::Overloaded { after });
         }
-        if let Some(after) = inner.throttled_for(&pending.job, now) {
-            return Err(Refused::Overloaded { after });
+        if let Some(after) = state.throttled_for(&pending.job, now) {
+            return Err(NoSlot::Overloaded { after });
         }
-        let verdict = inner.decide(&pending.job, demand, now, rand::random());
+        let verdict = state.decide(&pending.job, demand, now, rand::random());
         let start_by = match verdict {
             admission::Verdict::Admit { start_by } => start_by,
             admission::Verdict::Refuse { retry_after } => {
-                return Err(Refused::Overloaded { after: retry_after });
+                return Err(NoSlot::Overloaded { after: retry_after });
             }
         };
-        let ticket = inner.enqueue(pending, start_by);
-        inner.dispatch_waiting(&self.shared, now);
+        let ticket = state.enqueue(pending, start_by);
+        state.dispatch_waiting(&self.shared, now);
         Ok((ticket, start_by))
     }
 
@@ -154,10 +154,10 @@
         self.shared.lock().try_acquire(&self.shared, job, now)
     }
 
-    fn expired(&self, job: &Job) -> Refused {
+    fn expired(&self, job: &Job) -> NoSlot {
         let now = self.shared.clock.now();
         let after = self.shared.lock().retry_after(job, now, rand::random());
-        Refused::Expired { after }
+        NoSlot::Expired { after }
     }
 
     /// Estimates the wait and the prefill time at the engine that a job with a prompt would get. Returns
@@ -214,7 +214,7 @@
     pub fn record_limit(
         &self,
         endpoint: &id::Endpoint,
-        limit: Option<Limit>,
+        limit: Option<RateLimit>,
         sent: Moment,
     ) -> bool {
         let now = self.shared.clock.now();
@@ -249,8 +249,8 @@
 
     /// Returns the pool's metrics.
     #[must_use]
-    pub fn depth(&self) -> Depth {
-        self.shared.lock().depth()
+    pub fn metrics(&self) -> PoolMetrics {
+        self.shared.lock().metrics()
     }
 }
 
@@ -268,9 +268,9 @@
     pub next_wait: Duration,
 }
 
-/// Metrics of a pool.
+/// Metrics of a pool: its jobs, slots and endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Depth {
+pub struct PoolMetrics {
     /// Waiting jobs.
     pub waiting: usize,
     /// Calls in flight from this node.
@@ -285,7 +285,7 @@
     pub limited: usize,
 }
 
-impl Depth {
+impl PoolMetrics {
     /// Returns the values with their names in metrics.
     #[must_use]
     pub fn figures(&self) -> [(&'static str, u64); 6] {
@@ -316,10 +316,10 @@
     }
 }
 
-const fn no_endpoint() -> Refused {
+const fn no_endpoint() -> NoSlot {
     /// Within this time an update of the list or a load report may make an endpoint available.
     const RETRY_AFTER: Duration = Duration::from_secs(2);
-    Refused::NoEndpoint { after: RETRY_AFTER }
+    NoSlot::NoEndpoint { after: RETRY_AFTER }
 }
 
 /// All pools of a node. Clones share them.
@@ -365,7 +365,7 @@
                     .seconds_per_token
                     .read()
                     .unwrap_or_else(PoisonError::into_inner);
-                pool.shared.lock().seed_prefill(&known);
+                pool.shared.lock().merge_prefill_speeds(&known);
                 let participants = self
                     .participants
                     .read()
@@ -380,9 +380,9 @@
     }
 
     /// Merges prefill speeds that another VM reported, for all pools.
-    pub fn seed_prefill(&self, seconds_per_token: &[(u64, f64)]) {
+    pub fn merge_prefill_speeds(&self, seconds_per_token: &[(u64, f64)]) {
         for (_, pool) in self.pools() {
-            pool.shared.lock().seed_prefill(seconds_per_token);
+            pool.shared.lock().merge_prefill_speeds(seconds_per_token);
         }
         let mut known = self
             .seconds_per_token
--- a/crates/scheduler/src/inner.rs
+++ b/crates/scheduler/src/pool_state.rs
@@ -28,9 +28,9 @@
 use crate::participants::Participants;
 use crate::permit::Permit;
 use crate::permit::Slot;
-use crate::pool::Depth;
 use crate::pool::Job;
 use crate::pool::PendingJob;
+use crate::pool::PoolMetrics;
 use crate::pool::Shared;
 
 /// Jobs for one version, with their own drain rate. Versions differ in speed, and a job for one version
@@ -46,10 +46,10 @@
 
 /// The state of one pool.
 #[derive(Debug)]
-pub(crate) struct Inner {
+pub(crate) struct PoolState {
     endpoints: Vec<EndpointState>,
-    versions: Vec<VersionQueue>,
-    health: eject::Pool,
+    queues: Vec<VersionQueue>,
+    health: eject::Health,
     choice: choice::Config,
     engine_choice: engine::Config,
     prefill: engine::PrefillEstimator,
@@ -58,38 +58,40 @@
     peer_engines: Vec<(u64, Vec<u64>)>,
     /// Prompts that engines prefilled since the last report to other VMs.
     prefilled: Vec<(u64, Prompt)>,
-    last_served: usize,
+    /// Index of the version whose queue was last tried for a dispatch.
+    last_queue: usize,
     /// The VMs that share the limits of endpoints.
     participants: Participants,
     /// When dispatch is next tried because an endpoint with a limit accepts another call.
     wake_at: Option<Moment>,
 }
 
-impl Default for Inner {
+impl Default for PoolState {
     fn default() -> Self {
         Self {
             endpoints: Vec::new(),
-            versions: Vec::new(),
-            health: eject::Pool::new(eject::Config::default()),
+            queues: Vec::new(),
+            health: eject::Health::new(eject::Config::default()),
             choice: choice::Config::default(),
             engine_choice: engine::Config::default(),
             prefill: engine::PrefillEstimator::default(),
             last_call: 0,
             peer_engines: Vec::new(),
             prefilled: Vec::new(),
-            last_served: 0,
+            last_queue: 0,
             participants: Participants::default(),
             wake_at: None,
         }
     }
 }
 
-impl Inner {
+impl PoolState {
     pub fn update(&mut self, mut members: Vec<Member>) {
         members.sort_by(|one, other| one.endpoint.cmp(&other.endpoint));
         // Ejection must not count an endpoint that is leaving among those that remain.
         let usable = members.iter().filter(|member| member.usable);
-        self.health.retain(usable.map(|m| m.endpoint.clone()));
+        self.health
+            .set_endpoints(usable.map(|m| m.endpoint.clone()));
         // Both lists are sorted, so that one pass over them finds each endpoint's state.
         let former = std::mem::take(&mut self.endpoints);
         let mut former = former.into_iter().peekable();
@@ -123,7 +125,7 @@
     }
 
     pub fn expected_run_time(&self, version: Option<&id::Version>, tokens: Tokens) -> Duration {
-        let entry = self.versions.iter().find(|s| s.version.as_ref() == version);
+        let entry = self.queues.iter().find(|s| s.version.as_ref() == version);
         entry.map_or(INITIAL_RUN_TIME, |s| s.gate.run_time(tokens))
     }
 
@@ -212,7 +214,7 @@
 
     fn version_queue(&mut self, version: Option<&id::Version>) -> &mut VersionQueue {
         let index = self
-            .versions
+            .queues
             .binary_search_by(|s| s.version.as_ref().cmp(&version));
         let index = index.unwrap_or_else(|index| {
             let entry = VersionQueue {
@@ -221,19 +223,19 @@
                 queue: queue::Queue::new(queue::Config::default()),
                 pending: Vec::new(),
             };
-            self.versions.insert(index, entry);
+            self.queues.insert(index, entry);
             index
         });
-        &mut self.versions[index]
+        &mut self.queues[index]
     }
 
     /// Gives free slots to waiting jobs. Versions take turns, since an endpoint may hold several.
     pub fn dispatch_waiting(&mut self, shared: &Arc<Shared>, now: Moment) {
-        let count = self.versions.len();
+        let count = self.queues.len();
         let mut idle = 0;
         while count > 0 && idle < count {
-            self.last_served = (self.last_served + 1) % count;
-            if self.dispatch_one(shared, self.last_served, now) {
+            self.last_queue = (self.last_queue + 1) % count;
+            if self.dispatch_one(shared, self.last_queue, now) {
                 idle = 0;
             } else {
                 idle += 1;
@@ -244,12 +246,12 @@
 
     /// Gives one slot to one job of a version. Returns false if there is no slot or no job.
     fn dispatch_one(&mut self, shared: &Arc<Shared>, index: usize, now: Moment) -> bool {
-        let version = self.versions[index].version.clone();
-        if self.versions[index].queue.is_empty() || !self.any_open(version.as_ref(), now) {
+        let version = self.queues[index].version.clone();
+        if self.queues[index].queue.is_empty() || !self.any_accepts(version.as_ref(), now) {
             return false;
         }
         let slots = self.slots(version.as_ref());
-        let entry = &mut self.versions[index];
+        let entry = &mut self.queues[index];
         let Some(dispatch) = entry.queue.next(now, slots) else {
             return false;
         };
@@ -262,12 +264,12 @@
         };
         let (_, pending) = entry.pending.remove(found);
         let Some(mut permit) = self.try_acquire(shared, &pending.job, now) else {
-            // No endpoint is open after all. Dropping the job drops its sender, which refuses the job.
-            self.versions[index].queue.release(&dispatch);
+            // No endpoint accepts the job after all. Dropping the job drops its sender, which refuses the job.
+            self.queues[index].queue.release(&dispatch);
             return true;
         };
         permit.set_dispatch(dispatch);
-        if let Err(permit) = pending.slot.send(permit) {
+        if let Err(permit) = pending.permit_sender.send(permit) {
             // The lock is held here, so the permit must not release its slot on drop.
             let slot = permit.into_slot();
             let unknown = limit::Outcome::Unknown;
@@ -276,10 +278,10 @@
         true
     }
 
-    fn any_open(&self, version: Option<&id::Version>, now: Moment) -> bool {
+    fn any_accepts(&self, version: Option<&id::Version>, now: Moment) -> bool {
         self.endpoints.iter().any(|state| {
             let ejected = self.health.state(&state.member.endpoint, now) == eject::State::Ejected;
-            state.is_open(now)
+            state.accepts_calls(now)
                 && state.member.holds(version)
                 && !ejected
                 && state.limiter.free() > 0
@@ -300,7 +302,7 @@
         if !state.limiter.acquire() {
             return None;
         }
-        if let Some(limit) = &mut state.limit {
+        if let Some(limit) = &mut state.rate_limit {
             limit.consume(now);
         }
         self.health.record_sent(&state.member.endpoint, now);
@@ -352,8 +354,8 @@
         !job.tried.contains(&self.endpoints[index].member.endpoint)
     }
 
-    /// Returns whether a job that other endpoints failed may go to the endpoint at `index` although that is
-    /// ejected. It has not failed this job, and is a better choice than one that did.
+    /// Returns whether a job that other endpoints failed may go to the endpoint at `index`, whether that is
+    /// ejected or not. An ejected endpoint that has not failed this job is a better choice than one that has.
     fn is_fallback(&self, index: usize, job: &Job, now: Moment) -> bool {
         let state = &self.endpoints[index];
         let free = state.accepts(job, now) && state.limiter.free() > 0;
@@ -388,9 +390,9 @@
                         (all.saturating_sub(own), now.since(at))
                     });
             choice::Candidate {
-                key: state.key,
+                name_hash: state.name_hash,
                 usable: state.accepts(job, now) && healthy,
-                distance: state.member.distance,
+                extra_delay: state.member.extra_delay,
                 own,
                 limit: state.limiter.limit(),
                 others,
@@ -409,7 +411,7 @@
         let local = self
             .endpoints
             .iter()
-            .filter(|s| s.member.distance.is_zero());
+            .filter(|s| s.member.extra_delay.is_zero());
         let measured = local
             .map(|s| s.limiter.seconds_per_token())
             .filter(|seconds| *seconds > 0.0);
@@ -449,10 +451,10 @@
         }
     }
 
-    /// Returns when a job may be retried that no endpoint will accept in time, or `None` if one may accept
-    /// it. No endpoint will if each one is ejected, or asked with its last refusal to be left alone, beyond
-    /// the job's latest start. Refusing such a job at once is better than trying the endpoints until its
-    /// time is up.
+    /// Returns the time after which to retry if every usable endpoint is unavailable beyond the job's latest
+    /// start: it is ejected, its last refusal names a later time, or its rate limit allows this VM no call
+    /// before. Returns `None` if an endpoint may accept the job. Refusing such a job at once is better than
+    /// trying the endpoints until its time is up.
     pub fn unavailable_for(&self, job: &Job, now: Moment) -> Option<Duration> {
         let version = job.version.as_ref();
         let slack = job
@@ -497,10 +499,10 @@
         others.map(|state| state.limiter.in_flight()).sum()
     }
 
-    pub fn depth(&self) -> Depth {
+    pub fn metrics(&self) -> PoolMetrics {
         let usable = self.endpoints.iter().filter(|s| s.member.usable);
-        Depth {
-            waiting: self.versions.iter().map(|s| s.queue.len()).sum(),
+        PoolMetrics {
+            waiting: self.queues.iter().map(|s| s.queue.len()).sum(),
             in_flight: self.endpoints.iter().map(|s| s.limiter.in_flight()).sum(),
             slots: usable.clone().map(EndpointState::slots).sum(),
             ejected: self.health.ejected(),
--- a/crates/scheduler/src/inner/limits.rs
+++ b/crates/scheduler/src/pool_state/limits.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_units::Moment;
 use pimento_units::id;
 
-use super::Inner;
+use super::PoolState;
 use crate::endpoint_limit::EndpointLimit;
 use crate::endpoint_limit::Observation;
 use crate::endpoint_limit::Report;
@@ -19,12 +19,12 @@
 use crate::pool::Shared;
 
 /// Share of a job's remaining time that its wait and its run may take, as at the admission gate.
-const HEADROOM: f64 = 0.5;
+const USABLE_SHARE: f64 = 0.5;
 
 /// Minimum time after which a job that this VM can't send may be retried.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-impl Inner {
+impl PoolState {
     /// Records the limit, or its absence, in an endpoint's answer to a call that was sent at `sent`.
     /// Returns whether the limit changed.
     ///
@@ -33,7 +33,7 @@
     pub fn record_limit(
         &mut self,
         endpoint: &id::Endpoint,
-        limit: Option<Limit>,
+        limit: Option<RateLimit>,
         sent: Moment,
         now: Moment,
     ) -> bool {
@@ -41,9 +41,11 @@
             return false;
         };
         let state = &mut self.endpoints[index];
-        let known = state.limit.and_then(|limited| limited.limit());
-        let outdated = state.limit.is_some_and(|limited| limited.observed() < sent);
-        if limit.is_none() && (known.is_none() || !outdated) {
+        let known = state.rate_limit.and_then(|limited| limited.limit());
+        let predates_call = state
+            .rate_limit
+            .is_some_and(|limited| limited.observed() < sent);
+        if limit.is_none() && (known.is_none() || !predates_call) {
             return false;
         }
         let observation = Observation {
@@ -57,12 +59,16 @@
 
     /// Merges another VM's report of an endpoint's limit.
     pub fn merge_limit(&mut self, report: Report, now: Moment) {
-        let Some(state) = self.endpoints.iter_mut().find(|s| s.key == report.endpoint) else {
+        let Some(state) = self
+            .endpoints
+            .iter_mut()
+            .find(|s| s.name_hash == report.endpoint)
+        else {
             return;
         };
         let observed = now.before(report.age);
         if state
-            .limit
+            .rate_limit
             .is_some_and(|limited| limited.observed() >= observed)
         {
             return;
@@ -78,7 +84,7 @@
     /// Returns the reports for other VMs.
     pub fn limit_reports(&self, now: Moment) -> Vec<Report> {
         let states = self.endpoints.iter();
-        let reports = states.filter_map(|state| state.limit?.report(state.key, now));
+        let reports = states.filter_map(|state| state.rate_limit?.report(state.name_hash, now));
         reports.collect()
     }
 
@@ -86,16 +92,16 @@
     pub fn set_participants(&mut self, participants: Participants, now: Moment) {
         self.participants = participants;
         for state in &mut self.endpoints {
-            let (zone, key) = (&state.member.zone, state.key);
-            if let Some(limited) = &mut state.limit {
+            let (zone, key) = (&state.member.zone, state.name_hash);
+            if let Some(limited) = &mut state.rate_limit {
                 limited.set_share(|limit| self.participants.share(limit, zone, key), now);
             }
         }
     }
 
-    /// Returns when a job may be retried that must be refused at once, because all usable endpoints have
-    /// limits and its turn there would come too late, or this VM has no share of them. Returns `None` if
-    /// the job may wait.
+    /// Returns `None` if the job may wait for the rate limits of the endpoints, else the time after which to
+    /// retry. It must be refused at once if all usable endpoints have limits, and its turn would come too late
+    /// or this VM has no share of the limits.
     pub fn throttled_for(&self, job: &Job, now: Moment) -> Option<Duration> {
         let version = job.version.as_ref();
         let usable = |s: &&EndpointState| s.member.usable && s.member.holds(version);
@@ -103,8 +109,8 @@
         for state in self.endpoints.iter().filter(usable) {
             let throttle = state.throttle()?;
             share += throttle.rate();
-            ready += u32::from(throttle.is_open(now));
-            total += state.limit?.limit()?.per_second();
+            ready += u32::from(throttle.can_send(now));
+            total += state.rate_limit?.limit()?.per_second();
         }
         if share <= 0.0 {
             return Some(seconds(1.0 / total).clamp(MIN_RETRY_AFTER, NO_SHARE_RETRY_AFTER));
@@ -112,14 +118,14 @@
         let ahead = self.waiting_jobs(version) + 1;
         let missing = f64::from(ahead.saturating_sub(ready));
         let wait = seconds(missing / share);
-        let budget = job.deadline.since(now).mul_f64(HEADROOM);
+        let budget = job.deadline.since(now).mul_f64(USABLE_SHARE);
         let slack = budget.saturating_sub(self.expected_run_time(version, job.tokens));
         (wait > slack).then(|| wait.clamp(MIN_RETRY_AFTER, NO_SHARE_RETRY_AFTER))
     }
 
     /// Returns the number of jobs that wait for a version.
     fn waiting_jobs(&self, version: Option<&id::Version>) -> u32 {
-        let entry = self.versions.iter().find(|s| s.version.as_ref() == version);
+        let entry = self.queues.iter().find(|s| s.version.as_ref() == version);
         let waiting = entry.map_or(0, |entry| entry.queue.len());
         u32::try_from(waiting).unwrap_or(u32::MAX - 1)
     }
@@ -127,11 +133,13 @@
     /// Schedules the next dispatch for when an endpoint with a limit accepts another call. Without it
     /// nothing might trigger one, since there may be no call in flight that could end before.
     pub(super) fn schedule_wake(&mut self, shared: &Arc<Shared>, now: Moment) {
-        if self.versions.iter().all(|entry| entry.queue.is_empty()) {
+        if self.queues.iter().all(|entry| entry.queue.is_empty()) {
             return;
         }
         let closed = self.endpoints.iter().filter_map(|state| {
-            let throttle = state.throttle().filter(|throttle| !throttle.is_open(now))?;
+            let throttle = state
+                .throttle()
+                .filter(|throttle| !throttle.can_send(now))?;
             throttle.wait(now)
         });
         let Some(wait) = closed.min() else { return };
@@ -158,9 +166,9 @@
     observation: Observation,
     now: Moment,
 ) {
-    let (zone, key, before) = (&state.member.zone, state.key, state.throttle());
+    let (zone, key, before) = (&state.member.zone, state.name_hash, state.throttle());
     let share = |limit| participants.share(limit, zone, key);
-    state.limit = Some(EndpointLimit::new(observation, before, share, now));
+    state.rate_limit = Some(EndpointLimit::new(observation, before, share, now));
 }
 
 fn seconds(seconds: f64) -> Duration {
--- a/crates/scheduler/src/inner/placement.rs
+++ b/crates/scheduler/src/pool_state/placement.rs
@@ -8,7 +8,7 @@
 use pimento_units::Moment;
 use pimento_units::Tokens;
 
-use super::Inner;
+use super::PoolState;
 use crate::endpoint_state::EndpointState;
 use crate::permit::Slot;
 use crate::pool::Estimate;
@@ -34,7 +34,7 @@
     }
 }
 
-impl Inner {
+impl PoolState {
     /// Chooses the engine for a prompt.
     pub(super) fn place_prompt(
         &self,
@@ -76,9 +76,9 @@
                 .prefill_time(prompt.model, prefill_tokens, total);
             let wait = engine.map_or(Duration::ZERO, |engine| engine.wait(now));
             engine::Candidate {
-                key: state.key,
+                name_hash: state.name_hash,
                 usable: self.is_free(state, job, now),
-                remote: !state.member.distance.is_zero(),
+                remote: !state.member.extra_delay.is_zero(),
                 wait,
                 prefill_time,
             }
@@ -128,8 +128,8 @@
 
     pub fn engine_waits(&self, now: Moment) -> Vec<(u64, Duration)> {
         let engines = self.endpoints.iter();
-        let waits =
-            engines.filter_map(|state| Some((state.key, state.engine.as_ref()?.own_wait(now))));
+        let waits = engines
+            .filter_map(|state| Some((state.name_hash, state.engine.as_ref()?.own_wait(now))));
         waits.filter(|(_, wait)| !wait.is_zero()).collect()
     }
 
@@ -137,8 +137,9 @@
         &self.prefill
     }
 
-    pub fn seed_prefill(&mut self, seconds_per_token: &[(u64, f64)]) {
-        self.prefill.seed(seconds_per_token.iter().copied());
+    pub fn merge_prefill_speeds(&mut self, seconds_per_token: &[(u64, f64)]) {
+        self.prefill
+            .merge_estimates(seconds_per_token.iter().copied());
     }
 
     /// Merges another VM's report of how long engines take for its calls; its calls take no time at engines
@@ -153,7 +154,10 @@
         let dropped = before.iter().filter(|key| !named.contains(key));
         let dropped = dropped.map(|key| (*key, Duration::ZERO));
         for (key, wait) in waits.iter().copied().chain(dropped) {
-            let state = self.endpoints.iter_mut().find(|state| state.key == key);
+            let state = self
+                .endpoints
+                .iter_mut()
+                .find(|state| state.name_hash == key);
             if let Some(engine) = state.and_then(|state| state.engine.as_mut()) {
                 engine.record_peer_wait(node, wait, now);
             }
@@ -165,7 +169,11 @@
     }
 
     pub fn merge_prefilled(&mut self, key: u64, prompt: &Prompt, now: Moment) {
-        let Some(state) = self.endpoints.iter_mut().find(|state| state.key == key) else {
+        let Some(state) = self
+            .endpoints
+            .iter_mut()
+            .find(|state| state.name_hash == key)
+        else {
             return;
         };
         let Some(engine) = state.engine.as_mut() else {
@@ -175,7 +183,7 @@
     }
 
     /// Records that the first token of a call has arrived.
-    pub fn first_token(&mut self, slot: &Slot, now: Moment) {
+    pub fn record_first_token(&mut self, slot: &Slot, now: Moment) {
         let Some(call) = slot.call else { return };
         let Some(index) = self.index_of(&slot.endpoint) else {
             return;
@@ -188,7 +196,7 @@
         if let Some(prompt) = &slot.prompt
             && self.prefilled.len() < MAX_PREFILLED
         {
-            self.prefilled.push((state.key, prompt.clone()));
+            self.prefilled.push((state.name_hash, prompt.clone()));
         }
     }
 }
