--- a/crates/contract/examples/own_log.rs
+++ b/crates/contract/examples/own_log.rs
@@ -9,7 +9,7 @@
 use pimento_contract::raw::Configuration;
 use pimento_contract::raw::File;
 use pimento_contract::raw::Findings;
-use pimento_contract::raw::Source;
+use pimento_contract::raw::Input;
 use pimento_units::Offset;
 use pimento_units::Wall;
 use pimento_units::id;
@@ -40,7 +40,7 @@
         name: "example.toml".into(),
         text: TEXT.into(),
     };
-    let source = Source {
+    let source = Input {
         files: &[file],
         known: &State::default(),
     };
--- a/crates/contract/src/raw.rs
+++ b/crates/contract/src/raw.rs
@@ -39,7 +39,7 @@
 
 /// Files, with the state to which they are to be published.
 #[derive(Debug, Clone, Copy)]
-pub struct Source<'a> {
+pub struct Input<'a> {
     /// The files, which are validated together.
     pub files: &'a [File],
     /// The state in force; names in the files may refer to it.
@@ -73,7 +73,7 @@
     }
 }
 
-impl TryFrom<Source<'_>> for Configuration {
+impl TryFrom<Input<'_>> for Configuration {
     type Error = Findings;
 
     /// Validates all files together.
@@ -82,7 +82,7 @@
     ///
     /// All findings, sorted by file and line. A file that is not valid TOML has only syntax
     /// findings. References are not checked then, since the names that it defines are unknown.
-    fn try_from(source: Source<'_>) -> Result<Self, Findings> {
+    fn try_from(source: Input<'_>) -> Result<Self, Findings> {
         let report = Report::default();
         let mut draft = Draft::default();
         let mut readable = true;
--- a/crates/contract/tests/raw.rs
+++ b/crates/contract/tests/raw.rs
@@ -12,7 +12,7 @@
 use pimento_contract::raw::Configuration;
 use pimento_contract::raw::File;
 use pimento_contract::raw::Findings;
-use pimento_contract::raw::Source;
+use pimento_contract::raw::Input;
 use pimento_units::Offset;
 use pimento_units::Revision;
 use pimento_units::Wall;
@@ -45,7 +45,7 @@
 }
 
 fn check(files: &[File], known: &State) -> Result<Configuration, Findings> {
-    Configuration::try_from(Source { files, known })
+    Configuration::try_from(Input { files, known })
 }
 
 fn state(values: &[Value]) -> State {
--- a/crates/control/tests/all/fakes.rs
+++ b/crates/control/tests/all/fakes.rs
@@ -12,7 +12,7 @@
 use pimento_contract::Value;
 use pimento_contract::raw::Configuration;
 use pimento_contract::raw::File;
-use pimento_contract::raw::Source;
+use pimento_contract::raw::Input;
 use pimento_control::leases::PoolLeases;
 use pimento_control::orders::Connector;
 use pimento_coordination::lease::Fencing;
@@ -65,7 +65,7 @@
         name: "example".into(),
         text: text.into(),
     };
-    let source = Source {
+    let source = Input {
         files: &FILES.map(file),
         known: &State::default(),
     };
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -7,7 +7,7 @@
 use pimento_contract::raw::Configuration;
 use pimento_contract::raw::File;
 use pimento_contract::raw::Findings;
-use pimento_contract::raw::Source;
+use pimento_contract::raw::Input;
 
 use crate::exit::Error;
 
@@ -33,7 +33,7 @@
 /// Checks the files together, with references to `known` subjects allowed.
 pub(crate) fn check(files: &[File], known: &State) -> Result<Vec<Value>, Error> {
     let configuration =
-        Configuration::try_from(Source { files, known }).map_err(|findings| report(&findings))?;
+        Configuration::try_from(Input { files, known }).map_err(|findings| report(&findings))?;
     Ok(configuration.values)
 }
 
--- a/crates/ctl/tests/publish.rs
+++ b/crates/ctl/tests/publish.rs
@@ -13,7 +13,7 @@
 use pimento_contract::fold::Verdict;
 use pimento_contract::raw::Configuration;
 use pimento_contract::raw::File;
-use pimento_contract::raw::Source;
+use pimento_contract::raw::Input;
 use pimento_contract::version::Status;
 use pimento_ctl::exit::Error;
 use pimento_ctl::publish::Outcome;
@@ -41,7 +41,7 @@
         name: "example".into(),
         text: text.into(),
     };
-    let source = Source {
+    let source = Input {
         files: &FILES.map(file),
         known: &State::default(),
     };
