--- a/crates/control/src/fence.rs
+++ b/crates/control/src/fence.rs
@@ -27,7 +27,7 @@
 /// order may take to reach its engine.
 #[must_use]
 pub fn gate(
-    held: Option<lease::Fencing>,
+    held: Option<lease::Held>,
     fencing: Fencing,
     order_timeout: Duration,
     now: Instant,
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -15,7 +15,7 @@
 use pimento_coordination::Appender;
 use pimento_coordination::Follower;
 use pimento_coordination::lease;
-use pimento_coordination::lease::Fencing;
+use pimento_coordination::lease::Held;
 use pimento_coordination::lease::Lease;
 use pimento_coordination::lease::View;
 use pimento_units::id;
@@ -31,7 +31,7 @@
 /// Leases on the orders to pools.
 pub trait PoolLeases: Send + Sync + 'static {
     /// The fencing number, if this node holds the lease of the pool now.
-    fn held(&self, pool: &id::Pool) -> Option<Fencing>;
+    fn held(&self, pool: &id::Pool) -> Option<Held>;
 }
 
 /// The lease on roll-outs.
@@ -86,7 +86,7 @@
 
     /// Resources whose lease is held now, with their fencing numbers.
     #[must_use]
-    pub fn all_held(&self) -> Vec<(id::Resource, Fencing)> {
+    pub fn all_held(&self) -> Vec<(id::Resource, Held)> {
         let entries = self.lock();
         let held = entries
             .iter()
@@ -94,7 +94,7 @@
         held.flatten().collect()
     }
 
-    fn held_lease(&self, resource: &id::Resource) -> Option<Fencing> {
+    fn held_lease(&self, resource: &id::Resource) -> Option<Held> {
         let entries = self.lock();
         let at = entries
             .binary_search_by(|entry| entry.resource.cmp(resource))
@@ -104,7 +104,7 @@
 }
 
 impl PoolLeases for Leases {
-    fn held(&self, pool: &id::Pool) -> Option<Fencing> {
+    fn held(&self, pool: &id::Pool) -> Option<Held> {
         self.held_lease(&pool_resource(pool, &self.zone))
     }
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -129,7 +129,7 @@
 
     fn state(&self) -> Response<Full<Bytes>> {
         let held =
-            |(resource, fencing): (id::Resource, pimento_coordination::lease::Fencing)| HeldLease {
+            |(resource, fencing): (id::Resource, pimento_coordination::lease::Held)| HeldLease {
                 resource,
                 fencing: fencing.number,
             };
--- a/crates/control/tests/all/decisions.rs
+++ b/crates/control/tests/all/decisions.rs
@@ -28,7 +28,7 @@
     let start = Instant::now();
     let at = |seconds: u64| start + Duration::from_secs(seconds);
     let order_timeout = Duration::from_secs(30);
-    let held = lease::Fencing {
+    let held = lease::Held {
         number: Offset(7),
         until: at(100),
         since: at(0),
--- a/crates/control/tests/all/fakes.rs
+++ b/crates/control/tests/all/fakes.rs
@@ -15,7 +15,7 @@
 use pimento_contract::raw::Input;
 use pimento_control::leases::PoolLeases;
 use pimento_control::orders::Connector;
-use pimento_coordination::lease::Fencing;
+use pimento_coordination::lease::Held;
 use pimento_coordination::vms;
 use pimento_coordination::weights;
 use pimento_endpoint::Fault;
@@ -100,13 +100,13 @@
 
 /// A lease that a test grants.
 #[derive(Debug, Clone, Default)]
-pub struct FakeLease(Arc<Mutex<Option<Fencing>>>);
+pub struct FakeLease(Arc<Mutex<Option<Held>>>);
 
 impl FakeLease {
     /// Grants the lease for `span` from now on.
     pub fn grant(&self, number: u64, span: Duration) {
         let since = Instant::now();
-        let fencing = Fencing {
+        let fencing = Held {
             number: Offset(number),
             until: since + span,
             since,
@@ -116,7 +116,7 @@
 }
 
 impl PoolLeases for FakeLease {
-    fn held(&self, _: &id::Pool) -> Option<Fencing> {
+    fn held(&self, _: &id::Pool) -> Option<Held> {
         let held = *self.0.lock().expect("the lock is not poisoned");
         held.filter(|fencing| Instant::now() < fencing.until)
     }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -69,7 +69,7 @@
 
 /// The right to give orders, with its fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fencing {
+pub struct Held {
     /// The number to send with each order.
     pub number: Offset,
     /// When the holder must stop.
@@ -83,7 +83,7 @@
 /// One lease, acquired and renewed for one node. Clones share it.
 #[derive(Debug, Clone)]
 pub struct Lease {
-    held: Arc<Mutex<Option<Fencing>>>,
+    held: Arc<Mutex<Option<Held>>>,
 }
 
 impl Lease {
@@ -115,7 +115,7 @@
 
     /// The fencing number, if this node holds the lease now. To be called right before each order.
     #[must_use]
-    pub fn held(&self) -> Option<Fencing> {
+    pub fn held(&self) -> Option<Held> {
         let held = *self.held.lock().unwrap_or_else(PoisonError::into_inner);
         held.filter(|fencing| Instant::now() < fencing.until)
     }
@@ -127,7 +127,7 @@
     config: Config,
     appender: Appender,
     follower: Follower<View>,
-    held: Arc<Mutex<Option<Fencing>>>,
+    held: Arc<Mutex<Option<Held>>>,
 }
 
 impl Renewer {
@@ -202,7 +202,7 @@
                 sent
             }
         };
-        *held = Some(Fencing {
+        *held = Some(Held {
             number,
             until,
             since,
--- a/crates/coordination/tests/kept/lease.rs
+++ b/crates/coordination/tests/kept/lease.rs
@@ -6,7 +6,7 @@
 use pimento_coordination::Follower;
 use pimento_coordination::appender;
 use pimento_coordination::lease::Config;
-use pimento_coordination::lease::Fencing;
+use pimento_coordination::lease::Held;
 use pimento_coordination::lease::Lease;
 use pimento_coordination::lease::View;
 use pimento_ledger::Stream;
@@ -38,7 +38,7 @@
     Lease::start(resource(), node, config, appender, follower, stops.clone())
 }
 
-async fn held(lease: &Lease) -> Fencing {
+async fn held(lease: &Lease) -> Held {
     let deadline = Instant::now() + Duration::from_secs(20);
     loop {
         if let Some(fencing) = lease.held() {
