--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -95,15 +95,15 @@
 struct Shared {
     queues: Vec<mpsc::Sender<Entry>>,
     memory: Arc<Semaphore>,
-    closed: Arc<Closed>,
+    outage: Arc<Outage>,
     token: CancellationToken,
 }
 
 /// The end of the outage that the log announced last; in the past if there is none.
 #[derive(Debug)]
-struct Closed(Mutex<Instant>);
+struct Outage(Mutex<Instant>);
 
-impl Closed {
+impl Outage {
     fn until(&self) -> Instant {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -118,7 +118,7 @@
     ///
     /// Pending appends then fail as refused, or as lost if they were sent before.
     pub fn start(log: impl Log, config: Config, token: CancellationToken) -> Self {
-        let closed = Arc::new(Closed(Mutex::new(Instant::now())));
+        let outage = Arc::new(Outage(Mutex::new(Instant::now())));
         let logs = std::iter::repeat_n(log, Stream::ALL.len());
         let queues = Stream::ALL
             .into_iter()
@@ -129,7 +129,7 @@
                     log,
                     stream,
                     settings: config.0,
-                    closed: Arc::clone(&closed),
+                    outage: Arc::clone(&outage),
                 };
                 tokio::spawn(worker.run(queue, token.clone()));
                 sender
@@ -139,7 +139,7 @@
         let shared = Shared {
             queues,
             memory,
-            closed,
+            outage,
             token,
         };
         Self {
@@ -204,8 +204,8 @@
 
     /// When the log will accept appends again, as it announced; in the past if it accepts them now.
     #[must_use]
-    pub fn closed_until(&self) -> Instant {
-        self.shared.closed.until()
+    pub fn log_unavailable_until(&self) -> Instant {
+        self.shared.outage.until()
     }
 
     /// Refuses an append at once if the log has announced that it won't accept it before
@@ -214,7 +214,7 @@
         if self.shared.token.is_cancelled() {
             return Err(refused());
         }
-        let until = self.closed_until();
+        let until = self.log_unavailable_until();
         if until < deadline {
             return Ok(());
         }
--- a/crates/coordination/src/appender/worker.rs
+++ b/crates/coordination/src/appender/worker.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::Closed;
+use super::Outage;
 use super::Settings;
 use super::entry::Entry;
 use crate::backoff::Backoff;
@@ -21,7 +21,7 @@
     pub(super) log: L,
     pub(super) stream: Stream,
     pub(super) settings: Settings,
-    pub(super) closed: Arc<Closed>,
+    pub(super) outage: Arc<Outage>,
 }
 
 /// Entries for one append.
@@ -96,7 +96,7 @@
                 Ok(first) => return batch.complete(first),
                 Err(Error::Refused { retry_after }) => {
                     let until = Instant::now() + retry_after;
-                    self.closed.set(until);
+                    self.outage.set(until);
                     batch.refuse_expiring(until, retry_after);
                     retry_after
                 }
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -271,8 +271,8 @@
     }
 
     fn unavailable(&self) -> Error {
-        let closed = self.appender.closed_until();
-        let retry_after = closed.saturating_duration_since(Instant::now());
+        let unavailable_until = self.appender.log_unavailable_until();
+        let retry_after = unavailable_until.saturating_duration_since(Instant::now());
         Error::Unavailable {
             retry_after: retry_after.max(Duration::from_secs(1)),
         }
--- a/crates/coordination/tests/appender.rs
+++ b/crates/coordination/tests/appender.rs
@@ -252,7 +252,7 @@
         "{second:?}"
     );
     assert!(Instant::now() < deadline);
-    assert!(appender.closed_until() > deadline);
+    assert!(appender.log_unavailable_until() > deadline);
 }
 
 #[tokio::test]
