--- a/crates/coordination/src/bills.rs
+++ b/crates/coordination/src/bills.rs
@@ -3,7 +3,7 @@
 //! The outbox copies each bill to a peer, preferably of its own zone, and appends it to the log in
 //! batches. A peer that holds a copy for too long appends it too, so that a bill is not lost with
 //! the VM that wrote it. The fold counts one bill for each request, so a bill may be appended
-//! twice. If neither a peer nor the log can be reached, [`Slot::replicate`] fails.
+//! twice. If neither a peer nor the log can be reached, [`Slot::store`] fails.
 
 mod copies;
 mod peers;
@@ -30,7 +30,7 @@
 pub use self::peers::ring;
 use self::pending::Pending;
 use self::worker::Job;
-use self::worker::Unreplicated;
+use self::worker::UnstoredBill;
 use self::worker::Worker;
 use crate::appender::Appender;
 
@@ -76,11 +76,15 @@
     fn peers(&self) -> Vec<id::Node>;
 
     /// Sends copies (JSON text each) to a peer; returns whether it confirmed that it holds them.
-    fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> impl Future<Output = bool> + Send;
+    fn store_copies(
+        &self,
+        peer: &id::Node,
+        bills: Vec<String>,
+    ) -> impl Future<Output = bool> + Send;
 
     /// Notifies a peer that bills are on the log, so that it drops its copies. If the message is
     /// lost, the peer appends them again.
-    fn release(
+    fn remove_copies(
         &self,
         peer: &id::Node,
         requests: Vec<id::Request>,
@@ -90,7 +94,7 @@
 /// The bill got no second holder before the deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("no peer and no log could be reached to hold the bill"))]
-pub struct NotReplicated;
+pub struct NotStored;
 
 /// The outbox is full: too many bills are not yet on the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
@@ -124,30 +128,27 @@
     ///
     /// # Errors
     ///
-    /// [`NotReplicated`] if none of them confirmed it by `deadline`. The bill is then dropped,
+    /// [`NotStored`] if none of them confirmed it by `deadline`. The bill is then dropped,
     /// since its caller won't get the whole response. It may count all the same if a peer or the
     /// log stored it and the confirmation was lost.
-    pub async fn replicate(self, bill: &Bill, deadline: Instant) -> Result<(), NotReplicated> {
+    pub async fn store(self, bill: &Bill, deadline: Instant) -> Result<(), NotStored> {
         let shared = &self.outbox.shared;
         let (sender, confirmed) = oneshot::channel();
-        let number = shared
-            .pending
-            .insert(bill, self.permit)
-            .ok_or(NotReplicated)?;
-        let job = Job::Replicate(Unreplicated {
+        let number = shared.pending.insert(bill, self.permit).ok_or(NotStored)?;
+        let job = Job::Store(UnstoredBill {
             number,
             deadline,
             confirm: sender,
         });
         if shared.jobs.send(job).is_err() {
             shared.pending.remove(number);
-            return Err(NotReplicated);
+            return Err(NotStored);
         }
         if let Ok(Ok(())) = tokio::time::timeout_at(deadline, confirmed).await {
             return Ok(());
         }
         shared.pending.remove(number);
-        Err(NotReplicated)
+        Err(NotStored)
     }
 }
 
@@ -212,7 +213,7 @@
     }
 
     /// Drops the copies of bills that a peer reports to be on the log.
-    pub fn drop_copies(&self, node: &id::Node, requests: &[id::Request]) {
+    pub fn remove_copies(&self, node: &id::Node, requests: &[id::Request]) {
         self.shared.copies.remove(node, requests);
     }
 
--- a/crates/coordination/src/bills/peers.rs
+++ b/crates/coordination/src/bills/peers.rs
@@ -32,7 +32,7 @@
         order
     }
 
-    async fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> bool {
+    async fn store_copies(&self, peer: &id::Node, bills: Vec<String>) -> bool {
         let Some(peer) = find_peer(self, peer) else {
             return false;
         };
@@ -41,7 +41,7 @@
         matches!(answer, Ok(Answer::Done))
     }
 
-    async fn release(&self, peer: &id::Node, requests: Vec<id::Request>) {
+    async fn remove_copies(&self, peer: &id::Node, requests: Vec<id::Request>) {
         let Some(peer) = find_peer(self, peer) else {
             return;
         };
--- a/crates/coordination/src/bills/worker.rs
+++ b/crates/coordination/src/bills/worker.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub enum Job {
     /// Get a second holder for a bill.
-    Replicate(Unreplicated),
+    Store(UnstoredBill),
     /// Append all bills and copies now.
     Flush {
         /// When to stop trying.
@@ -44,7 +44,7 @@
 
 /// A bill that needs a second holder.
 #[derive(Debug)]
-pub struct Unreplicated {
+pub struct UnstoredBill {
     /// The bill.
     pub number: Number,
     /// When its caller stops waiting.
@@ -63,14 +63,14 @@
 
     async fn copy_loop(&self, jobs: &mut UnboundedReceiver<Job>) {
         while let Some(job) = jobs.recv().await {
-            let mut unreplicated = Vec::new();
-            let mut flush = enqueue(job, &mut unreplicated);
+            let mut unstored = Vec::new();
+            let mut flush = enqueue(job, &mut unstored);
             tokio::time::sleep(self.config.batch_delay).await;
-            while unreplicated.len() < BATCH && flush.is_none() {
+            while unstored.len() < BATCH && flush.is_none() {
                 let Ok(job) = jobs.try_recv() else { break };
-                flush = enqueue(job, &mut unreplicated);
+                flush = enqueue(job, &mut unstored);
             }
-            self.replicate(unreplicated).await;
+            self.store(unstored).await;
             if let Some((deadline, done)) = flush {
                 self.flush(deadline).await;
                 let _ = done.send(());
@@ -79,13 +79,13 @@
     }
 
     /// Gets a second holder for bills: a peer, or else the log.
-    async fn replicate(&self, unreplicated: Vec<Unreplicated>) {
-        let Some(deadline) = unreplicated.iter().map(|bill| bill.deadline).min() else {
+    async fn store(&self, unstored: Vec<UnstoredBill>) {
+        let Some(deadline) = unstored.iter().map(|bill| bill.deadline).min() else {
             return;
         };
-        let numbers: Vec<Number> = unreplicated.iter().map(|bill| bill.number).collect();
-        if self.copy(&numbers).await || self.append(&numbers, deadline).await {
-            for bill in unreplicated {
+        let numbers: Vec<Number> = unstored.iter().map(|bill| bill.number).collect();
+        if self.store_copies(&numbers).await || self.append(&numbers, deadline).await {
+            for bill in unstored {
                 let _ = bill.confirm.send(());
             }
             return;
@@ -96,23 +96,23 @@
         let delay = self.config.interval;
         self.shared.tasks.spawn(async move {
             tokio::time::sleep(delay).await;
-            for bill in unreplicated {
+            for bill in unstored {
                 if !bill.confirm.is_closed() {
-                    let _ = jobs.send(Job::Replicate(bill));
+                    let _ = jobs.send(Job::Store(bill));
                 }
             }
         });
     }
 
     /// Copies bills to the first live peer that accepts them.
-    async fn copy(&self, numbers: &[Number]) -> bool {
+    async fn store_copies(&self, numbers: &[Number]) -> bool {
         let items = self.shared.pending.items(numbers);
         if items.is_empty() {
             return true;
         }
         for peer in self.peers.peers() {
             let bills = items.iter().map(|item| item.text.clone()).collect();
-            if self.peers.replicate(&peer, bills).await {
+            if self.peers.store_copies(&peer, bills).await {
                 self.shared.pending.set_holder(numbers, &peer);
                 return true;
             }
@@ -170,12 +170,12 @@
         // unsorted one it would miss some, whose capacity would never be released.
         numbers.sort_unstable();
         self.shared.pending.remove_all(&numbers);
-        self.release(items).await;
+        self.remove_copies(items).await;
         true
     }
 
     /// Notifies the holders of copies that the bills are on the log.
-    async fn release(&self, items: Vec<Item>) {
+    async fn remove_copies(&self, items: Vec<Item>) {
         let mut holders: Vec<(id::Node, id::Request)> = items
             .into_iter()
             .filter_map(|item| Some((item.holder?, item.request)))
@@ -183,7 +183,7 @@
         holders.sort_unstable();
         for chunk in holders.chunk_by(|a, b| a.0 == b.0) {
             let requests = chunk.iter().map(|(_, request)| *request).collect();
-            self.peers.release(&chunk[0].0, requests).await;
+            self.peers.remove_copies(&chunk[0].0, requests).await;
         }
     }
 
@@ -219,7 +219,7 @@
             return;
         }
         let orphans = self.shared.pending.orphans(&live, BATCH);
-        if !orphans.is_empty() && !self.copy(&orphans).await {
+        if !orphans.is_empty() && !self.store_copies(&orphans).await {
             log::warn!("bills: {} have no second holder", orphans.len());
         }
     }
@@ -232,14 +232,11 @@
     }
 }
 
-/// Adds a bill to `unreplicated`, or returns the deadline and the sender of a flush.
-fn enqueue(
-    job: Job,
-    unreplicated: &mut Vec<Unreplicated>,
-) -> Option<(Instant, oneshot::Sender<()>)> {
+/// Adds a bill to `unstored`, or returns the deadline and the sender of a flush.
+fn enqueue(job: Job, unstored: &mut Vec<UnstoredBill>) -> Option<(Instant, oneshot::Sender<()>)> {
     match job {
-        Job::Replicate(bill) => {
-            unreplicated.push(bill);
+        Job::Store(bill) => {
+            unstored.push(bill);
             None
         }
         Job::Flush { deadline, done } => Some((deadline, done)),
--- a/crates/coordination/tests/kept/bills.rs
+++ b/crates/coordination/tests/kept/bills.rs
@@ -8,7 +8,7 @@
 use pimento_coordination::appender;
 use pimento_coordination::bills::Config;
 use pimento_coordination::bills::Full;
-use pimento_coordination::bills::NotReplicated;
+use pimento_coordination::bills::NotStored;
 use pimento_coordination::bills::Outbox;
 use pimento_coordination::bills::Peers;
 use pimento_coordination::bills::ring;
@@ -61,14 +61,14 @@
         others.map(|(name, _)| name.clone()).collect()
     }
 
-    async fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> bool {
+    async fn store_copies(&self, peer: &id::Node, bills: Vec<String>) -> bool {
         self.find(peer)
             .is_some_and(|outbox| outbox.store_copies(&self.own, bills))
     }
 
-    async fn release(&self, peer: &id::Node, requests: Vec<id::Request>) {
+    async fn remove_copies(&self, peer: &id::Node, requests: Vec<id::Request>) {
         if let Some(outbox) = self.find(peer) {
-            outbox.drop_copies(&self.own, &requests);
+            outbox.remove_copies(&self.own, &requests);
         }
     }
 }
@@ -121,9 +121,9 @@
     Instant::now() + Duration::from_secs(10)
 }
 
-async fn store(outbox: &Outbox, number: u128) -> Result<(), NotReplicated> {
+async fn store(outbox: &Outbox, number: u128) -> Result<(), NotStored> {
     let slot = outbox.reserve().expect("capacity");
-    slot.replicate(&bill(number), soon()).await
+    slot.store(&bill(number), soon()).await
 }
 
 /// The number of bills that count on the usage stream, and the number of its records.
@@ -261,7 +261,7 @@
     log.fail_appends(Fault::Refuse);
     let slot = one.reserve().expect("capacity");
     let deadline = Instant::now() + Duration::from_millis(300);
-    assert_eq!(slot.replicate(&bill(1), deadline).await, Err(NotReplicated));
+    assert_eq!(slot.store(&bill(1), deadline).await, Err(NotStored));
     assert_eq!(one.waiting(), 0);
     log.fail_appends(Fault::None);
     store(&one, 2).await.expect("the log holds it");
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -47,7 +47,7 @@
                 node: owner,
                 requests,
             } => {
-                node.outbox.drop_copies(&owner, &requests);
+                node.outbox.remove_copies(&owner, &requests);
                 Answer::Done
             }
             Call::TransferGrant {
