--- a/crates/coordination/src/bills.rs
+++ b/crates/coordination/src/bills.rs
@@ -3,7 +3,7 @@
 //! The outbox copies each bill to a peer, preferably of its own zone, and appends it to the log in
 //! batches. A peer that holds a copy for too long appends it too, so that a bill is not lost with
 //! the VM that wrote it. The fold counts one bill for each request, so a bill may be appended
-//! twice. If neither a peer nor the log can be reached, [`Slot::store`] fails.
+//! twice. If neither a peer nor the log can be reached, [`BillPermit::store`] fails.
 
 mod copies;
 mod peers;
@@ -118,12 +118,12 @@
 
 /// Reserved capacity for one bill, acquired before the request is sent.
 #[derive(Debug)]
-pub struct Slot {
+pub struct BillPermit {
     outbox: Outbox,
     permit: OwnedSemaphorePermit,
 }
 
-impl Slot {
+impl BillPermit {
     /// Stores the bill of an answered request; returns once a second VM or the log holds it too.
     ///
     /// # Errors
@@ -184,11 +184,11 @@
     /// # Errors
     ///
     /// [`Full`] if there is none; the request must then be refused before it is sent.
-    pub fn reserve(&self) -> Result<Slot, Full> {
+    pub fn reserve(&self) -> Result<BillPermit, Full> {
         let permit = Arc::clone(&self.shared.capacity)
             .try_acquire_owned()
             .map_err(|_| Full)?;
-        Ok(Slot {
+        Ok(BillPermit {
             outbox: self.clone(),
             permit,
         })
--- a/crates/coordination/tests/kept/bills.rs
+++ b/crates/coordination/tests/kept/bills.rs
@@ -122,8 +122,8 @@
 }
 
 async fn store(outbox: &Outbox, number: u128) -> Result<(), NotStored> {
-    let slot = outbox.reserve().expect("capacity");
-    slot.store(&bill(number), soon()).await
+    let permit = outbox.reserve().expect("capacity");
+    permit.store(&bill(number), soon()).await
 }
 
 /// The number of bills that count on the usage stream, and the number of its records.
@@ -259,9 +259,9 @@
     let token = CancellationToken::new();
     let one = start("node-1", &log, &all, &token);
     log.fail_appends(Fault::Refuse);
-    let slot = one.reserve().expect("capacity");
+    let permit = one.reserve().expect("capacity");
     let deadline = Instant::now() + Duration::from_millis(300);
-    assert_eq!(slot.store(&bill(1), deadline).await, Err(NotStored));
+    assert_eq!(permit.store(&bill(1), deadline).await, Err(NotStored));
     assert_eq!(one.waiting(), 0);
     log.fail_appends(Fault::None);
     store(&one, 2).await.expect("the log holds it");
--- a/crates/entry/src/filter/bill.rs
+++ b/crates/entry/src/filter/bill.rs
@@ -92,7 +92,11 @@
             at: node.clock.wall(),
         };
         let deadline = tokio::time::Instant::now() + node.config.bill_timeout;
-        let stored = answered.reservation.slot.store(&bill, deadline).await;
+        let stored = answered
+            .reservation
+            .bill_permit
+            .store(&bill, deadline)
+            .await;
         // The reservation is settled only once the bill is stored. An answer that is withheld is not charged,
         // and its money is released.
         if stored.is_ok() {
--- a/crates/entry/src/filter/budget.rs
+++ b/crates/entry/src/filter/budget.rs
@@ -1,7 +1,7 @@
-//! Reserves the maximum charge of a request, and a slot for its bill.
+//! Reserves the maximum charge of a request, and capacity for its bill.
 //!
 //! Both are reserved before anything is sent. Otherwise, a request that has run might turn out not to be
-//! covered by the customer's money, or its bill might find no slot and be lost.
+//! covered by the customer's money, or its bill might find no capacity and be lost.
 
 use pimento_contract::Contract;
 use pimento_contract::Subject;
@@ -23,17 +23,17 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// Reserves money and a slot for the bill.
+/// Reserves money and capacity for the bill.
 #[derive(Debug, Clone)]
 pub struct Budget<'a>(pub &'a Node);
 
-/// Money and a slot for the bill of one request.
+/// Money and capacity for the bill of one request.
 #[derive(Debug)]
 pub struct Reservation {
     /// The reserved money.
     pub hold: Hold,
-    /// The slot for the bill.
-    pub slot: bills::Slot,
+    /// The capacity for the bill.
+    pub bill_permit: bills::BillPermit,
     /// The amount reserved, which the charge never exceeds.
     pub max_charge: Money,
 }
@@ -84,7 +84,7 @@
         charges.max().unwrap_or_default()
     }
 
-    /// Reserves money and a slot for the bill.
+    /// Reserves money and capacity for the bill.
     ///
     /// # Errors
     ///
@@ -95,7 +95,7 @@
         max_charge: Money,
         deadline: Moment,
     ) -> Result<Reservation, Refusal> {
-        let slot = self.0.outbox.reserve().map_err(|error| {
+        let bill_permit = self.0.outbox.reserve().map_err(|error| {
             let after = self.0.config.platform_timeout;
             Refusal::not_run(Code::BillsUnavailable, error.to_string()).retry_after(after)
         })?;
@@ -118,7 +118,7 @@
         let hold = hold.map_err(|error| refusal(&error))?;
         Ok(Reservation {
             hold,
-            slot,
+            bill_permit,
             max_charge,
         })
     }
