--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -45,7 +45,7 @@
     /// The age of the view beyond which the log counts as unavailable and calls are refused at
     /// once. It must exceed the duration of a long-poll read, or a quiet log would count as
     /// unavailable.
-    pub outage: Duration,
+    pub max_view_age: Duration,
     /// Timeout of a claim. A slower log counts as unavailable, and the caller can retry.
     pub timeout: Duration,
 }
@@ -54,7 +54,7 @@
     fn default() -> Self {
         Self {
             window: Duration::from_mins(30),
-            outage: Duration::from_secs(4),
+            max_view_age: Duration::from_secs(4),
             timeout: Duration::from_secs(3),
         }
     }
@@ -264,7 +264,7 @@
     fn check_available(&self) -> Result<(), Error> {
         // Until the first read reaches the end, an earlier claim may be unread.
         let has_read = self.follower.next() > Offset(0) || self.follower.caught_up();
-        if !has_read || self.follower.age() > self.config.outage {
+        if !has_read || self.follower.age() > self.config.max_view_age {
             return Err(self.unavailable());
         }
         Ok(())
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -49,7 +49,7 @@
     /// Timeout for appending one grant and reading it back.
     pub timeout: Duration,
     /// The age of the view beyond which the log counts as unavailable and is not waited for.
-    pub outage: Duration,
+    pub max_view_age: Duration,
 }
 
 impl Default for Config {
@@ -57,7 +57,7 @@
         Self {
             budget: budget::Config::default(),
             timeout: Duration::from_secs(3),
-            outage: Duration::from_secs(4),
+            max_view_age: Duration::from_secs(4),
         }
     }
 }
@@ -228,7 +228,7 @@
             if self.remaining(account) < max_cost {
                 return Err(exhausted(account));
             }
-            if self.shared.follower.age() > self.shared.config.outage {
+            if self.shared.follower.age() > self.shared.config.max_view_age {
                 return Err(self.unavailable());
             }
             if !self.request(account, nodes, deadline).await {
--- a/crates/coordination/tests/kept/claims.rs
+++ b/crates/coordination/tests/kept/claims.rs
@@ -26,7 +26,7 @@
 
 fn claimer(log: &Memory, node: &str, token: &CancellationToken) -> Claimer {
     let config = Config {
-        outage: Duration::from_millis(1_500),
+        max_view_age: Duration::from_millis(1_500),
         timeout: Duration::from_secs(1),
         ..Config::default()
     };
--- a/crates/coordination/tests/kept/grants.rs
+++ b/crates/coordination/tests/kept/grants.rs
@@ -44,7 +44,7 @@
 fn wallet(log: &Memory, node: &str, token: &CancellationToken) -> Wallet {
     let config = Config {
         timeout: Duration::from_millis(500),
-        outage: Duration::from_secs(3),
+        max_view_age: Duration::from_secs(3),
         ..Config::default()
     };
     let appender = Appender::start(log.clone(), appender::Config::default(), token.clone());
