--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -68,8 +68,8 @@
 
     const PREFIX: &'static str = "claims";
 
-    fn apply(&mut self, _offset: Offset, at: Wall, call: ClaimRecord) {
-        self.apply(at, &call);
+    fn apply(&mut self, _offset: Offset, at: Wall, record: ClaimRecord) {
+        self.apply(at, &record);
     }
 }
 
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -70,8 +70,8 @@
 
     const PREFIX: &'static str = "grants";
 
-    fn apply(&mut self, _offset: Offset, _at: Wall, allowance: GrantRecord) {
-        self.apply(&allowance);
+    fn apply(&mut self, _offset: Offset, _at: Wall, record: GrantRecord) {
+        self.apply(&record);
     }
 }
 
--- a/crates/coordination/src/grants/shared.rs
+++ b/crates/coordination/src/grants/shared.rs
@@ -117,14 +117,10 @@
     pub(super) async fn obtain(&self, grant: Grant, deadline: Instant) -> bool {
         let customer = grant.customer.clone();
         let period = grant.period;
-        let record = grant.id;
-        let allowance = GrantRecord::Grant(grant);
-        let write = self.write(&allowance, deadline);
-        let find = |view: &View| {
-            view.fold()
-                .has_read(&customer, period, record)
-                .then_some(())
-        };
+        let id = grant.id;
+        let record = GrantRecord::Grant(grant);
+        let write = self.write(&record, deadline);
+        let find = |view: &View| view.fold().has_read(&customer, period, id).then_some(());
         tokio::pin!(write);
         let read = tokio::select! {
             // A grant may be read before its append returns, or although its response was lost.
@@ -152,9 +148,9 @@
             .await
     }
 
-    pub(super) async fn write(&self, allowance: &GrantRecord, deadline: Instant) -> Option<Offset> {
-        let record = serde_json::to_string(allowance).ok()?;
-        let appended = self.appender.append(Stream::Grants, record, deadline).await;
+    pub(super) async fn write(&self, record: &GrantRecord, deadline: Instant) -> Option<Offset> {
+        let text = serde_json::to_string(record).ok()?;
+        let appended = self.appender.append(Stream::Grants, text, deadline).await;
         appended
             .inspect_err(|error| log::warn!("grants: record not appended: {error}"))
             .ok()
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -62,8 +62,8 @@
 
     const PREFIX: &'static str = "lease";
 
-    fn apply(&mut self, offset: Offset, at: Wall, hold: LeaseRecord) {
-        self.apply(offset, at, &hold);
+    fn apply(&mut self, offset: Offset, at: Wall, record: LeaseRecord) {
+        self.apply(offset, at, &record);
     }
 }
 
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -104,9 +104,9 @@
     }
 
     /// Applies the next record; `at` is the time at which the log accepted it.
-    pub fn apply(&mut self, at: Wall, call: &ClaimRecord) {
+    pub fn apply(&mut self, at: Wall, record: &ClaimRecord) {
         self.now = self.now.max(at);
-        match call {
+        match record {
             ClaimRecord::Claim(claim) => self.claim(claim),
             ClaimRecord::Outcome(outcome) => self.outcome(outcome),
         }
--- a/crates/ledger/src/grants.rs
+++ b/crates/ledger/src/grants.rs
@@ -58,8 +58,8 @@
 
 impl Fold {
     /// Applies the next record.
-    pub fn apply(&mut self, allowance: &GrantRecord) -> Verdict {
-        match allowance {
+    pub fn apply(&mut self, record: &GrantRecord) -> Verdict {
+        match record {
             GrantRecord::Grant(grant) => self.grant(grant),
             GrantRecord::Return(returned) => self.apply_return(returned),
         }
--- a/crates/ledger/tests/all/grants.rs
+++ b/crates/ledger/tests/all/grants.rs
@@ -124,12 +124,12 @@
     fn never_over_the_limit(steps in vec((0_u128..40, 0_u8..6, 0_u64..80, 0_u8..4), 0..80)) {
         let mut fold = Fold::default();
         for (record, by, amount, kind) in steps {
-            let allowance = if kind == 0 {
+            let record = if kind == 0 {
                 back(record, by, 0, amount)
             } else {
                 GrantRecord::Grant(grant(record, by, 0, amount))
             };
-            fold.apply(&allowance);
+            fold.apply(&record);
             let held: Money = (0..6).map(|n| fold.granted(&customer(), 0, &node(n))).sum();
             prop_assert!(held <= Money::from_micros(100));
         }
