--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -3,9 +3,9 @@
 //! The wallet reserves the maximum cost of a call before the call is sent, and settles the actual
 //! cost afterwards. [`pimento_policy::budget`] decides when to request a grant and how much; the
 //! fold of the grants stream decides what is granted. Without the log, a node spends its own
-//! grants, then what peers lend it of theirs, and then refuses calls.
+//! grants, then what peers transfer to it of theirs, and then refuses calls.
 
-mod lenders;
+mod peers;
 mod shared;
 
 use std::future::Future;
@@ -38,8 +38,8 @@
 use crate::view;
 use crate::view::TypedFold;
 
-/// Size of a loan, as a multiple of the cost of the call that needs it.
-const LOAN_CALLS: u64 = 16;
+/// Size of a transfer, as a multiple of the cost of the call that needs it.
+const TRANSFER_CALLS: u64 = 16;
 
 /// Settings of a [`Wallet`].
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -75,14 +75,14 @@
     }
 }
 
-/// Entry VMs that can lend part of their grants.
-pub trait Lenders: Sync {
+/// Entry VMs that can transfer part of their grants.
+pub trait Peers: Sync {
     /// Live peers, those of the local zone first.
     fn peers(&self) -> Vec<id::Node>;
 
-    /// Requests part of a peer's grants and returns the amount lent. If the response is lost,
+    /// Requests part of a peer's grants and returns the amount transferred. If the response is lost,
     /// neither node can spend that amount: it is wasted, and no limit is exceeded.
-    fn lend(
+    fn request_transfer(
         &self,
         peer: &id::Node,
         customer: &id::Customer,
@@ -186,7 +186,7 @@
             follower,
             start: Instant::now(),
             balances: Mutex::new(Vec::new()),
-            borrowing: tokio::sync::Mutex::new(()),
+            requesting: tokio::sync::Mutex::new(()),
             tasks: TaskTracker::new(),
         };
         Self {
@@ -239,42 +239,44 @@
         }
     }
 
-    /// Borrows from peers' grants after [`Error::Unavailable`]: a node that starts while the log is
+    /// Requests transfers of peers' grants after [`Error::Unavailable`]: a node that starts while the log is
     /// unavailable has no grants of its own, and after a long outage they are spent. Returns
     /// whether `max_cost` is available now.
-    pub async fn borrow(
+    pub async fn request_transfers(
         &self,
         account: Account<'_>,
         max_cost: Money,
-        lenders: &impl Lenders,
+        peers: &impl Peers,
     ) -> bool {
-        let _guard = self.shared.borrowing.lock().await;
+        let _guard = self.shared.requesting.lock().await;
         let customer = &account.contract.customer;
         let period = account.contract.spend.period(account.now).0;
-        for peer in lenders.peers() {
+        for peer in peers.peers() {
             if self.available(customer, period) >= max_cost {
                 return true;
             }
-            let amount = max_cost.scale(LOAN_CALLS, 1);
-            let lent = lenders.lend(&peer, customer, period, amount).await;
+            let amount = max_cost.scale(TRANSFER_CALLS, 1);
+            let received = peers
+                .request_transfer(&peer, customer, period, amount)
+                .await;
             let mut balances = self.shared.balances();
             let balance = self.shared.balance(&mut balances, customer, period);
-            balance.borrowed += lent;
-            balance.grants.add(lent);
+            balance.transferred_in += received;
+            balance.grants.add(received);
         }
         self.available(customer, period) >= max_cost
     }
 
-    /// Lends a peer up to `amount`, at most half of what is available here. This node can no longer
-    /// spend the lent amount, so the sum of all nodes' grants stays the same.
+    /// Transfers to a peer up to `amount`, at most half of what is available here. This node can no longer
+    /// spend the transferred amount, so the sum of all nodes' grants stays the same.
     #[must_use]
-    pub fn lend(&self, customer: &id::Customer, period: u64, amount: Money) -> Money {
+    pub fn transfer(&self, customer: &id::Customer, period: u64, amount: Money) -> Money {
         let mut balances = self.shared.balances();
         let balance = self.shared.balance(&mut balances, customer, period);
         let half = Money::from_micros(balance.grants.available().micros() / 2);
-        let lent = balance.grants.release(amount.min(half));
-        balance.lent += lent;
-        lent
+        let transferred = balance.grants.release(amount.min(half));
+        balance.transferred_out += transferred;
+        transferred
     }
 
     fn available(&self, customer: &id::Customer, period: u64) -> Money {
@@ -289,7 +291,7 @@
         let returns: Vec<(id::Customer, u64, Money)> = {
             let mut balances = self.shared.balances();
             let returns = balances.iter_mut().map(|balance| {
-                // Borrowed money cannot be returned under this name: the fold would refuse the
+                // Money from peers cannot be returned under this name: the fold would refuse the
                 // return.
                 let granted = self.shared.granted(&balance.customer, balance.period);
                 let amount = balance.grants.available().min(granted);
--- a/crates/coordination/src/grants/lenders.rs
+++ b/crates/coordination/src/grants/peers.rs
@@ -1,4 +1,4 @@
-//! Entry VMs as lenders of grants.
+//! Entry VMs as sources of transferred grants.
 
 use pimento_units::Money;
 use pimento_units::id;
@@ -6,15 +6,15 @@
 use pimento_wire::peer::Call;
 
 use crate::bills;
-use crate::grants::Lenders;
+use crate::grants::Peers;
 use crate::mesh::Mesh;
 
-impl Lenders for Mesh {
+impl Peers for Mesh {
     fn peers(&self) -> Vec<id::Node> {
         bills::Peers::peers(self)
     }
 
-    async fn lend(
+    async fn request_transfer(
         &self,
         peer: &id::Node,
         customer: &id::Customer,
@@ -31,10 +31,12 @@
         };
         match self.call(&peer, call).await {
             // Nothing beyond the requested amount counts: it would raise the sum of all grants.
-            Ok(Answer::GrantTransferred { amount: lent }) => lent.min(amount),
+            Ok(Answer::GrantTransferred {
+                amount: transferred,
+            }) => transferred.min(amount),
             Ok(_) => Money::ZERO,
             Err(error) => {
-                log::info!("grants: nothing borrowed: {error}");
+                log::info!("grants: nothing transferred: {error}");
                 Money::ZERO
             }
         }
--- a/crates/coordination/src/grants/shared.rs
+++ b/crates/coordination/src/grants/shared.rs
@@ -35,8 +35,8 @@
     pub(super) follower: Follower<View>,
     pub(super) start: Instant,
     pub(super) balances: Mutex<Vec<Balance>>,
-    /// Locked by the call that borrows. Others wait, and then use what it borrowed.
-    pub(super) borrowing: tokio::sync::Mutex<()>,
+    /// Locked by the call that requests transfers. Others wait, and then use what it received.
+    pub(super) requesting: tokio::sync::Mutex<()>,
     pub(super) tasks: TaskTracker,
 }
 
@@ -46,12 +46,12 @@
     pub(super) customer: id::Customer,
     pub(super) period: u64,
     pub(super) grants: budget::Grants,
-    /// Returned by this node, with a return that it has not read on the log yet.
+    /// The amount of this node's returns that it has not yet read back from the log.
     pub(super) returning: Money,
-    /// The part of this node's grants that it has lent to peers, for good.
-    pub(super) lent: Money,
-    /// The part of peers' grants that they have lent to this node, for good.
-    pub(super) borrowed: Money,
+    /// The part of this node's grants that it has transferred to peers, for good.
+    pub(super) transferred_out: Money,
+    /// The part of peers' grants that they have transferred to this node, for good.
+    pub(super) transferred_in: Money,
 }
 
 impl Shared {
@@ -164,22 +164,22 @@
             period,
             grants: budget::Grants::new(config),
             returning: Money::ZERO,
-            lent: Money::ZERO,
-            borrowed: Money::ZERO,
+            transferred_out: Money::ZERO,
+            transferred_in: Money::ZERO,
         }
     }
 
     /// Updates the balance from `granted`: all that the log has granted to this holder, less what
     /// the holder has returned.
     pub(super) fn update(&mut self, granted: Money) {
-        let total = granted + self.borrowed;
-        let known = self.grants.granted() + self.returning + self.lent;
+        let total = granted + self.transferred_in;
+        let known = self.grants.granted() + self.returning + self.transferred_out;
         match total.checked_sub(known) {
             Some(Money::ZERO) => {}
             Some(more) => self.grants.add(more),
             // A return was read, so that much is no longer pending.
             None => {
-                let accounted = self.grants.granted() + self.lent;
+                let accounted = self.grants.granted() + self.transferred_out;
                 self.returning = total.saturating_sub(accounted);
             }
         }
--- a/crates/coordination/tests/kept/grants.rs
+++ b/crates/coordination/tests/kept/grants.rs
@@ -9,7 +9,7 @@
 use pimento_coordination::grants::Account;
 use pimento_coordination::grants::Config;
 use pimento_coordination::grants::Error;
-use pimento_coordination::grants::Lenders;
+use pimento_coordination::grants::Peers;
 use pimento_coordination::grants::Wallet;
 use pimento_ledger::Stream;
 use pimento_units::Money;
@@ -174,56 +174,59 @@
     token.cancel();
 }
 
-/// Other wallets, called without a network. Responses can be lost after the loan took effect.
+/// Other wallets, called without a network. Responses can be lost after the transfer took effect.
 #[derive(Clone, Default)]
 struct Neighbours {
     wallets: Vec<Wallet>,
     lose_responses: bool,
 }
 
-impl Lenders for Neighbours {
+impl Peers for Neighbours {
     fn peers(&self) -> Vec<id::Node> {
         let holders = self.wallets.iter().map(Wallet::holder);
         holders.cloned().collect()
     }
 
-    async fn lend(
+    async fn request_transfer(
         &self,
         peer: &id::Node,
         customer: &id::Customer,
         period: u64,
         amount: Money,
     ) -> Money {
-        let lender = self.wallets.iter().find(|wallet| wallet.holder() == peer);
-        let lent = lender.map_or(Money::ZERO, |w| w.lend(customer, period, amount));
+        let source = self.wallets.iter().find(|wallet| wallet.holder() == peer);
+        let transferred = source.map_or(Money::ZERO, |w| w.transfer(customer, period, amount));
         if self.lose_responses {
             Money::ZERO
         } else {
-            lent
+            transferred
         }
     }
 }
 
 /// Spends until neither the log nor a peer provides more.
-async fn spend_borrowed(wallet: &Wallet, contract: &Contract, peers: &Neighbours) -> Money {
+async fn spend_transferred(wallet: &Wallet, contract: &Contract, peers: &Neighbours) -> Money {
     let mut spent = Money::ZERO;
     loop {
         let (more, error) = spend_all(wallet, contract).await;
         spent += more;
-        assert!(spent <= LIMIT, "{spent} was spent out of loans");
+        assert!(spent <= LIMIT, "{spent} was spent out of transfers");
         if !matches!(error, Error::Unavailable { .. }) {
             return spent;
         }
-        if !wallet.borrow(account(contract), CALL, peers).await {
+        if !wallet
+            .request_transfers(account(contract), CALL, peers)
+            .await
+        {
             return spent;
         }
     }
 }
 
 /// A VM starts while the log is unavailable. It has no grants of its own and spends what its peer
-/// lends. When the log is back both continue, and together they stay within the limit.
+/// transfers. When the log is back both continue, and together they stay within the limit.
 #[tokio::test(start_paused = true)]
-async fn a_new_node_borrows_while_the_log_is_out() {
+async fn a_new_node_gets_transfers_while_the_log_is_unavailable() {
     let log = Memory::new();
     let token = CancellationToken::new();
     let contract = contract();
@@ -239,9 +242,9 @@
         wallets: vec![one.clone()],
         lose_responses: false,
     };
-    let borrowed = spend_borrowed(&two, &contract, &peers).await;
-    assert!(borrowed >= CALL.scale(10, 1), "only {borrowed} was served");
-    spent += borrowed;
+    let received = spend_transferred(&two, &contract, &peers).await;
+    assert!(received >= CALL.scale(10, 1), "only {received} was served");
+    spent += received;
     log.fail_appends(Fault::None);
     log.fail_reads(Fault::None);
     tokio::time::sleep(Duration::from_secs(5)).await;
@@ -256,10 +259,10 @@
     token.cancel();
 }
 
-/// The response to a loan is lost. The amount is wasted until the period ends, and is not spent
+/// The response to a transfer is lost. The amount is wasted until the period ends, and is not spent
 /// twice.
 #[tokio::test(start_paused = true)]
-async fn a_lost_loan_is_not_spent_twice() {
+async fn a_lost_transfer_is_not_spent_twice() {
     let log = Memory::new();
     let token = CancellationToken::new();
     let contract = contract();
@@ -273,11 +276,11 @@
         wallets: vec![one.clone()],
         lose_responses: true,
     };
-    spent += spend_borrowed(&two, &contract, &peers).await;
-    assert_eq!(spent, CALL, "nothing was borrowed");
+    spent += spend_transferred(&two, &contract, &peers).await;
+    assert_eq!(spent, CALL, "nothing was received");
     log.fail_appends(Fault::None);
     spent += spend_all(&one, &contract).await.0;
     spent += spend_all(&two, &contract).await.0;
-    assert!(spent < LIMIT, "the lost loan is wasted");
+    assert!(spent < LIMIT, "the lost transfer is wasted");
     token.cancel();
 }
--- a/crates/entry/src/filter/budget.rs
+++ b/crates/entry/src/filter/budget.rs
@@ -111,7 +111,9 @@
         let wallet = &self.0.wallet;
         let mut hold = wallet.reserve(account, max_charge, nodes, deadline).await;
         if matches!(hold, Err(grants::Error::Unavailable { .. }))
-            && wallet.borrow(account, max_charge, &self.0.mesh).await
+            && wallet
+                .request_transfers(account, max_charge, &self.0.mesh)
+                .await
         {
             hold = wallet.reserve(account, max_charge, nodes, deadline).await;
         }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -55,7 +55,7 @@
                 period,
                 amount,
             } => Answer::GrantTransferred {
-                amount: node.wallet.lend(&customer, period, amount),
+                amount: node.wallet.transfer(&customer, period, amount),
             },
             Call::FetchAnswer { request } => fetch(&node, request),
             Call::Append { stream, records } => append(&node, &stream, records).await,
