--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -137,7 +137,7 @@
             let (current, now) = self.current();
             let wait = match &current {
                 Some(lease) if lease.holder != self.node && lease.until > now => {
-                    foreign.wait(lease, self.config.span)
+                    foreign.time_to_wait(lease, self.config.span)
                 }
                 _ => Duration::ZERO,
             };
@@ -240,19 +240,19 @@
 /// The lease of another holder whose end this node waits for.
 #[derive(Debug, Default)]
 struct ForeignLease {
-    lease: Option<Offset>,
+    last_record: Option<Offset>,
     expires: Option<Instant>,
 }
 
 impl ForeignLease {
     /// How long to wait before this node appends an [`Acquire`] record. The fold decides whether it
     /// is accepted, so one that comes too early costs a refused record and nothing else.
-    fn wait(&mut self, lease: &leases::Lease, span: Span) -> Duration {
+    fn time_to_wait(&mut self, lease: &leases::Lease, span: Span) -> Duration {
         let now = Instant::now();
-        if self.lease != Some(lease.last) {
+        if self.last_record != Some(lease.last) {
             self.expires = Some(now + span.duration());
         }
-        self.lease = Some(lease.last);
+        self.last_record = Some(lease.last);
         let poll = span.duration() / RENEWALS;
         let time_left = self
             .expires
