--- a/crates/coordination/src/mesh/datagrams.rs
+++ b/crates/coordination/src/mesh/datagrams.rs
@@ -41,7 +41,7 @@
 const MAX_SUSPICIONS: usize = 6;
 /// The largest number of other nodes whose latest heartbeat is reported in one heartbeat. A zone of the
 /// target size has 50.
-const MAX_DIGEST: usize = 64;
+const MAX_LAST_SEEN: usize = 64;
 
 /// Delay after a receive error, so that a lasting error does not occupy a whole core.
 const ERROR_DELAY: Duration = Duration::from_millis(10);
@@ -129,7 +129,7 @@
         let departures = lock(&shared.departures).select(MAX_DEPARTURES);
         let suspicions = lock(&shared.suspicions).select(MAX_SUSPICIONS);
         let last_seen =
-            lock(&shared.table).digest(&shared.settings.zone, MAX_DIGEST, Instant::now());
+            lock(&shared.table).last_seen(&shared.settings.zone, MAX_LAST_SEEN, Instant::now());
         let status = lock(&shared.status).clone();
         let current = status.freshness.map(|freshness| Current {
             at: freshness.at,
@@ -189,7 +189,7 @@
             let mut table = lock(&self.shared.table);
             let update = table.merge(&beat, now);
             if update != Update::Stale {
-                table.merge_digest(&beat.last_seen, now);
+                table.merge_last_seen(&beat.last_seen, now);
             }
             update
         };
--- a/crates/coordination/src/mesh/table.rs
+++ b/crates/coordination/src/mesh/table.rs
@@ -174,8 +174,8 @@
 
     /// Merges a peer's report of the latest heartbeats of other nodes. Only a heartbeat newer than the
     /// latest one known here shows that its node is alive.
-    pub(super) fn merge_digest(&mut self, digest: &[LastSeen], now: Instant) {
-        for reported in digest {
+    pub(super) fn merge_last_seen(&mut self, reports: &[LastSeen], now: Instant) {
+        for reported in reports {
             let known = self
                 .known
                 .iter_mut()
@@ -188,7 +188,7 @@
     }
 
     /// The latest heartbeats of the live nodes of a zone, to report to peers; the most recent first.
-    pub(super) fn digest(&self, zone: &id::Zone, max: usize, now: Instant) -> Vec<LastSeen> {
+    pub(super) fn last_seen(&self, zone: &id::Zone, max: usize, now: Instant) -> Vec<LastSeen> {
         let mut live: Vec<&Known> = self.known.iter().collect();
         live.retain(|k| &k.peer.zone == zone && self.is_live(k, now));
         live.sort_by_key(|k| std::cmp::Reverse(k.last_seen));
