--- a/crates/coordination/examples/tail.rs
+++ b/crates/coordination/examples/tail.rs
@@ -63,7 +63,7 @@
         self.0.extend((!found).then(|| record.to_owned()));
     }
 
-    fn reset(&mut self, _: Offset) {}
+    fn records_dropped(&mut self, _: Offset) {}
 }
 
 #[tokio::main]
--- a/crates/coordination/src/configuration/state_fold.rs
+++ b/crates/coordination/src/configuration/state_fold.rs
@@ -243,11 +243,11 @@
         } else if offset > self.state.offset {
             // The log has no gaps, so a record was not read. Applying later records without it would
             // give a state that no prefix of the log gives.
-            self.reset(offset);
+            self.records_dropped(offset);
         }
     }
 
-    fn reset(&mut self, oldest: Offset) {
+    fn records_dropped(&mut self, oldest: Offset) {
         if oldest > self.state.offset {
             self.gap_end = Some(oldest);
         }
--- a/crates/coordination/src/follower.rs
+++ b/crates/coordination/src/follower.rs
@@ -32,7 +32,7 @@
 
     /// The log has dropped records that were not read. The next record is at `oldest` or later, and the
     /// view may lack the changes of the dropped records.
-    fn reset(&mut self, oldest: Offset);
+    fn records_dropped(&mut self, oldest: Offset);
 
     /// The offset to continue reading at, where all records before `next` were read. A view that got a
     /// newer state elsewhere may skip records; one that must read records again may go back.
@@ -317,7 +317,7 @@
             .fold
             .write()
             .unwrap_or_else(PoisonError::into_inner)
-            .reset(oldest);
+            .records_dropped(oldest);
         let mut position = self.shared.position();
         position.next = oldest;
         position.caught_up = false;
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    fn reset(&mut self, oldest: Offset) {
+    fn records_dropped(&mut self, oldest: Offset) {
         // The fold needs no reset. The log retains records for longer than they are valid: claims and
         // leases that it has dropped have expired, and the periods of dropped grants are over.
         self.next = oldest;
--- a/crates/coordination/tests/follower.rs
+++ b/crates/coordination/tests/follower.rs
@@ -33,7 +33,7 @@
         self.records.push((offset.0, record.to_owned()));
     }
 
-    fn reset(&mut self, oldest: Offset) {
+    fn records_dropped(&mut self, oldest: Offset) {
         self.resets.push(oldest.0);
     }
 }
