--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -165,7 +165,7 @@
         let since = self
             .shared
             .freshness()
-            .map_or(self.shared.started, |freshness| freshness.since);
+            .map_or(self.shared.started, |freshness| freshness.local_at);
         since.elapsed()
     }
 
--- a/crates/coordination/src/configuration/tasks.rs
+++ b/crates/coordination/src/configuration/tasks.rs
@@ -116,7 +116,10 @@
     /// its reads do not show that the state is current.
     fn own_freshness(&self, offset: Offset) -> Option<Freshness> {
         let (at, since) = self.follower.last_complete_read()?;
-        (self.follower.next() <= offset).then_some(Freshness { at, since })
+        (self.follower.next() <= offset).then_some(Freshness {
+            at,
+            local_at: since,
+        })
     }
 
     /// Freshness that peers report of states that are not newer than this node's.
@@ -143,7 +146,7 @@
         }
         let since = self
             .freshness()
-            .map_or(self.started, |freshness| freshness.since);
+            .map_or(self.started, |freshness| freshness.local_at);
         since.elapsed() >= self.config.0.max_age
     }
 
--- a/crates/coordination/src/mesh.rs
+++ b/crates/coordination/src/mesh.rs
@@ -86,13 +86,13 @@
     },
 }
 
-/// Until when a configuration is known to be current.
+/// The last moment at which a configuration is known to have been current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Freshness {
     /// The log's clock when some node last read the log to its end.
     pub at: Wall,
     /// The same moment on this node's clock, as an estimate.
-    pub since: Instant,
+    pub local_at: Instant,
 }
 
 impl Freshness {
--- a/crates/coordination/src/mesh/datagrams.rs
+++ b/crates/coordination/src/mesh/datagrams.rs
@@ -133,7 +133,7 @@
         let status = lock(&shared.status).clone();
         let current = status.freshness.map(|freshness| Current {
             at: freshness.at,
-            age_ms: Span::from(freshness.since.elapsed()).millis(),
+            age_ms: Span::from(freshness.local_at.elapsed()).millis(),
         });
         let ordering = std::sync::atomic::Ordering::Relaxed;
         Heartbeat {
--- a/crates/coordination/src/mesh/table.rs
+++ b/crates/coordination/src/mesh/table.rs
@@ -248,7 +248,10 @@
     let freshness = beat.current.and_then(|current| {
         let since = now.checked_sub(Duration::from_millis(current.age_ms))?;
         let at = current.at;
-        Some(Freshness { at, since })
+        Some(Freshness {
+            at,
+            local_at: since,
+        })
     });
     Peer {
         node: beat.node.clone(),
