--- a/crates/entry/src/chain/model.rs
+++ b/crates/entry/src/chain/model.rs
@@ -12,7 +12,6 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::filter::Filter;
-use crate::filter::assemble::Delivery;
 use crate::filter::authenticate::Authenticate;
 use crate::filter::bill;
 use crate::filter::bill::Answered;
@@ -23,6 +22,7 @@
 use crate::filter::cascade::Served;
 use crate::filter::cascade::Work;
 use crate::filter::contract::Contract;
+use crate::filter::delivery::Delivery;
 use crate::filter::identify;
 use crate::filter::identify::Identify;
 use crate::filter::identify::Raw;
--- a/crates/entry/src/filter.rs
+++ b/crates/entry/src/filter.rs
@@ -5,7 +5,6 @@
 //! from, and a request without a permit can't be sent.
 
 pub mod admission;
-pub mod assemble;
 pub mod attempt;
 pub mod authenticate;
 pub mod bill;
@@ -13,6 +12,7 @@
 pub mod cascade;
 pub mod claim;
 pub mod contract;
+pub mod delivery;
 pub mod identify;
 pub mod rate;
 pub mod reply;
--- a/crates/entry/src/filter/attempt/opened.rs
+++ b/crates/entry/src/filter/attempt/opened.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use crate::filter::assemble::Delivery;
+use crate::filter::delivery::Delivery;
 
 /// Maximum number of resumes in a row without a new chunk. An engine that breaks every connection is faulty.
 const MAX_RESUMES: u32 = 3;
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -15,13 +15,13 @@
 
 use crate::estimate;
 use crate::filter::Filter;
-use crate::filter::assemble::Answer;
-use crate::filter::assemble::Delivery;
 use crate::filter::attempt;
 use crate::filter::attempt::Attempt;
 use crate::filter::budget::Funded;
 use crate::filter::contract;
 use crate::filter::contract::Contract;
+use crate::filter::delivery::Answer;
+use crate::filter::delivery::Delivery;
 use crate::filter::rate;
 use crate::filter::rate::Subject;
 use crate::filter::reply::Head;
--- a/crates/entry/src/filter/assemble.rs
+++ b/crates/entry/src/filter/delivery.rs
@@ -34,7 +34,7 @@
     deadline: Moment,
     sink: Sink,
     /// Whether chunks are sent as they arrive.
-    live: bool,
+    immediate: bool,
     /// Chunks that wait for the release.
     buffered: Vec<Chunk>,
     text: String,
@@ -51,7 +51,7 @@
     /// The caller requested the answer as a whole.
     Whole,
     /// The caller requested a stream, and nothing has been sent yet.
-    Closed(oneshot::Sender<Response<ReplyBody>>),
+    NotStarted(oneshot::Sender<Response<ReplyBody>>),
     /// The stream has started.
     Open(Writer),
     /// The stream has ended.
@@ -92,16 +92,16 @@
         Self::new(clock, request, deadline, Sink::Whole)
     }
 
-    /// Creates the delivery for a caller that requested a stream. `head` receives the response when the first
+    /// Creates the delivery for a caller that requested a stream. `response_sender` receives the response when the first
     /// chunk is released, or the refusal.
     #[must_use]
     pub fn stream(
         clock: Clock,
         request: id::Request,
         deadline: Moment,
-        head: oneshot::Sender<Response<ReplyBody>>,
+        response_sender: oneshot::Sender<Response<ReplyBody>>,
     ) -> Self {
-        Self::new(clock, request, deadline, Sink::Closed(head))
+        Self::new(clock, request, deadline, Sink::NotStarted(response_sender))
     }
 
     fn new(clock: Clock, request: id::Request, deadline: Moment, sink: Sink) -> Self {
@@ -111,7 +111,7 @@
             created: clock.wall().millis() / 1_000,
             deadline,
             sink,
-            live: false,
+            immediate: false,
             buffered: Vec::new(),
             text: String::new(),
             repeated: None,
@@ -122,9 +122,9 @@
         }
     }
 
-    /// Begins the answer of a version. If `live`, chunks are sent as they arrive.
-    pub fn begin(&mut self, head: reply::Head, live: bool) {
-        self.live = live && !matches!(self.sink, Sink::Whole);
+    /// Begins the answer of a version. If `immediate`, chunks are sent as they arrive.
+    pub fn begin(&mut self, head: reply::Head, immediate: bool) {
+        self.immediate = immediate && !matches!(self.sink, Sink::Whole);
         self.head = head;
         self.clear();
     }
@@ -175,7 +175,7 @@
             self.last = Some(chunk);
             return Ok(());
         }
-        if !self.live {
+        if !self.immediate {
             self.buffered.push(chunk);
             return Ok(());
         }
@@ -218,7 +218,7 @@
             self.first_sent_at.get_or_insert(self.clock.now());
             return Ok(());
         }
-        self.live = true;
+        self.immediate = true;
         for chunk in std::mem::take(&mut self.buffered) {
             self.send(&chunk).await?;
         }
@@ -273,9 +273,9 @@
     /// Ends with an error: as the response, or as an event if the stream has started.
     pub async fn fail(&mut self, refusal: &Refusal) {
         match std::mem::replace(&mut self.sink, Sink::Ended) {
-            Sink::Closed(head) => {
+            Sink::NotStarted(response_sender) => {
                 // Sending fails only if the caller has disconnected.
-                let _ = head.send(refusal.response());
+                let _ = response_sender.send(refusal.response());
             }
             Sink::Open(writer) => {
                 self.sink = Sink::Open(writer);
@@ -321,10 +321,11 @@
     fn open(&mut self) -> Result<(), Fault> {
         let sink = std::mem::replace(&mut self.sink, Sink::Ended);
         self.sink = match sink {
-            Sink::Closed(head) => {
+            Sink::NotStarted(response_sender) => {
                 let (writer, body) = ReplyBody::stream();
                 self.first_sent_at = Some(self.clock.now());
-                head.send(self.head.stream(body))
+                response_sender
+                    .send(self.head.stream(body))
                     .map_err(|_| Fault::Cancelled)?;
                 Sink::Open(writer)
             }
--- a/crates/entry/src/filter/reply.rs
+++ b/crates/entry/src/filter/reply.rs
@@ -17,7 +17,7 @@
 use pimento_wire::header;
 use serde::Serialize;
 
-use crate::filter::assemble::Answer;
+use crate::filter::delivery::Answer;
 
 /// Values of the headers of a model answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
--- a/crates/entry/tests/all/delivery.rs
+++ b/crates/entry/tests/all/delivery.rs
@@ -2,7 +2,7 @@
 
 use http_body_util::BodyExt;
 use pimento_endpoint::Fault;
-use pimento_entry::filter::assemble::Delivery;
+use pimento_entry::filter::delivery::Delivery;
 use pimento_entry::filter::reply::Head;
 use pimento_scheduler::Clock;
 use pimento_units::Moment;
