--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -39,7 +39,7 @@
 use crate::filter::budget::Reservation;
 use crate::filter::claim::Claim;
 use crate::filter::claim::Claimed;
-use crate::filter::claim::Subject;
+use crate::filter::claim::ClaimedCall;
 use crate::filter::contract::Contract;
 use crate::filter::reply;
 use crate::metrics::NO_CLASS;
@@ -71,8 +71,8 @@
     caller_gone: CancellationToken,
 ) -> Result<Response<ReplyBody>, Refusal> {
     let call = read(node, head, body, caller_gone).await?;
-    if let Some(subject) = call.claim
-        && let Some(answer) = Claim(node).retained(subject)?
+    if let Some(claimed) = call.claim
+        && let Some(answer) = Claim(node).retained(claimed)?
     {
         return Ok(replay(&answer));
     }
@@ -121,8 +121,8 @@
     loop {
         check_blocked(node, call, trace)?;
         let permit = admit(node, call, trace).await?;
-        if let (Some(subject), None) = (call.claim, *ticket) {
-            match Claim(node).apply(subject).await? {
+        if let (Some(claimed), None) = (call.claim, *ticket) {
+            match Claim(node).apply(claimed).await? {
                 Claimed::Owned(owned) => *ticket = Some(owned),
                 Claimed::Answered(answer) => return Ok(Outcome::Replayed(answer)),
             }
@@ -277,7 +277,7 @@
         let answered = Answered {
             // A claimed request id belongs to one call; no other call can be made under it.
             request: match call.claim {
-                Some(subject) => subject.request,
+                Some(claimed) => claimed.request,
                 None => bill::billing_id(call.identity.id, call.digest),
             },
             customer: call.customer.clone(),
@@ -292,9 +292,9 @@
         Billing(node).apply(answered).await?;
     }
     let now = node.clock.now();
-    if let Some(subject) = call.claim {
+    if let Some(claimed) = call.claim {
         node.answers
-            .insert(subject.request, retained_answer(subject, &answer), now);
+            .insert(claimed.request, retained_answer(claimed, &answer), now);
     }
     let elapsed = now.since(call.identity.arrived);
     let sample = Sample {
@@ -316,11 +316,11 @@
     Ok(response)
 }
 
-fn retained_answer(subject: Subject, answer: &service::Answer) -> answers::Answer {
+fn retained_answer(claimed: ClaimedCall, answer: &service::Answer) -> answers::Answer {
     let content_type = answer.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     answers::Answer {
-        digest: subject.digest,
+        digest: claimed.digest,
         status: answer.status.as_u16(),
         content: content_type.unwrap_or_default().into(),
         body: answer.body.clone(),
--- a/crates/entry/src/chain/service/call.rs
+++ b/crates/entry/src/chain/service/call.rs
@@ -16,7 +16,7 @@
 
 use crate::filter::Filter;
 use crate::filter::authenticate::Authenticate;
-use crate::filter::claim::Subject;
+use crate::filter::claim::ClaimedCall;
 use crate::filter::contract::Contract;
 use crate::filter::identify;
 use crate::filter::identify::Identity;
@@ -38,7 +38,7 @@
     /// Digest of the same parts, by which calls that crash endpoints are blocked.
     pub(super) block_digest: Digest,
     /// What to claim before it is sent; none if it needs no claim.
-    pub(super) claim: Option<Subject>,
+    pub(super) claim: Option<ClaimedCall>,
 }
 
 /// Authenticates the caller, checks the contract and reads the call.
@@ -83,7 +83,7 @@
     // A claim serves calls that are sent again under the same id. Without an id chosen by the caller there
     // are none, and no claim is made.
     let claimed = !repeatable && identity.caller_chosen && service.claims == Claims::Log;
-    let claim = claimed.then_some(Subject {
+    let claim = claimed.then_some(ClaimedCall {
         request: identity.id,
         digest,
         deadline: identity.deadline,
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -23,7 +23,7 @@
 
 /// The call to claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Subject {
+pub struct ClaimedCall {
     /// The request id.
     pub request: id::Request,
     /// Hash of customer, method, path and body.
@@ -41,20 +41,20 @@
     Answered(Answer),
 }
 
-impl Filter<Subject> for Claim<'_> {
+impl Filter<ClaimedCall> for Claim<'_> {
     type Output = Claimed;
 
-    async fn apply(&self, subject: Subject) -> Result<Claimed, Refusal> {
+    async fn apply(&self, claimed: ClaimedCall) -> Result<Claimed, Refusal> {
         let node = self.0;
-        let deadline = node.clock.instant(subject.deadline);
+        let deadline = node.clock.instant(claimed.deadline);
         let now = node.clock.wall();
         let verdict = node
             .claimer
-            .claim(subject.request, subject.digest, now, deadline)
+            .claim(claimed.request, claimed.digest, now, deadline)
             .await;
         match verdict.map_err(|error| refusal(&error))? {
             Verdict::Owned(ticket) => Ok(Claimed::Owned(ticket)),
-            Verdict::Taken(owner) => self.resolve_taken(subject, owner).await,
+            Verdict::Taken(owner) => self.resolve_taken(claimed, owner).await,
         }
     }
 }
@@ -65,21 +65,21 @@
     /// # Errors
     ///
     /// A [`Refusal`] if the request id was used for another call.
-    pub fn retained(&self, subject: Subject) -> Result<Option<Answer>, Refusal> {
-        match self.0.answers.get(subject.request) {
-            Some(answer) if answer.digest != subject.digest => Err(reused_id()),
+    pub fn retained(&self, claimed: ClaimedCall) -> Result<Option<Answer>, Refusal> {
+        match self.0.answers.get(claimed.request) {
+            Some(answer) if answer.digest != claimed.digest => Err(reused_id()),
             answer => Ok(answer),
         }
     }
 
-    async fn resolve_taken(&self, subject: Subject, owner: Owner) -> Result<Claimed, Refusal> {
-        if owner.digest != subject.digest {
+    async fn resolve_taken(&self, claimed: ClaimedCall, owner: Owner) -> Result<Claimed, Refusal> {
+        if owner.digest != claimed.digest {
             return Err(reused_id());
         }
-        if let Some(answer) = self.retained(subject)? {
+        if let Some(answer) = self.retained(claimed)? {
             return Ok(Claimed::Answered(answer));
         }
-        if let Some(answer) = self.fetch_answer(subject, &owner).await {
+        if let Some(answer) = self.fetch_answer(claimed, &owner).await {
             return Ok(Claimed::Answered(answer));
         }
         let run = match owner.run {
@@ -92,12 +92,12 @@
     }
 
     /// Fetches the answer from the node that made the call.
-    async fn fetch_answer(&self, subject: Subject, owner: &Owner) -> Option<Answer> {
+    async fn fetch_answer(&self, claimed: ClaimedCall, owner: &Owner) -> Option<Answer> {
         let node = self.0;
         let peers = node.mesh.peers();
         let peer = peers.iter().find(|peer| peer.node == owner.node)?;
         let call = peer::Call::FetchAnswer {
-            request: subject.request,
+            request: claimed.request,
         };
         match node.mesh.call(peer, call).await {
             Ok(peer::Answer::Cached {
@@ -105,7 +105,7 @@
                 content,
                 body,
             }) => Some(Answer {
-                digest: subject.digest,
+                digest: claimed.digest,
                 status,
                 content,
                 body,
@@ -114,7 +114,7 @@
             Err(error) => {
                 log::info!(
                     "claims: Could not fetch the answer of {}: {error}.",
-                    subject.request
+                    claimed.request
                 );
                 None
             }
