--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -23,7 +23,7 @@
 use crate::filter::delivery::Answer;
 use crate::filter::delivery::Delivery;
 use crate::filter::rate;
-use crate::filter::rate::Subject;
+use crate::filter::rate::RatedAnswer;
 use crate::filter::reply::Head;
 use crate::node::Node;
 use crate::refusal::Refusal;
@@ -264,7 +264,7 @@
         let node = self.0;
         let request = &work.funded.resolved.request;
         let class = &request.class.name;
-        let subject = Subject::new(
+        let rated = RatedAnswer::new(
             &request.customer,
             class,
             chosen.version,
@@ -273,10 +273,10 @@
         );
         let pass = match chosen.plan.release {
             Release::Unrated => {
-                self.sample_rating(subject);
+                self.sample_rating(rated);
                 Some(true)
             }
-            Release::Rated => rate::rate(node, subject, request.identity.deadline).await,
+            Release::Rated => rate::rate(node, rated, request.identity.deadline).await,
         };
         let accepted = pass.unwrap_or_else(|| chosen.acceptable_unrated());
         let result = match pass {
@@ -305,7 +305,7 @@
     }
 
     /// Rates a sample of the answers that were released unrated, so that the estimates stay accurate.
-    fn sample_rating(&self, subject: Subject) {
+    fn sample_rating(&self, rated: RatedAnswer) {
         if self.0.rater.is_none() || !cascade::should_sample(rand::random()) {
             return;
         }
@@ -315,7 +315,7 @@
         let deadline = node.clock.now() + SAMPLE_RATING_TIMEOUT;
         self.0
             .tasks
-            .spawn(async move { rate::rate(&node, subject, deadline).await });
+            .spawn(async move { rate::rate(&node, rated, deadline).await });
     }
 
     /// Returns the best answer available. The contracted quality applies to a share of the answers, and an
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -83,7 +83,7 @@
 
 /// An answer to rate.
 #[derive(Debug, Clone)]
-pub struct Subject {
+pub struct RatedAnswer {
     /// The customer whose request it answers.
     pub customer: id::Customer,
     /// The request's class.
@@ -96,7 +96,7 @@
     pub answer: String,
 }
 
-impl Subject {
+impl RatedAnswer {
     /// The answer of a version to a conversation.
     #[must_use]
     pub fn new(
@@ -119,27 +119,27 @@
 }
 
 /// Rates an answer and records the result. Returns none if there is no rating by `deadline`.
-pub async fn rate(node: &Node, subject: Subject, deadline: Moment) -> Option<bool> {
+pub async fn rate(node: &Node, rated: RatedAnswer, deadline: Moment) -> Option<bool> {
     let rater = node.rater.as_ref()?;
     let started = node.clock.now();
     node.rater_health.expected_time(started)?;
     let call = rater.rate(platform::Rate {
-        version: subject.version.id.clone(),
-        class: subject.class.clone(),
-        prompt: subject.prompt.clone(),
-        answer: subject.answer.clone(),
+        version: rated.version.id.clone(),
+        class: rated.class.clone(),
+        prompt: rated.prompt.clone(),
+        answer: rated.answer.clone(),
     });
     let result = tokio::time::timeout_at(node.clock.instant(deadline), call).await;
     let now = node.clock.now();
     match result {
         Ok(Ok(rating)) => {
             node.rater_health.record_success(now.since(started));
-            let Subject {
+            let RatedAnswer {
                 customer,
                 class,
                 version,
                 ..
-            } = &subject;
+            } = &rated;
             node.estimates
                 .record_rating(customer, class, version, rating.pass, now);
             node.evidence.record_rating(&version.id, rating.pass, now);
