--- a/crates/entry/src/evidence.rs
+++ b/crates/entry/src/evidence.rs
@@ -27,7 +27,8 @@
     version: id::Version,
     /// Revision of the newest roll-out that names the version.
     revision: Revision,
-    decayed: rollout::Evidence,
+    /// Evidence whose weight decays with its age, to evaluate a roll-out. The counts below do not decay.
+    recent: rollout::Evidence,
     rated: u32,
     passed: u32,
     attempts: u32,
@@ -67,7 +68,7 @@
     pub fn record_rating(&self, version: &id::Version, pass: bool, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
-        entry.decayed.record_rating(pass, now);
+        entry.recent.record_rating(pass, now);
         entry.rated = entry.rated.saturating_add(1);
         entry.passed = entry.passed.saturating_add(u32::from(pass));
     }
@@ -82,7 +83,7 @@
     ) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
-        entry.decayed.record_answer(seconds_per_token, now);
+        entry.recent.record_answer(seconds_per_token, now);
         entry.attempts = entry.attempts.saturating_add(1);
         entry.latency.record(latency, now);
     }
@@ -91,7 +92,7 @@
     pub fn record_failure(&self, version: &id::Version, now: Moment) {
         let mut inner = self.lock();
         let entry = inner.entry(version);
-        entry.decayed.record_failure(now);
+        entry.recent.record_failure(now);
         entry.attempts = entry.attempts.saturating_add(1);
         entry.failed = entry.failed.saturating_add(1);
     }
@@ -113,8 +114,8 @@
         inner.reset_outdated(state);
         let mut newly_quarantined = Vec::new();
         for rollout in state.rollouts().filter(|r| r.status == Status::Running) {
-            let old = inner.entry(&rollout.from).decayed;
-            let new = inner.entry(&rollout.to).decayed;
+            let old = inner.entry(&rollout.from).recent;
+            let new = inner.entry(&rollout.to).recent;
             let verdict = rollout::evaluate(&new, &old, &rollout.gate, Duration::ZERO);
             let Verdict::Withdraw(cause) = verdict else {
                 continue;
@@ -139,7 +140,7 @@
         Self {
             version: version.clone(),
             revision: Revision(0),
-            decayed: rollout::Evidence::default(),
+            recent: rollout::Evidence::default(),
             rated: 0,
             passed: 0,
             attempts: 0,
