--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -57,9 +57,9 @@
     pub delivery: &'a mut Delivery,
     /// The attempts made so far.
     pub trace: &'a mut Trace,
-    /// Whether the next attempt was already withdrawn from the retry budgets, when an attempt without a first
-    /// token was abandoned.
-    pub prepaid: Arc<AtomicBool>,
+    /// Whether the next attempt is already charged to the retry budgets. It is charged before an attempt without a first
+    /// token is abandoned, so that the retry is allowed afterwards.
+    pub retry_charged: Arc<AtomicBool>,
 }
 
 /// Why there is no answer from a version.
@@ -193,7 +193,7 @@
             run_time: pool.expected_run_time(Some(context.version), self.expected_tokens(context)),
             deadline: request.identity.deadline,
         };
-        if context.prepaid.swap(false, Ordering::Relaxed) {
+        if context.retry_charged.swap(false, Ordering::Relaxed) {
             return context.trace.attempts < retry::MAX_ATTEMPTS;
         }
         if matches!(fault, Fault::Unreachable { .. }) {
@@ -324,11 +324,11 @@
         let allowed = permit.endpoint() != first
             && node
                 .retries
-                .try_hedge(customer, context.pool, node.clock.now());
+                .try_withdraw(customer, context.pool, node.clock.now());
         allowed.then_some(permit)
     }
 
-    /// Waits until an attempt without a first chunk is to be abandoned.
+    /// Waits until an attempt without a first chunk is to be abandoned. The first chunk has the first token.
     ///
     /// An engine that hangs would otherwise hold a request for half of its time. But first chunks are also
     /// late while a pool is full in a burst, and abandoning such an attempt would turn an answer into an error.
@@ -350,12 +350,15 @@
         let early = early_timeout.map(|timeout| node.clock.instant(now + timeout));
         let customer = context.request.customer.clone();
         let pool = context.pool.clone();
-        let prepaid = Arc::clone(&context.prepaid);
+        let retry_charged = Arc::clone(&context.retry_charged);
         async move {
             if let Some(early) = early {
                 tokio::time::sleep_until(early).await;
-                if node.retries.try_hedge(&customer, &pool, node.clock.now()) {
-                    prepaid.store(true, Ordering::Relaxed);
+                if node
+                    .retries
+                    .try_withdraw(&customer, &pool, node.clock.now())
+                {
+                    retry_charged.store(true, Ordering::Relaxed);
                     return;
                 }
             }
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -210,7 +210,7 @@
         let live = chosen.plan.release == Release::Unrated;
         work.delivery.begin(chosen.head.clone(), live);
         let mut context = attempt::Context {
-            prepaid: Arc::default(),
+            retry_charged: Arc::default(),
             request: &work.funded.resolved.request,
             version: &chosen.version.id,
             pool: &chosen.version.pool,
--- a/crates/entry/src/retries.rs
+++ b/crates/entry/src/retries.rs
@@ -62,9 +62,9 @@
         retry::try_retry(failure, customer, pool, now)
     }
 
-    /// Withdraws a hedge, or a retry of an attempt that is about to be abandoned, from both budgets. Returns
-    /// false and withdraws nothing if either is exhausted.
-    pub fn try_hedge(&self, customer: &id::Customer, pool: &id::Pool, now: Moment) -> bool {
+    /// Charges both budgets for a hedge, or for the retry of an attempt that is about to be abandoned. Returns
+    /// false and charges nothing if either is exhausted.
+    pub fn try_withdraw(&self, customer: &id::Customer, pool: &id::Pool, now: Moment) -> bool {
         let inner = &mut *self.lock();
         let customer = entry(&mut inner.customers, customer, new_budget);
         let pool = entry(&mut inner.pools, pool, new_budget);
