--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -41,7 +41,7 @@
         }
         match call {
             Call::StoreBills { node: owner, bills } => {
-                store_answer(node.outbox.store_copies(&owner, bills))
+                store_bills_answer(node.outbox.store_copies(&owner, bills))
             }
             Call::RemoveBills {
                 node: owner,
@@ -64,7 +64,7 @@
     }
 }
 
-fn store_answer(stored: bool) -> Answer {
+fn store_bills_answer(stored: bool) -> Answer {
     if stored {
         return Answer::Done;
     }
