--- a/crates/logs/src/queue.rs
+++ b/crates/logs/src/queue.rs
@@ -140,7 +140,7 @@
     /// Writes queued lines to `output` until the queue is closed and empty. `missing` formats the line
     /// that states how many lines were dropped.
     pub fn write(&self, mut output: impl Write, missing: impl Fn(u64) -> Vec<u8>) {
-        while let Some((bytes, dropped)) = self.take() {
+        while let Some((bytes, dropped)) = self.next_write() {
             let mut written = pieces(&bytes).try_for_each(|piece| output.write_all(piece));
             if dropped > 0 {
                 let mut line = missing(dropped);
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Waits for lines; returns `None` once the queue is closed and empty.
-    fn take(&self) -> Option<(Vec<u8>, u64)> {
+    /// Waits for lines, lets more of them gather, and removes all to write them, with the number of dropped lines to report. Returns `None` once the queue is closed and empty.
+    fn next_write(&self) -> Option<(Vec<u8>, u64)> {
         let mut state = self.lock();
         while state.bytes.is_empty() && !state.closed {
             let waited = self.filled.wait(state);
