--- a/crates/contract/src/change.rs
+++ b/crates/contract/src/change.rs
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// [`CheckpointError`] if the checkpoint must be ignored.
-    pub fn check(self) -> Result<State, CheckpointError> {
+    pub fn into_state(self) -> Result<State, CheckpointError> {
         let declared = self.offset;
         let found = self.state.offset;
         ensure!(declared == found, OffsetSnafu { declared, found });
--- a/crates/contract/tests/fold.rs
+++ b/crates/contract/tests/fold.rs
@@ -157,23 +157,26 @@
     let mut state = State::default();
     state.apply(Offset(0), &set(1, 0));
     let right = Checkpoint::of(&state);
-    assert_eq!(right.clone().check().as_ref(), Ok(&state));
+    assert_eq!(right.clone().into_state().as_ref(), Ok(&state));
 
     let mut other = state.clone();
     other.apply(Offset(1), &remove(2, 1));
     let mut swapped = right.clone();
     swapped.state = other.clone();
     swapped.state.offset = right.offset;
-    assert_eq!(swapped.check(), Err(CheckpointError::Hash));
+    assert_eq!(swapped.into_state(), Err(CheckpointError::Hash));
 
     let mut moved = right.clone();
     moved.offset = Offset(9);
-    assert!(matches!(moved.check(), Err(CheckpointError::Offset { .. })));
+    assert!(matches!(
+        moved.into_state(),
+        Err(CheckpointError::Offset { .. })
+    ));
 
     let mut ahead = right;
     ahead.state.offset = Offset(9);
     ahead.offset = Offset(9);
-    assert_eq!(ahead.check(), Err(CheckpointError::Hash));
+    assert_eq!(ahead.into_state(), Err(CheckpointError::Hash));
 }
 
 /// One record of a random stream.
@@ -242,7 +245,7 @@
         }
         let text = serde_json::to_string(&Checkpoint::of(&whole)).unwrap();
         let checkpoint: Checkpoint = serde_json::from_str(&text).unwrap();
-        let mut late = checkpoint.check().unwrap();
+        let mut late = checkpoint.into_state().unwrap();
         for record in &records[from..] {
             read(&mut whole, record.as_ref());
             read(&mut late, record.as_ref());
--- a/crates/coordination/src/configuration/state_fold.rs
+++ b/crates/coordination/src/configuration/state_fold.rs
@@ -97,7 +97,7 @@
             self.invalid_checkpoints += 1;
             return false;
         };
-        match checkpoint.check() {
+        match checkpoint.into_state() {
             Ok(state) => self.replace_state(state),
             Err(error) => {
                 self.invalid_checkpoints += 1;
@@ -177,7 +177,7 @@
     /// Whether a checkpoint matches its hash and, with the records since applied to it, gives the
     /// current state. If these records are not retained, only the hash is checked.
     fn is_valid(&self, checkpoint: Checkpoint) -> bool {
-        let Ok(mut state) = checkpoint.check() else {
+        let Ok(mut state) = checkpoint.into_state() else {
             return false;
         };
         if state.offset > self.state.offset {
@@ -219,7 +219,7 @@
         if checkpoint.offset < oldest {
             return;
         }
-        match checkpoint.check() {
+        match checkpoint.into_state() {
             Ok(state) => {
                 if self.replace_state(state) {
                     self.checkpoint_at = Some(at);
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -345,7 +345,7 @@
     publish(&log, 5..6);
     let written = eventually("a checkpoint", async || checkpoints(&log).get(1).cloned()).await;
     assert!(written.offset >= Offset(7));
-    assert!(written.check().is_ok());
+    assert!(written.into_state().is_ok());
     let end = u64::try_from(log.records(STREAM).len()).unwrap();
     for node in &nodes {
         node.reaches(end).await;
--- a/crates/ctl/src/snapshot.rs
+++ b/crates/ctl/src/snapshot.rs
@@ -101,7 +101,7 @@
         if self.complete {
             return;
         }
-        let Ok(state) = checkpoint.check() else {
+        let Ok(state) = checkpoint.into_state() else {
             return;
         };
         if state.offset < self.oldest {
