--- a/crates/contract/src/raw/contract.rs
+++ b/crates/contract/src/raw/contract.rs
@@ -7,8 +7,8 @@
 
 use super::Draft;
 use super::links::Link;
-use super::names::all_referred;
-use super::names::defined;
+use super::names::read_definition;
+use super::names::read_references;
 use super::names::sorted;
 use super::table::Table;
 use crate::change::Subject;
@@ -30,12 +30,12 @@
 
 /// Reads one contract.
 pub(super) fn contract(mut table: Table<'_, '_>, draft: &mut Draft) {
-    let customer = defined(&mut table, "customer", draft, Subject::Contract);
+    let customer = read_definition(&mut table, "customer", draft, Subject::Contract);
     let subject = customer.clone().map(Subject::Contract);
     let keys = keys(&mut table, draft, subject.as_ref());
     let weight = table.number_or("weight", 1, DEFAULT_WEIGHT);
     let spend = table.table("spend").and_then(spend);
-    let services = all_referred(&mut table, "services", draft, Subject::Service);
+    let services = read_references(&mut table, "services", draft, Subject::Service);
     let classes = classes(&mut table, draft);
     table.finish();
     let (Some(customer), Some(weight), Some(spend)) = (customer, weight, spend) else {
@@ -139,7 +139,7 @@
 }
 
 fn versions(table: &mut Table<'_, '_>, draft: &mut Draft) -> Vec<id::Version> {
-    let versions = all_referred(table, "versions", draft, Subject::Version);
+    let versions = read_references(table, "versions", draft, Subject::Version);
     if versions.is_empty() {
         table.add_finding("versions", "needs at least one version");
     }
--- a/crates/contract/src/raw/links.rs
+++ b/crates/contract/src/raw/links.rs
@@ -46,7 +46,7 @@
         match link {
             Link::Subject { subject, place } => check_subject(subject, place, draft, known, report),
             Link::Key { key, owner, place } => {
-                check_holder(*key, owner.as_ref(), place, draft, known, report);
+                check_owner(*key, owner.as_ref(), place, draft, known, report);
                 match keys.binary_search_by_key(key, |(key, _)| *key) {
                     Ok(at) => {
                         let first = keys[at].1;
@@ -79,8 +79,8 @@
 }
 
 /// Reports a key that is in force for another customer, unless the files redefine that customer's
-/// contract too. In that case both lists are among the links.
-fn check_holder(
+/// contract too. Then the check of the links finds a key that both contracts list.
+fn check_owner(
     key: Key,
     owner: Option<&Subject>,
     place: &Place,
@@ -88,12 +88,18 @@
     known: &State,
     report: &Report,
 ) {
-    let Some(holder) = known.contract_for_key(key) else {
+    let Some(current_owner) = known.contract_for_key(key) else {
         return;
     };
-    let holder = Subject::Contract(holder.customer.clone());
-    let rewritten = draft.definitions.iter().any(|(other, _)| *other == holder);
-    if !rewritten && owner != Some(&holder) {
-        report.add(place, format!("this key already belongs to {holder}"));
+    let current_owner = Subject::Contract(current_owner.customer.clone());
+    let rewritten = draft
+        .definitions
+        .iter()
+        .any(|(other, _)| *other == current_owner);
+    if !rewritten && owner != Some(&current_owner) {
+        report.add(
+            place,
+            format!("this key already belongs to {current_owner}"),
+        );
     }
 }
--- a/crates/contract/src/raw/names.rs
+++ b/crates/contract/src/raw/names.rs
@@ -10,7 +10,7 @@
 use crate::change::Subject;
 
 /// Reads the name that a table defines. It is recorded even if the rest of the table is faulty.
-pub(super) fn defined<T>(
+pub(super) fn read_definition<T>(
     table: &mut Table<'_, '_>,
     key: &'static str,
     draft: &mut Draft,
@@ -25,7 +25,7 @@
 }
 
 /// Reads a name that must be defined in the files or in the state in force.
-pub(super) fn referred<T>(
+pub(super) fn read_reference<T>(
     table: &mut Table<'_, '_>,
     key: &'static str,
     draft: &mut Draft,
@@ -40,7 +40,7 @@
 }
 
 /// Reads a list of such names; returns them sorted and without duplicates.
-pub(super) fn all_referred<T>(
+pub(super) fn read_references<T>(
     table: &mut Table<'_, '_>,
     key: &'static str,
     draft: &mut Draft,
--- a/crates/contract/src/raw/platform.rs
+++ b/crates/contract/src/raw/platform.rs
@@ -10,8 +10,8 @@
 
 use super::Draft;
 use super::contract::positive;
-use super::names::defined;
-use super::names::referred;
+use super::names::read_definition;
+use super::names::read_reference;
 use super::names::sorted;
 use super::table::Table;
 use crate::change::Subject;
@@ -81,7 +81,7 @@
 /// Reads one pool. By default its engines are assumed to ignore fencing numbers: with the opposite
 /// default, a pool whose setting is missing could receive orders from two holders at once.
 pub(super) fn pool(mut table: Table<'_, '_>, draft: &mut Draft) {
-    let name = defined(&mut table, "name", draft, Subject::Pool);
+    let name = read_definition(&mut table, "name", draft, Subject::Pool);
     let fencing = table.text_or("fencing", Choice(Fencing::Ignores));
     table.finish();
     if let (Some(name), Some(Choice(fencing))) = (name, fencing) {
@@ -91,8 +91,8 @@
 
 /// Reads one version.
 pub(super) fn version(mut table: Table<'_, '_>, draft: &mut Draft) {
-    let id = defined(&mut table, "id", draft, Subject::Version);
-    let pool = referred(&mut table, "pool", draft, Subject::Pool);
+    let id = read_definition(&mut table, "id", draft, Subject::Version);
+    let pool = read_reference(&mut table, "pool", draft, Subject::Pool);
     let price = table.table("price").and_then(price);
     let quality = table.share("quality");
     let status = table.text_or("status", Choice(version::Status::Serving));
@@ -124,8 +124,8 @@
 
 /// Reads one plain service. Only listed methods are repeatable.
 pub(super) fn service(mut table: Table<'_, '_>, draft: &mut Draft) {
-    let name = defined(&mut table, "name", draft, Subject::Service);
-    let pool = referred(&mut table, "pool", draft, Subject::Pool);
+    let name = read_definition(&mut table, "name", draft, Subject::Service);
+    let pool = read_reference(&mut table, "pool", draft, Subject::Pool);
     let methods = table.texts::<Method>("repeatable");
     let claims = table.text_or("claims", Choice(Claims::Log));
     let price = table.text_or("price", Money::ZERO);
@@ -150,8 +150,8 @@
 
 /// Reads one roll-out.
 pub(super) fn rollout(mut table: Table<'_, '_>, draft: &mut Draft) {
-    let from = referred(&mut table, "from", draft, Subject::Version);
-    let to = referred(&mut table, "to", draft, Subject::Version);
+    let from = read_reference(&mut table, "from", draft, Subject::Version);
+    let to = read_reference(&mut table, "to", draft, Subject::Version);
     if let Some(to) = &to {
         draft.define(Subject::Rollout(to.clone()), table.place().clone());
     }
--- a/crates/contract/src/raw/table.rs
+++ b/crates/contract/src/raw/table.rs
@@ -125,7 +125,7 @@
     /// Reads a required integer of at least `least`.
     pub(super) fn number<T: TryFrom<u64>>(&mut self, key: &'static str, least: u64) -> Option<T> {
         let value = self.require(key)?;
-        self.whole(key, value, least)
+        self.integer(key, value, least)
     }
 
     /// Reads an optional integer of at least `least`, with a default.
@@ -134,12 +134,12 @@
         T: TryFrom<u64>,
     {
         match self.find(key) {
-            Some(value) => self.whole(key, value, least),
+            Some(value) => self.integer(key, value, least),
             None => Some(default),
         }
     }
 
-    fn whole<T>(&self, key: &str, value: &Spanned<DeValue<'i>>, least: u64) -> Option<T>
+    fn integer<T>(&self, key: &str, value: &Spanned<DeValue<'i>>, least: u64) -> Option<T>
     where
         T: TryFrom<u64>,
     {
