--- a/crates/contract/src/raw/platform.rs
+++ b/crates/contract/src/raw/platform.rs
@@ -19,7 +19,7 @@
 use crate::rollout;
 use crate::rollout::Gate;
 use crate::rollout::Rollout;
-use crate::service::Claims;
+use crate::service::ClaimMode;
 use crate::service::Fencing;
 use crate::service::Pool;
 use crate::service::Service;
@@ -56,8 +56,8 @@
 
 choice!(Fencing, "\"refuses\" or \"ignores\"",
     "refuses" => Fencing::Refuses, "ignores" => Fencing::Ignores);
-choice!(Claims, "\"log\" or \"single-attempt\"",
-    "log" => Claims::Log, "single-attempt" => Claims::SingleAttempt);
+choice!(ClaimMode, "\"log\" or \"single-attempt\"",
+    "log" => ClaimMode::Log, "single-attempt" => ClaimMode::SingleAttempt);
 choice!(version::Status, "\"serving\" or \"withdrawn\"",
     "serving" => version::Status::Serving, "withdrawn" => version::Status::Withdrawn);
 choice!(rollout::Status, "\"running\", \"halted\" or \"done\"",
@@ -127,7 +127,7 @@
     let name = read_definition(&mut table, "name", draft, Subject::Service);
     let pool = read_reference(&mut table, "pool", draft, Subject::Pool);
     let methods = table.texts::<Method>("repeatable");
-    let claims = table.text_or("claims", Choice(Claims::Log));
+    let claims = table.text_or("claims", Choice(ClaimMode::Log));
     let price = table.text_or("price", Money::ZERO);
     let timeout = positive(&mut table, "timeout");
     table.finish();
--- a/crates/contract/src/service.rs
+++ b/crates/contract/src/service.rs
@@ -17,7 +17,7 @@
     /// Methods whose calls may be repeated, sorted, upper case.
     pub repeatable: Vec<CompactString>,
     /// How calls that may not be repeated are prevented from running twice.
-    pub claims: Claims,
+    pub claims: ClaimMode,
     /// Price of a call.
     pub price: Money,
     /// Default timeout of a call.
@@ -27,7 +27,7 @@
 /// How calls that may not be repeated are prevented from running twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Claims {
+pub enum ClaimMode {
     /// A call is claimed on the platform's log first, and refused during an outage of the log.
     Log,
     /// A call has one attempt and no claim, for callers that never retry. It is served during an
--- a/crates/entry/src/chain/service/call.rs
+++ b/crates/entry/src/chain/service/call.rs
@@ -5,7 +5,7 @@
 use hyper::header::AUTHORIZATION;
 use hyper::http::request::Parts;
 use pimento_contract::Service;
-use pimento_contract::service::Claims;
+use pimento_contract::service::ClaimMode;
 use pimento_endpoint::service;
 use pimento_endpoint::service::end_to_end;
 use pimento_units::Digest;
@@ -82,7 +82,7 @@
     let block_digest = block_digest(&customer, head, &body);
     // A claim serves calls that are sent again under the same id. Without an id chosen by the caller there
     // are none, and no claim is made.
-    let claimed = !repeatable && identity.caller_chosen && service.claims == Claims::Log;
+    let claimed = !repeatable && identity.caller_chosen && service.claims == ClaimMode::Log;
     let claim = claimed.then_some(ClaimedCall {
         request: identity.id,
         digest,
--- a/crates/entry/tests/all/support.rs
+++ b/crates/entry/tests/all/support.rs
@@ -27,7 +27,7 @@
 use pimento_contract::contract::Spend;
 use pimento_contract::rollout;
 use pimento_contract::rollout::Gate;
-use pimento_contract::service::Claims;
+use pimento_contract::service::ClaimMode;
 use pimento_contract::version;
 use pimento_contract::version::Price;
 use pimento_entry::Config;
@@ -187,7 +187,7 @@
         name: name(DESKS),
         pool: name(DESKS),
         repeatable: vec!["GET".into()],
-        claims: Claims::Log,
+        claims: ClaimMode::Log,
         price: Money::from_micros(500),
         timeout: Span::from_secs(10),
     }
