--- a/crates/coordination/examples/spread.rs
+++ b/crates/coordination/examples/spread.rs
@@ -200,14 +200,14 @@
     }
 
     let log = Memory::default();
-    let sixty = nodes(&log, 60, ReadMode::Elected).await;
+    let sixty = nodes(&log, 60, ReadMode::Assigned).await;
     let times = propagation_times(&log, &sixty, 0, 40).await;
     print("in force, 60 nodes, a tailer a zone", &times);
     for node in sixty {
         node.kill();
     }
     for count in [6, 30, 60, 120] {
-        idle(count, ReadMode::Elected).await;
+        idle(count, ReadMode::Assigned).await;
     }
     idle(6, ReadMode::Always).await;
 }
--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -35,9 +35,9 @@
 pub enum ReadMode {
     /// Every node.
     Always,
-    /// The node elected for the zone, and each node whose configuration is older than
+    /// The node assigned to the zone, and each node whose configuration is older than
     /// [`Settings::max_age`].
-    Elected,
+    Assigned,
 }
 
 /// Settings of a [`Source`].
@@ -53,7 +53,7 @@
     /// The longest delay before a due checkpoint is written. Each node waits for a random part of
     /// it; most then find that another node has written the checkpoint.
     pub checkpoint_jitter: Duration,
-    /// Age of the configuration from which a node reads the log itself, whichever node is elected.
+    /// Age of the configuration from which a node reads the log itself, whichever node is assigned.
     pub max_age: Duration,
 }
 
--- a/crates/coordination/src/configuration/tasks.rs
+++ b/crates/coordination/src/configuration/tasks.rs
@@ -140,7 +140,8 @@
         let Some(mesh) = &self.mesh else {
             return true;
         };
-        if self.config.0.read_mode == ReadMode::Always || mesh.elected(Role::Reader) == *mesh.node()
+        if self.config.0.read_mode == ReadMode::Always
+            || mesh.assigned(Role::Reader) == *mesh.node()
         {
             return true;
         }
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Pushes new records to the nodes of the zone while this node is elected to read the log for
+    /// Pushes new records to the nodes of the zone while this node is assigned to read the log for
     /// them.
     async fn push(self: Arc<Self>, mesh: Mesh) {
         let mut states = self.published.subscribe();
@@ -183,8 +184,8 @@
         while states.changed().await.is_ok() {
             let before = offset;
             offset = states.borrow_and_update().offset;
-            let elected = self.config.0.read_mode == ReadMode::Elected;
-            if !elected || mesh.elected(Role::Reader) != *mesh.node() {
+            let assigned = self.config.0.read_mode == ReadMode::Assigned;
+            if !assigned || mesh.assigned(Role::Reader) != *mesh.node() {
                 continue;
             }
             let missing = self.follower.view(|fold| fold.answer_pull(before));
--- a/crates/coordination/src/forward.rs
+++ b/crates/coordination/src/forward.rs
@@ -74,7 +74,7 @@
     }
 
     fn appender(&self) -> Option<Peer> {
-        let chosen = self.mesh.elected(Role::Appender);
+        let chosen = self.mesh.assigned(Role::Appender);
         let mut peers = self.mesh.peers().into_iter();
         peers.find(|peer| peer.node == chosen)
     }
--- a/crates/coordination/src/mesh.rs
+++ b/crates/coordination/src/mesh.rs
@@ -339,7 +339,7 @@
 
     /// The node of this zone that has `role` by this node's view; this node if it knows no other.
     #[must_use]
-    pub fn elected(&self, role: Role) -> id::Node {
+    pub fn assigned(&self, role: Role) -> id::Node {
         let zone = self.zone();
         let mut nodes: Vec<id::Node> = self
             .peers()
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -379,7 +379,7 @@
     let mut nodes: Vec<Node> = Vec::new();
     for name in ["a", "b", "c"] {
         let mut plan = Plan::new(name, "trebon").seeded(&nodes);
-        plan.settings.read_mode = ReadMode::Elected;
+        plan.settings.read_mode = ReadMode::Assigned;
         plan.settings.max_age = Duration::from_secs(3);
         nodes.push(plan.start(log.link()).await);
     }
@@ -391,7 +391,7 @@
     for node in &nodes {
         node.reaches(3).await;
     }
-    let reader = nodes[0].mesh.elected(mesh::Role::Reader);
+    let reader = nodes[0].mesh.assigned(mesh::Role::Reader);
     let at = nodes.iter().position(|n| *n.mesh.node() == reader).unwrap();
     nodes.remove(at).kill();
     publish(&log, 3..5);
--- a/crates/coordination/tests/forward.rs
+++ b/crates/coordination/tests/forward.rs
@@ -90,7 +90,7 @@
 }
 
 fn appender_and_others(nodes: &[Node]) -> (&Node, Vec<&Node>) {
-    let chosen = nodes[0].mesh.elected(Role::Appender);
+    let chosen = nodes[0].mesh.assigned(Role::Appender);
     let (one, others): (Vec<&Node>, Vec<&Node>) =
         nodes.iter().partition(|n| *n.mesh.node() == chosen);
     (one[0], others)
--- a/crates/coordination/tests/mesh.rs
+++ b/crates/coordination/tests/mesh.rs
@@ -132,15 +132,17 @@
     let agree = async |nodes: &[(Mesh, CancellationToken)]| {
         eventually("the same choice on all nodes", async || {
             let complete = nodes.iter().all(|(m, _)| m.peers().len() == nodes.len());
-            let choices: Vec<id::Node> =
-                nodes.iter().map(|(m, _)| m.elected(Role::Reader)).collect();
+            let choices: Vec<id::Node> = nodes
+                .iter()
+                .map(|(m, _)| m.assigned(Role::Reader))
+                .collect();
             let same = choices.iter().all(|choice| *choice == choices[0]);
             (complete && same).then(|| choices[0].clone())
         })
         .await
     };
     let first = agree(&nodes).await;
-    assert_eq!(other.elected(Role::Reader), *other.node());
+    assert_eq!(other.assigned(Role::Reader), *other.node());
     let at = nodes.iter().position(|(m, _)| *m.node() == first).unwrap();
     nodes.remove(at).1.cancel();
     assert_ne!(agree(&nodes).await, first);
