--- a/crates/coordination/src/configuration/tasks.rs
+++ b/crates/coordination/src/configuration/tasks.rs
@@ -19,10 +19,10 @@
 use super::ReadMode;
 use super::Shared;
 use crate::appender::Appender;
+use crate::mesh::Duty;
 use crate::mesh::Freshness;
 use crate::mesh::Mesh;
 use crate::mesh::Peer;
-use crate::mesh::Role;
 
 /// Interval between checks of ages, which change without an event.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -141,7 +141,7 @@
             return true;
         };
         if self.config.0.read_mode == ReadMode::Always
-            || mesh.assigned(Role::Reader) == *mesh.node()
+            || mesh.assigned(Duty::Reader) == *mesh.node()
         {
             return true;
         }
@@ -185,7 +185,7 @@
             let before = offset;
             offset = states.borrow_and_update().offset;
             let assigned = self.config.0.read_mode == ReadMode::Assigned;
-            if !assigned || mesh.assigned(Role::Reader) != *mesh.node() {
+            if !assigned || mesh.assigned(Duty::Reader) != *mesh.node() {
                 continue;
             }
             let missing = self.follower.view(|fold| fold.answer_pull(before));
--- a/crates/coordination/src/forward.rs
+++ b/crates/coordination/src/forward.rs
@@ -19,9 +19,9 @@
 use crate::log::Error;
 use crate::log::Log;
 use crate::mesh;
+use crate::mesh::Duty;
 use crate::mesh::Mesh;
 use crate::mesh::Peer;
-use crate::mesh::Role;
 
 /// A log whose appends go through the zone's appender. Clones share it.
 #[derive(Debug, Clone)]
@@ -74,7 +74,7 @@
     }
 
     fn appender(&self) -> Option<Peer> {
-        let chosen = self.mesh.assigned(Role::Appender);
+        let chosen = self.mesh.assigned(Duty::Appender);
         let mut peers = self.mesh.peers().into_iter();
         peers.find(|peer| peer.node == chosen)
     }
--- a/crates/coordination/src/mesh.rs
+++ b/crates/coordination/src/mesh.rs
@@ -122,17 +122,17 @@
     pub quarantined: Vec<id::Version>,
 }
 
-/// A role that one node takes for its zone.
+/// A duty that one node has for its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Role {
+pub enum Duty {
     /// Reads the configuration stream for the zone.
     Reader,
     /// Appends the zone's records.
     Appender,
 }
 
-impl Role {
-    /// The name by which nodes rank each other for the role. All nodes must hash the same name.
+impl Duty {
+    /// The name by which nodes rank each other for the duty. All nodes must hash the same name, so that these names are part of the protocol.
     const fn name(self) -> &'static str {
         match self {
             Self::Reader => "tailer",
@@ -337,9 +337,9 @@
         }
     }
 
-    /// The node of this zone that has `role` by this node's view; this node if it knows no other.
+    /// The node of this zone that has `duty` by this node's view; this node if it knows no other.
     #[must_use]
-    pub fn assigned(&self, role: Role) -> id::Node {
+    pub fn assigned(&self, duty: Duty) -> id::Node {
         let zone = self.zone();
         let mut nodes: Vec<id::Node> = self
             .peers()
@@ -350,7 +350,7 @@
         if !lock(&self.shared.status).leaving {
             nodes.push(self.node().clone());
         }
-        let weight = |node: &id::Node| xxh3_64(format!("{}/{node}", role.name()).as_bytes());
+        let weight = |node: &id::Node| xxh3_64(format!("{}/{node}", duty.name()).as_bytes());
         let best = nodes.into_iter().max_by_key(weight);
         best.unwrap_or_else(|| self.node().clone())
     }
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -391,7 +391,7 @@
     for node in &nodes {
         node.reaches(3).await;
     }
-    let reader = nodes[0].mesh.assigned(mesh::Role::Reader);
+    let reader = nodes[0].mesh.assigned(mesh::Duty::Reader);
     let at = nodes.iter().position(|n| *n.mesh.node() == reader).unwrap();
     nodes.remove(at).kill();
     publish(&log, 3..5);
--- a/crates/coordination/tests/forward.rs
+++ b/crates/coordination/tests/forward.rs
@@ -12,9 +12,9 @@
 use pimento_coordination::forward::Forwarder;
 use pimento_coordination::log::Error;
 use pimento_coordination::mesh;
+use pimento_coordination::mesh::Duty;
 use pimento_coordination::mesh::Handler;
 use pimento_coordination::mesh::Listener;
-use pimento_coordination::mesh::Role;
 use pimento_ledger::Stream;
 use pimento_wire::peer::Answer;
 use pimento_wire::peer::Call;
@@ -90,7 +90,7 @@
 }
 
 fn appender_and_others(nodes: &[Node]) -> (&Node, Vec<&Node>) {
-    let chosen = nodes[0].mesh.assigned(Role::Appender);
+    let chosen = nodes[0].mesh.assigned(Duty::Appender);
     let (one, others): (Vec<&Node>, Vec<&Node>) =
         nodes.iter().partition(|n| *n.mesh.node() == chosen);
     (one[0], others)
--- a/crates/coordination/tests/mesh.rs
+++ b/crates/coordination/tests/mesh.rs
@@ -7,9 +7,9 @@
 
 use pimento_coordination::Mesh;
 use pimento_coordination::mesh;
+use pimento_coordination::mesh::Duty;
 use pimento_coordination::mesh::Handler;
 use pimento_coordination::mesh::Listener;
-use pimento_coordination::mesh::Role;
 use pimento_coordination::mesh::Settings;
 use pimento_units::Offset;
 use pimento_units::id;
@@ -134,7 +134,7 @@
             let complete = nodes.iter().all(|(m, _)| m.peers().len() == nodes.len());
             let choices: Vec<id::Node> = nodes
                 .iter()
-                .map(|(m, _)| m.assigned(Role::Reader))
+                .map(|(m, _)| m.assigned(Duty::Reader))
                 .collect();
             let same = choices.iter().all(|choice| *choice == choices[0]);
             (complete && same).then(|| choices[0].clone())
@@ -142,7 +142,7 @@
         .await
     };
     let first = agree(&nodes).await;
-    assert_eq!(other.assigned(Role::Reader), *other.node());
+    assert_eq!(other.assigned(Duty::Reader), *other.node());
     let at = nodes.iter().position(|(m, _)| *m.node() == first).unwrap();
     nodes.remove(at).1.cancel();
     assert_ne!(agree(&nodes).await, first);
