--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -154,7 +154,7 @@
     /// record, so that a node that starts later need not wait for the end of its span.
     fn current(&self) -> (Option<leases::Lease>, Wall) {
         self.follower
-            .view(|view| (view.fold().lease(&self.resource).cloned(), view.now()))
+            .view(|view| (view.fold().lease(&self.resource).cloned(), view.log_time()))
     }
 
     /// Appends an [`Acquire`] record that follows `current` and reads it back.
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -51,7 +51,7 @@
 
     /// The log's clock when it appended the newest record read.
     #[must_use]
-    pub const fn now(&self) -> Wall {
+    pub const fn log_time(&self) -> Wall {
         self.now
     }
 }
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -141,7 +141,7 @@
 
     /// The log's time at the newest record read.
     #[must_use]
-    pub const fn now(&self) -> Wall {
+    pub const fn log_time(&self) -> Wall {
         self.now
     }
 
