--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -263,7 +263,7 @@
 
     fn check_available(&self) -> Result<(), Error> {
         // Until the first read reaches the end, an earlier claim may be unread.
-        let has_read = self.follower.next() > Offset(0) || self.follower.caught_up();
+        let has_read = self.follower.next_offset() > Offset(0) || self.follower.caught_up();
         if !has_read || self.follower.age() > self.config.max_view_age {
             return Err(self.unavailable());
         }
--- a/crates/coordination/src/configuration/tasks.rs
+++ b/crates/coordination/src/configuration/tasks.rs
@@ -116,7 +116,7 @@
     /// its reads do not show that the state is current.
     fn own_freshness(&self, offset: Offset) -> Option<Freshness> {
         let (at, since) = self.follower.last_complete_read()?;
-        (self.follower.next() <= offset).then_some(Freshness {
+        (self.follower.next_offset() <= offset).then_some(Freshness {
             at,
             local_at: since,
         })
--- a/crates/coordination/src/follower.rs
+++ b/crates/coordination/src/follower.rs
@@ -195,7 +195,7 @@
 
     /// The next offset to read.
     #[must_use]
-    pub fn next(&self) -> Offset {
+    pub fn next_offset(&self) -> Offset {
         self.shared.position().next
     }
 }
--- a/crates/coordination/tests/follower.rs
+++ b/crates/coordination/tests/follower.rs
@@ -65,7 +65,7 @@
     put(&log, 2_500..2_510);
     until(&follower, 2_510).await;
     follower.view(|recorder| assert_eq!(recorder.records, numbers(0..2_510)));
-    assert_eq!(follower.next(), Offset(2_510));
+    assert_eq!(follower.next_offset(), Offset(2_510));
 }
 
 #[tokio::test]
--- a/crates/coordination/tests/kept/claims.rs
+++ b/crates/coordination/tests/kept/claims.rs
@@ -156,7 +156,7 @@
     let read = claimer
         .follower()
         .wait(soon(), |_| {
-            (claimer.follower().next().0 >= end).then_some(())
+            (claimer.follower().next_offset().0 >= end).then_some(())
         })
         .await;
     assert!(read.is_some(), "the outcome is read");
@@ -194,7 +194,7 @@
     claimer
         .follower()
         .wait(soon(), |_| {
-            (claimer.follower().next().0 >= end).then_some(())
+            (claimer.follower().next_offset().0 >= end).then_some(())
         })
         .await
         .expect("the outcome is read");
@@ -271,7 +271,9 @@
     one.flush().await;
     let end = Offset::of(&log);
     two.follower()
-        .wait(soon(), |_| (two.follower().next().0 >= end).then_some(()))
+        .wait(soon(), |_| {
+            (two.follower().next_offset().0 >= end).then_some(())
+        })
         .await
         .expect("the outcome is read");
     owned(claim(&two, &log, order).await);
