--- a/crates/coordination/src/bills/pending.rs
+++ b/crates/coordination/src/bills/pending.rs
@@ -101,7 +101,7 @@
     }
 
     /// The oldest bills that have had a second holder, at most `limit`.
-    pub fn oldest(&self, limit: usize) -> Vec<Item> {
+    pub fn oldest_copied(&self, limit: usize) -> Vec<Item> {
         self.table()
             .entries
             .iter()
--- a/crates/coordination/src/bills/worker.rs
+++ b/crates/coordination/src/bills/worker.rs
@@ -144,7 +144,7 @@
     /// Appends this node's bills, oldest first, until none is left or an append fails.
     async fn append_own(&self, timeout: Duration) {
         loop {
-            let items = self.shared.pending.oldest(BATCH);
+            let items = self.shared.pending.oldest_copied(BATCH);
             if items.is_empty() || !self.append_items(items, timeout).await {
                 return;
             }
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -231,7 +231,7 @@
     }
 
     /// Appends the outcome of a claimed call in the background.
-    pub fn record_outcome(&self, outcome: Outcome) {
+    pub fn append_outcome(&self, outcome: Outcome) {
         let appender = self.appender.clone();
         self.tasks.spawn(async move {
             let Ok(record) = serde_json::to_string(&ClaimRecord::Outcome(outcome)) else {
@@ -246,7 +246,7 @@
 
     /// Appends the outcome of the call of `ticket` in the background.
     pub fn report(&self, ticket: Ticket, run: Run, status: Option<u16>) {
-        self.record_outcome(Outcome {
+        self.append_outcome(Outcome {
             request: ticket.request,
             attempt: ticket.attempt,
             run,
@@ -325,7 +325,7 @@
 impl Drop for ReleaseGuard<'_> {
     fn drop(&mut self) {
         if !self.resolved {
-            self.claimer.record_outcome(Outcome {
+            self.claimer.append_outcome(Outcome {
                 request: self.request,
                 attempt: self.attempt,
                 run: Run::NotRun,
--- a/crates/coordination/src/configuration/state_fold.rs
+++ b/crates/coordination/src/configuration/state_fold.rs
@@ -211,7 +211,7 @@
     }
 
     /// Starts from the checkpoint in `record`, if it holds one that closes the gap before `oldest`.
-    fn try_checkpoint(&mut self, oldest: Offset, at: Wall, record: &str) {
+    fn start_from_checkpoint(&mut self, oldest: Offset, at: Wall, record: &str) {
         let Ok(Entry::Checkpoint(checkpoint)) = serde_json::from_str::<Entry>(record) else {
             return;
         };
@@ -237,7 +237,7 @@
 impl Fold for StateFold {
     fn apply(&mut self, offset: Offset, at: Wall, record: &str) {
         if let Some(oldest) = self.gap_end {
-            self.try_checkpoint(oldest, at, record);
+            self.start_from_checkpoint(oldest, at, record);
         } else if offset == self.state.offset {
             self.apply_record(offset, Some(at), record);
         } else if offset > self.state.offset {
--- a/crates/coordination/src/mesh.rs
+++ b/crates/coordination/src/mesh.rs
@@ -284,7 +284,7 @@
     pub async fn call(&self, peer: &Peer, call: Call) -> Result<Answer, Error> {
         let result = calls::call(&self.shared, peer, &call).await;
         if let Err(Error::Unreachable { node } | Error::Lost { node, .. }) = &result {
-            lock(&self.shared.table).mark_suspected(node);
+            lock(&self.shared.table).mark_unreachable(node);
         }
         result
     }
--- a/crates/coordination/src/mesh/table.rs
+++ b/crates/coordination/src/mesh/table.rs
@@ -63,7 +63,7 @@
     /// When `latest` became known here.
     last_seen: Instant,
     /// Whether a call to it failed after its newest heartbeat received here.
-    suspected: bool,
+    unreachable: bool,
 }
 
 /// The known peers, and addresses of possible ones.
@@ -72,12 +72,12 @@
     own_node: id::Node,
     liveness_timeout: Duration,
     known: Vec<Known>,
-    seeds: Vec<Seed>,
+    candidates: Vec<Candidate>,
 }
 
 /// An address of a possible peer.
 #[derive(Debug, Clone, Copy)]
-struct Seed {
+struct Candidate {
     address: SocketAddr,
     /// When it was last listed as a peer's address.
     last_listed: Instant,
@@ -95,7 +95,7 @@
             own_node,
             liveness_timeout,
             known: Vec::new(),
-            seeds: Vec::new(),
+            candidates: Vec::new(),
         };
         for seed in seeds {
             table.add_address(*seed, now);
@@ -109,22 +109,25 @@
     /// otherwise cost the node peers that it needs after a partition. When there are too many
     /// addresses, the one listed longest ago is removed, since VMs are replaced every day.
     pub(super) fn add_address(&mut self, address: SocketAddr, now: Instant) {
-        let seed = Seed {
+        let candidate = Candidate {
             address,
             last_listed: now,
         };
-        match self.seeds.binary_search_by_key(&address, |s| s.address) {
-            Ok(at) => self.seeds[at] = seed,
-            Err(at) => self.seeds.insert(at, seed),
+        match self
+            .candidates
+            .binary_search_by_key(&address, |s| s.address)
+        {
+            Ok(at) => self.candidates[at] = candidate,
+            Err(at) => self.candidates.insert(at, candidate),
         }
-        if self.seeds.len() > MAX_ENTRIES {
+        if self.candidates.len() > MAX_ENTRIES {
             let oldest = self
-                .seeds
+                .candidates
                 .iter()
                 .enumerate()
                 .min_by_key(|(_, s)| s.last_listed);
             let at = oldest.map_or(0, |(at, _)| at);
-            self.seeds.remove(at);
+            self.candidates.remove(at);
         }
     }
 
@@ -162,7 +165,7 @@
             received: now,
             latest,
             last_seen,
-            suspected: false,
+            unreachable: false,
         };
         match found {
             Ok(at) => self.known[at] = known,
@@ -202,9 +205,9 @@
 
     /// Marks a peer after a failed call: it does not count as live until the next heartbeat from it is
     /// received here.
-    pub(super) fn mark_suspected(&mut self, node: &id::Node) {
+    pub(super) fn mark_unreachable(&mut self, node: &id::Node) {
         if let Ok(at) = self.find(node) {
-            self.known[at].suspected = true;
+            self.known[at].unreachable = true;
         }
     }
 
@@ -218,7 +221,7 @@
     pub(super) fn silent_addresses(&self, now: Instant) -> Vec<SocketAddr> {
         let silent = self.known.iter().filter(|k| !self.is_live(k, now));
         let mut addresses: Vec<SocketAddr> = silent.map(|k| k.peer.address).collect();
-        addresses.extend(self.seeds.iter().map(|s| s.address));
+        addresses.extend(self.candidates.iter().map(|s| s.address));
         addresses.sort_unstable();
         addresses.dedup();
         let live = self.live(now);
@@ -227,7 +230,7 @@
     }
 
     fn is_live(&self, known: &Known, now: Instant) -> bool {
-        !known.suspected && now.saturating_duration_since(known.last_seen) < self.liveness_timeout
+        !known.unreachable && now.saturating_duration_since(known.last_seen) < self.liveness_timeout
     }
 
     fn find(&self, node: &id::Node) -> Result<usize, usize> {
--- a/crates/coordination/tests/mesh.rs
+++ b/crates/coordination/tests/mesh.rs
@@ -343,7 +343,7 @@
 /// A peer's VM has died, but its last heartbeat is recent. The first call fails, and the peer must not
 /// count as live before a new heartbeat from it is received.
 #[tokio::test]
-async fn peer_that_can_not_be_called_is_suspected() {
+async fn peer_that_can_not_be_called_is_unreachable() {
     let a = start(settings("a", "trebon", &[])).await;
     let mut beat = heartbeat("x", 1, 0);
     let (_bound, address) = refusing_address();
