--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -72,9 +72,9 @@
 ) -> Result<Response<ReplyBody>, Refusal> {
     let call = read(node, head, body, caller_gone).await?;
     if let Some(claimed) = call.claim
-        && let Some(answer) = Claim(node).retained(claimed)?
+        && let Some(answer) = Claim(node).cached(claimed)?
     {
-        return Ok(replay(&answer));
+        return Ok(cached_response(&answer));
     }
     let deadline = call.identity.deadline;
     let reservation = Budget(node)
@@ -83,26 +83,26 @@
     let mut trace = Trace::default();
     let outcome = run(node, &call, &mut trace).await?;
     match outcome {
-        Outcome::Answered(answer) => finish(node, call, reservation, &trace, answer).await,
-        Outcome::Replayed(answer) => Ok(replay(&answer)),
+        CallResult::Answered(answer) => finish(node, call, reservation, &trace, answer).await,
+        CallResult::Cached(answer) => Ok(cached_response(&answer)),
     }
 }
 
 /// Result of a call.
-enum Outcome {
+enum CallResult {
     /// The service answered.
     Answered(service::Answer),
-    /// The call was made before; this is the answer that was retained.
-    Replayed(answers::Answer),
+    /// The call was made before; this is the cached answer.
+    Cached(answers::Answer),
 }
 
 /// Makes the call. If it was claimed, always reports how it ended.
-async fn run(node: &Node, call: &Call, trace: &mut Trace) -> Result<Outcome, Refusal> {
+async fn run(node: &Node, call: &Call, trace: &mut Trace) -> Result<CallResult, Refusal> {
     let mut ticket = None;
     let result = attempt_until_done(node, call, trace, &mut ticket).await;
     if let Some(ticket) = ticket {
         match &result {
-            Ok(Outcome::Answered(answer)) => {
+            Ok(CallResult::Answered(answer)) => {
                 let status = Some(answer.status.as_u16());
                 node.claimer.report(ticket, record::Run::Ran, status);
             }
@@ -117,14 +117,14 @@
     call: &Call,
     trace: &mut Trace,
     ticket: &mut Option<Ticket>,
-) -> Result<Outcome, Refusal> {
+) -> Result<CallResult, Refusal> {
     loop {
         check_blocked(node, call, trace)?;
         let permit = admit(node, call, trace).await?;
         if let (Some(claimed), None) = (call.claim, *ticket) {
             match Claim(node).apply(claimed).await? {
                 Claimed::Owned(owned) => *ticket = Some(owned),
-                Claimed::Answered(answer) => return Ok(Outcome::Replayed(answer)),
+                Claimed::Answered(answer) => return Ok(CallResult::Cached(answer)),
             }
         }
         check_dispatch(node, call, *ticket, trace)?;
@@ -137,7 +137,7 @@
                 let now = node.clock.now();
                 let pool = &call.service.pool;
                 node.retries.record_success(&call.customer, pool, now);
-                return Ok(Outcome::Answered(answer));
+                return Ok(CallResult::Answered(answer));
             }
             Err(fault) => {
                 log::info!(
@@ -278,7 +278,7 @@
             // A claimed request id belongs to one call; no other call can be made under it.
             request: match call.claim {
                 Some(claimed) => claimed.request,
-                None => bill::billing_id(call.identity.id, call.digest),
+                None => bill::billing_id(call.identity.id, call.hash),
             },
             customer: call.customer.clone(),
             class: None,
@@ -294,7 +294,7 @@
     let now = node.clock.now();
     if let Some(claimed) = call.claim {
         node.answers
-            .insert(claimed.request, retained_answer(claimed, &answer), now);
+            .insert(claimed.request, cached_answer(claimed, &answer), now);
     }
     let elapsed = now.since(call.identity.arrived);
     let sample = Sample {
@@ -316,7 +316,7 @@
     Ok(response)
 }
 
-fn retained_answer(claimed: ClaimedCall, answer: &service::Answer) -> answers::Answer {
+fn cached_answer(claimed: ClaimedCall, answer: &service::Answer) -> answers::Answer {
     let content_type = answer.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     answers::Answer {
@@ -327,7 +327,7 @@
     }
 }
 
-fn replay(answer: &answers::Answer) -> Response<ReplyBody> {
+fn cached_response(answer: &answers::Answer) -> Response<ReplyBody> {
     let status = hyper::StatusCode::from_u16(answer.status).unwrap_or(hyper::StatusCode::OK);
     let mut response = reply::raw(status, &answer.content, answer.body.clone());
     let run = hyper::header::HeaderValue::from_static(Run::Ran.as_str());
--- a/crates/entry/src/chain/service/call.rs
+++ b/crates/entry/src/chain/service/call.rs
@@ -34,7 +34,7 @@
     /// Whether it may be sent more than once.
     pub(super) repeatable: bool,
     /// Hash of customer, method, path and body.
-    pub(super) digest: u64,
+    pub(super) hash: u64,
     /// Digest of the same parts, by which calls that crash endpoints are blocked.
     pub(super) block_digest: Digest,
     /// What to claim before it is sent; none if it needs no claim.
@@ -78,14 +78,14 @@
         memory,
     } = identify::body(node, body).await?;
     let identity = identify::identity(node, &head.headers, timeout, caller_gone, memory)?;
-    let digest = digest(&customer, head, &body);
+    let hash = hash(&customer, head, &body);
     let block_digest = block_digest(&customer, head, &body);
     // A claim serves calls that are sent again under the same id. Without an id chosen by the caller there
     // are none, and no claim is made.
     let claimed = !repeatable && identity.caller_chosen && service.claims == ClaimMode::Log;
     let claim = claimed.then_some(ClaimedCall {
         request: identity.id,
-        digest,
+        digest: hash,
         deadline: identity.deadline,
     });
     let outgoing = service::Call {
@@ -104,7 +104,7 @@
         service,
         outgoing,
         repeatable,
-        digest,
+        hash,
         block_digest,
         claim,
     })
@@ -138,15 +138,15 @@
 }
 
 /// Hash of customer, method, path and body. Two calls with the same hash count as the same call.
-fn digest(customer: &id::Customer, head: &Parts, body: &[u8]) -> u64 {
-    let mut hash = xxhash_rust::xxh3::Xxh3::new();
+fn hash(customer: &id::Customer, head: &Parts, body: &[u8]) -> u64 {
+    let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
     for part in [customer.as_str(), head.method.as_str(), path] {
-        hash.update(part.as_bytes());
-        hash.update(&[0]);
+        hasher.update(part.as_bytes());
+        hasher.update(&[0]);
     }
-    hash.update(body);
-    hash.digest()
+    hasher.update(body);
+    hasher.digest()
 }
 
 /// The digest of customer, method, path and body.
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -60,12 +60,12 @@
 }
 
 impl Claim<'_> {
-    /// The answer, if this node has retained it. Does not use the log.
+    /// The answer, if this node has cached it. Does not use the log.
     ///
     /// # Errors
     ///
     /// A [`Refusal`] if the request id was used for another call.
-    pub fn retained(&self, claimed: ClaimedCall) -> Result<Option<Answer>, Refusal> {
+    pub fn cached(&self, claimed: ClaimedCall) -> Result<Option<Answer>, Refusal> {
         match self.0.answers.get(claimed.request) {
             Some(answer) if answer.digest != claimed.digest => Err(reused_id()),
             answer => Ok(answer),
@@ -76,7 +76,7 @@
         if owner.digest != claimed.digest {
             return Err(reused_id());
         }
-        if let Some(answer) = self.retained(claimed)? {
+        if let Some(answer) = self.cached(claimed)? {
             return Ok(Claimed::Answered(answer));
         }
         if let Some(answer) = self.fetch_answer(claimed, &owner).await {
