--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -157,7 +157,7 @@
 
 fn check_blocked(node: &Node, call: &Call, trace: &Trace) -> Result<(), Refusal> {
     let result = node.ensure_not_blocked(call.block_digest);
-    result.map_err(|refusal| trace.amend(refusal))
+    result.map_err(|refusal| trace.correct_run(refusal))
 }
 
 async fn admit(node: &Node, call: &Call, trace: &mut Trace) -> Result<Permit, Refusal> {
@@ -179,7 +179,7 @@
         caller_gone: &call.identity.caller_gone,
     };
     let admitted = Admission(node).apply(slot_request).await;
-    let admitted = admitted.map_err(|refusal| trace.amend(refusal))?;
+    let admitted = admitted.map_err(|refusal| trace.correct_run(refusal))?;
     trace.waited += admitted.waited;
     Ok(admitted.permit)
 }
@@ -199,12 +199,12 @@
     {
         let message = "the contract no longer includes this service";
         let refusal = Refusal::not_run(Code::UnknownService, message);
-        return Err(trace.amend(refusal));
+        return Err(trace.correct_run(refusal));
     }
     let valid = ticket.is_none_or(|ticket| ticket.is_valid(Instant::now()));
     if !valid || node.clock.now() >= call.identity.deadline {
         let message = "the deadline passed before the call could be sent";
-        return Err(trace.amend(Refusal::not_run(Code::Timeout, message)));
+        return Err(trace.correct_run(Refusal::not_run(Code::Timeout, message)));
     }
     Ok(())
 }
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -231,7 +231,7 @@
         node.retries
             .record_first_token(context.version, first_token, node.clock.now());
         let deadline = node.clock.instant(context.request.identity.deadline);
-        let drained = opened.drain(context.delivery, deadline, node.config.stall_timeout);
+        let drained = opened.deliver(context.delivery, deadline, node.config.stall_timeout);
         match drained.await {
             Ok(()) => {
                 let answer = context.delivery.answer(prompt);
@@ -303,12 +303,12 @@
         tokio::pin!(second);
         match futures::future::select(first, second).await {
             Either::Left((Ok(opened), _)) | Either::Right((Ok(opened), _)) => Ok(opened),
-            Either::Left((Err(fault), remaining)) => {
-                remaining.await.map_err(|other| less_certain(fault, other))
-            }
-            Either::Right((Err(fault), remaining)) => {
-                remaining.await.map_err(|other| less_certain(fault, other))
-            }
+            Either::Left((Err(fault), remaining)) => remaining
+                .await
+                .map_err(|other| prefer_maybe_run(fault, other)),
+            Either::Right((Err(fault), remaining)) => remaining
+                .await
+                .map_err(|other| prefer_maybe_run(fault, other)),
         }
     }
 
@@ -421,8 +421,8 @@
     }
 }
 
-/// Of two faults, the one that leaves it less certain that the request did not run.
-fn less_certain(one: Fault, other: Fault) -> Fault {
+/// Of two faults, the one after which the request may have run, if any.
+fn prefer_maybe_run(one: Fault, other: Fault) -> Fault {
     if one.not_run() { other } else { one }
 }
 
--- a/crates/entry/src/filter/attempt/opened.rs
+++ b/crates/entry/src/filter/attempt/opened.rs
@@ -63,7 +63,7 @@
 
 impl Opened {
     /// Passes all chunks to the delivery. If the connection breaks, resumes at the same engine.
-    pub(super) async fn drain(
+    pub(super) async fn deliver(
         &mut self,
         delivery: &mut Delivery,
         deadline: Instant,
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -237,9 +237,9 @@
         let (refusal, is_final) = match error {
             attempt::Error::Withdrawn => {
                 log::info!("cascade: {version} may no longer be used, trying another version.");
-                (work.trace.amend(contract::no_version()), false)
+                (work.trace.correct_run(contract::no_version()), false)
             }
-            attempt::Error::Refused(refusal) => (work.trace.amend(refusal), false),
+            attempt::Error::Refused(refusal) => (work.trace.correct_run(refusal), false),
             attempt::Error::Failed(fault) => {
                 let caller_gone = fault == pimento_endpoint::Fault::Cancelled;
                 (work.trace.refusal(&fault), caller_gone)
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -181,7 +181,7 @@
 
     /// The error body.
     #[must_use]
-    pub fn failure(&self) -> ErrorBody {
+    pub fn body(&self) -> ErrorBody {
         let (_, kind, code) = self.code.parts();
         ErrorBody {
             error: Error {
@@ -197,9 +197,7 @@
     #[must_use]
     pub fn json(&self) -> Bytes {
         // All keys of the body are strings, so encoding can't fail.
-        serde_json::to_vec(&self.failure())
-            .unwrap_or_default()
-            .into()
+        serde_json::to_vec(&self.body()).unwrap_or_default().into()
     }
 
     /// The complete response.
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -23,13 +23,13 @@
     /// Runs the filter chain in a separate task. The server drops a response's future when the
     /// caller disconnects, and a call that may not be repeated must not stop halfway.
     async fn serve(&self, request: Request<Incoming>) -> Response<ReplyBody> {
-        let disconnected = CancellationToken::new();
-        let guard = disconnected.clone().drop_guard();
+        let caller_gone = CancellationToken::new();
+        let guard = caller_gone.clone().drop_guard();
         let node = Arc::clone(&self.0);
         let task = self
             .0
             .tasks
-            .spawn(async move { chain::serve(&node, request, disconnected).await });
+            .spawn(async move { chain::serve(&node, request, caller_gone).await });
         let response = task.await;
         guard.disarm();
         response.unwrap_or_else(|error| {
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -92,7 +92,7 @@
     /// Corrects a refusal that occurred between attempts: `not_run` holds only if no earlier attempt may
     /// have started.
     #[must_use]
-    pub fn amend(&self, mut refusal: Refusal) -> Refusal {
+    pub fn correct_run(&self, mut refusal: Refusal) -> Refusal {
         if self.started && refusal.run == Run::NotRun {
             refusal.run = Run::Unknown;
         }
