--- a/crates/coordination/src/mesh/calls.rs
+++ b/crates/coordination/src/mesh/calls.rs
@@ -10,7 +10,7 @@
 use pimento_progress::TimedOut;
 use pimento_wire::Frame;
 use pimento_wire::frame;
-use pimento_wire::frame::LENGTH;
+use pimento_wire::frame::LENGTH_BYTES;
 use pimento_wire::frame::MAX_BODY;
 use pimento_wire::peer::Answer;
 use pimento_wire::peer::Call;
@@ -178,7 +178,7 @@
 }
 
 async fn write(stream: &mut TcpStream, frame: &Frame) -> std::io::Result<()> {
-    let mut bytes = Vec::with_capacity(LENGTH + frame.bytes().len());
+    let mut bytes = Vec::with_capacity(LENGTH_BYTES + frame.bytes().len());
     bytes.extend_from_slice(&frame.length());
     bytes.extend_from_slice(frame.bytes());
     stream.write_all(&bytes).await
@@ -186,9 +186,9 @@
 
 /// Reads a frame. Memory grows with the bytes received and not with the length that the peer announced.
 async fn read(stream: &mut TcpStream, progress: &Progress) -> Result<Frame, Fault> {
-    let mut length = [0; LENGTH];
+    let mut length = [0; LENGTH_BYTES];
     stream.read_exact(&mut length).await?;
-    progress.add(LENGTH);
+    progress.add(LENGTH_BYTES);
     let length = u32::from_le_bytes(length) as usize;
     if length > MAX_BODY {
         let limit = MAX_BODY;
--- a/crates/wire/examples/sealed.rs
+++ b/crates/wire/examples/sealed.rs
@@ -12,8 +12,8 @@
 
 use pimento_wire::Frame;
 use pimento_wire::frame::Key;
-use pimento_wire::frame::LENGTH;
-use pimento_wire::frame::MAC;
+use pimento_wire::frame::LENGTH_BYTES;
+use pimento_wire::frame::MAC_BYTES;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -32,7 +32,7 @@
 
 /// Reads one frame. The length is checked before memory is allocated for it.
 fn receive(stream: &mut TcpStream) -> Result<Frame, Failure> {
-    let mut length = [0; LENGTH];
+    let mut length = [0; LENGTH_BYTES];
     stream.read_exact(&mut length)?;
     let length = usize::try_from(u32::from_le_bytes(length))?;
     if length > LIMIT {
@@ -66,7 +66,7 @@
     let stranger = frame.open::<Stock>(&Key::derive("another secret"));
     println!("by another key: {}", text(stranger));
     let mut bytes = frame.bytes().to_vec();
-    bytes[MAC] ^= 1;
+    bytes[MAC_BYTES] ^= 1;
     let changed = Frame::receive(bytes, LIMIT)?.open::<Stock>(&key);
     println!("with one bit changed: {}", text(changed));
     Ok(())
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -10,9 +10,9 @@
 use snafu::Snafu;
 
 /// Length of the MAC in bytes.
-pub const MAC: usize = 16;
+pub const MAC_BYTES: usize = 16;
 /// Size in bytes of the length that precedes a frame on TCP.
-pub const LENGTH: usize = 4;
+pub const LENGTH_BYTES: usize = 4;
 /// Maximum size of a frame on TCP, in bytes, without its length. The largest message is a
 /// checkpoint of the whole state.
 pub const MAX_BODY: usize = 8 << 20;
@@ -58,12 +58,12 @@
         ))
     }
 
-    /// The first [`MAC`] bytes of the keyed hash of `body`.
+    /// The first [`MAC_BYTES`] bytes of the keyed hash of `body`.
     #[must_use]
-    pub fn mac(&self, body: &[u8]) -> [u8; MAC] {
+    pub fn mac(&self, body: &[u8]) -> [u8; MAC_BYTES] {
         let hash = blake3::keyed_hash(&self.0, body);
-        let mut mac = [0; MAC];
-        mac.copy_from_slice(&hash.as_bytes()[..MAC]);
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(&hash.as_bytes()[..MAC_BYTES]);
         mac
     }
 }
@@ -86,7 +86,7 @@
     /// [`Error::Body`] if the message can't be encoded, [`Error::Size`] if it is over `limit`.
     pub fn seal(message: &impl Serialize, key: &Key, limit: usize) -> Result<Self, Error> {
         let body = postcard::to_stdvec(message).context(BodySnafu)?;
-        let length = MAC + body.len();
+        let length = MAC_BYTES + body.len();
         if length > limit {
             return Err(Error::Size { length, limit });
         }
@@ -107,7 +107,7 @@
         if length > limit {
             return Err(Error::Size { length, limit });
         }
-        if length < MAC {
+        if length < MAC_BYTES {
             return Err(Error::Short);
         }
         Ok(Self(bytes))
@@ -119,7 +119,7 @@
     ///
     /// [`Error::Mac`] or [`Error::Body`].
     pub fn open<T: DeserializeOwned>(&self, key: &Key) -> Result<T, Error> {
-        let (mac, body) = self.0.split_at(MAC);
+        let (mac, body) = self.0.split_at(MAC_BYTES);
         // Hashes are compared, so that the duration reveals nothing about the correct MAC.
         if blake3::hash(mac) != blake3::hash(&key.mac(body)) {
             return Err(Error::Mac);
@@ -139,7 +139,7 @@
     ///
     /// If the frame has 4 GiB or more, which a limit such as [`MAX_BODY`] excludes.
     #[must_use]
-    pub fn length(&self) -> [u8; LENGTH] {
+    pub fn length(&self) -> [u8; LENGTH_BYTES] {
         u32::try_from(self.0.len())
             .expect("checked against a limit")
             .to_le_bytes()
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -4,7 +4,7 @@
 use pimento_wire::Frame;
 use pimento_wire::frame::Error;
 use pimento_wire::frame::Key;
-use pimento_wire::frame::MAC;
+use pimento_wire::frame::MAC_BYTES;
 use pimento_wire::frame::MAX_BODY;
 use pimento_wire::peer::Answer;
 use pimento_wire::peer::Call;
@@ -33,7 +33,7 @@
         prop_assert_eq!(received.open::<Call>(&key).unwrap(), call);
     }
 
-    /// One bit of the MAC or the body flips in transit. The frame must not open, not even as another
+    /// One bit of the MAC_BYTES or the body flips in transit. The frame must not open, not even as another
     /// message.
     #[test]
     fn frame_with_a_flipped_bit_does_not_open(text in ".{0,40}", at in any::<usize>(), bit in 0..8) {
@@ -50,14 +50,14 @@
     fn arbitrary_bytes_are_rejected(bytes in vec(any::<u8>(), 0..200)) {
         let key = Key::derive("key");
         match Frame::receive(bytes.clone(), 100) {
-            Err(Error::Short) => prop_assert!(bytes.len() < MAC),
+            Err(Error::Short) => prop_assert!(bytes.len() < MAC_BYTES),
             Err(Error::Size { .. }) => prop_assert!(bytes.len() > 100),
             Err(error) => prop_assert!(false, "{error}"),
             Ok(frame) => prop_assert!(frame.open::<Answer>(&key).is_err()),
         }
     }
 
-    /// A frame with a valid MAC contains arbitrary bytes, as from a program of another version.
+    /// A frame with a valid MAC_BYTES contains arbitrary bytes, as from a program of another version.
     /// Decoding may fail but must not panic.
     #[test]
     fn sealed_arbitrary_bytes_do_not_panic(bytes in vec(any::<u8>(), 0..100)) {
