--- a/crates/endpoint/src/engine.rs
+++ b/crates/endpoint/src/engine.rs
@@ -18,7 +18,7 @@
 use pimento_wire::api::Chat;
 use pimento_wire::api::Chunk;
 use pimento_wire::api::Completion;
-use pimento_wire::engine::Cache;
+use pimento_wire::engine::CacheChanges;
 use pimento_wire::engine::Load;
 use pimento_wire::engine::Order;
 use pimento_wire::engine::Reply;
@@ -170,7 +170,7 @@
     /// # Errors
     ///
     /// Any [`Fault`].
-    pub async fn cache(&self, after: u64) -> Result<Cache, Fault> {
+    pub async fn cache(&self, after: u64) -> Result<CacheChanges, Fault> {
         let path = format!("/cache?after={after}");
         let request = self.empty(Method::GET, &path)?.build()?;
         self.fetch(request, SHORT_TIMEOUT).await
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -84,7 +84,7 @@
 
     /// The events after sequence number `after` that are old enough to be published.
     #[must_use]
-    pub fn published(&self, after: u64, settings: &Settings, now: Instant) -> engine::Cache {
+    pub fn published(&self, after: u64, settings: &Settings, now: Instant) -> engine::CacheChanges {
         let lag = Duration::from_millis(settings.cache_lag_ms);
         let visible = |(at, event): &&(Instant, Event)| {
             event.sequence > after && now.saturating_duration_since(*at) >= lag
@@ -95,7 +95,7 @@
             .filter(visible)
             .map(|(_, event)| event.clone())
             .collect();
-        engine::Cache {
+        engine::CacheChanges {
             sequence: events.last().map_or(after, |event| event.sequence),
             events,
         }
--- a/crates/standin/tests/all/engine.rs
+++ b/crates/standin/tests/all/engine.rs
@@ -15,7 +15,7 @@
 use pimento_wire::api::Completion;
 use pimento_wire::api::DONE;
 use pimento_wire::api::Message;
-use pimento_wire::engine::Cache;
+use pimento_wire::engine::CacheChanges;
 use pimento_wire::engine::Load;
 use pimento_wire::engine::Order;
 use pimento_wire::engine::Reply;
@@ -218,7 +218,7 @@
         (6, 4),
         "the prefix has four tokens"
     );
-    let cache: Cache = read(get(&engine, "/cache?after=0").await);
+    let cache: CacheChanges = read(get(&engine, "/cache?after=0").await);
     assert_eq!((cache.sequence, cache.events.len()), (1, 1));
     let without_events = start(|s| {
         s.cache_lag_ms = 0;
@@ -228,7 +228,7 @@
     ask(&without_events, "a", chat("hi", false, 1))
         .await
         .unwrap();
-    let cache: Cache = read(get(&without_events, "/cache?after=0").await);
+    let cache: CacheChanges = read(get(&without_events, "/cache?after=0").await);
     assert!(cache.events.is_empty());
 }
 
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -6,7 +6,7 @@
 //! | `GET /v1/attempts/{attempt}` with `last-event-id` | resumes a stream after that event |
 //! | `DELETE /v1/attempts/{attempt}` | cancels |
 //! | `GET /load` | [`Load`] |
-//! | `GET /cache?after={sequence}` | [`Cache`] |
+//! | `GET /cache?after={sequence}` | [`CacheChanges`] |
 //! | `POST /orders` | [`Order`], answered by [`Reply`] |
 //!
 //! A refusal that did not start the call has status 429 or 503 and the header `run: not_run`.
@@ -39,7 +39,7 @@
 
 /// Changes of the prefix cache. They are published with a delay, and some may be missing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cache {
+pub struct CacheChanges {
     /// The sequence number of the newest event.
     pub sequence: u64,
     /// Events after the requested sequence number; some may be missing.
--- a/crates/wire/tests/border/json.rs
+++ b/crates/wire/tests/border/json.rs
@@ -15,7 +15,7 @@
 use pimento_wire::api::Message;
 use pimento_wire::api::Run;
 use pimento_wire::api::Usage;
-use pimento_wire::engine::Cache;
+use pimento_wire::engine::CacheChanges;
 use pimento_wire::engine::Event;
 use pimento_wire::engine::Load;
 use pimento_wire::operators::State;
@@ -183,13 +183,14 @@
     )
 }
 
-fn cache() -> impl Strategy<Value = Cache> {
+fn cache() -> impl Strategy<Value = CacheChanges> {
     let event = any::<(u64, u64, bool)>().prop_map(|(sequence, prefix, added)| Event {
         sequence,
         prefix,
         added,
     });
-    (any::<u64>(), vec(event, 0..4)).prop_map(|(sequence, events)| Cache { sequence, events })
+    (any::<u64>(), vec(event, 0..4))
+        .prop_map(|(sequence, events)| CacheChanges { sequence, events })
 }
 
 fn batch() -> impl Strategy<Value = Batch> {
