--- a/crates/contract/src/raw/contract.rs
+++ b/crates/contract/src/raw/contract.rs
@@ -25,7 +25,7 @@
 /// Weight of a contract that does not set one.
 const DEFAULT_WEIGHT: u32 = 1;
 
-/// Priority of a class that does not set one, so that others can be set above (from 0) and below it.
+/// Priority of a class that does not set one, which leaves numbers on both sides for other classes.
 const DEFAULT_PRIORITY: u8 = 5;
 
 /// Reads one contract.
--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -46,10 +46,10 @@
 }
 
 impl Default for Settings {
-    /// 10 ms limit a node to 100 appends a second for each stream, and are short compared with the
-    /// log's latency. 512 records and 1 MiB keep one append far below the log's timeout. 4,096
-    /// calls are several seconds of a node's share of the target rate. 16 MiB is half of the memory
-    /// that coordination may use on a node.
+    /// The batch delay limits a node to 100 appends a second for each stream, and is short compared
+    /// with the log's latency. The bounds of records and bytes keep one append far below the log's
+    /// timeout. The queue holds several seconds of a node's share of the target rate. The memory
+    /// bound is half of what coordination may use on a node.
     fn default() -> Self {
         Self {
             batch_delay: Duration::from_millis(10),
--- a/crates/coordination/src/bills.rs
+++ b/crates/coordination/src/bills.rs
@@ -1,6 +1,6 @@
-//! Bills that two entry VMs, or the log, hold before the caller gets the last byte.
+//! Stores each bill at a second entry VM, or in the log, before the caller gets the last byte.
 //!
-//! The outbox copies each bill to a peer, preferably of its own zone, and appends it to the log in
+//! The outbox sends a copy of each bill to a peer, preferably of its own zone, and appends it to the log in
 //! batches. A peer that holds a copy for too long appends it too, so that a bill is not lost with
 //! the VM that wrote it. The fold counts one bill for each request, so a bill may be appended
 //! twice. If neither a peer nor the log can be reached, [`BillPermit::store`] fails.
@@ -41,7 +41,7 @@
     /// bound, requests are refused before they are sent: a long outage of the log must not exhaust
     /// memory.
     pub capacity: usize,
-    /// The most copies held for peers.
+    /// The most bill copies held for peers.
     pub copies: usize,
     /// How long the first bill of a batch to a peer waits for others.
     pub batch_delay: Duration,
@@ -70,19 +70,19 @@
     }
 }
 
-/// Entry VMs that can hold copies.
+/// Entry VMs that can hold bill copies.
 pub trait Peers: Clone + Send + Sync + 'static {
     /// Live peers, those of the local zone first.
     fn peers(&self) -> Vec<id::Node>;
 
-    /// Sends copies (JSON text each) to a peer; returns whether it confirmed that it holds them.
+    /// Sends bill copies (JSON text each) to a peer; returns whether it confirmed that it holds them.
     fn store_copies(
         &self,
         peer: &id::Node,
         bills: Vec<String>,
     ) -> impl Future<Output = bool> + Send;
 
-    /// Notifies a peer that bills are on the log, so that it drops its copies. If the message is
+    /// Notifies a peer that bills are on the log, so that it removes its copies. If the message is
     /// lost, the peer appends them again.
     fn remove_copies(
         &self,
@@ -206,13 +206,13 @@
         self.shared.copies.len()
     }
 
-    /// Stores copies for a peer, all or none. Returns whether they are stored.
+    /// Stores bill copies for a peer, all or none. Returns whether they are stored.
     #[must_use]
     pub fn store_copies(&self, node: &id::Node, bills: Vec<String>) -> bool {
         self.shared.copies.insert(node, bills)
     }
 
-    /// Drops the copies of bills that a peer reports to be on the log.
+    /// Removes the copies of bills that a peer reports to be on the log.
     pub fn remove_copies(&self, node: &id::Node, requests: &[id::Request]) {
         self.shared.copies.remove(node, requests);
     }
--- a/crates/coordination/src/bills/peers.rs
+++ b/crates/coordination/src/bills/peers.rs
@@ -21,7 +21,8 @@
 
 impl Peers for Mesh {
     /// Peers of the local zone come first, since a copy to another zone adds the link's delay to
-    /// the caller's response. If the local zone has no other VM, it is the only copy.
+    /// the caller's response. If the local zone has no other VM, the copy in another zone
+    /// is the only one.
     fn peers(&self) -> Vec<id::Node> {
         let peers = Self::peers(self).into_iter().filter(|peer| !peer.leaving);
         let (local, remote): (Vec<Peer>, Vec<Peer>) =
@@ -48,7 +49,7 @@
         let node = self.node().clone();
         let call = Call::RemoveBills { node, requests };
         if let Err(error) = self.call(&peer, call).await {
-            log::debug!("bills: release of copies not confirmed: {error}");
+            log::debug!("bills: removal of copies not confirmed: {error}");
         }
     }
 }
--- a/crates/coordination/src/bills/pending.rs
+++ b/crates/coordination/src/bills/pending.rs
@@ -27,9 +27,8 @@
     number: Number,
     request: id::Request,
     text: String,
-    /// The most recent peer that confirmed a copy. A bill that never had a second holder may still
-    /// be dropped, since its caller has not got the last byte; until then it must not be appended
-    /// in the background.
+    /// The most recent peer that confirmed a copy. A bill without one must not be appended in the
+    /// background: it may still be dropped, since its caller has not got the last byte.
     holder: Option<id::Node>,
     _permit: OwnedSemaphorePermit,
 }
--- a/crates/coordination/src/bills/worker.rs
+++ b/crates/coordination/src/bills/worker.rs
@@ -24,7 +24,7 @@
 /// A job of the worker.
 #[derive(Debug)]
 pub enum Job {
-    /// Get a second holder for a bill.
+    /// Store a bill at a second holder.
     Store(UnstoredBill),
     /// Append all bills and copies now.
     Flush {
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Copies bills to the first live peer that accepts them.
+    /// Sends bill copies to the first live peer that accepts them.
     async fn store_copies(&self, numbers: &[Number]) -> bool {
         let items = self.shared.pending.items(numbers);
         if items.is_empty() {
@@ -120,8 +120,8 @@
         false
     }
 
-    /// Appends bills that have one holder, at most until the first caller's deadline: a bill that
-    /// is dropped then must not reach the log later.
+    /// Appends bills without a copy. Stops at the earliest deadline of their callers, since a bill
+    /// that is dropped there must not reach the log later.
     async fn append(&self, numbers: &[Number], deadline: Instant) -> bool {
         let items = self.shared.pending.items(numbers);
         let time_left = deadline.saturating_duration_since(Instant::now());
@@ -174,7 +174,7 @@
         true
     }
 
-    /// Notifies the holders of copies that the bills are on the log.
+    /// Notifies the holders of copies that the bills are on the log, so that they remove the copies.
     async fn remove_copies(&self, items: Vec<Item>) {
         let mut holders: Vec<(id::Node, id::Request)> = items
             .into_iter()
--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// A setting that is zero.
+/// A setting that is zero and must not be.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("the configuration's checkpoint {setting} must not be zero"))]
 pub struct Finding {
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -29,8 +29,7 @@
 use crate::view;
 use crate::view::TypedFold;
 
-/// Renewals in the time of one lease, so that one that fails at once can be repeated before the
-/// end.
+/// Renewal attempts in the span of one lease. A failed one can be repeated before the lease ends.
 const RENEWALS: u32 = 3;
 
 /// Settings of a [`Lease`].
@@ -44,8 +43,8 @@
 }
 
 impl Default for Config {
-    /// 15 s are long compared with a slow append, and short for an operator who waits for a
-    /// successor. 2 s cover an order in flight, and a drift far beyond that of real clocks.
+    /// The span is long compared with a slow append, and short for an operator who waits for a
+    /// successor. The margin covers an order in flight, and a drift far beyond that of real clocks.
     fn default() -> Self {
         Self {
             span: Span::from_secs(15),
@@ -67,7 +66,7 @@
     }
 }
 
-/// The right to give orders, with its fencing number.
+/// The right to give orders that this node holds, with its fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Held {
     /// The number to send with each order.
@@ -245,7 +244,7 @@
 }
 
 impl ForeignLease {
-    /// How long to wait before this node appends an [`Acquire`] record. The fold decides whether it
+    /// The time to wait before this node appends an [`Acquire`] record. The fold decides whether it
     /// is accepted, so one that comes too early costs a refused record and nothing else.
     fn time_to_wait(&mut self, lease: &leases::Lease, span: Span) -> Duration {
         let now = Instant::now();
--- a/crates/coordination/src/mesh.rs
+++ b/crates/coordination/src/mesh.rs
@@ -132,7 +132,8 @@
 }
 
 impl Duty {
-    /// The name by which nodes rank each other for the duty. All nodes must hash the same name, so that these names are part of the protocol.
+    /// The name by which nodes rank each other for the duty. All nodes must hash the same name, also
+    /// those that run another release, so that it stays although the variant's name differs.
     const fn name(self) -> &'static str {
         match self {
             Self::Reader => "tailer",
@@ -328,7 +329,7 @@
     }
 
     /// Adds addresses of possible peers, for instance from the platform's list of VMs. Known addresses
-    /// stay, so that a list which is suddenly empty or short does no harm.
+    /// stay, up to a bound, so that a list which is suddenly empty or short does no harm.
     pub fn add_addresses(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let now = Instant::now();
         let mut table = lock(&self.shared.table);
--- a/crates/coordination/src/mesh/gossip.rs
+++ b/crates/coordination/src/mesh/gossip.rs
@@ -4,9 +4,9 @@
 /// month fit. An endpoint that left longer ago is not listed any more.
 const MAX_FACTS: usize = 4_096;
 
-/// Facts that never become false, such as that one incarnation of an endpoint is leaving.
+/// Facts that nodes only add, such as that one incarnation of an endpoint is leaving.
 ///
-/// A fact is never withdrawn. The platform's list lags: an older copy of it that still shows an
+/// No node withdraws a fact; only the oldest are removed, at the bound. The platform's list lags: an older copy of it that still shows an
 /// endpoint as live would otherwise bring the endpoint back into use while it shuts down.
 #[derive(Debug)]
 pub struct Gossip<T> {
--- a/crates/entry/src/chain/service/call.rs
+++ b/crates/entry/src/chain/service/call.rs
@@ -33,7 +33,7 @@
     pub(super) outgoing: service::Call,
     /// Whether it may be sent more than once.
     pub(super) repeatable: bool,
-    /// Hash of customer, method, path and body.
+    /// Hash of customer, method, path and body, by which claims and bills tell calls apart.
     pub(super) hash: u64,
     /// Digest of the same parts, by which calls that crash endpoints are blocked.
     pub(super) block_digest: Digest,
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -57,8 +57,8 @@
     pub delivery: &'a mut Delivery,
     /// The attempts made so far.
     pub trace: &'a mut Trace,
-    /// Whether the next attempt is already charged to the retry budgets. It is charged before an attempt without a first
-    /// token is abandoned, so that the retry is allowed afterwards.
+    /// Whether the next attempt is already charged to the retry budgets. This is done before an attempt without
+    /// a first token is abandoned, so that the retry is then allowed.
     pub retry_charged: Arc<AtomicBool>,
 }
 
--- a/crates/entry/src/filter/delivery.rs
+++ b/crates/entry/src/filter/delivery.rs
@@ -92,8 +92,8 @@
         Self::new(clock, request, deadline, Sink::Whole)
     }
 
-    /// Creates the delivery for a caller that requested a stream. `response_sender` receives the response when the first
-    /// chunk is released, or the refusal.
+    /// Creates the delivery for a caller that requested a stream. The response, or the refusal, is sent to
+    /// `response_sender` when the first chunk is released.
     #[must_use]
     pub fn stream(
         clock: Clock,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -20,7 +20,7 @@
 use crate::refusal::Code;
 
 /// Bucket bounds of the latency histograms, in seconds. They are finest around 0.41 s, the target
-/// for the first token; reviews take minutes.
+/// for the first token; long requests take minutes.
 const LATENCY_BOUNDS: [f64; 16] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.41, 0.6, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0,
 ];
@@ -66,7 +66,7 @@
     pub last_byte: Duration,
     /// Time in queues.
     pub queue_wait: Duration,
-    /// Our cost of all attempts.
+    /// The operator's cost of all attempts.
     pub cost: Money,
 }
 
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -55,8 +55,8 @@
 /// of the configuration is processed immediately.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a new node waits for the claims stream before it accepts requests without it. An empty
-/// stream answers its first read after a second.
+/// How long a new node waits for the claims stream before it accepts requests without it. The first
+/// read of an empty stream returns after a second.
 const CLAIMS_STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Timeout for appending a proposed withdrawal to the log. Later evidence proposes it again.
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// An error response to a caller.
+/// An error response to a caller, also for a request that ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     /// Reason.
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -150,8 +150,7 @@
                 "bills: {unflushed} bills did not reach the log; peers that hold copies append them."
             );
         }
-        // Unspent grants are returned automatically at the end of the period, so that returning
-        // them now gets no time beyond the deadline.
+        // Unspent grants that are not returned now can't be spent until the period ends.
         let wallet_deadline = deadline.min(Instant::now() + FLUSH_TIMEOUT);
         node.wallet.close(wallet_deadline).await;
         outcomes.is_ok() && unflushed == 0
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -1,4 +1,5 @@
-//! The session token, which lists the versions that a caller's session uses.
+//! The session token, which lists the versions that a caller's session uses. Each entry is a pin: a version
+//! that the session keeps using.
 //!
 //! The caller sends the token with each request, so that any entry VM in any zone can apply it without
 //! shared state. A keyed MAC over the token, which includes the customer, prevents forged pins.
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -25,7 +25,7 @@
     pub refusals: u32,
     /// Time spent in queues.
     pub waited: Duration,
-    /// Cost of the attempts to the operator.
+    /// The operator's cost of the attempts.
     pub cost: Money,
     /// Endpoints at which attempts failed, not counting refusals by full endpoints.
     pub tried: Vec<id::Endpoint>,
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -20,9 +20,9 @@
 /// years ahead.
 pub const SKEW: Duration = Duration::from_mins(1);
 
-/// Expired entries are removed once they make up more than one `SLACK`th of the table. Moving the
+/// Expired entries are removed once they make up more than an eighth of the table. Moving the
 /// remaining entries then has a constant amortized cost per claim.
-const SLACK: usize = 8;
+const MAX_EXPIRED_DIVISOR: usize = 8;
 
 /// The fold of the claims stream.
 #[derive(Debug, Clone)]
@@ -215,10 +215,10 @@
         let old = |request: &id::Request| age(*request, self.now, self.window) == Age::Old;
         let entries = self.entries.partition_point(|entry| old(&entry.request));
         let released = self.released.partition_point(|(request, _)| old(request));
-        if entries * SLACK > self.entries.len() {
+        if entries * MAX_EXPIRED_DIVISOR > self.entries.len() {
             self.entries.drain(..entries);
         }
-        if released * SLACK > self.released.len() {
+        if released * MAX_EXPIRED_DIVISOR > self.released.len() {
             self.released.drain(..released);
         }
     }
--- a/crates/logs/src/queue.rs
+++ b/crates/logs/src/queue.rs
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Waits for lines, lets more of them gather, and removes all to write them, with the number of dropped lines to report. Returns `None` once the queue is closed and empty.
+    /// Waits for lines, then for [`WRITE_INTERVAL`], and removes all lines to write them. Also returns how
+    /// many dropped lines to report. Returns `None` once the queue is closed and empty.
     fn next_write(&self) -> Option<(Vec<u8>, u64)> {
         let mut state = self.lock();
         while state.bytes.is_empty() && !state.closed {
--- a/crates/units/src/offset.rs
+++ b/crates/units/src/offset.rs
@@ -45,8 +45,8 @@
     Offset
 }
 number! {
-    /// The revision of one configured subject: the offset of the change that set it, plus one.
-    /// Zero means that the subject does not exist.
+    /// The revision of one configured subject: the offset of the change that set or removed it, plus
+    /// one. Zero means that the subject never existed.
     Revision
 }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -167,7 +167,8 @@
 pub enum Answer {
     /// The call was carried out.
     Done,
-    /// There is nothing newer, or no cached answer.
+    /// The call has no result: there is nothing newer or no cached answer, pushed records could not
+    /// be applied, it is unknown whether records were appended, or the node does not answer such calls.
     Nothing,
     /// The call is refused for now; the reason is for log lines.
     Refused {
