--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -24,7 +24,7 @@
 use tokio_util::sync::CancellationToken;
 
 use self::entry::Entry;
-use self::entry::Progress;
+use self::entry::SendState;
 use self::worker::Worker;
 use crate::http;
 use crate::log::Error;
@@ -183,13 +183,13 @@
         let permit = Arc::clone(&self.shared.memory)
             .try_acquire_many_owned(permits)
             .map_err(|_| refused())?;
-        let progress = Arc::new(Progress::default());
+        let send_state = Arc::new(SendState::default());
         let (sender, receiver) = oneshot::channel();
         let entry = Entry {
             records,
             size,
             deadline,
-            progress: Arc::clone(&progress),
+            send_state: Arc::clone(&send_state),
             result: sender,
             _permit: permit,
         };
@@ -198,7 +198,7 @@
             .map_err(|_| refused())?;
         match tokio::time::timeout_at(deadline, receiver).await {
             Ok(Ok(result)) => result,
-            Ok(Err(_)) | Err(_) => Err(progress.abandon()),
+            Ok(Err(_)) | Err(_) => Err(send_state.abandon()),
         }
     }
 
--- a/crates/coordination/src/appender/entry.rs
+++ b/crates/coordination/src/appender/entry.rs
@@ -20,7 +20,7 @@
     /// When the caller stops waiting.
     pub(super) deadline: Instant,
     /// State shared with the caller.
-    pub(super) progress: std::sync::Arc<Progress>,
+    pub(super) send_state: std::sync::Arc<SendState>,
     /// Sends the result to the caller.
     pub(super) result: oneshot::Sender<Result<Offset, Error>>,
     /// The memory that the records occupy; released when the entry is dropped.
@@ -35,11 +35,11 @@
 
     /// Fails the call, since the log won't accept the records before the deadline.
     pub(super) fn refuse(self, error: Error) {
-        let error = match self.progress.abandon() {
+        let error = match self.send_state.abandon() {
             Error::Refused { .. } => error,
             lost => lost,
         };
-        // If the caller has gone, it has derived its own error from the same progress.
+        // If the caller has gone, it has derived its own error from the same send state.
         let _ = self.result.send(Err(error));
     }
 }
@@ -54,9 +54,9 @@
 /// the request would be reported as not run although its record is on the log. Both change the
 /// state by compare-and-swap, so exactly one of them wins.
 #[derive(Debug, Default)]
-pub(super) struct Progress(AtomicU8);
+pub(super) struct SendState(AtomicU8);
 
-impl Progress {
+impl SendState {
     /// Marks the entry as sent; false if the caller has abandoned it.
     pub(super) fn mark_sent(&self) -> bool {
         let result = self
--- a/crates/coordination/src/appender/worker.rs
+++ b/crates/coordination/src/appender/worker.rs
@@ -88,7 +88,7 @@
         loop {
             batch
                 .entries
-                .retain(|e| e.has_waiter() && e.progress.mark_sent());
+                .retain(|e| e.has_waiter() && e.send_state.mark_sent());
             if batch.entries.is_empty() {
                 return;
             }
@@ -133,7 +133,7 @@
     /// Fails the entries whose deadline passes before the log accepts appends again.
     fn refuse_expiring(&mut self, until: Instant, retry_after: Duration) {
         if !self.maybe_appended {
-            self.entries.iter().for_each(|e| e.progress.mark_unsent());
+            self.entries.iter().for_each(|e| e.send_state.mark_unsent());
         }
         let (waiting, expiring): (Vec<_>, Vec<_>) =
             self.entries.drain(..).partition(|e| e.deadline > until);
--- a/crates/coordination/src/forward.rs
+++ b/crates/coordination/src/forward.rs
@@ -1,4 +1,4 @@
-//! Appends through the zone's appender.
+//! Appends through the zone's appending node.
 //!
 //! At the target size, 400 nodes that each append for themselves would exhaust the log's rate. So
 //! one node of each zone appends the records of all. Each node determines that node for itself. Two
@@ -23,7 +23,7 @@
 use crate::mesh::Mesh;
 use crate::mesh::Peer;
 
-/// A log whose appends go through the zone's appender. Clones share it.
+/// A log whose appends go through the zone's appending node. Clones share it.
 #[derive(Debug, Clone)]
 pub struct Forwarder<L> {
     log: L,
@@ -73,7 +73,7 @@
         self.direct.append_all(stream, records, deadline).await
     }
 
-    fn appender(&self) -> Option<Peer> {
+    fn appending_peer(&self) -> Option<Peer> {
         let chosen = self.mesh.assigned(Duty::Appender);
         let mut peers = self.mesh.peers().into_iter();
         peers.find(|peer| peer.node == chosen)
@@ -82,7 +82,7 @@
 
 impl<L: Log> Log for Forwarder<L> {
     async fn append(&self, stream: Stream, records: Vec<String>) -> Result<Offset, Error> {
-        let Some(peer) = self.appender() else {
+        let Some(peer) = self.appending_peer() else {
             return self.append_direct(stream, records).await;
         };
         let call = Call::Append {
--- a/crates/coordination/tests/streams/bills.rs
+++ b/crates/coordination/tests/streams/bills.rs
@@ -117,13 +117,13 @@
     }
 }
 
-fn soon() -> Instant {
+fn in_ten_seconds() -> Instant {
     Instant::now() + Duration::from_secs(10)
 }
 
 async fn store(outbox: &Outbox, number: u128) -> Result<(), NotStored> {
     let permit = outbox.reserve().expect("capacity");
-    permit.store(&bill(number), soon()).await
+    permit.store(&bill(number), in_ten_seconds()).await
 }
 
 /// The number of bills that count on the usage stream, and the number of its records.
@@ -138,7 +138,7 @@
 }
 
 async fn until(mut condition: impl FnMut() -> bool) {
-    let deadline = soon();
+    let deadline = in_ten_seconds();
     while !condition() {
         assert!(Instant::now() < deadline, "not reached in time");
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -337,8 +337,8 @@
         store(&one, number).await.expect("the peer holds it");
     }
     log.fail_appends(Fault::None);
-    assert_eq!(one.flush(soon()).await, 0);
-    assert_eq!(two.flush(soon()).await, 0);
+    assert_eq!(one.flush(in_ten_seconds()).await, 0);
+    assert_eq!(two.flush(in_ten_seconds()).await, 0);
     assert_eq!(billed(&log).0, 10);
     token.cancel();
 }
--- a/crates/coordination/tests/streams/claims.rs
+++ b/crates/coordination/tests/streams/claims.rs
@@ -42,16 +42,18 @@
     }
 }
 
-fn soon() -> Instant {
+fn in_ten_seconds() -> Instant {
     Instant::now() + Duration::from_secs(10)
 }
 
-fn order() -> id::Request {
+fn new_request() -> id::Request {
     id::Request(Uuid::now_v7())
 }
 
-async fn claim(claimer: &Claimer, log: &Memory, order: id::Request) -> Result<Verdict, Error> {
-    claimer.claim(order, DIGEST, log.now(), soon()).await
+async fn claim(claimer: &Claimer, log: &Memory, request: id::Request) -> Result<Verdict, Error> {
+    claimer
+        .claim(request, DIGEST, log.now(), in_ten_seconds())
+        .await
 }
 
 fn owned(verdict: Result<Verdict, Error>) -> Ticket {
@@ -61,7 +63,7 @@
     }
 }
 
-/// The caller sends one order to two entry VMs at once, as after a broken connection. Both claim
+/// The caller sends one request to two entry VMs at once, as after a broken connection. Both claim
 /// it, and exactly one may dispatch.
 #[tokio::test(start_paused = true)]
 async fn one_of_two_claimers_owns() {
@@ -72,8 +74,8 @@
     ready(&one).await;
     ready(&two).await;
     for _ in 0..50 {
-        let order = order();
-        let (a, b) = tokio::join!(claim(&one, &log, order), claim(&two, &log, order));
+        let request = new_request();
+        let (a, b) = tokio::join!(claim(&one, &log, request), claim(&two, &log, request));
         let winners = [&a, &b]
             .into_iter()
             .filter(|verdict| matches!(verdict, Ok(Verdict::Owned(_))))
@@ -92,12 +94,12 @@
     let claimer = claimer(&log, "node-1", &token);
     ready(&claimer).await;
     log.fail_appends(Fault::LoseAnswer);
-    owned(claim(&claimer, &log, order()).await);
+    owned(claim(&claimer, &log, new_request()).await);
     token.cancel();
 }
 
 /// Another node's earlier claim is on the log and has not been read here when this node appends its
-/// own. The append succeeds all the same; treating that as ownership would run the order twice.
+/// own. The append succeeds all the same; treating that as ownership would run the request twice.
 #[tokio::test(start_paused = true)]
 async fn an_append_is_not_ownership() {
     let log = Memory::new();
@@ -105,9 +107,9 @@
     let claimer = claimer(&log, "node-1", &token);
     ready(&claimer).await;
     log.fail_reads(Fault::Hang);
-    let order = order();
+    let request = new_request();
     let earlier = Claim {
-        request: order,
+        request,
         digest: DIGEST,
         attempt: id::Attempt(Uuid::now_v7()),
         node: "node-2".parse().expect("a name"),
@@ -122,7 +124,7 @@
         }
         log.fail_reads(Fault::None);
     };
-    let (verdict, ()) = tokio::join!(claim(&claimer, &log, order), heal);
+    let (verdict, ()) = tokio::join!(claim(&claimer, &log, request), heal);
     match verdict {
         Ok(Verdict::Taken(found)) => assert_eq!(found.attempt, owner),
         other => panic!("expected another owner, got {other:?}"),
@@ -139,11 +141,11 @@
     let token = CancellationToken::new();
     let claimer = claimer(&log, "node-1", &token);
     ready(&claimer).await;
-    let order = order();
+    let request = new_request();
     // The claim reaches the log, but neither the response nor a read arrives in time.
     log.fail_appends(Fault::LoseAnswer);
     log.fail_reads(Fault::Hang);
-    let refused = claim(&claimer, &log, order).await;
+    let refused = claim(&claimer, &log, request).await;
     assert!(
         matches!(refused, Err(Error::Unavailable { .. })),
         "{refused:?}"
@@ -155,12 +157,12 @@
     let end = Offset::of(&log);
     let read = claimer
         .follower()
-        .wait(soon(), |_| {
+        .wait(in_ten_seconds(), |_| {
             (claimer.follower().next_offset().0 >= end).then_some(())
         })
         .await;
     assert!(read.is_some(), "the outcome is read");
-    owned(claim(&claimer, &log, order).await);
+    owned(claim(&claimer, &log, request).await);
     token.cancel();
 }
 
@@ -180,9 +182,9 @@
     let token = CancellationToken::new();
     let claimer = claimer(&log, "node-1", &token);
     ready(&claimer).await;
-    let order = order();
+    let request = new_request();
     log.fail_reads(Fault::Hang);
-    let abandoned = claim(&claimer, &log, order);
+    let abandoned = claim(&claimer, &log, request);
     let outcome = tokio::time::timeout(Duration::from_millis(100), abandoned).await;
     assert!(
         outcome.is_err(),
@@ -193,12 +195,12 @@
     let end = Offset::of(&log);
     claimer
         .follower()
-        .wait(soon(), |_| {
+        .wait(in_ten_seconds(), |_| {
             (claimer.follower().next_offset().0 >= end).then_some(())
         })
         .await
         .expect("the outcome is read");
-    owned(claim(&claimer, &log, order).await);
+    owned(claim(&claimer, &log, request).await);
     token.cancel();
 }
 
@@ -211,41 +213,41 @@
     let claimer = claimer(&log, "node-1", &token);
     ready(&claimer).await;
     log.fail_reads(Fault::Hang);
-    let mut refused = claim(&claimer, &log, order()).await;
+    let mut refused = claim(&claimer, &log, new_request()).await;
     while refused.is_ok() {
-        refused = claim(&claimer, &log, order()).await;
+        refused = claim(&claimer, &log, new_request()).await;
     }
     while claimer.follower().age() < Duration::from_millis(1_500) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let before = log.records(Stream::Claims).len();
-    let order = order();
-    let refused = claim(&claimer, &log, order).await;
+    let request = new_request();
+    let refused = claim(&claimer, &log, request).await;
     assert!(
         matches!(refused, Err(Error::Unavailable { .. })),
         "{refused:?}"
     );
     let written = log.records(Stream::Claims).split_off(before);
-    let name = order.to_string();
+    let name = request.to_string();
     assert!(written.iter().all(|record| !record.contains(&name)));
     token.cancel();
 }
 
-/// The first claimer's VM is lost after its claim. Another attempt at the same order gets the
-/// earlier owner and must not run: it is unknown whether the endpoint received the order.
+/// The first claimer's VM is lost after its claim. Another attempt at the same request gets the
+/// earlier owner and must not run: it is unknown whether the endpoint received the request.
 #[tokio::test(start_paused = true)]
 async fn a_dead_claimers_order_stays_claimed() {
     let log = Memory::new();
     let lost_token = CancellationToken::new();
     let one = claimer(&log, "node-1", &lost_token);
     ready(&one).await;
-    let order = order();
-    let ticket = owned(claim(&one, &log, order).await);
+    let request = new_request();
+    let ticket = owned(claim(&one, &log, request).await);
     lost_token.cancel();
     let token = CancellationToken::new();
     let two = claimer(&log, "node-2", &token);
     ready(&two).await;
-    match claim(&two, &log, order).await {
+    match claim(&two, &log, request).await {
         Ok(Verdict::Taken(owner)) => {
             assert_eq!(owner.attempt, ticket.attempt);
             assert_eq!(owner.run, None);
@@ -255,7 +257,7 @@
     token.cancel();
 }
 
-/// An endpoint refuses the order without starting it, and the claimer records that. The caller's
+/// An endpoint refuses the request without starting it, and the claimer records that. The caller's
 /// next attempt, at another VM, owns the request.
 #[tokio::test(start_paused = true)]
 async fn a_call_that_did_not_run_is_free_again() {
@@ -265,18 +267,18 @@
     let two = claimer(&log, "node-2", &token);
     ready(&one).await;
     ready(&two).await;
-    let order = order();
-    let ticket = owned(claim(&one, &log, order).await);
+    let request = new_request();
+    let ticket = owned(claim(&one, &log, request).await);
     one.report(ticket, Run::NotRun, None);
     one.flush().await;
     let end = Offset::of(&log);
     two.follower()
-        .wait(soon(), |_| {
+        .wait(in_ten_seconds(), |_| {
             (two.follower().next_offset().0 >= end).then_some(())
         })
         .await
         .expect("the outcome is read");
-    owned(claim(&two, &log, order).await);
+    owned(claim(&two, &log, request).await);
     token.cancel();
 }
 
@@ -288,7 +290,7 @@
     let token = CancellationToken::new();
     let claimer = claimer(&log, "node-1", &token);
     ready(&claimer).await;
-    let ticket = owned(claim(&claimer, &log, order()).await);
+    let ticket = owned(claim(&claimer, &log, new_request()).await);
     assert!(ticket.is_valid(Instant::now()));
     tokio::time::advance(Duration::from_secs(11)).await;
     assert!(!ticket.is_valid(Instant::now()));
@@ -307,9 +309,9 @@
     let refused = claim(&claimer, &log, unreadable).await;
     let age = Age::Unreadable;
     assert_eq!(refused.expect_err("refused"), Error::Age { age });
-    let young = order();
+    let young = new_request();
     let later = log.now() + Duration::from_hours(1);
-    let refused = claimer.claim(young, DIGEST, later, soon()).await;
+    let refused = claimer.claim(young, DIGEST, later, in_ten_seconds()).await;
     let age = Age::Old;
     assert_eq!(refused.expect_err("refused"), Error::Age { age });
     assert!(log.records(Stream::Claims).is_empty());
--- a/crates/entry/tests/all/rating.rs
+++ b/crates/entry/tests/all/rating.rs
@@ -7,7 +7,7 @@
 
 const RESPONSE_TIME: Duration = Duration::from_millis(20);
 
-fn is_paused(health: &Health, now: Moment) -> bool {
+fn is_backing_off(health: &Health, now: Moment) -> bool {
     health.expected_time(now).is_none()
 }
 
@@ -19,7 +19,7 @@
     for second in 0..100 {
         let now = Moment::from_millis(second * 1_000);
         health.record_failure(now);
-        assert!(!is_paused(&health, now), "after {second} s");
+        assert!(!is_backing_off(&health, now), "after {second} s");
         health.record_success(RESPONSE_TIME);
     }
 }
@@ -33,7 +33,7 @@
     for _ in 0..40 {
         health.record_failure(now);
         let paused_at = now;
-        while is_paused(&health, now) {
+        while is_backing_off(&health, now) {
             now = now + Duration::from_millis(100);
         }
         pauses.push(now.since(paused_at));
@@ -43,7 +43,7 @@
     assert!(pauses.is_sorted(), "{pauses:?}");
     assert_eq!(pauses.last(), Some(&Duration::from_secs(8)));
     health.record_failure(now);
-    assert!(is_paused(&health, now));
+    assert!(is_backing_off(&health, now));
     health.record_success(RESPONSE_TIME);
-    assert!(!is_paused(&health, now));
+    assert!(!is_backing_off(&health, now));
 }
--- a/crates/ledger/tests/all/grants.rs
+++ b/crates/ledger/tests/all/grants.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn back(record: u128, by: u8, period: u64, amount: u64) -> GrantRecord {
+fn return_record(record: u128, by: u8, period: u64, amount: u64) -> GrantRecord {
     GrantRecord::Return(Return {
         id: id::Record(Uuid::from_u128(record)),
         customer: customer(),
@@ -43,7 +43,7 @@
     })
 }
 
-fn left(micros: u64) -> Verdict {
+fn refused_with(micros: u64) -> Verdict {
     Verdict::Refused {
         left: Money::from_micros(micros),
     }
@@ -59,11 +59,14 @@
     assert_eq!(fold.apply(&first), Verdict::Repeated);
     assert_eq!(
         fold.apply(&GrantRecord::Grant(grant(2, 2, 0, 50))),
-        left(40)
+        refused_with(40)
     );
     let rest = GrantRecord::Grant(grant(3, 2, 0, 40));
     assert_eq!(fold.apply(&rest), Verdict::Accepted);
-    assert_eq!(fold.apply(&GrantRecord::Grant(grant(4, 3, 0, 1))), left(0));
+    assert_eq!(
+        fold.apply(&GrantRecord::Grant(grant(4, 3, 0, 1))),
+        refused_with(0)
+    );
     assert_eq!(
         fold.granted(&customer(), 0, &node(2)),
         Money::from_micros(40)
@@ -76,10 +79,10 @@
 fn returns_are_bounded_by_what_is_held() {
     let mut fold = Fold::default();
     fold.apply(&GrantRecord::Grant(grant(1, 1, 0, 100)));
-    assert_eq!(fold.apply(&back(2, 1, 0, 101)), left(100));
-    assert_eq!(fold.apply(&back(3, 2, 0, 1)), left(0));
-    assert_eq!(fold.apply(&back(4, 1, 0, 30)), Verdict::Accepted);
-    assert_eq!(fold.apply(&back(4, 1, 0, 30)), Verdict::Repeated);
+    assert_eq!(fold.apply(&return_record(2, 1, 0, 101)), refused_with(100));
+    assert_eq!(fold.apply(&return_record(3, 2, 0, 1)), refused_with(0));
+    assert_eq!(fold.apply(&return_record(4, 1, 0, 30)), Verdict::Accepted);
+    assert_eq!(fold.apply(&return_record(4, 1, 0, 30)), Verdict::Repeated);
     let next = GrantRecord::Grant(grant(5, 2, 0, 30));
     assert_eq!(fold.apply(&next), Verdict::Accepted);
 }
@@ -97,7 +100,7 @@
     fold.apply(&GrantRecord::Grant(narrowed));
     assert_eq!(
         fold.apply(&GrantRecord::Grant(grant(2, 2, 0, 20))),
-        left(10)
+        refused_with(10)
     );
 }
 
@@ -114,7 +117,10 @@
         fold.apply(&GrantRecord::Grant(grant(9, 2, 0, 100))),
         Verdict::Late
     );
-    assert_eq!(fold.apply(&GrantRecord::Grant(grant(10, 2, 2, 1))), left(0));
+    assert_eq!(
+        fold.apply(&GrantRecord::Grant(grant(10, 2, 2, 1))),
+        refused_with(0)
+    );
 }
 
 proptest! {
@@ -125,7 +131,7 @@
         let mut fold = Fold::default();
         for (record, by, amount, kind) in steps {
             let record = if kind == 0 {
-                back(record, by, 0, amount)
+                return_record(record, by, 0, amount)
             } else {
                 GrantRecord::Grant(grant(record, by, 0, amount))
             };
