--- a/crates/contract/src/rollout.rs
+++ b/crates/contract/src/rollout.rs
@@ -35,7 +35,7 @@
     Done,
 }
 
-/// Conditions for advancing to the next stage.
+/// Conditions for advancing a roll-out to the next stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gate {
     /// Minimum number of rated answers of `to`.
--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// An invalid setting.
+/// An invalid setting; `setting` describes the field.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("the appender's {setting} must not be zero"))]
 pub struct Finding {
--- a/crates/coordination/src/bills/copies.rs
+++ b/crates/coordination/src/bills/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of bills held for peers.
+//! Bill copies held for peers.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -9,7 +9,7 @@
 use pimento_units::id;
 use tokio::time::Instant;
 
-/// A bounded table of copies, sorted by request and writer.
+/// A bounded table of bill copies, sorted by request and writer.
 #[derive(Debug)]
 pub struct Copies {
     capacity: usize,
--- a/crates/coordination/src/grants.rs
+++ b/crates/coordination/src/grants.rs
@@ -291,7 +291,7 @@
         let returns: Vec<(id::Customer, u64, Money)> = {
             let mut balances = self.shared.balances();
             let returns = balances.iter_mut().map(|balance| {
-                // Money from peers cannot be returned under this name: the fold would refuse the
+                // Transferred money cannot be returned under this name: the fold would refuse the
                 // return.
                 let granted = self.shared.granted(&balance.customer, balance.period);
                 let amount = balance.grants.available().min(granted);
--- a/crates/coordination/src/mesh.rs
+++ b/crates/coordination/src/mesh.rs
@@ -122,7 +122,7 @@
     pub quarantined: Vec<id::Version>,
 }
 
-/// A duty that one node has for its zone.
+/// A duty that one node has for its zone. What runs on a VM is [`pimento_wire::platform::Role`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Duty {
     /// Reads the configuration stream for the zone.
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -264,7 +264,7 @@
         let node = self.0;
         let request = &work.funded.resolved.request;
         let class = &request.class.name;
-        let rated = RatedAnswer::new(
+        let rated_answer = RatedAnswer::new(
             &request.customer,
             class,
             chosen.version,
@@ -273,10 +273,10 @@
         );
         let pass = match chosen.plan.release {
             Release::Unrated => {
-                self.sample_rating(rated);
+                self.sample_rating(rated_answer);
                 Some(true)
             }
-            Release::Rated => rate::rate(node, rated, request.identity.deadline).await,
+            Release::Rated => rate::rate(node, rated_answer, request.identity.deadline).await,
         };
         let accepted = pass.unwrap_or_else(|| chosen.acceptable_unrated());
         let result = match pass {
@@ -305,7 +305,7 @@
     }
 
     /// Rates a sample of the answers that were released unrated, so that the estimates stay accurate.
-    fn sample_rating(&self, rated: RatedAnswer) {
+    fn sample_rating(&self, rated_answer: RatedAnswer) {
         if self.0.rater.is_none() || !cascade::should_sample(rand::random()) {
             return;
         }
@@ -315,7 +315,7 @@
         let deadline = node.clock.now() + SAMPLE_RATING_TIMEOUT;
         self.0
             .tasks
-            .spawn(async move { rate::rate(&node, rated, deadline).await });
+            .spawn(async move { rate::rate(&node, rated_answer, deadline).await });
     }
 
     /// Returns the best answer available. The contracted quality applies to a share of the answers, and an
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -119,15 +119,15 @@
 }
 
 /// Has the rating service rate an answer, and records the result. Returns none if there is no rating by `deadline`.
-pub async fn rate(node: &Node, rated: RatedAnswer, deadline: Moment) -> Option<bool> {
+pub async fn rate(node: &Node, rated_answer: RatedAnswer, deadline: Moment) -> Option<bool> {
     let rater = node.rater.as_ref()?;
     let started = node.clock.now();
     node.rater_health.expected_time(started)?;
     let call = rater.rate(platform::Rate {
-        version: rated.version.id.clone(),
-        class: rated.class.clone(),
-        prompt: rated.prompt.clone(),
-        answer: rated.answer.clone(),
+        version: rated_answer.version.id.clone(),
+        class: rated_answer.class.clone(),
+        prompt: rated_answer.prompt.clone(),
+        answer: rated_answer.answer.clone(),
     });
     let result = tokio::time::timeout_at(node.clock.instant(deadline), call).await;
     let now = node.clock.now();
@@ -139,7 +139,7 @@
                 class,
                 version,
                 ..
-            } = &rated;
+            } = &rated_answer;
             node.estimates
                 .record_rating(customer, class, version, rating.pass, now);
             node.evidence.record_rating(&version.id, rating.pass, now);
--- a/crates/entry/tests/all/faults.rs
+++ b/crates/entry/tests/all/faults.rs
@@ -165,7 +165,7 @@
 /// If all engines refuse a call as not run, the caller gets `not_run`. If engines refuse without a
 /// run state, the caller gets `unknown`.
 #[tokio::test]
-async fn not_run_is_reported_only_if_every_engine_reported_it() {
+async fn not_run_is_said_only_if_every_engine_said_so() {
     let refuse = |run| {
         Rule::new(Action::Refuse {
             status: 503,
@@ -199,7 +199,7 @@
 /// caller is refused immediately with this `retry-after`, rather than held while the engines are
 /// called again and again: the test waits far less than the caller's timeout.
 #[tokio::test]
-async fn a_request_that_cannot_be_served_in_time_is_refused_at_once() {
+async fn who_cannot_be_served_in_time_hears_at_once() {
     let fixture = Fixture::start(2).await;
     let entry = fixture.entry("entry-1").await;
     for engine in &fixture.engines {
@@ -301,7 +301,7 @@
 /// The temperature is above zero, so that another attempt would give another text. After a cut the same
 /// attempt is resumed at the same engine, and no second attempt is started.
 #[tokio::test]
-async fn an_answer_that_is_not_deterministic_is_resumed_and_not_generated_again() {
+async fn an_answer_that_is_not_deterministic_is_resumed_and_not_told_again() {
     let fixture = Fixture::start(2).await;
     let entry = fixture.entry("entry-1").await;
     for engine in &fixture.engines {
