--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -108,7 +108,8 @@
     /// The id's age does not allow a claim.
     #[snafu(display("the request id can't be claimed: {}", Reason(*age)))]
     Age {
-        /// The result of the age check.
+        /// The result of the age check; [`Age::Fresh`] if this VM's clock accepts the id and the log's
+        /// does not.
         age: Age,
     },
     /// The log is unavailable or slow.
--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -157,7 +157,8 @@
         self.shared.published.subscribe()
     }
 
-    /// Upper bound of the state's age by its [`Freshness`]: the time since this node or a peer read the log to its end,
+    /// Upper bound of the state's age by its [`Freshness`]: the time since this node or a peer read the
+    /// log to its end,
     /// where the state holds all records up to that end. Without such a read, the time since the
     /// start.
     #[must_use]
--- a/crates/coordination/src/follower.rs
+++ b/crates/coordination/src/follower.rs
@@ -82,17 +82,17 @@
         fold: F,
         token: CancellationToken,
     ) -> Self {
-        let (gate, _) = watch::channel(true);
-        Self::start_gated(log, stream, from, fold, gate.subscribe(), token)
+        let (enabled, _) = watch::channel(true);
+        Self::start_gated(log, stream, from, fold, enabled.subscribe(), token)
     }
 
-    /// Like [`Follower::start`], but reads only while `gate` is true.
+    /// Like [`Follower::start`], but reads only while `enabled` is true.
     pub fn start_gated(
         log: impl Log,
         stream: Stream,
         from: Offset,
         fold: F,
-        gate: watch::Receiver<bool>,
+        enabled: watch::Receiver<bool>,
         token: CancellationToken,
     ) -> Self {
         let position = Position {
@@ -110,7 +110,7 @@
         let reader = Reader {
             log,
             stream,
-            gate,
+            enabled,
             shared: Arc::clone(&shared),
         };
         tokio::spawn(async move { token.run_until_cancelled(reader.run()).await });
@@ -217,7 +217,7 @@
 struct Reader<L, F> {
     log: L,
     stream: Stream,
-    gate: watch::Receiver<bool>,
+    enabled: watch::Receiver<bool>,
     shared: Arc<Shared<F>>,
 }
 
@@ -225,7 +225,7 @@
     async fn run(mut self) {
         let mut backoff = Backoff::new();
         loop {
-            self.wait_for_gate().await;
+            self.wait_until_enabled().await;
             let sent = Instant::now();
             let next = self.next();
             match self
@@ -255,9 +255,9 @@
         }
     }
 
-    async fn wait_for_gate(&mut self) {
-        // A gate whose sender was dropped keeps its last value.
-        if self.gate.wait_for(|open| *open).await.is_err() && !*self.gate.borrow() {
+    async fn wait_until_enabled(&mut self) {
+        // A channel whose sender was dropped keeps its last value.
+        if self.enabled.wait_for(|enabled| *enabled).await.is_err() && !*self.enabled.borrow() {
             std::future::pending::<()>().await;
         }
     }
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -35,7 +35,7 @@
 use crate::refusal::Refusal;
 use crate::trace::Trace;
 
-/// Tokens from which a job counts as long, as in the queue.
+/// Expected tokens from which an attempt counts as long for hedging. The queue has a threshold of its own.
 const LONG_JOB: Tokens = Tokens(6_000);
 
 /// Sends a request to engines of one version.
--- a/crates/units/src/time.rs
+++ b/crates/units/src/time.rs
@@ -112,7 +112,8 @@
     }
 }
 
-/// A duration in whole milliseconds, as it appears in settings and records.
+/// A duration in whole milliseconds, as it appears in settings and records. Code computes
+/// with [`Duration`].
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
