--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! Operators write TOML. [`raw`] validates it and converts it into the types of this crate; it reports
 //! all findings together, each with its location. Changes are [`change::Entry`] records on the
-//! platform's log. A fold computes a state from the records of a stream in order; [`fold::State`] decides in offset order which changes are in force, and all readers
-//! reach the same result. This crate reads no clock, draws no random numbers and does not await.
+//! platform's log. A fold computes a state from the records of a stream in offset order. The fold
+//! [`fold::State`] decides which changes are in force, and all readers reach the same result. This crate
+//! reads no clock, draws no random numbers and does not await.
 
 pub mod change;
 pub mod contract;
--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -64,7 +64,7 @@
 /// An invalid setting; `setting` describes the field.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("the appender's {setting} must not be zero"))]
-pub struct Finding {
+pub struct InvalidSetting {
     setting: &'static str,
 }
 
@@ -73,14 +73,14 @@
 pub struct Config(Settings);
 
 impl TryFrom<Settings> for Config {
-    type Error = Finding;
-    fn try_from(settings: Settings) -> Result<Self, Finding> {
+    type Error = InvalidSetting;
+    fn try_from(settings: Settings) -> Result<Self, InvalidSetting> {
         let setting = "records";
-        ensure!(settings.max_records > 0, FindingSnafu { setting });
+        ensure!(settings.max_records > 0, InvalidSettingSnafu { setting });
         let setting = "queue";
-        ensure!(settings.queue_capacity > 0, FindingSnafu { setting });
+        ensure!(settings.queue_capacity > 0, InvalidSettingSnafu { setting });
         let setting = "memory";
-        ensure!(settings.max_memory > 0, FindingSnafu { setting });
+        ensure!(settings.max_memory > 0, InvalidSettingSnafu { setting });
         Ok(Self(settings))
     }
 }
--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -75,7 +75,7 @@
 /// A setting that is zero and must not be.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("the configuration's checkpoint {setting} must not be zero"))]
-pub struct Finding {
+pub struct InvalidSetting {
     setting: &'static str,
 }
 
@@ -84,14 +84,17 @@
 pub struct Config(Settings);
 
 impl TryFrom<Settings> for Config {
-    type Error = Finding;
-    fn try_from(settings: Settings) -> Result<Self, Finding> {
+    type Error = InvalidSetting;
+    fn try_from(settings: Settings) -> Result<Self, InvalidSetting> {
         let setting = "changes";
-        ensure!(settings.checkpoint_changes > 0, FindingSnafu { setting });
+        ensure!(
+            settings.checkpoint_changes > 0,
+            InvalidSettingSnafu { setting }
+        );
         let setting = "interval";
         ensure!(
             !settings.checkpoint_interval.is_zero(),
-            FindingSnafu { setting }
+            InvalidSettingSnafu { setting }
         );
         Ok(Self(settings))
     }
--- a/crates/coordination/src/mesh/gossip.rs
+++ b/crates/coordination/src/mesh/gossip.rs
@@ -6,8 +6,9 @@
 
 /// Facts that nodes only add, such as that one incarnation of an endpoint is leaving.
 ///
-/// No node withdraws a fact; only the oldest are removed, at the bound. The platform's list lags: an older copy of it that still shows an
-/// endpoint as live would otherwise bring the endpoint back into use while it shuts down.
+/// No node withdraws a fact; only the oldest are removed, at the bound. The platform's list lags: an
+/// older copy of it that still shows an endpoint as live would otherwise bring the endpoint back into
+/// use while it shuts down.
 #[derive(Debug)]
 pub struct Gossip<T> {
     /// Sorted by fact.
--- a/crates/entry/src/filter.rs
+++ b/crates/entry/src/filter.rs
@@ -1,6 +1,7 @@
 //! The filters that a request passes through, one per file, and their helpers.
 //!
-//! The helpers are `delivery` and `reply` (the response to the caller) and `rate` (ratings of answers).
+//! The helpers are `attempt` (calls of engines), `delivery` and `reply` (the response to the caller) and `rate`
+//! (ratings of answers).
 //!
 //! A filter takes a request in one state and returns it in the next, or refuses it. The types of the states
 //! prevent skipping a filter: a request that has not passed the contract filter has no versions to choose
--- a/crates/entry/src/filter/rate.rs
+++ b/crates/entry/src/filter/rate.rs
@@ -118,7 +118,8 @@
     }
 }
 
-/// Has the rating service rate an answer, and records the result. Returns none if there is no rating by `deadline`.
+/// Has the rating service rate an answer, and records the result. Returns none if there is no rating by
+/// `deadline`.
 pub async fn rate(node: &Node, rated_answer: RatedAnswer, deadline: Moment) -> Option<bool> {
     let rater = node.rater.as_ref()?;
     let started = node.clock.now();
