--- a/crates/control/src/fence.rs
+++ b/crates/control/src/fence.rs
@@ -27,7 +27,7 @@
 /// including its response.
 #[must_use]
 pub fn decide(
-    held: Option<lease::Fencing>,
+    held: Option<lease::Held>,
     fencing: Fencing,
     order_timeout: Duration,
     now: Instant,
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -15,7 +15,7 @@
 use pimento_coordination::Appender;
 use pimento_coordination::Follower;
 use pimento_coordination::lease;
-use pimento_coordination::lease::Fencing;
+use pimento_coordination::lease::Held;
 use pimento_coordination::lease::Lease;
 use pimento_coordination::lease::View;
 use pimento_units::id;
@@ -31,7 +31,7 @@
 /// Leases on the orders to pools.
 pub trait PoolLeases: Send + Sync + 'static {
     /// The fencing number and the times of the pool's lease, if this node holds it now.
-    fn fencing(&self, pool: &id::Pool) -> Option<Fencing>;
+    fn fencing(&self, pool: &id::Pool) -> Option<Held>;
 }
 
 /// The lease on roll-outs.
@@ -87,7 +87,7 @@
 
     /// Resources whose lease is held now, with their fencing numbers.
     #[must_use]
-    pub fn all_held(&self) -> Vec<(id::Resource, Fencing)> {
+    pub fn all_held(&self) -> Vec<(id::Resource, Held)> {
         let entries = self.lock();
         let held = entries
             .iter()
@@ -95,7 +95,7 @@
         held.flatten().collect()
     }
 
-    fn resource_fencing(&self, resource: &id::Resource) -> Option<Fencing> {
+    fn resource_fencing(&self, resource: &id::Resource) -> Option<Held> {
         let entries = self.lock();
         let at = entries
             .binary_search_by(|entry| entry.resource.cmp(resource))
@@ -105,7 +105,7 @@
 }
 
 impl PoolLeases for Leases {
-    fn fencing(&self, pool: &id::Pool) -> Option<Fencing> {
+    fn fencing(&self, pool: &id::Pool) -> Option<Held> {
         self.resource_fencing(&pool_resource(pool, &self.zone))
     }
 }
--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -24,7 +24,7 @@
 use tokio_util::sync::CancellationToken;
 
 use self::entry::Entry;
-use self::entry::Progress;
+use self::entry::SendState;
 use self::worker::Worker;
 use crate::http;
 use crate::log::Error;
@@ -46,10 +46,10 @@
 }
 
 impl Default for Settings {
-    /// 10 ms limit a node to 100 appends a second for each stream, and are short compared with the
-    /// log's latency. 512 records and 1 MiB keep one append far below the log's timeout. 4,096
-    /// calls are several seconds of a node's share of the target rate. 16 MiB is half of the memory
-    /// that coordination may use on a node.
+    /// The batch delay limits a node to 100 appends a second for each stream, and is short compared
+    /// with the log's latency. The bounds of records and bytes keep one append far below the log's
+    /// timeout. The queue holds several seconds of a node's share of the target rate. The memory
+    /// bound is half of what coordination may use on a node.
     fn default() -> Self {
         Self {
             batch_delay: Duration::from_millis(10),
@@ -61,10 +61,10 @@
     }
 }
 
-/// An invalid setting.
+/// An invalid setting; `setting` describes the field.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("the appender's {setting} must not be zero"))]
-pub struct Finding {
+pub struct InvalidSetting {
     setting: &'static str,
 }
 
@@ -73,14 +73,14 @@
 pub struct Config(Settings);
 
 impl TryFrom<Settings> for Config {
-    type Error = Finding;
-    fn try_from(settings: Settings) -> Result<Self, Finding> {
+    type Error = InvalidSetting;
+    fn try_from(settings: Settings) -> Result<Self, InvalidSetting> {
         let setting = "records";
-        ensure!(settings.max_records > 0, FindingSnafu { setting });
+        ensure!(settings.max_records > 0, InvalidSettingSnafu { setting });
         let setting = "queue";
-        ensure!(settings.queue_capacity > 0, FindingSnafu { setting });
+        ensure!(settings.queue_capacity > 0, InvalidSettingSnafu { setting });
         let setting = "memory";
-        ensure!(settings.max_memory > 0, FindingSnafu { setting });
+        ensure!(settings.max_memory > 0, InvalidSettingSnafu { setting });
         Ok(Self(settings))
     }
 }
@@ -95,15 +95,15 @@
 struct Shared {
     queues: Vec<mpsc::Sender<Entry>>,
     memory: Arc<Semaphore>,
-    closed: Arc<Closed>,
+    outage: Arc<Outage>,
     token: CancellationToken,
 }
 
 /// The end of the outage that the log announced last; in the past if there is none.
 #[derive(Debug)]
-struct Closed(Mutex<Instant>);
+struct Outage(Mutex<Instant>);
 
-impl Closed {
+impl Outage {
     fn until(&self) -> Instant {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -118,7 +118,7 @@
     ///
     /// Pending appends then fail as refused, or as lost if they were sent before.
     pub fn start(log: impl Log, config: Config, token: CancellationToken) -> Self {
-        let closed = Arc::new(Closed(Mutex::new(Instant::now())));
+        let outage = Arc::new(Outage(Mutex::new(Instant::now())));
         let logs = std::iter::repeat_n(log, Stream::ALL.len());
         let queues = Stream::ALL
             .into_iter()
@@ -129,7 +129,7 @@
                     log,
                     stream,
                     settings: config.0,
-                    closed: Arc::clone(&closed),
+                    outage: Arc::clone(&outage),
                 };
                 tokio::spawn(worker.run(queue, token.clone()));
                 sender
@@ -139,7 +139,7 @@
         let shared = Shared {
             queues,
             memory,
-            closed,
+            outage,
             token,
         };
         Self {
@@ -183,13 +183,13 @@
         let permit = Arc::clone(&self.shared.memory)
             .try_acquire_many_owned(permits)
             .map_err(|_| refused())?;
-        let progress = Arc::new(Progress::default());
+        let send_state = Arc::new(SendState::default());
         let (sender, receiver) = oneshot::channel();
         let entry = Entry {
             records,
             size,
             deadline,
-            progress: Arc::clone(&progress),
+            send_state: Arc::clone(&send_state),
             result: sender,
             _permit: permit,
         };
@@ -198,14 +198,14 @@
             .map_err(|_| refused())?;
         match tokio::time::timeout_at(deadline, receiver).await {
             Ok(Ok(result)) => result,
-            Ok(Err(_)) | Err(_) => Err(progress.abandon()),
+            Ok(Err(_)) | Err(_) => Err(send_state.abandon()),
         }
     }
 
     /// When the log will accept appends again, as it announced; in the past if it accepts them now.
     #[must_use]
-    pub fn closed_until(&self) -> Instant {
-        self.shared.closed.until()
+    pub fn log_unavailable_until(&self) -> Instant {
+        self.shared.outage.until()
     }
 
     /// Refuses an append at once if the log has announced that it won't accept it before
@@ -214,7 +214,7 @@
         if self.shared.token.is_cancelled() {
             return Err(refused());
         }
-        let until = self.closed_until();
+        let until = self.log_unavailable_until();
         if until < deadline {
             return Ok(());
         }
--- a/crates/coordination/src/bills/peers.rs
+++ b/crates/coordination/src/bills/peers.rs
@@ -21,7 +21,8 @@
 
 impl Peers for Mesh {
     /// Peers of the local zone come first, since a copy to another zone adds the link's delay to
-    /// the caller's response. If the local zone has no other VM, it is the only copy.
+    /// the caller's response. If the local zone has no other VM, the copy in another zone
+    /// is the only one.
     fn peers(&self) -> Vec<id::Node> {
         let peers = Self::peers(self).into_iter().filter(|peer| !peer.leaving);
         let (local, remote): (Vec<Peer>, Vec<Peer>) =
@@ -32,7 +33,7 @@
         order
     }
 
-    async fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> bool {
+    async fn store_copies(&self, peer: &id::Node, bills: Vec<String>) -> bool {
         let Some(peer) = find_peer(self, peer) else {
             return false;
         };
@@ -41,14 +42,14 @@
         matches!(answer, Ok(Answer::Done))
     }
 
-    async fn release(&self, peer: &id::Node, requests: Vec<id::Request>) {
+    async fn remove_copies(&self, peer: &id::Node, requests: Vec<id::Request>) {
         let Some(peer) = find_peer(self, peer) else {
             return;
         };
         let node = self.node().clone();
         let call = Call::RemoveBills { node, requests };
         if let Err(error) = self.call(&peer, call).await {
-            log::debug!("bills: release of copies not confirmed: {error}");
+            log::debug!("bills: removal of copies not confirmed: {error}");
         }
     }
 }
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -45,7 +45,7 @@
     /// The age of the view beyond which the log counts as unavailable and calls are refused at
     /// once. It must exceed the duration of a long-poll read, or a quiet log would count as
     /// unavailable.
-    pub outage: Duration,
+    pub max_view_age: Duration,
     /// Timeout of a claim. A slower log counts as unavailable, and the caller can retry.
     pub timeout: Duration,
 }
@@ -54,7 +54,7 @@
     fn default() -> Self {
         Self {
             window: Duration::from_mins(30),
-            outage: Duration::from_secs(4),
+            max_view_age: Duration::from_secs(4),
             timeout: Duration::from_secs(3),
         }
     }
@@ -68,8 +68,8 @@
 
     const PREFIX: &'static str = "claims";
 
-    fn apply(&mut self, _offset: Offset, at: Wall, call: ClaimRecord) {
-        self.apply(at, &call);
+    fn apply(&mut self, _offset: Offset, at: Wall, record: ClaimRecord) {
+        self.apply(at, &record);
     }
 }
 
@@ -108,7 +108,8 @@
     /// The id's age does not allow a claim.
     #[snafu(display("the request id can't be claimed: {}", Reason(*age)))]
     Age {
-        /// The result of the age check.
+        /// The result of the age check; [`Age::Fresh`] if this VM's clock accepts the id and the log's
+        /// does not.
         age: Age,
     },
     /// The log is unavailable or slow.
@@ -231,7 +232,7 @@
     }
 
     /// Appends the outcome of a claimed call in the background.
-    pub fn record_outcome(&self, outcome: Outcome) {
+    pub fn append_outcome(&self, outcome: Outcome) {
         let appender = self.appender.clone();
         self.tasks.spawn(async move {
             let Ok(record) = serde_json::to_string(&ClaimRecord::Outcome(outcome)) else {
@@ -246,7 +247,7 @@
 
     /// Appends the outcome of the call of `ticket` in the background.
     pub fn report(&self, ticket: Ticket, run: Run, status: Option<u16>) {
-        self.record_outcome(Outcome {
+        self.append_outcome(Outcome {
             request: ticket.request,
             attempt: ticket.attempt,
             run,
@@ -263,16 +264,16 @@
 
     fn check_available(&self) -> Result<(), Error> {
         // Until the first read reaches the end, an earlier claim may be unread.
-        let has_read = self.follower.next() > Offset(0) || self.follower.caught_up();
-        if !has_read || self.follower.age() > self.config.outage {
+        let has_read = self.follower.next_offset() > Offset(0) || self.follower.caught_up();
+        if !has_read || self.follower.age() > self.config.max_view_age {
             return Err(self.unavailable());
         }
         Ok(())
     }
 
     fn unavailable(&self) -> Error {
-        let closed = self.appender.closed_until();
-        let retry_after = closed.saturating_duration_since(Instant::now());
+        let unavailable_until = self.appender.log_unavailable_until();
+        let retry_after = unavailable_until.saturating_duration_since(Instant::now());
         Error::Unavailable {
             retry_after: retry_after.max(Duration::from_secs(1)),
         }
@@ -325,7 +326,7 @@
 impl Drop for ReleaseGuard<'_> {
     fn drop(&mut self) {
         if !self.resolved {
-            self.claimer.record_outcome(Outcome {
+            self.claimer.append_outcome(Outcome {
                 request: self.request,
                 attempt: self.attempt,
                 run: Run::NotRun,
--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -35,9 +35,9 @@
 pub enum ReadMode {
     /// Every node.
     Always,
-    /// The node elected for the zone, and each node whose configuration is older than
+    /// The node assigned to the zone, and each node whose configuration is older than
     /// [`Settings::max_age`].
-    Elected,
+    Assigned,
 }
 
 /// Settings of a [`Source`].
@@ -53,7 +53,7 @@
     /// The longest delay before a due checkpoint is written. Each node waits for a random part of
     /// it; most then find that another node has written the checkpoint.
     pub checkpoint_jitter: Duration,
-    /// Age of the configuration from which a node reads the log itself, whichever node is elected.
+    /// Age of the configuration from which a node reads the log itself, whichever node is assigned.
     pub max_age: Duration,
 }
 
@@ -72,10 +72,10 @@
     }
 }
 
-/// A setting that is zero.
+/// A setting that is zero and must not be.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("the configuration's checkpoint {setting} must not be zero"))]
-pub struct Finding {
+pub struct InvalidSetting {
     setting: &'static str,
 }
 
@@ -84,14 +84,17 @@
 pub struct Config(Settings);
 
 impl TryFrom<Settings> for Config {
-    type Error = Finding;
-    fn try_from(settings: Settings) -> Result<Self, Finding> {
+    type Error = InvalidSetting;
+    fn try_from(settings: Settings) -> Result<Self, InvalidSetting> {
         let setting = "changes";
-        ensure!(settings.checkpoint_changes > 0, FindingSnafu { setting });
+        ensure!(
+            settings.checkpoint_changes > 0,
+            InvalidSettingSnafu { setting }
+        );
         let setting = "interval";
         ensure!(
             !settings.checkpoint_interval.is_zero(),
-            FindingSnafu { setting }
+            InvalidSettingSnafu { setting }
         );
         Ok(Self(settings))
     }
@@ -157,7 +160,8 @@
         self.shared.published.subscribe()
     }
 
-    /// Upper bound of the state's age: the time since this node or a peer read the log to its end,
+    /// Upper bound of the state's age by its [`Freshness`]: the time since this node or a peer read the
+    /// log to its end,
     /// where the state holds all records up to that end. Without such a read, the time since the
     /// start.
     #[must_use]
@@ -165,7 +169,7 @@
         let since = self
             .shared
             .freshness()
-            .map_or(self.shared.started, |freshness| freshness.since);
+            .map_or(self.shared.started, |freshness| freshness.local_at);
         since.elapsed()
     }
 
--- a/crates/coordination/src/configuration/state_fold.rs
+++ b/crates/coordination/src/configuration/state_fold.rs
@@ -97,7 +97,7 @@
             self.invalid_checkpoints += 1;
             return false;
         };
-        match checkpoint.check() {
+        match checkpoint.into_state() {
             Ok(state) => self.replace_state(state),
             Err(error) => {
                 self.invalid_checkpoints += 1;
@@ -177,7 +177,7 @@
     /// Whether a checkpoint matches its hash and, with the records since applied to it, gives the
     /// current state. If these records are not retained, only the hash is checked.
     fn is_valid(&self, checkpoint: Checkpoint) -> bool {
-        let Ok(mut state) = checkpoint.check() else {
+        let Ok(mut state) = checkpoint.into_state() else {
             return false;
         };
         if state.offset > self.state.offset {
@@ -211,7 +211,7 @@
     }
 
     /// Starts from the checkpoint in `record`, if it holds one that closes the gap before `oldest`.
-    fn try_checkpoint(&mut self, oldest: Offset, at: Wall, record: &str) {
+    fn start_from_checkpoint(&mut self, oldest: Offset, at: Wall, record: &str) {
         let Ok(Entry::Checkpoint(checkpoint)) = serde_json::from_str::<Entry>(record) else {
             return;
         };
@@ -219,7 +219,7 @@
         if checkpoint.offset < oldest {
             return;
         }
-        match checkpoint.check() {
+        match checkpoint.into_state() {
             Ok(state) => {
                 if self.replace_state(state) {
                     self.checkpoint_at = Some(at);
@@ -237,17 +237,17 @@
 impl Fold for StateFold {
     fn apply(&mut self, offset: Offset, at: Wall, record: &str) {
         if let Some(oldest) = self.gap_end {
-            self.try_checkpoint(oldest, at, record);
+            self.start_from_checkpoint(oldest, at, record);
         } else if offset == self.state.offset {
             self.apply_record(offset, Some(at), record);
         } else if offset > self.state.offset {
             // The log has no gaps, so a record was not read. Applying later records without it would
             // give a state that no prefix of the log gives.
-            self.reset(offset);
+            self.records_dropped(offset);
         }
     }
 
-    fn reset(&mut self, oldest: Offset) {
+    fn records_dropped(&mut self, oldest: Offset) {
         if oldest > self.state.offset {
             self.gap_end = Some(oldest);
         }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -29,8 +29,7 @@
 use crate::view;
 use crate::view::TypedFold;
 
-/// Renewals in the time of one lease, so that one that fails at once can be repeated before the
-/// end.
+/// Renewal attempts in the span of one lease. A failed one can be repeated before the lease ends.
 const RENEWALS: u32 = 3;
 
 /// Settings of a [`Lease`].
@@ -44,8 +43,8 @@
 }
 
 impl Default for Config {
-    /// 15 s are long compared with a slow append, and short for an operator who waits for a
-    /// successor. 2 s cover an order in flight, and a drift far beyond that of real clocks.
+    /// The span is long compared with a slow append, and short for an operator who waits for a
+    /// successor. The margin covers an order in flight, and a drift far beyond that of real clocks.
     fn default() -> Self {
         Self {
             span: Span::from_secs(15),
@@ -62,14 +61,14 @@
 
     const PREFIX: &'static str = "lease";
 
-    fn apply(&mut self, offset: Offset, at: Wall, hold: LeaseRecord) {
-        self.apply(offset, at, &hold);
+    fn apply(&mut self, offset: Offset, at: Wall, record: LeaseRecord) {
+        self.apply(offset, at, &record);
     }
 }
 
-/// The right to give orders, with its fencing number.
+/// The right to give orders that this node holds, with its fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fencing {
+pub struct Held {
     /// The number to send with each order.
     pub number: Offset,
     /// When the holder must stop.
@@ -83,7 +82,7 @@
 /// One lease, acquired and renewed for one node. Clones share it.
 #[derive(Debug, Clone)]
 pub struct Lease {
-    held: Arc<Mutex<Option<Fencing>>>,
+    held: Arc<Mutex<Option<Held>>>,
 }
 
 impl Lease {
@@ -115,7 +114,7 @@
 
     /// The fencing number, if this node holds the lease now. To be called right before each order.
     #[must_use]
-    pub fn held(&self) -> Option<Fencing> {
+    pub fn held(&self) -> Option<Held> {
         let held = *self.held.lock().unwrap_or_else(PoisonError::into_inner);
         held.filter(|fencing| Instant::now() < fencing.until)
     }
@@ -127,7 +126,7 @@
     config: Config,
     appender: Appender,
     follower: Follower<View>,
-    held: Arc<Mutex<Option<Fencing>>>,
+    held: Arc<Mutex<Option<Held>>>,
 }
 
 impl Renewer {
@@ -137,7 +136,7 @@
             let (current, now) = self.current();
             let wait = match &current {
                 Some(lease) if lease.holder != self.node && lease.until > now => {
-                    foreign.wait(lease, self.config.span)
+                    foreign.time_to_wait(lease, self.config.span)
                 }
                 _ => Duration::ZERO,
             };
@@ -154,7 +153,7 @@
     /// record, so that a node that starts later need not wait for the end of its span.
     fn current(&self) -> (Option<leases::Lease>, Wall) {
         self.follower
-            .view(|view| (view.fold().lease(&self.resource).cloned(), view.now()))
+            .view(|view| (view.fold().lease(&self.resource).cloned(), view.log_time()))
     }
 
     /// Appends an [`Acquire`] record that follows `current` and reads it back.
@@ -202,7 +201,7 @@
                 sent
             }
         };
-        *held = Some(Fencing {
+        *held = Some(Held {
             number,
             until,
             since,
@@ -240,19 +239,19 @@
 /// The lease of another holder whose end this node waits for.
 #[derive(Debug, Default)]
 struct ForeignLease {
-    lease: Option<Offset>,
+    last_record: Option<Offset>,
     expires: Option<Instant>,
 }
 
 impl ForeignLease {
-    /// How long to wait before this node appends an [`Acquire`] record. The fold decides whether it
+    /// The time to wait before this node appends an [`Acquire`] record. The fold decides whether it
     /// is accepted, so one that comes too early costs a refused record and nothing else.
-    fn wait(&mut self, lease: &leases::Lease, span: Span) -> Duration {
+    fn time_to_wait(&mut self, lease: &leases::Lease, span: Span) -> Duration {
         let now = Instant::now();
-        if self.lease != Some(lease.last) {
+        if self.last_record != Some(lease.last) {
             self.expires = Some(now + span.duration());
         }
-        self.lease = Some(lease.last);
+        self.last_record = Some(lease.last);
         let poll = span.duration() / RENEWALS;
         let time_left = self
             .expires
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -51,7 +51,7 @@
 
     /// The log's clock when it appended the newest record read.
     #[must_use]
-    pub const fn now(&self) -> Wall {
+    pub const fn log_time(&self) -> Wall {
         self.now
     }
 }
@@ -66,7 +66,7 @@
         }
     }
 
-    fn reset(&mut self, oldest: Offset) {
+    fn records_dropped(&mut self, oldest: Offset) {
         // The fold needs no reset. The log retains records for longer than they are valid: claims and
         // leases that it has dropped have expired, and the periods of dropped grants are over.
         self.next = oldest;
--- a/crates/coordination/tests/mesh.rs
+++ b/crates/coordination/tests/mesh.rs
@@ -7,9 +7,9 @@
 
 use pimento_coordination::Mesh;
 use pimento_coordination::mesh;
+use pimento_coordination::mesh::Duty;
 use pimento_coordination::mesh::Handler;
 use pimento_coordination::mesh::Listener;
-use pimento_coordination::mesh::Role;
 use pimento_coordination::mesh::Settings;
 use pimento_units::Offset;
 use pimento_units::id;
@@ -132,15 +132,17 @@
     let agree = async |nodes: &[(Mesh, CancellationToken)]| {
         eventually("the same choice on all nodes", async || {
             let complete = nodes.iter().all(|(m, _)| m.peers().len() == nodes.len());
-            let choices: Vec<id::Node> =
-                nodes.iter().map(|(m, _)| m.elected(Role::Reader)).collect();
+            let choices: Vec<id::Node> = nodes
+                .iter()
+                .map(|(m, _)| m.assigned(Duty::Reader))
+                .collect();
             let same = choices.iter().all(|choice| *choice == choices[0]);
             (complete && same).then(|| choices[0].clone())
         })
         .await
     };
     let first = agree(&nodes).await;
-    assert_eq!(other.elected(Role::Reader), *other.node());
+    assert_eq!(other.assigned(Duty::Reader), *other.node());
     let at = nodes.iter().position(|(m, _)| *m.node() == first).unwrap();
     nodes.remove(at).1.cancel();
     assert_ne!(agree(&nodes).await, first);
@@ -341,7 +343,7 @@
 /// A peer's VM has died, but its last heartbeat is recent. The first call fails, and the peer must not
 /// count as live before a new heartbeat from it is received.
 #[tokio::test]
-async fn peer_that_can_not_be_called_is_suspected() {
+async fn peer_that_can_not_be_called_is_unreachable() {
     let a = start(settings("a", "trebon", &[])).await;
     let mut beat = heartbeat("x", 1, 0);
     let (_bound, address) = refusing_address();
--- a/crates/entry/src/chain/service.rs
+++ b/crates/entry/src/chain/service.rs
@@ -39,7 +39,7 @@
 use crate::filter::budget::Reservation;
 use crate::filter::claim::Claim;
 use crate::filter::claim::Claimed;
-use crate::filter::claim::Subject;
+use crate::filter::claim::ClaimedCall;
 use crate::filter::contract::Contract;
 use crate::filter::reply;
 use crate::metrics::NO_CLASS;
@@ -71,10 +71,10 @@
     caller_gone: CancellationToken,
 ) -> Result<Response<ReplyBody>, Refusal> {
     let call = read(node, head, body, caller_gone).await?;
-    if let Some(subject) = call.claim
-        && let Some(answer) = Claim(node).retained(subject)?
+    if let Some(claimed) = call.claim
+        && let Some(answer) = Claim(node).cached(claimed)?
     {
-        return Ok(replay(&answer));
+        return Ok(cached_response(&answer));
     }
     let deadline = call.identity.deadline;
     let reservation = Budget(node)
@@ -83,26 +83,26 @@
     let mut trace = Trace::default();
     let outcome = run(node, &call, &mut trace).await?;
     match outcome {
-        Outcome::Answered(answer) => finish(node, call, reservation, &trace, answer).await,
-        Outcome::Replayed(answer) => Ok(replay(&answer)),
+        CallResult::Answered(answer) => finish(node, call, reservation, &trace, answer).await,
+        CallResult::Cached(answer) => Ok(cached_response(&answer)),
     }
 }
 
 /// Result of a call.
-enum Outcome {
+enum CallResult {
     /// The service answered.
     Answered(service::Response),
-    /// The call was made before; this is the answer that was retained.
-    Replayed(answers::Answer),
+    /// The call was made before; this is the cached answer.
+    Cached(answers::Answer),
 }
 
 /// Makes the call. If it was claimed, always reports how it ended.
-async fn run(node: &Node, call: &Call, trace: &mut Trace) -> Result<Outcome, Refusal> {
+async fn run(node: &Node, call: &Call, trace: &mut Trace) -> Result<CallResult, Refusal> {
     let mut ticket = None;
     let result = attempt_until_done(node, call, trace, &mut ticket).await;
     if let Some(ticket) = ticket {
         match &result {
-            Ok(Outcome::Answered(answer)) => {
+            Ok(CallResult::Answered(answer)) => {
                 let status = Some(answer.status.as_u16());
                 node.claimer.report(ticket, record::Run::Ran, status);
             }
@@ -117,14 +117,14 @@
     call: &Call,
     trace: &mut Trace,
     ticket: &mut Option<Ticket>,
-) -> Result<Outcome, Refusal> {
+) -> Result<CallResult, Refusal> {
     loop {
         check_blocked(node, call, trace)?;
         let permit = admit(node, call, trace).await?;
-        if let (Some(subject), None) = (call.claim, *ticket) {
-            match Claim(node).apply(subject).await? {
+        if let (Some(claimed), None) = (call.claim, *ticket) {
+            match Claim(node).apply(claimed).await? {
                 Claimed::Owned(owned) => *ticket = Some(owned),
-                Claimed::Answered(answer) => return Ok(Outcome::Replayed(answer)),
+                Claimed::Answered(answer) => return Ok(CallResult::Cached(answer)),
             }
         }
         check_dispatch(node, call, *ticket, trace)?;
@@ -137,7 +137,7 @@
                 let now = node.clock.now();
                 let pool = &call.service.pool;
                 node.retries.record_success(&call.customer, pool, now);
-                return Ok(Outcome::Answered(answer));
+                return Ok(CallResult::Answered(answer));
             }
             Err(fault) => {
                 log::info!(
@@ -157,7 +157,7 @@
 
 fn check_blocked(node: &Node, call: &Call, trace: &Trace) -> Result<(), Refusal> {
     let result = node.ensure_not_blocked(call.block_digest);
-    result.map_err(|refusal| trace.amend(refusal))
+    result.map_err(|refusal| trace.correct_run(refusal))
 }
 
 async fn admit(node: &Node, call: &Call, trace: &mut Trace) -> Result<Permit, Refusal> {
@@ -179,7 +179,7 @@
         caller_gone: &call.identity.caller_gone,
     };
     let admitted = Admission(node).apply(slot_request).await;
-    let admitted = admitted.map_err(|refusal| trace.amend(refusal))?;
+    let admitted = admitted.map_err(|refusal| trace.correct_run(refusal))?;
     trace.waited += admitted.waited;
     Ok(admitted.permit)
 }
@@ -199,12 +199,12 @@
     {
         let message = "the contract no longer includes this service";
         let refusal = Refusal::not_run(Code::UnknownService, message);
-        return Err(trace.amend(refusal));
+        return Err(trace.correct_run(refusal));
     }
     let valid = ticket.is_none_or(|ticket| ticket.is_valid(Instant::now()));
     if !valid || node.clock.now() >= call.identity.deadline {
         let message = "the deadline passed before the call could be sent";
-        return Err(trace.amend(Refusal::not_run(Code::Timeout, message)));
+        return Err(trace.correct_run(Refusal::not_run(Code::Timeout, message)));
     }
     Ok(())
 }
@@ -277,8 +277,8 @@
         let answered = Answered {
             // A claimed request id belongs to one call; no other call can be made under it.
             request: match call.claim {
-                Some(subject) => subject.request,
-                None => bill::billing_id(call.identity.id, call.digest),
+                Some(claimed) => claimed.request,
+                None => bill::billing_id(call.identity.id, call.hash),
             },
             customer: call.customer.clone(),
             class: None,
@@ -292,9 +292,9 @@
         Billing(node).apply(answered).await?;
     }
     let now = node.clock.now();
-    if let Some(subject) = call.claim {
+    if let Some(claimed) = call.claim {
         node.answers
-            .insert(subject.request, retained_answer(subject, &answer), now);
+            .insert(claimed.request, cached_answer(claimed, &answer), now);
     }
     let elapsed = now.since(call.identity.arrived);
     let sample = Sample {
@@ -316,18 +316,18 @@
     Ok(response)
 }
 
-fn retained_answer(subject: Subject, answer: &service::Response) -> answers::Answer {
+fn cached_answer(claimed: ClaimedCall, answer: &service::Response) -> answers::Answer {
     let content_type = answer.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     answers::Answer {
-        digest: subject.digest,
+        digest: claimed.digest,
         status: answer.status.as_u16(),
         content: content_type.unwrap_or_default().into(),
         body: answer.body.clone(),
     }
 }
 
-fn replay(answer: &answers::Answer) -> Response<ReplyBody> {
+fn cached_response(answer: &answers::Answer) -> Response<ReplyBody> {
     let status = hyper::StatusCode::from_u16(answer.status).unwrap_or(hyper::StatusCode::OK);
     let mut response = reply::raw(status, &answer.content, answer.body.clone());
     let run = hyper::header::HeaderValue::from_static(Run::Ran.as_str());
--- a/crates/entry/src/chain/service/call.rs
+++ b/crates/entry/src/chain/service/call.rs
@@ -5,7 +5,7 @@
 use hyper::header::AUTHORIZATION;
 use hyper::http::request::Parts;
 use pimento_contract::Service;
-use pimento_contract::service::Claims;
+use pimento_contract::service::ClaimMode;
 use pimento_endpoint::service;
 use pimento_endpoint::service::end_to_end;
 use pimento_units::Digest;
@@ -16,7 +16,7 @@
 
 use crate::filter::Filter;
 use crate::filter::authenticate::Authenticate;
-use crate::filter::claim::Subject;
+use crate::filter::claim::ClaimedCall;
 use crate::filter::contract::Contract;
 use crate::filter::identify;
 use crate::filter::identify::Identity;
@@ -33,12 +33,12 @@
     pub(super) outgoing: service::Call,
     /// Whether it may be sent more than once.
     pub(super) repeatable: bool,
-    /// Hash of customer, method, path and body.
-    pub(super) digest: u64,
+    /// Hash of customer, method, path and body, by which claims and bills tell calls apart.
+    pub(super) hash: u64,
     /// Digest of the same parts, by which calls that crash endpoints are blocked.
     pub(super) block_digest: Digest,
     /// What to claim before it is sent; none if it needs no claim.
-    pub(super) claim: Option<Subject>,
+    pub(super) claim: Option<ClaimedCall>,
 }
 
 /// Authenticates the caller, checks the contract and reads the call.
@@ -78,14 +78,14 @@
         memory,
     } = identify::body(node, body).await?;
     let identity = identify::identity(node, &head.headers, timeout, caller_gone, memory)?;
-    let digest = digest(&customer, head, &body);
+    let hash = hash(&customer, head, &body);
     let block_digest = block_digest(&customer, head, &body);
     // A claim serves calls that are sent again under the same id. Without an id chosen by the caller there
     // are none, and no claim is made.
-    let claimed = !repeatable && identity.caller_chosen && service.claims == Claims::Log;
-    let claim = claimed.then_some(Subject {
+    let claimed = !repeatable && identity.caller_chosen && service.claims == ClaimMode::Log;
+    let claim = claimed.then_some(ClaimedCall {
         request: identity.id,
-        digest,
+        digest: hash,
         deadline: identity.deadline,
     });
     let outgoing = service::Call {
@@ -104,7 +104,7 @@
         service,
         outgoing,
         repeatable,
-        digest,
+        hash,
         block_digest,
         claim,
     })
@@ -138,15 +138,15 @@
 }
 
 /// Hash of customer, method, path and body. Two calls with the same hash count as the same call.
-fn digest(customer: &id::Customer, head: &Parts, body: &[u8]) -> u64 {
-    let mut hash = xxhash_rust::xxh3::Xxh3::new();
+fn hash(customer: &id::Customer, head: &Parts, body: &[u8]) -> u64 {
+    let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
     for part in [customer.as_str(), head.method.as_str(), path] {
-        hash.update(part.as_bytes());
-        hash.update(&[0]);
+        hasher.update(part.as_bytes());
+        hasher.update(&[0]);
     }
-    hash.update(body);
-    hash.digest()
+    hasher.update(body);
+    hasher.digest()
 }
 
 /// The digest of customer, method, path and body.
--- a/crates/entry/src/filter/attempt.rs
+++ b/crates/entry/src/filter/attempt.rs
@@ -27,15 +27,15 @@
 use crate::filter::Filter;
 use crate::filter::admission::Admission;
 use crate::filter::admission::SlotRequest;
-use crate::filter::assemble::Answer;
-use crate::filter::assemble::Delivery;
 use crate::filter::contract::Contract;
+use crate::filter::delivery::Answer;
+use crate::filter::delivery::Delivery;
 use crate::filter::identify::Request;
 use crate::node::Node;
 use crate::refusal::Refusal;
 use crate::trace::Trace;
 
-/// Tokens from which a job counts as long, as in the queue.
+/// Expected tokens from which an attempt counts as long for hedging. The queue has a threshold of its own.
 const LONG_JOB: Tokens = Tokens(6_000);
 
 /// Sends a request to engines of one version.
@@ -57,9 +57,9 @@
     pub delivery: &'a mut Delivery,
     /// The attempts made so far.
     pub trace: &'a mut Trace,
-    /// Whether the next attempt was already withdrawn from the retry budgets, when an attempt without a first
-    /// token was abandoned.
-    pub prepaid: Arc<AtomicBool>,
+    /// Whether the next attempt is already charged to the retry budgets. This is done before an attempt without
+    /// a first token is abandoned, so that the retry is then allowed.
+    pub retry_charged: Arc<AtomicBool>,
 }
 
 /// Why there is no answer from a version.
@@ -193,7 +193,7 @@
             run_time: pool.expected_run_time(Some(context.version), self.expected_tokens(context)),
             deadline: request.identity.deadline,
         };
-        if context.prepaid.swap(false, Ordering::Relaxed) {
+        if context.retry_charged.swap(false, Ordering::Relaxed) {
             return context.trace.attempts < retry::MAX_ATTEMPTS;
         }
         if matches!(fault, Fault::Unreachable { .. }) {
@@ -231,7 +231,7 @@
         node.retries
             .record_first_token(context.version, first_token, node.clock.now());
         let deadline = node.clock.instant(context.request.identity.deadline);
-        let drained = opened.drain(context.delivery, deadline, node.config.stall_timeout);
+        let drained = opened.deliver(context.delivery, deadline, node.config.stall_timeout);
         match drained.await {
             Ok(()) => {
                 let answer = context.delivery.answer(prompt);
@@ -303,12 +303,12 @@
         tokio::pin!(second);
         match futures::future::select(first, second).await {
             Either::Left((Ok(opened), _)) | Either::Right((Ok(opened), _)) => Ok(opened),
-            Either::Left((Err(fault), remaining)) => {
-                remaining.await.map_err(|other| less_certain(fault, other))
-            }
-            Either::Right((Err(fault), remaining)) => {
-                remaining.await.map_err(|other| less_certain(fault, other))
-            }
+            Either::Left((Err(fault), remaining)) => remaining
+                .await
+                .map_err(|other| prefer_maybe_run(fault, other)),
+            Either::Right((Err(fault), remaining)) => remaining
+                .await
+                .map_err(|other| prefer_maybe_run(fault, other)),
         }
     }
 
@@ -324,11 +324,11 @@
         let allowed = permit.endpoint() != first
             && node
                 .retries
-                .try_hedge(customer, context.pool, node.clock.now());
+                .try_withdraw(customer, context.pool, node.clock.now());
         allowed.then_some(permit)
     }
 
-    /// Waits until an attempt without a first chunk is to be abandoned.
+    /// Waits until an attempt without a first chunk is to be abandoned. The first chunk has the first token.
     ///
     /// An engine that hangs would otherwise hold a request for half of its time. But first chunks are also
     /// late while a pool is full in a burst, and abandoning such an attempt would turn an answer into an error.
@@ -350,12 +350,15 @@
         let early = early_timeout.map(|timeout| node.clock.instant(now + timeout));
         let customer = context.request.customer.clone();
         let pool = context.pool.clone();
-        let prepaid = Arc::clone(&context.prepaid);
+        let retry_charged = Arc::clone(&context.retry_charged);
         async move {
             if let Some(early) = early {
                 tokio::time::sleep_until(early).await;
-                if node.retries.try_hedge(&customer, &pool, node.clock.now()) {
-                    prepaid.store(true, Ordering::Relaxed);
+                if node
+                    .retries
+                    .try_withdraw(&customer, &pool, node.clock.now())
+                {
+                    retry_charged.store(true, Ordering::Relaxed);
                     return;
                 }
             }
@@ -418,8 +421,8 @@
     }
 }
 
-/// Of two faults, the one that leaves it less certain that the request did not run.
-fn less_certain(one: Fault, other: Fault) -> Fault {
+/// Of two faults, the one after which the request may have run, if any.
+fn prefer_maybe_run(one: Fault, other: Fault) -> Fault {
     if one.not_run() { other } else { one }
 }
 
--- a/crates/entry/src/filter/cascade.rs
+++ b/crates/entry/src/filter/cascade.rs
@@ -15,15 +15,15 @@
 
 use crate::estimate;
 use crate::filter::Filter;
-use crate::filter::assemble::Answer;
-use crate::filter::assemble::Delivery;
 use crate::filter::attempt;
 use crate::filter::attempt::Attempt;
 use crate::filter::budget::Funded;
 use crate::filter::contract;
 use crate::filter::contract::Contract;
+use crate::filter::delivery::Answer;
+use crate::filter::delivery::Delivery;
 use crate::filter::rate;
-use crate::filter::rate::Subject;
+use crate::filter::rate::RatedAnswer;
 use crate::filter::reply::Head;
 use crate::node::Node;
 use crate::refusal::Refusal;
@@ -210,7 +210,7 @@
         let live = chosen.plan.release == Release::Unrated;
         work.delivery.begin(chosen.head.clone(), live);
         let mut context = attempt::Context {
-            prepaid: Arc::default(),
+            retry_charged: Arc::default(),
             request: &work.funded.resolved.request,
             version: &chosen.version.id,
             pool: &chosen.version.pool,
@@ -237,9 +237,9 @@
         let (refusal, is_final) = match error {
             attempt::Error::Withdrawn => {
                 log::info!("cascade: {version} may no longer be used, trying another version.");
-                (work.trace.amend(contract::no_version()), false)
+                (work.trace.correct_run(contract::no_version()), false)
             }
-            attempt::Error::Refused(refusal) => (work.trace.amend(refusal), false),
+            attempt::Error::Refused(refusal) => (work.trace.correct_run(refusal), false),
             attempt::Error::Failed(fault) => {
                 let caller_gone = fault == pimento_endpoint::Fault::Cancelled;
                 (work.trace.refusal(&fault), caller_gone)
@@ -264,7 +264,7 @@
         let node = self.0;
         let request = &work.funded.resolved.request;
         let class = &request.class.name;
-        let subject = Subject::new(
+        let rated_answer = RatedAnswer::new(
             &request.customer,
             class,
             chosen.version,
@@ -273,10 +273,10 @@
         );
         let pass = match chosen.plan.release {
             Release::Unrated => {
-                self.sample_rating(subject);
+                self.sample_rating(rated_answer);
                 Some(true)
             }
-            Release::Rated => rate::rate(node, subject, request.identity.deadline).await,
+            Release::Rated => rate::rate(node, rated_answer, request.identity.deadline).await,
         };
         let accepted = pass.unwrap_or_else(|| chosen.acceptable_unrated());
         let result = match pass {
@@ -305,7 +305,7 @@
     }
 
     /// Rates a sample of the answers that were released unrated, so that the estimates stay accurate.
-    fn sample_rating(&self, subject: Subject) {
+    fn sample_rating(&self, rated_answer: RatedAnswer) {
         if self.0.rater.is_none() || !cascade::should_sample(rand::random()) {
             return;
         }
@@ -315,7 +315,7 @@
         let deadline = node.clock.now() + SAMPLE_RATING_TIMEOUT;
         self.0
             .tasks
-            .spawn(async move { rate::rate(&node, subject, deadline).await });
+            .spawn(async move { rate::rate(&node, rated_answer, deadline).await });
     }
 
     /// Returns the best answer available. The contracted quality applies to a share of the answers, and an
--- a/crates/entry/tests/all/faults.rs
+++ b/crates/entry/tests/all/faults.rs
@@ -298,7 +298,7 @@
     wait_until("one bill for each", || fixture.bills().len() == 30 + count).await;
 }
 
-/// The answer is sampled, so that another attempt would give another text. After a cut the same
+/// The temperature is above zero, so that another attempt would give another text. After a cut the same
 /// attempt is resumed at the same engine, and no second attempt is started.
 #[tokio::test]
 async fn an_answer_that_is_not_deterministic_is_resumed_and_not_told_again() {
