--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -37,7 +37,7 @@
 use crate::controller::Controller;
 use crate::controller::Pass;
 use crate::fence;
-use crate::fence::Gate;
+use crate::fence::Decision;
 use crate::leases::PoolLeases;
 use crate::metrics::Metrics;
 use crate::metrics::Outcome;
@@ -58,7 +58,7 @@
 pub struct Settings {
     /// The zone whose engines get orders.
     pub zone: id::Zone,
-    /// Maximum time that an order may take to reach its engine.
+    /// Timeout of an order, including its response.
     pub order_timeout: Duration,
     /// How long a withdrawn version stays loaded, so that requests running on it can finish.
     pub drain: Duration,
@@ -72,15 +72,15 @@
 
 /// What the controller uses.
 #[derive(Debug)]
-pub struct Dependencies<G, V, W, D> {
+pub struct Dependencies<Leases, Vms, Weights, Connect> {
     /// Leases on the orders to pools.
-    pub leases: G,
+    pub leases: Leases,
     /// The list of VMs.
-    pub list: V,
+    pub list: Vms,
     /// The weight store.
-    pub store: W,
+    pub store: Weights,
     /// Connects to engines.
-    pub connector: D,
+    pub connector: Connect,
 }
 
 /// Maximum number of orders in flight. More than one, so that an engine that hangs does not delay
@@ -89,12 +89,12 @@
 
 /// The controller that sends orders to engines.
 #[derive(Debug)]
-pub struct Orders<G, V, W, D> {
+pub struct Orders<Leases, Vms, Weights, Connect> {
     settings: Settings,
-    leases: G,
-    list: V,
-    connector: D,
-    fetcher: Fetcher<W>,
+    leases: Leases,
+    list: Vms,
+    connector: Connect,
+    fetcher: Fetcher<Weights>,
     state: watch::Receiver<Arc<State>>,
     metrics: Metrics,
     inventory: Inventory,
@@ -108,11 +108,13 @@
     measured_at: Instant,
 }
 
-impl<G: PoolLeases, V: List, W: Store, D: Connector> Orders<G, V, W, D> {
+impl<Leases: PoolLeases, Vms: List, Weights: Store, Connect: Connector>
+    Orders<Leases, Vms, Weights, Connect>
+{
     /// A controller that has sent no orders yet.
     pub fn new(
         settings: Settings,
-        dependencies: Dependencies<G, V, W, D>,
+        dependencies: Dependencies<Leases, Vms, Weights, Connect>,
         state: watch::Receiver<Arc<State>>,
         metrics: Metrics,
     ) -> Self {
@@ -132,16 +134,16 @@
         }
     }
 
-    fn gate(&self, pool: &id::Pool, fencing: Fencing) -> Gate {
-        let held = self.leases.held(pool);
-        fence::gate(held, fencing, self.settings.order_timeout, Instant::now())
+    fn decide(&self, pool: &id::Pool, fencing: Fencing) -> Decision {
+        let held = self.leases.fencing(pool);
+        fence::decide(held, fencing, self.settings.order_timeout, Instant::now())
     }
 
     /// Reconciles one pool: orders versions whose weights are in the zone, and fetches missing ones
     /// for a later pass.
     async fn reconcile_pool(&mut self, state: &State, pool: &id::Pool, vms: &[Vm]) -> Pass {
         let fencing = state.pool(pool).map_or(Fencing::Ignores, |p| p.fencing);
-        if !matches!(self.gate(pool, fencing), Gate::Open(_)) {
+        if !matches!(self.decide(pool, fencing), Decision::Allowed(_)) {
             return Pass::Idle;
         }
         let demands = placement::demands(state, pool);
@@ -152,7 +154,7 @@
         }
         let engines = self.engines(pool, vms).await;
         let reports: Vec<placement::Engine> = engines.iter().map(report).collect();
-        let retained = self.inventory.draining(state, pool, Instant::now());
+        let retained = self.inventory.update_draining(state, pool, Instant::now());
         let plans = placement::assign(&reports, &demands, &retained, self.settings.max_versions);
         self.inventory.add(reports.iter().flat_map(|r| &r.held));
         let mut due = Vec::new();
@@ -179,14 +181,14 @@
         &mut self,
         pool: &id::Pool,
         fencing: Fencing,
-        due: Vec<(&LiveEngine<D::Engine>, Vec<id::Version>)>,
+        due: Vec<(&LiveEngine<Connect::Engine>, Vec<id::Version>)>,
     ) -> bool {
         let slots = Semaphore::new(MAX_CONCURRENT_ORDERS);
         let orders = due.into_iter().map(|(live, versions)| {
             let (this, slots) = (&*self, &slots);
             async move {
                 let _slot = slots.acquire().await.ok()?;
-                let Gate::Open(number) = this.gate(pool, fencing) else {
+                let Decision::Allowed(number) = this.decide(pool, fencing) else {
                     return None;
                 };
                 let accepted_at = this.send_order(live, versions.clone(), number).await;
@@ -204,7 +206,7 @@
     }
 
     /// Engines of a pool in this zone that respond and are not leaving, sorted by name.
-    async fn engines(&self, pool: &id::Pool, vms: &[Vm]) -> Vec<LiveEngine<D::Engine>> {
+    async fn engines(&self, pool: &id::Pool, vms: &[Vm]) -> Vec<LiveEngine<Connect::Engine>> {
         let wanted = |vm: &&Vm| {
             let in_zone = vm.zone == self.settings.zone && !vm.leaving;
             in_zone && vm.role == Role::Engine(pool.clone())
@@ -234,7 +236,7 @@
     /// Sends one order. Returns when the engine's acceptance arrived, if it accepted.
     async fn send_order(
         &self,
-        live: &LiveEngine<D::Engine>,
+        live: &LiveEngine<Connect::Engine>,
         versions: Vec<id::Version>,
         number: u64,
     ) -> Option<Instant> {
@@ -274,7 +276,7 @@
         if self.fetcher.is_fetching() || !self.inventory.try_acquire_fetch(Instant::now()) {
             return false;
         }
-        if !matches!(self.gate(pool, fencing), Gate::Open(_)) {
+        if !matches!(self.decide(pool, fencing), Decision::Allowed(_)) {
             return false;
         }
         log::info!("orders: Fetching the weights of {version}.");
@@ -311,7 +313,9 @@
     }
 }
 
-impl<G: PoolLeases, V: List, W: Store, D: Connector> Controller for Orders<G, V, W, D> {
+impl<Leases: PoolLeases, Vms: List, Weights: Store, Connect: Connector> Controller
+    for Orders<Leases, Vms, Weights, Connect>
+{
     type Error = vms::Error;
 
     const NAME: &'static str = "orders";
@@ -322,7 +326,7 @@
         let mut pools: Vec<id::Pool> = state.versions().map(|v| v.pool.clone()).collect();
         pools.sort();
         pools.dedup();
-        pools.retain(|pool| self.leases.held(pool).is_some());
+        pools.retain(|pool| self.leases.fencing(pool).is_some());
         if pools.is_empty() {
             return Ok(Pass::Idle);
         }
--- a/crates/coordination/src/appender/worker.rs
+++ b/crates/coordination/src/appender/worker.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::Closed;
+use super::Outage;
 use super::Settings;
 use super::entry::Entry;
 use crate::backoff::Backoff;
@@ -21,7 +21,7 @@
     pub(super) log: L,
     pub(super) stream: Stream,
     pub(super) settings: Settings,
-    pub(super) closed: Arc<Closed>,
+    pub(super) outage: Arc<Outage>,
 }
 
 /// Entries for one append.
@@ -88,7 +88,7 @@
         loop {
             batch
                 .entries
-                .retain(|e| e.has_waiter() && e.progress.mark_sent());
+                .retain(|e| e.has_waiter() && e.send_state.mark_sent());
             if batch.entries.is_empty() {
                 return;
             }
@@ -96,7 +96,7 @@
                 Ok(first) => return batch.complete(first),
                 Err(Error::Refused { retry_after }) => {
                     let until = Instant::now() + retry_after;
-                    self.closed.set(until);
+                    self.outage.set(until);
                     batch.refuse_expiring(until, retry_after);
                     retry_after
                 }
@@ -133,7 +133,7 @@
     /// Fails the entries whose deadline passes before the log accepts appends again.
     fn refuse_expiring(&mut self, until: Instant, retry_after: Duration) {
         if !self.maybe_appended {
-            self.entries.iter().for_each(|e| e.progress.mark_unsent());
+            self.entries.iter().for_each(|e| e.send_state.mark_unsent());
         }
         let (waiting, expiring): (Vec<_>, Vec<_>) =
             self.entries.drain(..).partition(|e| e.deadline > until);
--- a/crates/coordination/src/bills.rs
+++ b/crates/coordination/src/bills.rs
@@ -1,9 +1,9 @@
-//! Bills that two entry VMs, or the log, hold before the caller gets the last byte.
+//! Stores each bill at a second entry VM, or in the log, before the caller gets the last byte.
 //!
-//! The outbox copies each bill to a peer, preferably of its own zone, and appends it to the log in
+//! The outbox sends a copy of each bill to a peer, preferably of its own zone, and appends it to the log in
 //! batches. A peer that holds a copy for too long appends it too, so that a bill is not lost with
 //! the VM that wrote it. The fold counts one bill for each request, so a bill may be appended
-//! twice. If neither a peer nor the log can be reached, [`Slot::replicate`] fails.
+//! twice. If neither a peer nor the log can be reached, [`BillPermit::store`] fails.
 
 mod copies;
 mod peers;
@@ -30,7 +30,7 @@
 pub use self::peers::ring;
 use self::pending::Pending;
 use self::worker::Job;
-use self::worker::Unreplicated;
+use self::worker::UnstoredBill;
 use self::worker::Worker;
 use crate::appender::Appender;
 
@@ -41,7 +41,7 @@
     /// bound, requests are refused before they are sent: a long outage of the log must not exhaust
     /// memory.
     pub capacity: usize,
-    /// The most copies held for peers.
+    /// The most bill copies held for peers.
     pub copies: usize,
     /// How long the first bill of a batch to a peer waits for others.
     pub batch_delay: Duration,
@@ -70,17 +70,21 @@
     }
 }
 
-/// Entry VMs that can hold copies.
+/// Entry VMs that can hold bill copies.
 pub trait Peers: Clone + Send + Sync + 'static {
     /// Live peers, those of the local zone first.
     fn peers(&self) -> Vec<id::Node>;
 
-    /// Sends copies (JSON text each) to a peer; returns whether it confirmed that it holds them.
-    fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> impl Future<Output = bool> + Send;
+    /// Sends bill copies (JSON text each) to a peer; returns whether it confirmed that it holds them.
+    fn store_copies(
+        &self,
+        peer: &id::Node,
+        bills: Vec<String>,
+    ) -> impl Future<Output = bool> + Send;
 
-    /// Notifies a peer that bills are on the log, so that it drops its copies. If the message is
+    /// Notifies a peer that bills are on the log, so that it removes its copies. If the message is
     /// lost, the peer appends them again.
-    fn release(
+    fn remove_copies(
         &self,
         peer: &id::Node,
         requests: Vec<id::Request>,
@@ -90,7 +94,7 @@
 /// The bill got no second holder before the deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("no peer and no log could be reached to hold the bill"))]
-pub struct NotReplicated;
+pub struct NotStored;
 
 /// The outbox is full: too many bills are not yet on the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
@@ -114,40 +118,37 @@
 
 /// Reserved capacity for one bill, acquired before the request is sent.
 #[derive(Debug)]
-pub struct Slot {
+pub struct BillPermit {
     outbox: Outbox,
     permit: OwnedSemaphorePermit,
 }
 
-impl Slot {
+impl BillPermit {
     /// Stores the bill of an answered request; returns once a second VM or the log holds it too.
     ///
     /// # Errors
     ///
-    /// [`NotReplicated`] if none of them confirmed it by `deadline`. The bill is then dropped,
+    /// [`NotStored`] if none of them confirmed it by `deadline`. The bill is then dropped,
     /// since its caller won't get the whole response. It may count all the same if a peer or the
     /// log stored it and the confirmation was lost.
-    pub async fn replicate(self, bill: &Bill, deadline: Instant) -> Result<(), NotReplicated> {
+    pub async fn store(self, bill: &Bill, deadline: Instant) -> Result<(), NotStored> {
         let shared = &self.outbox.shared;
         let (sender, confirmed) = oneshot::channel();
-        let number = shared
-            .pending
-            .insert(bill, self.permit)
-            .ok_or(NotReplicated)?;
-        let job = Job::Replicate(Unreplicated {
+        let number = shared.pending.insert(bill, self.permit).ok_or(NotStored)?;
+        let job = Job::Store(UnstoredBill {
             number,
             deadline,
             confirm: sender,
         });
         if shared.jobs.send(job).is_err() {
             shared.pending.remove(number);
-            return Err(NotReplicated);
+            return Err(NotStored);
         }
         if let Ok(Ok(())) = tokio::time::timeout_at(deadline, confirmed).await {
             return Ok(());
         }
         shared.pending.remove(number);
-        Err(NotReplicated)
+        Err(NotStored)
     }
 }
 
@@ -183,11 +184,11 @@
     /// # Errors
     ///
     /// [`Full`] if there is none; the request must then be refused before it is sent.
-    pub fn reserve(&self) -> Result<Slot, Full> {
+    pub fn reserve(&self) -> Result<BillPermit, Full> {
         let permit = Arc::clone(&self.shared.capacity)
             .try_acquire_owned()
             .map_err(|_| Full)?;
-        Ok(Slot {
+        Ok(BillPermit {
             outbox: self.clone(),
             permit,
         })
@@ -205,14 +206,14 @@
         self.shared.copies.len()
     }
 
-    /// Stores copies for a peer, all or none. Returns whether they are stored.
+    /// Stores bill copies for a peer, all or none. Returns whether they are stored.
     #[must_use]
     pub fn store_copies(&self, node: &id::Node, bills: Vec<String>) -> bool {
         self.shared.copies.insert(node, bills)
     }
 
-    /// Drops the copies of bills that a peer reports to be on the log.
-    pub fn drop_copies(&self, node: &id::Node, requests: &[id::Request]) {
+    /// Removes the copies of bills that a peer reports to be on the log.
+    pub fn remove_copies(&self, node: &id::Node, requests: &[id::Request]) {
         self.shared.copies.remove(node, requests);
     }
 
--- a/crates/coordination/src/configuration/tasks.rs
+++ b/crates/coordination/src/configuration/tasks.rs
@@ -19,10 +19,10 @@
 use super::ReadMode;
 use super::Shared;
 use crate::appender::Appender;
+use crate::mesh::Duty;
 use crate::mesh::Freshness;
 use crate::mesh::Mesh;
 use crate::mesh::Peer;
-use crate::mesh::Role;
 
 /// Interval between checks of ages, which change without an event.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -116,7 +116,10 @@
     /// its reads do not show that the state is current.
     fn own_freshness(&self, offset: Offset) -> Option<Freshness> {
         let (at, since) = self.follower.last_complete_read()?;
-        (self.follower.next() <= offset).then_some(Freshness { at, since })
+        (self.follower.next_offset() <= offset).then_some(Freshness {
+            at,
+            local_at: since,
+        })
     }
 
     /// Freshness that peers report of states that are not newer than this node's.
@@ -137,13 +140,14 @@
         let Some(mesh) = &self.mesh else {
             return true;
         };
-        if self.config.0.read_mode == ReadMode::Always || mesh.elected(Role::Reader) == *mesh.node()
+        if self.config.0.read_mode == ReadMode::Always
+            || mesh.assigned(Duty::Reader) == *mesh.node()
         {
             return true;
         }
         let since = self
             .freshness()
-            .map_or(self.started, |freshness| freshness.since);
+            .map_or(self.started, |freshness| freshness.local_at);
         since.elapsed() >= self.config.0.max_age
     }
 
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Pushes new records to the nodes of the zone while this node is elected to read the log for
+    /// Pushes new records to the nodes of the zone while this node is assigned to read the log for
     /// them.
     async fn push(self: Arc<Self>, mesh: Mesh) {
         let mut states = self.published.subscribe();
@@ -180,8 +184,8 @@
         while states.changed().await.is_ok() {
             let before = offset;
             offset = states.borrow_and_update().offset;
-            let elected = self.config.0.read_mode == ReadMode::Elected;
-            if !elected || mesh.elected(Role::Reader) != *mesh.node() {
+            let assigned = self.config.0.read_mode == ReadMode::Assigned;
+            if !assigned || mesh.assigned(Duty::Reader) != *mesh.node() {
                 continue;
             }
             let missing = self.follower.view(|fold| fold.answer_pull(before));
--- a/crates/coordination/src/mesh.rs
+++ b/crates/coordination/src/mesh.rs
@@ -86,13 +86,13 @@
     },
 }
 
-/// Until when a configuration is known to be current.
+/// The last moment at which a configuration is known to have been current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Freshness {
     /// The log's clock when some node last read the log to its end.
     pub at: Wall,
     /// The same moment on this node's clock, as an estimate.
-    pub since: Instant,
+    pub local_at: Instant,
 }
 
 impl Freshness {
@@ -122,17 +122,18 @@
     pub quarantined: Vec<id::Version>,
 }
 
-/// A role that one node takes for its zone.
+/// A duty that one node has for its zone. What runs on a VM is [`pimento_wire::platform::Role`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Role {
+pub enum Duty {
     /// Reads the configuration stream for the zone.
     Reader,
     /// Appends the zone's records.
     Appender,
 }
 
-impl Role {
-    /// The name by which nodes rank each other for the role. All nodes must hash the same name.
+impl Duty {
+    /// The name by which nodes rank each other for the duty. All nodes must hash the same name, also
+    /// those that run another release, so that it stays although the variant's name differs.
     const fn name(self) -> &'static str {
         match self {
             Self::Reader => "tailer",
@@ -284,7 +285,7 @@
     pub async fn call(&self, peer: &Peer, call: Call) -> Result<Answer, Error> {
         let result = calls::call(&self.shared, peer, &call).await;
         if let Err(Error::Unreachable { node } | Error::Lost { node, .. }) = &result {
-            lock(&self.shared.table).mark_suspected(node);
+            lock(&self.shared.table).mark_unreachable(node);
         }
         result
     }
@@ -328,7 +329,7 @@
     }
 
     /// Adds addresses of possible peers, for instance from the platform's list of VMs. Known addresses
-    /// stay, so that a list which is suddenly empty or short does no harm.
+    /// stay, up to a bound, so that a list which is suddenly empty or short does no harm.
     pub fn add_addresses(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let now = Instant::now();
         let mut table = lock(&self.shared.table);
@@ -337,9 +338,9 @@
         }
     }
 
-    /// The node of this zone that has `role` by this node's view; this node if it knows no other.
+    /// The node of this zone that has `duty` by this node's view; this node if it knows no other.
     #[must_use]
-    pub fn elected(&self, role: Role) -> id::Node {
+    pub fn assigned(&self, duty: Duty) -> id::Node {
         let zone = self.zone();
         let mut nodes: Vec<id::Node> = self
             .peers()
@@ -350,7 +351,7 @@
         if !lock(&self.shared.status).leaving {
             nodes.push(self.node().clone());
         }
-        let weight = |node: &id::Node| xxh3_64(format!("{}/{node}", role.name()).as_bytes());
+        let weight = |node: &id::Node| xxh3_64(format!("{}/{node}", duty.name()).as_bytes());
         let best = nodes.into_iter().max_by_key(weight);
         best.unwrap_or_else(|| self.node().clone())
     }
--- a/crates/coordination/tests/kept/bills.rs
+++ b/crates/coordination/tests/streams/bills.rs
@@ -8,7 +8,7 @@
 use pimento_coordination::appender;
 use pimento_coordination::bills::Config;
 use pimento_coordination::bills::Full;
-use pimento_coordination::bills::NotReplicated;
+use pimento_coordination::bills::NotStored;
 use pimento_coordination::bills::Outbox;
 use pimento_coordination::bills::Peers;
 use pimento_coordination::bills::ring;
@@ -61,14 +61,14 @@
         others.map(|(name, _)| name.clone()).collect()
     }
 
-    async fn replicate(&self, peer: &id::Node, bills: Vec<String>) -> bool {
+    async fn store_copies(&self, peer: &id::Node, bills: Vec<String>) -> bool {
         self.find(peer)
             .is_some_and(|outbox| outbox.store_copies(&self.own, bills))
     }
 
-    async fn release(&self, peer: &id::Node, requests: Vec<id::Request>) {
+    async fn remove_copies(&self, peer: &id::Node, requests: Vec<id::Request>) {
         if let Some(outbox) = self.find(peer) {
-            outbox.drop_copies(&self.own, &requests);
+            outbox.remove_copies(&self.own, &requests);
         }
     }
 }
@@ -117,13 +117,13 @@
     }
 }
 
-fn soon() -> Instant {
+fn in_ten_seconds() -> Instant {
     Instant::now() + Duration::from_secs(10)
 }
 
-async fn store(outbox: &Outbox, number: u128) -> Result<(), NotReplicated> {
-    let slot = outbox.reserve().expect("capacity");
-    slot.replicate(&bill(number), soon()).await
+async fn store(outbox: &Outbox, number: u128) -> Result<(), NotStored> {
+    let permit = outbox.reserve().expect("capacity");
+    permit.store(&bill(number), in_ten_seconds()).await
 }
 
 /// The number of bills that count on the usage stream, and the number of its records.
@@ -138,7 +138,7 @@
 }
 
 async fn until(mut condition: impl FnMut() -> bool) {
-    let deadline = soon();
+    let deadline = in_ten_seconds();
     while !condition() {
         assert!(Instant::now() < deadline, "not reached in time");
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -259,9 +259,9 @@
     let token = CancellationToken::new();
     let one = start("node-1", &log, &all, &token);
     log.fail_appends(Fault::Refuse);
-    let slot = one.reserve().expect("capacity");
+    let permit = one.reserve().expect("capacity");
     let deadline = Instant::now() + Duration::from_millis(300);
-    assert_eq!(slot.replicate(&bill(1), deadline).await, Err(NotReplicated));
+    assert_eq!(permit.store(&bill(1), deadline).await, Err(NotStored));
     assert_eq!(one.waiting(), 0);
     log.fail_appends(Fault::None);
     store(&one, 2).await.expect("the log holds it");
@@ -337,8 +337,8 @@
         store(&one, number).await.expect("the peer holds it");
     }
     log.fail_appends(Fault::None);
-    assert_eq!(one.flush(soon()).await, 0);
-    assert_eq!(two.flush(soon()).await, 0);
+    assert_eq!(one.flush(in_ten_seconds()).await, 0);
+    assert_eq!(two.flush(in_ten_seconds()).await, 0);
     assert_eq!(billed(&log).0, 10);
     token.cancel();
 }
--- a/crates/entry/src/filter/attempt/opened.rs
+++ b/crates/entry/src/filter/attempt/opened.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use crate::filter::assemble::Delivery;
+use crate::filter::delivery::Delivery;
 
 /// Maximum number of resumes in a row without a new chunk. An engine that breaks every connection is faulty.
 const MAX_RESUMES: u32 = 3;
@@ -63,7 +63,7 @@
 
 impl Opened {
     /// Passes all chunks to the delivery. If the connection breaks, resumes at the same engine.
-    pub(super) async fn drain(
+    pub(super) async fn deliver(
         &mut self,
         delivery: &mut Delivery,
         deadline: Instant,
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -41,13 +41,13 @@
         }
         match call {
             Call::StoreBills { node: owner, bills } => {
-                store_answer(node.outbox.store_copies(&owner, bills))
+                store_bills_answer(node.outbox.store_copies(&owner, bills))
             }
             Call::RemoveBills {
                 node: owner,
                 requests,
             } => {
-                node.outbox.drop_copies(&owner, &requests);
+                node.outbox.remove_copies(&owner, &requests);
                 Answer::Done
             }
             Call::TransferGrant {
@@ -55,7 +55,7 @@
                 period,
                 amount,
             } => Answer::GrantTransferred {
-                amount: node.wallet.lend(&customer, period, amount),
+                amount: node.wallet.transfer(&customer, period, amount),
             },
             Call::FetchAnswer { request } => fetch(&node, request),
             Call::Append { stream, records } => append(&node, &stream, records).await,
@@ -64,7 +64,7 @@
     }
 }
 
-fn store_answer(stored: bool) -> Answer {
+fn store_bills_answer(stored: bool) -> Answer {
     if stored {
         return Answer::Done;
     }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -10,7 +10,7 @@
 use hyper::header::ALLOW;
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderValue;
-use pimento_scheduler::Refused;
+use pimento_scheduler::NoSlot;
 use pimento_serve::ReplyBody;
 use pimento_wire::api::Error;
 use pimento_wire::api::ErrorBody;
@@ -124,7 +124,7 @@
     }
 }
 
-/// An error response to a caller.
+/// An error response to a caller, also for a request that ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     /// Reason.
@@ -137,16 +137,16 @@
     pub retry_after: Option<Duration>,
 }
 
-impl From<Refused> for Refusal {
-    fn from(refused: Refused) -> Self {
-        let (code, after) = match refused {
-            Refused::NoEndpoint { after } => (Code::NoEndpoint, Some(after)),
-            Refused::Overloaded { after } | Refused::Expired { after } => {
+impl From<NoSlot> for Refusal {
+    fn from(no_slot: NoSlot) -> Self {
+        let (code, after) = match no_slot {
+            NoSlot::NoEndpoint { after } => (Code::NoEndpoint, Some(after)),
+            NoSlot::Overloaded { after } | NoSlot::Expired { after } => {
                 (Code::Overloaded, Some(after))
             }
-            Refused::CallerGone => (Code::CallerGone, None),
+            NoSlot::CallerGone => (Code::CallerGone, None),
         };
-        let refusal = Self::not_run(code, refused.to_string());
+        let refusal = Self::not_run(code, no_slot.to_string());
         Self {
             retry_after: after,
             ..refusal
@@ -181,7 +181,7 @@
 
     /// The error body.
     #[must_use]
-    pub fn failure(&self) -> ErrorBody {
+    pub fn body(&self) -> ErrorBody {
         let (_, kind, code) = self.code.parts();
         ErrorBody {
             error: Error {
@@ -197,9 +197,7 @@
     #[must_use]
     pub fn json(&self) -> Bytes {
         // All keys of the body are strings, so encoding can't fail.
-        serde_json::to_vec(&self.failure())
-            .unwrap_or_default()
-            .into()
+        serde_json::to_vec(&self.body()).unwrap_or_default().into()
     }
 
     /// The complete response.
--- a/crates/entry/src/registry/poll.rs
+++ b/crates/entry/src/registry/poll.rs
@@ -201,14 +201,14 @@
             zone: endpoint.zone.clone(),
             address: endpoint.address,
             usable,
-            distance: if local {
+            extra_delay: if local {
                 Duration::ZERO
             } else {
                 self.config.zone_delay
             },
             versions,
             report,
-            memory: None,
+            kv_capacity: None,
             incarnation: endpoint.incarnation(),
         }
     }
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -25,7 +25,7 @@
     pub refusals: u32,
     /// Time spent in queues.
     pub waited: Duration,
-    /// Cost of the attempts to the operator.
+    /// The operator's cost of the attempts.
     pub cost: Money,
     /// Endpoints at which attempts failed, not counting refusals by full endpoints.
     pub tried: Vec<id::Endpoint>,
@@ -92,7 +92,7 @@
     /// Corrects a refusal that occurred between attempts: `not_run` holds only if no earlier attempt may
     /// have started.
     #[must_use]
-    pub fn amend(&self, mut refusal: Refusal) -> Refusal {
+    pub fn correct_run(&self, mut refusal: Refusal) -> Refusal {
         if self.started && refusal.run == Run::NotRun {
             refusal.run = Run::Unknown;
         }
--- a/crates/entry/tests/all/support.rs
+++ b/crates/entry/tests/all/support.rs
@@ -27,7 +27,7 @@
 use pimento_contract::contract::Spend;
 use pimento_contract::rollout;
 use pimento_contract::rollout::Gate;
-use pimento_contract::service::Claims;
+use pimento_contract::service::ClaimMode;
 use pimento_contract::version;
 use pimento_contract::version::Price;
 use pimento_entry::Config;
@@ -187,7 +187,7 @@
         name: name(DESKS),
         pool: name(DESKS),
         repeatable: vec!["GET".into()],
-        claims: Claims::Log,
+        claims: ClaimMode::Log,
         price: Money::from_micros(500),
         timeout: Span::from_secs(10),
     }
@@ -372,7 +372,7 @@
         wait_until("the entry VM knows configuration and endpoints", || {
             let node = &entry.running.node;
             let pools = node.scheduler.pools();
-            let usable: usize = pools.iter().map(|(_, pool)| pool.depth().usable).sum();
+            let usable: usize = pools.iter().map(|(_, pool)| pool.metrics().usable).sum();
             let known = node.state.current().offset >= self.state().offset;
             let claims = node.claimer.follower().caught_up();
             node.ready() && claims && known && usable == self.engines.len() + self.desks.len()
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -3,10 +3,10 @@
 //! Several nodes spend the same customer's money, and some of them may be cut off or crash. If each
 //! checked against a sum that it read a moment ago, they would together overrun the limit by
 //! whatever is in flight everywhere; a single shared counter would stop all spending while it can't
-//! be reached. So a node spends only out of grants that the fold of the log accepted, which
-//! together never exceed the limit. It reserves the maximum cost of a call before sending it and
-//! settles the actual cost afterwards. It requests grants ahead of need, as a share of what is
-//! left, so that they shrink near the limit, and may release what it does not need.
+//! be reached. So a node spends only out of grants that the log has accepted, which together never
+//! exceed the limit. It reserves the maximum cost of a call before sending it and settles the
+//! actual cost afterwards. It requests grants ahead of need, as a share of what is left, so that
+//! they shrink near the limit, and may release what it does not need.
 //!
 //! The scheme is escrow transactions (O'Neil, 1986) and demarcation (Barbará and Garcia-Molina,
 //! 1992): a bound on a sum holds without coordination at each update if each site stays within its
@@ -23,8 +23,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
     /// What is left of the limit is divided by the number of nodes and by this for the size of a
-    /// grant. Two halves a node's share with each grant, so that the last money is granted in
-    /// small pieces to the nodes that spend it.
+    /// grant. With the value 2, each grant is half of what is left of the node's share, so that the
+    /// last money is granted in small pieces to the nodes that spend it.
     pub grant_divisor: u32,
     /// How far ahead spending is covered by requested grants. A node that is cut off from the log
     /// spends only these, and the log may be unavailable for long stretches.
@@ -115,7 +115,7 @@
     /// Ends the pending request, so that the next one may be made. To be called when the request
     /// was refused, can't have been written, or its outcome is unknown; a grant that is accepted
     /// all the same is added by [`add`](Self::add) once it is read.
-    pub const fn request_done(&mut self) {
+    pub const fn clear_request(&mut self) {
         self.requested = None;
     }
 
@@ -167,18 +167,21 @@
 
     /// The amount to request now, if any. `left` is the limit less all accepted grants, `nodes` the
     /// number of live nodes. Only one request is pending at a time: the next may follow a grant
-    /// ([`add`](Self::add)) or [`request_done`](Self::request_done).
+    /// ([`add`](Self::add)) or [`clear_request`](Self::clear_request).
     pub fn request(&mut self, left: Money, nodes: u32, now: Moment) -> Option<Money> {
         let pieces = u64::from(self.config.grant_divisor.max(1)) * u64::from(nodes.max(1));
         let share = left.scale(1, pieces);
         // A node that holds its share of what is left requests no more, however long that share
         // would last: if the node crashes the others can't use it, and near the limit they need it.
-        let wanted = self.needed(now).min(share.max(self.floor()));
+        let wanted = self.needed(now).min(share.max(self.min_request()));
         if self.requested.is_some() || left == Money::ZERO || self.available() >= wanted {
             return None;
         }
         let missing = wanted - self.available();
-        let amount = share.min(missing + missing).max(self.floor()).min(left);
+        let amount = share
+            .min(missing + missing)
+            .max(self.min_request())
+            .min(left);
         self.requested = Some(amount);
         Some(amount)
     }
@@ -206,10 +209,12 @@
         let rate = self.rate * number::decay(now.since(self.updated), self.config.half_life);
         let expected = number::floor(rate * self.config.lookahead.as_secs_f64());
         let calls = self.largest.scale(u64::from(self.config.min_calls), 1);
-        self.floor().max(Money::from_micros(expected)).max(calls)
+        self.min_request()
+            .max(Money::from_micros(expected))
+            .max(calls)
     }
 
-    fn floor(&self) -> Money {
+    fn min_request(&self) -> Money {
         self.config.min_grant.max(self.unmet)
     }
 
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -5,11 +5,11 @@
 //! prompt of 30,000 tokens as less busy than one that generates five short answers, and the next caller
 //! would wait seconds for a first token. Each engine would also prefill each shared prefix again.
 //!
-//! Engines prefill prompts in turn, between the decode steps of running answers. The wait for a first token
-//! is therefore the pending prefill work that was sent to the engine before, plus the prompt's own parts
-//! that are not cached there. A node knows both for its own calls: a prompt is pending until its first
-//! token has arrived. Peers report theirs. The module also tracks each engine's prefix cache: when its
-//! memory is full, the least recently used parts are evicted.
+//! Engines prefill prompts in turn, between the decode steps of running answers. The wait for a first token is
+//! therefore the pending prefill work that was sent to the engine before, plus the prompt's own parts that are
+//! not cached there. A node knows both for its own calls: a prompt is pending until its first token has
+//! arrived. Peers report theirs. The module also tracks each engine's prefix cache: when its KV cache is full,
+//! the least recently used parts are evicted.
 //!
 //! This is join the shortest queue with known work (Harchol-Balter, Crovella and Murta, 1999, for sizes
 //! that differ this much), and prefix-aware placement that weighs a cache hit against the wait for it, as
@@ -96,7 +96,7 @@
 /// What a node knows of one engine's prefill queue and prefix cache.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    memory: Tokens,
+    kv_capacity: Tokens,
     pending: Vec<Pending>,
     /// Sorted by node.
     peers: Vec<Peer>,
@@ -118,11 +118,12 @@
 const MAX_IDLE_WAIT: Duration = Duration::from_millis(5);
 
 impl Engine {
-    /// Creates an engine with an empty prefix cache. `memory` holds running requests and cached parts.
+    /// Creates an engine with an empty prefix cache. `kv_capacity` is the size of its KV cache, which holds
+    /// running requests and cached parts.
     #[must_use]
-    pub const fn new(memory: Tokens) -> Self {
+    pub const fn new(kv_capacity: Tokens) -> Self {
         Self {
-            memory,
+            kv_capacity,
             pending: Vec::new(),
             peers: Vec::new(),
             cached: Vec::new(),
@@ -217,7 +218,7 @@
                 }
             }
         }
-        while self.cached_tokens > self.memory {
+        while self.cached_tokens > self.kv_capacity {
             self.evict();
         }
     }
@@ -317,7 +318,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Candidate {
     /// Hash of the engine's name, the same at every node.
-    pub key: u64,
+    pub name_hash: u64,
     /// Whether it may be chosen.
     pub usable: bool,
     /// Whether it is in another zone.
@@ -360,6 +361,6 @@
         .min_by(f64::total_cmp)?;
     let cheapest = usable().filter(|(_, c)| c.cost(config) <= least + COST_TOLERANCE);
     cheapest
-        .max_by_key(|(_, c)| number::mix(c.key, prefix))
+        .max_by_key(|(_, c)| number::mix(c.name_hash, prefix))
         .map(|(index, _)| index)
 }
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -79,7 +79,8 @@
     Cleared,
     /// This crash was counted before.
     Duplicate,
-    /// The request is suspected, with this number of crashes.
+    /// The crash counts but does not block the request, because too few crashes count so far or the request is
+    /// blocked already. Holds the number of crashes that count.
     Suspected(usize),
     /// The request is blocked from now on.
     Blocked,
@@ -258,10 +259,10 @@
         if suspect.blocked_until.is_some() || suspect.crashes.len() < block_threshold {
             return Verdict::Suspected(suspect.crashes.len());
         }
-        let lasts = block_duration
+        let duration = block_duration
             .saturating_mul(1 << suspect.blocks.min(16))
             .min(max_block_duration);
-        suspect.blocked_until = Some(now + lasts);
+        suspect.blocked_until = Some(now + duration);
         suspect.blocks += 1;
         Verdict::Blocked
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,7 +1,7 @@
 //! Fair queue of one pool: deficit round robin over customers, and classes by priority.
 //!
-//! In a common queue one workspace at ten times its share starves the other nine, and a batch-history
-//! review that holds every slot makes stock answers wait for minutes. Three rules prevent that:
+//! In a common queue one workspace at ten times its share starves the other nine, and long jobs that hold every
+//! slot make short ones wait for minutes. Three rules prevent that:
 //! - Within a class each customer has its own queue. The queues are served in turns, by weight and in
 //!   tokens.
 //! - Classes are served by priority, but each waiting class gets at least a minimum share of the work, so
@@ -25,8 +25,8 @@
 /// Parameters of a [`Queue`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Tokens that a customer of weight one may dispatch in one turn: some short answers. A turn of one
-    /// short answer (200 tokens) serves less at three times the capacity: 60.1% instead of 61.2%.
+    /// Tokens that a customer of weight one may dispatch in one turn: some short answers. With shorter turns,
+    /// slightly fewer requests are served under overload.
     pub quantum: Tokens,
     /// Minimum share of the work for each waiting class.
     pub min_share: f64,
@@ -63,7 +63,8 @@
     pub start_by: Moment,
 }
 
-/// Identifies a waiting job. Tickets are never reused.
+/// Identifies a waiting job. Tickets are never reused. `flow` is the index of the customer's flow in the lane
+/// of the class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
     sequence: u64,
@@ -82,7 +83,8 @@
     pub long: bool,
 }
 
-/// Jobs that wait for the slots of one pool.
+/// Jobs that wait for the slots of one pool. A lane holds the jobs of one class, and a flow in it those of one
+/// customer.
 #[derive(Debug, Clone)]
 pub struct Queue {
     config: Config,
@@ -130,14 +132,14 @@
     /// is to be called when a slot is free. A job past its latest start is skipped, and left for
     /// [`expire`](Self::expire).
     pub fn next(&mut self, now: Moment, slots: u32) -> Option<Dispatch> {
-        let long = self.running_long < self.max_long(slots);
-        let chosen = self.choose_lane(now, long)?;
+        let allow_long = self.running_long < self.max_long(slots);
+        let chosen = self.choose_lane(now, allow_long)?;
         let lane = &mut self.lanes[chosen];
-        let (entry, flow) = lane.pop(now, long, self.config.quantum)?;
+        let (entry, flow) = lane.pop(now, allow_long, self.config.quantum)?;
         let priority = lane.priority();
         self.waiting -= 1;
         self.running_long += u32::from(entry.long);
-        self.account(chosen, entry.tokens);
+        self.settle_credits(chosen, entry.tokens);
         Some(Dispatch {
             ticket: Ticket {
                 sequence: entry.sequence,
@@ -276,17 +278,17 @@
 
     /// Returns the class to serve: the first one whose credit covers its next job, or else the first one
     /// that has a job which may start.
-    fn choose_lane(&self, now: Moment, long: bool) -> Option<usize> {
-        let ready = |lane: &Lane| lane.is_ready(now, long);
+    fn choose_lane(&self, now: Moment, allow_long: bool) -> Option<usize> {
+        let ready = |lane: &Lane| lane.is_ready(now, allow_long);
         let due = self
             .lanes
             .iter()
-            .position(|lane| lane.credit() >= 1.0 && lane.credit_covers_next(now, long));
+            .position(|lane| lane.credit() >= 1.0 && lane.credit_covers_next(now, allow_long));
         due.or_else(|| self.lanes.iter().position(ready))
     }
 
     /// Debits the served class, and credits the minimum share to all other classes that wait.
-    fn account(&mut self, chosen: usize, tokens: Tokens) {
+    fn settle_credits(&mut self, chosen: usize, tokens: Tokens) {
         let min_share = self.config.min_share;
         for (index, lane) in self.lanes.iter_mut().enumerate() {
             if index == chosen {
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -1,4 +1,5 @@
-//! Distributed rate limit: requests per second that an endpoint accepts from all VMs together.
+//! Distributed rate limit: requests per second that an endpoint accepts from all VMs together. The limit on
+//! concurrent calls is that of [`crate::limit`].
 //!
 //! An endpoint under stress names a limit, and many VMs send to it. If each VM applied the whole limit by
 //! itself, all of them together would exceed it, the more so the more VMs there are. Token buckets that
@@ -23,7 +24,7 @@
 
 /// Requests per second that an endpoint accepts; finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
-pub struct Limit(f64);
+pub struct RateLimit(f64);
 
 /// Why a value is not a limit.
 #[derive(Debug, Clone, PartialEq, Snafu)]
@@ -42,7 +43,7 @@
     },
 }
 
-impl Limit {
+impl RateLimit {
     /// Returns the limit in requests per second.
     #[must_use]
     pub const fn per_second(self) -> f64 {
@@ -50,7 +51,7 @@
     }
 }
 
-impl TryFrom<f64> for Limit {
+impl TryFrom<f64> for RateLimit {
     type Error = Error;
 
     fn try_from(number: f64) -> Result<Self, Error> {
@@ -61,7 +62,7 @@
     }
 }
 
-impl FromStr for Limit {
+impl FromStr for RateLimit {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
@@ -70,23 +71,24 @@
     }
 }
 
-impl fmt::Display for Limit {
+impl fmt::Display for RateLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
 }
 
-/// Sets the number of owners: one more than the requests that the limit allows in this time.
+/// The number of owners is one more than the number of requests that the limit allows in this time.
 const OWNER_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Share of the limit that is used. Delays in transit can bring requests closer together than they were
 /// sent.
 const UTILIZATION: f64 = 0.9;
 
-/// Minimum rate in requests per second. With a limit of zero, somebody still has to ask whether it holds.
+/// Minimum rate in requests per second. With a limit of zero, some VM must still send requests to learn whether
+/// the limit has changed.
 const MIN_RATE: f64 = 0.1;
 
-/// Time for which an owner's bucket fills, unless that is less than one request.
+/// A bucket holds as many requests as it earns in this time, and at least one.
 const BURST_WINDOW: Duration = Duration::from_millis(250);
 
 /// Returns this VM's share of an endpoint's limit, in requests per second; zero if it is not an owner.
@@ -97,7 +99,7 @@
 /// rendezvous hashing: all VMs that know the same participants find the same owners, and most owners stay
 /// when one VM leaves.
 #[must_use]
-pub fn share(limit: Limit, endpoint: u64, own: u64, participants: &[u64]) -> f64 {
+pub fn share(limit: RateLimit, endpoint: u64, own: u64, participants: &[u64]) -> f64 {
     let rate = (limit.0 * UTILIZATION).max(MIN_RATE);
     if participants.is_empty() {
         return rate;
@@ -161,7 +163,7 @@
 
     /// Returns whether a request may be sent now.
     #[must_use]
-    pub fn is_open(&self, now: Moment) -> bool {
+    pub fn can_send(&self, now: Moment) -> bool {
         self.rate > 0.0 && self.available(now) >= 1.0
     }
 
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -5,7 +5,7 @@
 use pimento_policy::choice;
 use pimento_policy::choice::Candidate;
 use pimento_policy::eject;
-use pimento_policy::eject::Pool;
+use pimento_policy::eject::Health;
 use pimento_policy::hedge;
 use pimento_policy::limit;
 use pimento_policy::limit::Limiter;
@@ -32,9 +32,9 @@
     );
     vec(one, 0..40).prop_map(|drawn| {
         let candidate = |(key, usable, zones, own, limit, others, age)| Candidate {
-            key,
+            name_hash: key,
             usable,
-            distance: Duration::from_millis(zones * 5),
+            extra_delay: Duration::from_millis(zones * 5),
             own,
             limit,
             others,
@@ -74,7 +74,7 @@
                 0 | 1 => if limiter.acquire() {
                     assert!(limiter.in_flight() <= limiter.limit());
                 },
-                2 => limiter.report(limit::Report { running: one, waiting: other, batch: 16 }),
+                2 => limiter.apply_report(limit::Report { running: one, waiting: other, batch: 16 }),
                 3 => limiter.release(limit::Outcome::Overload),
                 _ => limiter.release(limit::Outcome::Served {
                     tokens: Tokens(u64::from(one)),
@@ -90,8 +90,8 @@
     #[test]
     fn ejection_is_bounded(size in 1_usize..20, events in vec((0_usize..20, any::<bool>(), 0_u64..3_000), 1..300)) {
         let config = eject::Config::default();
-        let mut pool = Pool::new(config);
-        pool.retain((0..size).map(endpoint));
+        let mut pool = Health::new(config);
+        pool.set_endpoints((0..size).map(endpoint));
         let mut now = Moment::ZERO;
         for (place, good, after) in events {
             now = now + Duration::from_millis(after);
@@ -123,7 +123,7 @@
         for (success, after) in events {
             now = now + Duration::from_millis(after);
             if success {
-                budget.success(now);
+                budget.record_success(now);
                 successes += 1;
             } else {
                 retries += u32::from(budget.withdraw(now));
@@ -220,9 +220,9 @@
 fn prefix_stays_with_its_endpoint() {
     let make = |names: &[usize]| -> Vec<Candidate> {
         let candidate = |number: &usize| Candidate {
-            key: choice::hash(endpoint(*number).as_str()),
+            name_hash: choice::hash(endpoint(*number).as_str()),
             usable: true,
-            distance: Duration::ZERO,
+            extra_delay: Duration::ZERO,
             own: 0,
             limit: 8,
             others: 0,
@@ -252,9 +252,9 @@
 #[test]
 fn local_zone_first_until_the_wait_outweighs_the_link() {
     let candidate = |zone: u64, own: u32, run: u64| Candidate {
-        key: 0,
+        name_hash: 0,
         usable: true,
-        distance: Duration::from_millis(zone * 10),
+        extra_delay: Duration::from_millis(zone * 10),
         own,
         limit: 8,
         others: 0,
--- a/crates/relay/src/attempts/detail.rs
+++ b/crates/relay/src/attempts/detail.rs
@@ -2,7 +2,7 @@
 
 use pimento_endpoint::Fault;
 use pimento_policy::admission;
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_scheduler::Job;
 use pimento_scheduler::Permit;
 use pimento_units::Tokens;
@@ -59,7 +59,7 @@
         };
         let pool = self.node.scheduler.pool(&self.request.pool);
         if pool.record_limit(endpoint, limit, self.state.last_sent) {
-            let limit = limit.map(Limit::per_second);
+            let limit = limit.map(RateLimit::per_second);
             let endpoint = endpoint.as_str();
             log::info!(request, endpoint, limit; "attempt: The endpoint announced a new rate limit.");
             self.node.limit_changed.notify_one();
@@ -90,8 +90,8 @@
         );
     }
 
-    /// The outcome of an answer that begins now.
-    pub(super) fn time_to_answer(&self) -> Outcome {
+    /// The outcome of an answer that begins now, or of one that has not begun by now.
+    pub(super) fn outcome_now(&self) -> Outcome {
         let took = self.node.now().since(self.state.last_sent);
         Outcome::Served(took)
     }
@@ -113,7 +113,7 @@
         let outcome = if failed {
             Outcome::Failed
         } else {
-            self.time_to_answer()
+            self.outcome_now()
         };
         let result = if failed { "failed" } else { "answered" };
         self.node.metrics.count_attempt(&self.request.pool, result);
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -5,10 +5,18 @@
 //! late, and the topic may have grown since. Reads that get no answer are given up after a timeout and
 //! retried on another connection, because a connection may fall silent for good.
 //!
-//! In each zone one VM, the reader, reads for the others ([`Lead`]), which make no calls while nothing
-//! changes. The reader's proof dates another VM's view by that VM's own clock: it names the last stamp
-//! which the reader had received from that VM before it sent the read. A datagram that was delayed, by
-//! the network or by a suspended VM, can therefore never make a view look younger than it is.
+//! In each zone one VM, the reader, reads for the others ([`ReadRole`]), which make no calls while nothing
+//! changes. The reader can't tell a served VM how old its view is by the reader's own clock, because their
+//! clocks can't be compared. A served VM B and its reader A proceed as follows:
+//!
+//! 1. B sends its time t, a [`Stamp`], to A with its datagrams.
+//! 2. A sends a read after it has received t, and reads the topic to its end.
+//! 3. A's next datagram holds a [`Proof`]: the offset after the last change, and t.
+//! 4. If B has all changes before that offset, its view is current as of t, by B's own clock. Otherwise B
+//!    first gets the changes that it lacks.
+//!
+//! A datagram that was delayed, by the network or by a suspended VM, makes a view look older than it is,
+//! never younger.
 
 mod exchange;
 mod fold;
@@ -35,11 +43,11 @@
 pub use self::fold::Fold;
 pub use self::fold::RecordContext;
 use self::timing::AT_ONCE;
-use self::timing::LED_BACKOFF;
-pub use self::timing::Lead;
 pub use self::timing::Polling;
+pub use self::timing::ReadRole;
+pub use self::timing::ReadTiming;
+use self::timing::SERVED_BACKOFF;
 use self::timing::TURN;
-pub use self::timing::Timing;
 pub use self::timing::answer_timeout;
 pub use self::timing::max_backoff;
 pub use self::view::RecordRange;
@@ -53,14 +61,14 @@
 use crate::topic::Topic;
 use crate::zone;
 use crate::zone::Stamp;
-use crate::zone::Zone;
+use crate::zone::ZoneReading;
 
-/// What a VM that reads the log proves to another VM: a view that holds everything before `changed` was
+/// What a VM that reads the log proves to another VM: a view that holds everything before `change_end` was
 /// up to date at `stamp`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Proof {
     /// The offset after the last record that changed the sender's view.
-    pub changed: Offset,
+    pub change_end: Offset,
     /// The last stamp of the receiving VM that had reached the sender before it sent the read.
     pub stamp: Moment,
 }
@@ -81,14 +89,15 @@
 pub struct Follower<F, L> {
     topic: Topic,
     log: L,
-    timing: Timing,
-    zone: Zone,
+    timing: ReadTiming,
+    zone: ZoneReading,
     calls: LogCalls,
     started: Moment,
     inner: Arc<Mutex<View<F>>>,
     /// Notified when another VM's proof arrives.
     wake: Arc<Notify>,
-    changed: Arc<watch::Sender<u64>>,
+    /// Number of changes of the view.
+    change_count: Arc<watch::Sender<u64>>,
     /// Held during a confirming read, so that callers share it.
     confirming: Arc<tokio::sync::Mutex<()>>,
     /// Notified at the end of each read of the follower's own task.
@@ -106,7 +115,7 @@
             started: self.started,
             wake: Arc::clone(&self.wake),
             inner: Arc::clone(&self.inner),
-            changed: Arc::clone(&self.changed),
+            change_count: Arc::clone(&self.change_count),
             confirming: Arc::clone(&self.confirming),
             read_ended: Arc::clone(&self.read_ended),
         }
@@ -118,8 +127,8 @@
     pub fn start(
         log: L,
         topic: Topic,
-        timing: Timing,
-        zone: Zone,
+        timing: ReadTiming,
+        zone: ZoneReading,
         calls: LogCalls,
         fold: F,
         token: CancellationToken,
@@ -134,12 +143,12 @@
             started: boot::now(),
             wake: Arc::default(),
             inner: Arc::new(Mutex::new(inner)),
-            changed: Arc::new(watch::Sender::new(0)),
+            change_count: Arc::new(watch::Sender::new(0)),
             confirming: Arc::default(),
             read_ended: Arc::default(),
         };
-        let reader = follower.clone();
-        tokio::spawn(async move { token.run_until_cancelled(reader.run()).await });
+        let task = follower.clone();
+        tokio::spawn(async move { token.run_until_cancelled(task.run()).await });
         follower
     }
 
@@ -199,7 +208,7 @@
         let inner = self.lock();
         let found = inner.stamps.iter().find(|stamp| stamp.node == node)?;
         Some(Proof {
-            changed: inner.changed,
+            change_end: inner.change_end,
             stamp: found.at,
         })
     }
@@ -210,7 +219,7 @@
     #[must_use]
     pub fn chunks_from(&self, from: Offset) -> (Option<Vec<Vec<Record>>>, Offset) {
         let inner = self.lock();
-        (inner.recent.chunks_from(from), inner.changed)
+        (inner.recent.chunks_from(from), inner.change_end)
     }
 
     /// The records from `from` on that changed the view, and the offset after the last of them. No records
@@ -218,7 +227,7 @@
     #[must_use]
     pub fn records_from(&self, from: Offset) -> (Option<Vec<Record>>, Offset) {
         let inner = self.lock();
-        (inner.recent.records_from(from), inner.changed)
+        (inner.recent.records_from(from), inner.change_end)
     }
 
     /// Receives records from another VM. They are buffered until the view holds everything before them. If
@@ -226,7 +235,7 @@
     pub fn receive(&self, range: RecordRange) {
         let changed = self.lock().receive(range, boot::now());
         if changed {
-            self.changed.send_modify(|count| *count += 1);
+            self.change_count.send_modify(|count| *count += 1);
         }
     }
 
@@ -245,54 +254,58 @@
         if inner.lacks_changes() {
             return;
         }
-        // The log is reachable as of now, not only once this VM reads it again. Until then the entry of an
-        // endpoint that leaves would seem to have expired because of the outage.
+        // The log is reachable as of now, not only once this VM reads it again. Until then the registration
+        // of an endpoint that leaves would seem to have expired because of the outage.
         self.mark_connected(&mut inner, boot::now());
     }
 
     /// A channel that is notified of each change of the view.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.change_count.subscribe()
     }
 
     async fn run(self) {
-        let mut lead = self.zone.lead.subscribe();
+        let mut role_changes = self.zone.read_role.subscribe();
         let mut backoff = INITIAL_BACKOFF;
-        let mut before = Lead::default();
+        let mut before = ReadRole::default();
         self.zone.wait_for_discovery().await;
         loop {
-            let role = *lead.borrow_and_update();
-            let succeeds = role == Lead::Leading && before != role;
+            let role = *role_changes.borrow_and_update();
+            let took_over = role == ReadRole::Reader && before != role;
             before = role;
             // A view that lacks a change is read until it has the change. Otherwise a VM whose read was
             // refused would wait for the next proof, or until its last proof is too old.
-            let current = role == Lead::Led
+            let served_all_changes = role == ReadRole::Served
                 && (!self.lacks_changes().await || self.fetch_from_reader().await);
-            if current && self.has_recent_proof() {
+            if served_all_changes && self.has_recent_proof() {
                 let left = self
                     .age()
                     .map(|age| self.timing.max_proof_age.saturating_sub(age));
                 tokio::select! {
                     () = self.wake.notified() => continue,
-                    _ = lead.changed() => continue,
+                    _ = role_changes.changed() => continue,
                     () = tokio::time::sleep(left.unwrap_or_default()) => continue,
                 }
             }
             let state = self.zone.log_state();
-            let take_turns =
-                state.no_able_reader && role == Lead::Led && self.next_offset().is_some();
-            let hesitate = take_turns || state.outage_suspected && succeeds;
-            if hesitate && self.wait_for_turn(role, &mut lead).await {
+            let take_turns = state.no_eligible_reader
+                && role == ReadRole::Served
+                && self.next_offset().is_some();
+            let wait_first = take_turns || state.outage_suspected && took_over;
+            if wait_first && self.wait_for_turn(role, &mut role_changes).await {
                 continue;
             }
-            if role == Lead::Led && self.next_offset().is_none() && self.fetch_snapshot().await {
+            if role == ReadRole::Served
+                && self.next_offset().is_none()
+                && self.fetch_snapshot().await
+            {
                 continue;
             }
             let polling = match role {
-                Lead::Alone => self.timing.alone,
-                Lead::Leading => self.timing.leading,
-                Lead::Led => AT_ONCE,
+                ReadRole::Alone => self.timing.alone,
+                ReadRole::Reader => self.timing.reader,
+                ReadRole::Served => AT_ONCE,
             };
             match self.read(polling.wait, self.reason(role)).await {
                 Ok(complete) => {
@@ -309,14 +322,14 @@
                     if take_turns {
                         continue;
                     }
-                    if role == Lead::Led && failure.kind == zone::Failure::Refused {
+                    if role == ReadRole::Served && failure.kind == zone::Failure::Refused {
                         // A lost answer is often a single event, a refusal is not.
-                        backoff = backoff.max(LED_BACKOFF);
+                        backoff = backoff.max(SERVED_BACKOFF);
                     }
                     let share = rand::random_range(0.5..=1.0);
                     tokio::select! {
                         () = self.back_off(role, backoff.mul_f64(share)) => {}
-                        _ = lead.changed() => {}
+                        _ = role_changes.changed() => {}
                     }
                     backoff = (backoff * 2).min(self.max_backoff(role));
                 }
@@ -330,9 +343,13 @@
     /// The log may refuse one VM of a zone or all of them, and a VM learns this only for itself. If all VMs
     /// retried at once, most calls would be in vain. They try one after the other instead, and the first
     /// that is answered proves the views of the others. While no VM of the zone is known to get answers, a
-    /// VM that is led takes its turn after a random time.
-    async fn wait_for_turn(&self, role: Lead, lead: &mut watch::Receiver<Lead>) -> bool {
-        let pause = if role == Lead::Led {
+    /// VM that is served takes its turn after a random time.
+    async fn wait_for_turn(
+        &self,
+        role: ReadRole,
+        role_changes: &mut watch::Receiver<ReadRole>,
+    ) -> bool {
+        let pause = if role == ReadRole::Served {
             self.check_disconnected(role, AT_ONCE);
             let others = u32::try_from(self.zone.stamps().len()).unwrap_or(u32::MAX);
             let all = TURN.saturating_mul(others.saturating_add(1));
@@ -343,22 +360,22 @@
         tokio::select! {
             () = tokio::time::sleep(pause) => false,
             () = self.wake.notified() => true,
-            _ = lead.changed() => {
-                lead.mark_changed();
+            _ = role_changes.changed() => {
+                role_changes.mark_changed();
                 true
             }
         }
     }
 
     /// The reason under which a read in this role is counted.
-    fn reason(&self, role: Lead) -> Reason {
+    fn reason(&self, role: ReadRole) -> Reason {
         let inner = self.lock();
         match role {
             _ if inner.next.is_none() => Reason::Start,
-            Lead::Leading => Reason::Leading,
-            Lead::Alone => Reason::Alone,
-            Lead::Led if inner.lacks_changes() => Reason::Lacking,
-            Lead::Led => Reason::Unproven,
+            ReadRole::Reader => Reason::Reader,
+            ReadRole::Alone => Reason::Alone,
+            ReadRole::Served if inner.lacks_changes() => Reason::Lacking,
+            ReadRole::Served => Reason::Unproven,
         }
     }
 
@@ -374,7 +391,7 @@
     /// Waits after a failed read. A proof does not end the wait: proofs arrive several times a second, also
     /// while the log refuses this VM and serves its reader. It only shortens the wait to the limit for a
     /// view that lacks changes.
-    async fn back_off(&self, role: Lead, backoff: Duration) {
+    async fn back_off(&self, role: ReadRole, backoff: Duration) {
         let end = Instant::now() + backoff;
         tokio::select! {
             () = tokio::time::sleep_until(end) => return,
@@ -385,14 +402,15 @@
     }
 
     /// The longest wait after failed reads.
-    fn max_backoff(&self, role: Lead) -> Duration {
+    fn max_backoff(&self, role: ReadRole) -> Duration {
         max_backoff(role, self.zone.stamps().len(), self.lock().lacks_changes())
     }
 
-    /// Whether this VM reads the log itself, and its reads are answered.
+    /// Whether this VM reads the topic itself and is answered, in whatever role: a served VM does so while
+    /// its last proof is too old.
     #[must_use]
     pub fn is_reading(&self) -> bool {
-        let reads = *self.zone.lead.borrow() != Lead::Led || !self.has_recent_proof();
+        let reads = *self.zone.read_role.borrow() != ReadRole::Served || !self.has_recent_proof();
         reads && self.lock().connected_since.is_some()
     }
 
@@ -414,7 +432,7 @@
             inner.extend(batch, now)
         };
         let complete = inner.next >= Some(batch.end);
-        if complete && inner.drop_false_announcement(sent) {
+        if complete && inner.drop_false_end(sent) {
             let topic = self.topic.as_str();
             log::warn!(topic; "follower: Another VM announced records that the log does not hold.");
         }
@@ -425,7 +443,7 @@
         }
         drop(inner);
         if changed {
-            self.changed.send_modify(|count| *count += 1);
+            self.change_count.send_modify(|count| *count += 1);
         }
         complete
     }
@@ -442,13 +460,13 @@
     /// Marks the log as disconnected if the view has not been proven for too long. Called after a failed
     /// read, and in place of one that must wait for its turn.
     ///
-    /// A VM that is led stays connected through its reader's proofs, which may be as old as
+    /// A served VM stays connected through its reader's proofs, which may be as old as
     /// `max_proof_age`. By its own reads alone it would disconnect and reconnect several times a second
     /// while the log refuses it.
-    fn check_disconnected(&self, role: Lead, polling: Polling) {
+    fn check_disconnected(&self, role: ReadRole, polling: Polling) {
         let interval = match role {
-            Lead::Led => self.timing.max_proof_age,
-            Lead::Alone | Lead::Leading => polling.wait + polling.pause,
+            ReadRole::Served => self.timing.max_proof_age,
+            ReadRole::Alone | ReadRole::Reader => polling.wait + polling.pause,
         };
         let now = boot::now();
         let mut inner = self.lock();
--- a/crates/relay/src/follow/read.rs
+++ b/crates/relay/src/follow/read.rs
@@ -44,7 +44,9 @@
                     .is_some_and(|proven| proven >= exchange.sent)
             }
             Ok(Err(error)) => {
-                exchange.refused(&error).log("Could not confirm the view");
+                exchange
+                    .failed_with(&error)
+                    .log("Could not confirm the view");
                 false
             }
             Err(failure) => {
@@ -92,7 +94,7 @@
         waited
     }
 
-    /// Fetches the records that the view lacks from the VM that reads for this one. Returns whether the
+    /// Fetches the records that the view lacks from this VM's reader. Returns whether the
     /// view lacks no announced change afterwards.
     pub(super) async fn fetch_from_reader(&self) -> bool {
         let (Some(reader), Some(next)) = (self.zone.reader_address(), self.next_offset()) else {
@@ -150,7 +152,7 @@
                 self.lock().next = None;
                 Ok(false)
             }
-            Err(error) => Err(exchange.refused(&error)),
+            Err(error) => Err(exchange.failed_with(&error)),
         }
     }
 
@@ -177,6 +179,6 @@
         if let Ok(Ok(_)) = &answer {
             exchange.answered();
         }
-        answer.map_err(|silent| exchange.given_up(silent))
+        answer.map_err(|silent| exchange.timed_out(silent))
     }
 }
--- a/crates/relay/src/neighbours.rs
+++ b/crates/relay/src/neighbours.rs
@@ -1,6 +1,6 @@
-//! Datagrams between the entry VMs: how long engines take for their prompts, which prompts they have
-//! prefilled, and what the VM that reads the log for its zone found there. Endpoints' limits,
-//! announcements about roll-outs and reports of requests that crash endpoints go along.
+//! Datagrams between the entry VMs, of this zone and of others: how long engines take for their prompts,
+//! which prompts they have prefilled, and what the zone's reader found in the log.
+//! Endpoints' limits, announcements about roll-outs and reports of requests that crash endpoints go along.
 //!
 //! What is said of engines is a hint: if it is lost, a prompt waits a little longer or is prefilled once
 //! more. What the zone's reader found are records and proofs; if they are lost, a VM reads the log by
@@ -9,6 +9,9 @@
 //! the start; a VM that starts later is discovered by its first datagram. Records too large for datagrams
 //! are fetched over a connection.
 //!
+//! The peers are all other VMs that this one knows, in any zone. The topic in which they are recorded is the
+//! fleet's.
+//!
 //! Within a zone each VM sends to all others. In each other zone it sends to one VM, which forwards
 //! within that zone, so that traffic between zones grows with the number of zones and not of VMs.
 
@@ -36,16 +39,16 @@
 use self::message::Message;
 use self::message::Prefill;
 use self::message::Proofs;
+use self::peers::Assignment;
 use self::peers::Peer;
 use self::peers::Peers;
 use self::peers::ReaderStatus;
-use self::peers::Role;
 use self::update::Update;
 use crate::boot;
 use crate::bundle::Bundle;
 use crate::bundle::SharedTopic;
 use crate::codec::Codec;
-use crate::follow::Lead;
+use crate::follow::ReadRole;
 use crate::follow::RecordRange;
 use crate::headers::HeaderCodec;
 use crate::node::Node;
@@ -54,7 +57,7 @@
 use crate::topic::Log;
 use crate::zone::Reachability;
 use crate::zone::Stamp;
-use crate::zone::Zone;
+use crate::zone::ZoneReading;
 
 /// A VM whose view of the log is older than this does not read for others. The reads of other VMs prove a
 /// view at least every 2.2 s.
@@ -86,7 +89,7 @@
 struct Neighbours<P, L> {
     node: Node<P, L>,
     log: L,
-    zone: Zone,
+    zone: ZoneReading,
     socket: Arc<UdpSocket>,
     inner: Arc<Mutex<Inner>>,
     /// Notified of each datagram from a VM of the zone.
@@ -110,14 +113,14 @@
 pub fn start<P: HeaderCodec + Codec, L: Log>(
     node: &Node<P, L>,
     log: L,
-    zone: Zone,
+    zone: ZoneReading,
     token: CancellationToken,
 ) {
     let node = node.clone();
     tokio::spawn(async move { token.run_until_cancelled(run(node, log, zone)).await });
 }
 
-async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L, zone: Zone) {
+async fn run<P: HeaderCodec + Codec, L: Log>(node: Node<P, L>, log: L, zone: ZoneReading) {
     let address = node.config.peer_listen;
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Arc::new(socket),
@@ -152,18 +155,18 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether another VM, which has read the log, reads it for this one.
+    /// Whether this VM is served by a reader that has read the log already.
     fn has_eligible_reader(&self) -> bool {
-        let role = self.role();
-        !role.state.no_able_reader && role.lead == Lead::Led
+        let assignment = self.assignment();
+        !assignment.state.no_eligible_reader && assignment.read_role == ReadRole::Served
     }
 
     /// This VM's part in reading the log for the zone, by what is known now.
-    fn role(&self) -> Role {
+    fn assignment(&self) -> Assignment {
         let config = &self.node.config;
         let status = self.reader_status();
         let peers = &self.lock().peers;
-        peers.role(&config.node, &config.zone, status, boot::now())
+        peers.assignment(&config.node, &config.zone, status, boot::now())
     }
 
     async fn listen(&self) {
@@ -196,7 +199,7 @@
         let starts = local && message.reader_status == ReaderStatus::Starting;
         let sender = starts.then(|| choice::hash(message.node.as_str()));
         self.merge(message, from);
-        let reads = *self.zone.lead.borrow() != Lead::Led;
+        let reads = *self.zone.read_role.borrow() != ReadRole::Served;
         if let Some(sender) = sender
             && reads
             && self.reader_status() == ReaderStatus::Eligible
@@ -289,9 +292,10 @@
         }
     }
 
-    /// Whether this VM reads the log for its zone.
+    /// Whether this VM is the reader of its zone, by its role alone. A VM that is alone is not, although it
+    /// reads the log: see [`Node::reads_log`].
     fn is_zone_reader(&self) -> bool {
-        *self.zone.lead.borrow() == Lead::Leading
+        *self.zone.read_role.borrow() == ReadRole::Reader
     }
 
     /// Applies what the reads of another VM prove to this one.
@@ -333,17 +337,17 @@
 
     /// Updates who reads the log for whom.
     fn update_role(&self) {
-        let role = self.role();
-        self.zone.set_reader_address(role.reader);
-        self.zone.set_log_state(role.state);
-        let lead = role.lead;
-        let update = |known: &mut Lead| {
-            let changed = *known != lead;
-            *known = lead;
+        let assignment = self.assignment();
+        self.zone.set_reader_address(assignment.reader);
+        self.zone.set_log_state(assignment.state);
+        let role = assignment.read_role;
+        let update = |known: &mut ReadRole| {
+            let changed = *known != role;
+            *known = role;
             changed
         };
-        if self.zone.lead.send_if_modified(update) {
-            log::info!("neighbours: Role in reading the log: {lead:?}.");
+        if self.zone.read_role.send_if_modified(update) {
+            log::info!("neighbours: Role in reading the log: {role:?}.");
         }
     }
 
@@ -355,10 +359,10 @@
         let ages = [self.node.operators.age(), self.node.directory.age()];
         let young = |age: &Option<Duration>| age.is_some_and(|age| age < MAX_VIEW_AGE);
         match self.zone.reachability(boot::now()) {
-            Reachability::Unreachable => ReaderStatus::Unanswered,
+            Reachability::Unreachable => ReaderStatus::Unreachable,
             Reachability::Reachable if ages.iter().any(Option::is_none) => ReaderStatus::Starting,
             Reachability::Reachable if ages.iter().all(young) => ReaderStatus::Eligible,
-            Reachability::Reachable | Reachability::Untested => ReaderStatus::Untested,
+            Reachability::Reachable | Reachability::Suspect => ReaderStatus::Untested,
         }
     }
 }
--- a/crates/relay/src/neighbours/discovery.rs
+++ b/crates/relay/src/neighbours/discovery.rs
@@ -14,13 +14,13 @@
 use crate::codec::Codec;
 use crate::fleet;
 use crate::fleet::VmRecord;
-use crate::follow::Lead;
+use crate::follow::ReadRole;
 use crate::headers::HeaderCodec;
 use crate::topic::Log;
 use crate::topic::Topic;
 
-/// How often a VM checks whether it has learnt rates worth publishing for VMs that start later.
-const LEARNT_INTERVAL: Duration = Duration::from_secs(5);
+/// How often a VM checks whether it has learnt prefill speeds worth publishing for VMs that start later.
+const PREFILL_SPEEDS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How long an answer of the log may take to begin, and how long it may stall.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -40,9 +40,9 @@
 impl<P: HeaderCodec + Codec, L: Log> Neighbours<P, L> {
     /// Discovers the other VMs by the log, and joins those of the zone by datagrams.
     ///
-    /// Of two VMs that start together, the one whose record comes later must find the other's record.
-    /// So a VM reads the records of the others once its own is there. A VM that restarts finds the record
-    /// of its last incarnation, with the rates learnt by then, and writes none if that is still true.
+    /// Of two VMs that start together, the one whose record comes later must find the other's record. So a
+    /// VM reads the records of the others once its own is there. A VM that restarts finds the record of its
+    /// last incarnation, with the prefill speeds learnt by then, and writes none if that is still true.
     pub(super) async fn discover(&self) {
         if self.node.config.first_start {
             self.publish().await;
@@ -53,17 +53,13 @@
             self.publish().await;
             self.read_fleet().await;
         }
-        self.publish_rates().await;
+        self.publish_prefill_speeds().await;
     }
 
     /// Writes this VM's record to the log.
     async fn publish(&self) {
         let mut delay = RETRY_DELAY;
-        while !self
-            .node
-            .publish(&self.node.announcement(), &self.log)
-            .await
-        {
+        while !self.node.publish(&self.node.vm_record(), &self.log).await {
             delay = back_off(delay).await;
         }
     }
@@ -76,7 +72,7 @@
             let nothing = Update::default();
             self.send(peer.address, Some(peer.key), &nothing).await;
         }
-        // The first VM by name reads for the others in any case. They wait for it, and it for nobody.
+        // The first VM by name does not wait: it becomes the reader, for which the others wait.
         let own = &self.node.config.node;
         let first = peers.first().is_none_or(|peer| *own < peer.node);
         let eligible = async {
@@ -95,8 +91,8 @@
         self.zone.finish_discovery();
     }
 
-    /// Reads the other VMs' addresses and the rates that they learnt. Whether this VM's own record is
-    /// there and still true.
+    /// Reads the other VMs' addresses and the prefill speeds that they learnt. Returns true if this VM's
+    /// own record is there and still true.
     async fn read_fleet(&self) -> bool {
         let mut delay = RETRY_DELAY;
         loop {
@@ -128,7 +124,9 @@
     }
 
     fn add_record(&self, node: id::Node, record: VmRecord) {
-        self.node.scheduler.seed_prefill(&record.seconds_per_token);
+        self.node
+            .scheduler
+            .merge_prefill_speeds(&record.seconds_per_token);
         if node != self.node.config.node {
             let now = boot::now();
             let peer = Peer::discovered(node, record.zone, record.address, now);
@@ -138,12 +136,12 @@
 
     /// Writes this VM's record once more when it has learnt rates, for VMs that start later. A VM for
     /// which another one reads the log leaves this to that one.
-    async fn publish_rates(&self) {
+    async fn publish_prefill_speeds(&self) {
         loop {
-            tokio::time::sleep(LEARNT_INTERVAL).await;
-            let record = self.node.announcement();
+            tokio::time::sleep(PREFILL_SPEEDS_INTERVAL).await;
+            let record = self.node.vm_record();
             let known = !record.seconds_per_token.is_empty();
-            let alone = *self.zone.lead.borrow() != Lead::Led;
+            let alone = *self.zone.read_role.borrow() != ReadRole::Served;
             if known && alone && self.node.publish(&record, &self.log).await {
                 return;
             }
--- a/crates/relay/src/neighbours/peers.rs
+++ b/crates/relay/src/neighbours/peers.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::follow::Lead;
+use crate::follow::ReadRole;
 use crate::zone::LogState;
 
 /// A VM that sent no datagram for this long does not read for others. It is the time of three heartbeats,
@@ -21,12 +21,12 @@
 const ROTATION_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A VM that was not seen for this long is forgotten. In a zone of fifty VMs each VM of another zone is
-/// seen every 100 seconds. Until then it gets all datagrams: it may be cut off or suspended, and see this
-/// VM in the same way.
+/// seen every 100 seconds. Until then it still gets datagrams: it may only be cut off or suspended, and may
+/// think the same of this VM.
 const FORGET_TIMEOUT: Duration = Duration::from_mins(5);
 
-/// If the log does not answer this many VMs of a zone, it may be out for all of them.
-const MANY_UNANSWERED: usize = 3;
+/// If the log is unreachable for this many VMs of a zone, it may be out for all of them.
+const MANY_UNREACHABLE: usize = 3;
 
 /// Whether a VM can read the log for others.
 ///
@@ -40,8 +40,8 @@
     Starting,
     /// Its view is old, or its reads were not answered some time ago and it has not tried since.
     Untested,
-    /// Its reads are not answered.
-    Unanswered,
+    /// The log is unreachable for it: it refused a read, or several reads got no answer.
+    Unreachable,
     /// It is shutting down.
     Leaving,
 }
@@ -97,12 +97,12 @@
 
 /// This VM's part in reading the log for its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Role {
-    /// Whether this VM reads for itself, for others, or another one for it.
-    pub lead: Lead,
-    /// The VM that reads for this one; none if this one reads itself.
+pub struct Assignment {
+    /// This VM's role.
+    pub read_role: ReadRole,
+    /// The reader of this VM; none if this one reads itself.
     pub reader: Option<SocketAddr>,
-    /// How the reads of the zone go.
+    /// Whether the log answers the VMs of the zone.
     pub state: LogState,
 }
 
@@ -113,7 +113,7 @@
 }
 
 impl Peers {
-    /// Adds or updates a VM. Whether that may change who reads the log.
+    /// Adds or updates a VM. Returns true if that may change who reads the log.
     pub fn update(&mut self, peer: Peer, now: Moment) -> bool {
         match self.peers.binary_search_by(|p| p.node.cmp(&peer.node)) {
             Ok(place) => {
@@ -180,37 +180,43 @@
         peers.cloned().collect()
     }
 
-    /// Who reads the log for this VM, which has this `status`: of the VMs that are alive the first by
-    /// name that is eligible. If none is, a VM that has not tried lately tries, or else the first of all
-    /// goes on trying; the others learn from it that the log is back.
+    /// Who reads the log for this VM, which has this `status`: of the VMs of the zone that are alive, the
+    /// one with the lowest status, and of several such the first by name. If none is eligible, the one
+    /// chosen goes on trying, and the others learn from it that the log is reachable again.
     #[must_use]
-    pub fn role(&self, own: &id::Node, zone: &id::Zone, status: ReaderStatus, now: Moment) -> Role {
+    pub fn assignment(
+        &self,
+        own: &id::Node,
+        zone: &id::Zone,
+        status: ReaderStatus,
+        now: Moment,
+    ) -> Assignment {
         let alive = |peer: &&Peer| peer.zone == *zone && peer.is_alive(now);
         let others = self.peers.iter().filter(alive);
         let others: Vec<(ReaderStatus, &id::Node, Option<SocketAddr>)> = others
             .map(|peer| (peer.status, &peer.node, Some(peer.address)))
             .collect();
         if others.is_empty() {
-            return Role {
-                lead: Lead::Alone,
+            return Assignment {
+                read_role: ReadRole::Alone,
                 reader: None,
                 state: LogState::default(),
             };
         }
-        let unanswered = |(status, ..): &&(ReaderStatus, &id::Node, Option<SocketAddr>)| {
-            *status == ReaderStatus::Unanswered
+        let unreachable = |(status, ..): &&(ReaderStatus, &id::Node, Option<SocketAddr>)| {
+            *status == ReaderStatus::Unreachable
         };
         let all: Vec<_> = others.into_iter().chain([(status, own, None)]).collect();
         // A VM with a better status comes first; among equal ones names decide.
         let reader = all.iter().min_by_key(|(status, node, _)| (*status, *node));
         let eligible = reader.is_some_and(|(status, ..)| *status == ReaderStatus::Eligible);
         let address = reader.and_then(|(.., address)| *address);
-        Role {
-            lead: address.map_or(Lead::Leading, |_| Lead::Led),
+        Assignment {
+            read_role: address.map_or(ReadRole::Reader, |_| ReadRole::Served),
             reader: address,
             state: LogState {
-                no_able_reader: !eligible,
-                outage_suspected: all.iter().filter(unanswered).count() >= MANY_UNANSWERED,
+                no_eligible_reader: !eligible,
+                outage_suspected: all.iter().filter(unreachable).count() >= MANY_UNREACHABLE,
             },
         }
     }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -37,13 +37,12 @@
 use crate::table::Table;
 use crate::topic::Log;
 use crate::topic::Topic;
-use crate::zone::Zone;
+use crate::zone::ZoneReading;
 
-/// Maximum age of a configuration that may admit keys, as a share of the bound on revoked keys. Also the
-/// maximum time for which it may lack a known change and still be used, as a share of the bound on
-/// configuration changes. A key that the configuration still lists was revoked, if at all, after the
-/// configuration was confirmed to be current, so any age below the bound would do; the rest allows for
-/// clock drift.
+/// Share of two bounds up to which a configuration may be used. Its age may reach this share of the bound
+/// on revoked keys; a known change may be missing for this share of the bound on configuration changes. A
+/// key that the configuration still lists was revoked, if at all, after the configuration was confirmed
+/// to be current, so that any age below the bound would do. The rest allows for clock drift.
 const FRESH_SHARE: f64 = 0.85;
 
 /// The same share for reporting readiness. A VM that is cut off alone should lose its callers to the other
@@ -141,7 +140,7 @@
 impl<P: HeaderCodec + Codec, L: Log> Node<P, L> {
     /// Creates the state and starts the tasks that follow the log and exchange data with other VMs.
     pub fn start(config: Config, platform: P, log: L, token: &CancellationToken) -> Self {
-        let zone = Zone::starting(&config);
+        let zone = ZoneReading::starting(&config);
         let calls = LogCalls::default();
         let timings = config.timings;
         let operators = Follower::start(
@@ -219,7 +218,7 @@
     /// Whether the configuration is recent enough to admit keys.
     #[must_use]
     pub fn key_freshness(&self) -> Freshness {
-        self.within_revoke_bound(FRESH_SHARE)
+        self.age_freshness(FRESH_SHARE)
     }
 
     /// Whether the configuration is recent enough to handle requests, with a key or without.
@@ -229,12 +228,12 @@
     /// it would serve callers by an outdated configuration for as long as it can't reach the log.
     #[must_use]
     pub fn config_freshness(&self) -> Freshness {
-        self.caught_up(FRESH_SHARE)
+        self.change_freshness(FRESH_SHARE)
     }
 
     /// Whether no known change has been missing for longer than a share of the bound on configuration
     /// changes.
-    fn caught_up(&self, share: f64) -> Freshness {
+    fn change_freshness(&self, share: f64) -> Freshness {
         let bound = self.config.bounds.config_apply.mul_f64(share);
         match self.operators.behind() {
             Some(behind) if behind > bound => Freshness::Stale,
@@ -243,7 +242,7 @@
     }
 
     /// Whether the configuration is younger than a share of the bound on revoked keys.
-    fn within_revoke_bound(&self, share: f64) -> Freshness {
+    fn age_freshness(&self, share: f64) -> Freshness {
         let Some(revoke) = self.config.bounds.revoke else {
             return Freshness::Fresh;
         };
@@ -266,23 +265,23 @@
         let endpoints_read = self.directory.proven_at().is_some();
         let leaving = self.leaving.is_cancelled();
         let fresh = [
-            self.within_revoke_bound(READY_SHARE),
-            self.caught_up(READY_SHARE),
+            self.age_freshness(READY_SHARE),
+            self.change_freshness(READY_SHARE),
         ];
         let fresh = fresh.iter().all(|known| *known == Freshness::Fresh);
         endpoints_read && !leaving && self.table().is_some() && fresh
     }
 
-    /// Whether this VM reads the log itself, either on behalf of other VMs or because it can't rely on
-    /// another VM's reads.
+    /// Whether this VM reads the log itself and is answered: as the reader, alone, or because its last proof
+    /// is too old although it is served.
     #[must_use]
     pub fn reads_log(&self) -> bool {
         self.operators.is_reading()
     }
 
-    /// This VM's announcement to the other VMs, without roll-outs.
+    /// The record by which other VMs discover this one, without roll-outs.
     #[must_use]
-    pub fn announcement(&self) -> VmRecord {
+    pub fn vm_record(&self) -> VmRecord {
         VmRecord {
             zone: self.config.zone.clone(),
             address: self.config.peer_listen,
@@ -291,7 +290,7 @@
         }
     }
 
-    /// Appends an announcement to the log. Returns whether the append is known to have succeeded.
+    /// Appends this VM's record to the log. Returns whether the append is known to have succeeded.
     pub async fn publish(&self, record: &VmRecord, log: &impl Log) -> bool {
         self.calls.count(Topic::Fleet, Reason::Announcement);
         record.publish(&self.config.node, log).await
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -1,7 +1,9 @@
 //! Roll-outs under way: which version a request uses, and the evidence on each version.
 //!
-//! [`pimento_policy::shift`] makes the decisions; this module supplies the orders, their ages and the
-//! evidence of all VMs. [`controller`] shares the evidence and reports the end to the operators.
+//! A roll-out is here a move to another version by a deadline, as [`pimento_policy::shift`] decides it. It is
+//! not the staged one of [`pimento_policy::rollout`], of which it only uses the positions of sessions and the
+//! type of evidence. This module supplies the orders, their ages and the evidence of all VMs. [`controller`]
+//! shares the evidence and reports the end to the operators.
 
 pub mod announcement;
 pub mod controller;
@@ -26,7 +28,7 @@
 use self::state::Step;
 use self::state::Visibility;
 use crate::config::Exposure;
-use crate::operators::RolloutOrder;
+use crate::operators::ReadOrder;
 use crate::sessions::Sessions;
 
 /// The longest time between announcements of a VM, which show the others that it is alive.
@@ -138,13 +140,13 @@
 
     /// Whether this order, or a later one for the same service, was added.
     #[must_use]
-    pub fn has_order(&self, order: &RolloutOrder) -> bool {
+    pub fn has_order(&self, order: &ReadOrder) -> bool {
         let known = self.get(&order.rollout.pool);
         known.is_some_and(|known| known.offset() >= order.offset)
     }
 
     /// Adds an order. `ended` is how it ended, if that was before this process started.
-    pub fn add_order(&mut self, order: RolloutOrder, ended: Option<End>, now: Moment) {
+    pub fn add_order(&mut self, order: ReadOrder, ended: Option<End>, now: Moment) {
         let mut rollout = RolloutState::new(order, ended.map(|end| (end, now)));
         if ended.is_none() {
             for session in self.sessions.active(now) {
@@ -307,7 +309,7 @@
         let new = rollout.target() == request.version;
         rollout.count(request.route, new, request.endpoint, request.outcome);
         if new {
-            rollout.judge(endpoints);
+            rollout.detect_regression(endpoints);
         }
     }
 
@@ -336,7 +338,7 @@
         if let Some(rollout) = self.get_mut(&received.announcement.pool) {
             rollout.receive(&received.node, &received.announcement, now);
             if rollout.ended().is_none() {
-                rollout.judge(endpoints);
+                rollout.detect_regression(endpoints);
             }
         }
     }
@@ -431,5 +433,5 @@
         || now
             .iter()
             .zip(before)
-            .any(|(one, other)| one.differs(other))
+            .any(|(one, other)| one.is_urgent_after(other))
 }
--- a/crates/relay/src/rollouts/announcement.rs
+++ b/crates/relay/src/rollouts/announcement.rs
@@ -103,15 +103,17 @@
 }
 
 impl Announcement {
-    /// Whether others should soon know of the difference to an earlier announcement.
+    /// Whether other VMs must soon learn of the difference to an earlier announcement. Other counts of
+    /// requests alone are not urgent.
     #[must_use]
-    pub fn differs(&self, before: &Self) -> bool {
+    pub fn is_urgent_after(&self, before: &Self) -> bool {
         let state = |one: &Self| (one.order, one.bad, one.drained, one.ended);
         state(self) != state(before) || self.failing.len() != before.failing.len()
     }
 }
 
-/// A session that used the old version before the trial and stays on it during the trial.
+/// A session that used the old version before the trial and stays on it during the trial. It is not related
+/// to the pins of [`pimento_policy::session`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PinnedSession {
     /// The offset of the order in its topic.
--- a/crates/relay/src/rollouts/state.rs
+++ b/crates/relay/src/rollouts/state.rs
@@ -16,7 +16,7 @@
 use super::announcement::Outcome;
 use super::announcement::RequestCounts;
 use super::announcement::Route;
-use crate::operators::RolloutOrder;
+use crate::operators::ReadOrder;
 
 /// After this long without an announcement from a VM the roll-out no longer waits for it: the VM is
 /// down, or cut off from the log, in which case it admits no keys and sends no requests. It is the time of
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct RolloutState {
     /// The order.
-    pub order: RolloutOrder,
+    pub order: ReadOrder,
     /// How old the order was when this VM read it, by the announcements of other VMs.
     read_delay: Duration,
     /// How the roll-out ended, and when this VM knew of it.
@@ -83,7 +83,7 @@
 impl RolloutState {
     /// A roll-out that begins, or that ended before this process started.
     #[must_use]
-    pub const fn new(order: RolloutOrder, ended: Option<(End, Moment)>) -> Self {
+    pub const fn new(order: ReadOrder, ended: Option<(End, Moment)>) -> Self {
         Self {
             order,
             read_delay: Duration::ZERO,
@@ -183,7 +183,7 @@
     }
 
     /// The evidence of all VMs, for each route.
-    fn tallies(&self) -> Vec<shift::RouteEvidence> {
+    fn evidence(&self) -> Vec<shift::RouteEvidence> {
         let mut routes = self.routes.clone();
         let peers = self.peers.iter();
         for other in peers.flat_map(|peer| &peer.announcement.routes) {
@@ -191,11 +191,11 @@
             route.new.add(&other.new);
             route.old.add(&other.old);
         }
-        let tally = |route: &Route| shift::RouteEvidence {
+        let route_evidence = |route: &Route| shift::RouteEvidence {
             new: route.new.evidence(),
             old: route.old.evidence(),
         };
-        routes.iter().map(tally).collect()
+        routes.iter().map(route_evidence).collect()
     }
 
     /// Requests of all routes on the new version, at any VM.
@@ -211,7 +211,7 @@
     }
 
     /// The number of endpoints of the new version that failed a request, at any VM.
-    fn failing(&self) -> usize {
+    fn failing_count(&self) -> usize {
         let peers = self.peers.iter();
         let peer_failing = peers.flat_map(|peer| &peer.announcement.failing);
         let mut all: Vec<u64> = self.failing.iter().chain(peer_failing).copied().collect();
@@ -222,7 +222,7 @@
 
     /// Decides whether the new version is bad by the evidence of all VMs. `endpoints` is the number of
     /// its endpoints.
-    pub fn judge(&mut self, endpoints: usize) {
+    pub fn detect_regression(&mut self, endpoints: usize) {
         if self.bad.is_some() {
             return;
         }
@@ -230,7 +230,7 @@
         let cause = if reported {
             Some(CompactString::const_new("reported by another VM"))
         } else {
-            let cause = shift::regression(&self.tallies(), self.failing(), endpoints);
+            let cause = shift::regression(&self.evidence(), self.failing_count(), endpoints);
             cause.map(|cause| CompactString::from(format!("{cause:?}")))
         };
         if let Some(cause) = cause {
--- a/crates/relay/src/timings.rs
+++ b/crates/relay/src/timings.rs
@@ -9,16 +9,16 @@
 
 use crate::config::Bounds;
 use crate::follow::Polling;
-use crate::follow::Timing;
+use crate::follow::ReadTiming;
 
-/// Longer bounds have the timings of these. They would save few calls, and callers would see new endpoints
-/// and changes later than necessary.
-const LONGEST_LEAVING: Duration = Duration::from_secs(4);
-const LONGEST_CHANGE: Duration = Duration::from_secs(2);
+/// Bounds above these count as these: a longer interval would save few calls, and callers would see new
+/// endpoints and changes later than necessary.
+const MAX_LEAVING_BOUND: Duration = Duration::from_secs(4);
+const MAX_CHANGE_BOUND: Duration = Duration::from_secs(2);
 
 /// The shortest bounds that can be held: an answer of the log takes up to a tenth of a second.
-const SHORTEST_LEAVING: Duration = Duration::from_millis(600);
-const SHORTEST_CHANGE: Duration = Duration::from_secs(1);
+const MIN_LEAVING_BOUND: Duration = Duration::from_millis(600);
+const MIN_CHANGE_BOUND: Duration = Duration::from_secs(1);
 
 /// The longest timeout of an answer.
 const MAX_TIMEOUT: Duration = Duration::from_millis(450);
@@ -31,16 +31,16 @@
 const REVOKE_SHARE: f64 = 0.4;
 
 /// Shares of the bound on leaving endpoints: the highest age of a proof, and the pauses between the reads of
-/// a VM that leads and of one that is alone. One proof may be lost before the last one is too old.
+/// the reader and of a VM that is alone. One proof may be lost before the last one is too old.
 const LEAVING_PROOF_AGE: f64 = 0.75;
-const LEAVING_LEADING: f64 = 0.25;
-const LEAVING_ALONE: f64 = 0.45;
+const LEAVING_READER_PAUSE: f64 = 0.25;
+const LEAVING_ALONE_PAUSE: f64 = 0.45;
 
-/// Shares of the bound on changes: the highest age of a proof, the waits at the log of a VM that leads and
-/// of one that is alone, and the timeout. A proof is as old as the read behind it, up to twice the wait.
+/// Shares of the bound on changes: the highest age of a proof, the waits at the log of the reader and of a
+/// VM that is alone, and the timeout. A proof is as old as the read behind it, up to twice the wait.
 const CHANGE_PROOF_AGE: f64 = 1.15;
-const CHANGE_LEADING: f64 = 0.3;
-const CHANGE_ALONE: f64 = 0.5;
+const CHANGE_READER_WAIT: f64 = 0.3;
+const CHANGE_ALONE_WAIT: f64 = 0.5;
 const CHANGE_TIMEOUT: f64 = 0.225;
 
 /// Timing of the topic of requests during which endpoints crashed. VMs also send them to each other in
@@ -49,9 +49,9 @@
     wait: Duration::from_secs(5),
     pause: Duration::ZERO,
 };
-const POISON: Timing = Timing {
+const POISON: ReadTiming = ReadTiming {
     alone: POISON_WAIT,
-    leading: POISON_WAIT,
+    reader: POISON_WAIT,
     max_proof_age: Duration::from_secs(20),
     timeout: MAX_TIMEOUT,
 };
@@ -60,13 +60,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timings {
     /// The operators' topic. Changes are rare, so that a read can wait at the log for one.
-    pub operators: Timing,
+    pub operators: ReadTiming,
     /// The endpoints' topic. Each endpoint writes about once a second. A read that waits at the log would
     /// be answered for each of their records.
-    pub endpoints: Timing,
+    pub endpoints: ReadTiming,
     /// The topic of requests during which endpoints crashed. Records are rare, and a read that waits at the
     /// log returns them at once.
-    pub poison: Timing,
+    pub poison: ReadTiming,
 }
 
 /// A bound that can't be held.
@@ -74,7 +74,7 @@
 pub enum Error {
     /// The bound on leaving endpoints.
     #[snafu(display(
-        "leaving endpoints can't be known within {bound:?}; the shortest possible bound is {SHORTEST_LEAVING:?}"
+        "leaving endpoints can't be known within {bound:?}; the shortest possible bound is {MIN_LEAVING_BOUND:?}"
     ))]
     Leaving {
         /// The bound.
@@ -82,7 +82,7 @@
     },
     /// The bound on changes of the configuration, or on revoked keys.
     #[snafu(display(
-        "a change can't be known within {bound:?}; the bound on changes and {REVOKE_SHARE} of the bound on revoked keys must be at least {SHORTEST_CHANGE:?}"
+        "a change can't be known within {bound:?}; the bound on changes and {REVOKE_SHARE} of the bound on revoked keys must be at least {MIN_CHANGE_BOUND:?}"
     ))]
     Change {
         /// The bound on changes, or the share of the bound on revoked keys if that is shorter.
@@ -102,41 +102,41 @@
     }
 }
 
-fn operators(bounds: &Bounds) -> Result<Timing, Error> {
+fn operators(bounds: &Bounds) -> Result<ReadTiming, Error> {
     let revoke = bounds.revoke.map(|revoke| revoke.mul_f64(REVOKE_SHARE));
     let bound = bounds
         .config_apply
         .min(revoke.unwrap_or(bounds.config_apply));
-    if bound < SHORTEST_CHANGE {
+    if bound < MIN_CHANGE_BOUND {
         return Err(Error::Change { bound });
     }
-    let bound = bound.min(LONGEST_CHANGE);
+    let bound = bound.min(MAX_CHANGE_BOUND);
     let waiting = |share: f64| Polling {
         wait: bound.mul_f64(share),
         pause: Duration::ZERO,
     };
-    Ok(Timing {
-        alone: waiting(CHANGE_ALONE),
-        leading: waiting(CHANGE_LEADING),
+    Ok(ReadTiming {
+        alone: waiting(CHANGE_ALONE_WAIT),
+        reader: waiting(CHANGE_READER_WAIT),
         max_proof_age: bound.mul_f64(CHANGE_PROOF_AGE),
         timeout: bound.mul_f64(CHANGE_TIMEOUT).min(MAX_TIMEOUT),
     })
 }
 
-fn endpoints(bounds: &Bounds) -> Result<Timing, Error> {
+fn endpoints(bounds: &Bounds) -> Result<ReadTiming, Error> {
     let bound = bounds.drain;
-    if bound < SHORTEST_LEAVING {
+    if bound < MIN_LEAVING_BOUND {
         return Err(Error::Leaving { bound });
     }
-    let bound = bound.min(LONGEST_LEAVING);
+    let bound = bound.min(MAX_LEAVING_BOUND);
     let pausing = |share: f64| Polling {
         wait: Duration::ZERO,
         pause: bound.mul_f64(share),
     };
     let max_proof_age = bound.mul_f64(LEAVING_PROOF_AGE);
-    Ok(Timing {
-        alone: pausing(LEAVING_ALONE),
-        leading: pausing(LEAVING_LEADING),
+    Ok(ReadTiming {
+        alone: pausing(LEAVING_ALONE_PAUSE),
+        reader: pausing(LEAVING_READER_PAUSE),
         max_proof_age,
         timeout: bound.saturating_sub(max_proof_age + RETRY).min(MAX_TIMEOUT),
     })
--- a/crates/relay/src/zone.rs
+++ b/crates/relay/src/zone.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use crate::config::Config;
-use crate::follow::Lead;
+use crate::follow::ReadRole;
 
 /// The last stamp received from another VM: a moment of that VM's own boot-time clock, which can't be
 /// compared with the clocks of other VMs.
@@ -43,11 +43,11 @@
 /// Whether the log answers this VM's reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// It answers, or was not read yet.
+    /// No failure is known: it answers, or was not read yet.
     Reachable,
-    /// The last reads failed, some time ago; none was made since.
-    Untested,
-    /// The last reads failed just now.
+    /// The last reads failed some time ago, and none was made since.
+    Suspect,
+    /// The last reads failed, at most some seconds ago.
     Unreachable,
 }
 
@@ -63,8 +63,8 @@
 /// Whether the log answers the VMs of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LogState {
-    /// No VM is known whose reads are answered.
-    pub no_able_reader: bool,
+    /// No VM of the zone is known whose reads are answered.
+    pub no_eligible_reader: bool,
     /// The log refused several VMs just now, so that it may refuse the next one as well.
     pub outage_suspected: bool,
 }
@@ -87,17 +87,18 @@
     Done,
 }
 
-/// The stamps of the other VMs of a zone, and which VM reads for the others. Clones share them.
+/// How the VMs of a zone read the log together, as this VM knows it: their stamps, which of them is the
+/// reader, and whether the log answers. Clones share it.
 #[derive(Debug, Clone, Default)]
-pub struct Zone {
+pub struct ZoneReading {
     deployment: CompactString,
     discovery_timeout: Duration,
     stamps: Arc<Mutex<Vec<Stamp>>>,
     /// Whether this VM reads for others, or another one for it.
-    pub lead: Arc<watch::Sender<Lead>>,
+    pub read_role: Arc<watch::Sender<ReadRole>>,
     /// Notified of each read of this VM that proved its view as of a later moment.
     pub proved: Arc<Notify>,
-    /// Where the VM that reads for this one accepts connections.
+    /// Where this VM's reader accepts connections.
     reader_address: Arc<Mutex<Option<SocketAddr>>>,
     reads: Arc<Mutex<Reads>>,
     discovery: Arc<watch::Sender<Discovery>>,
@@ -106,8 +107,8 @@
     log_state: Arc<Mutex<LogState>>,
 }
 
-impl Zone {
-    /// The zone of a VM that starts and has not discovered the others yet.
+impl ZoneReading {
+    /// The state of a VM that starts and has not discovered the others yet.
     #[must_use]
     pub fn starting(config: &Config) -> Self {
         let discovery_timeout = if config.first_start {
@@ -164,7 +165,7 @@
         stamps.clone()
     }
 
-    /// Sets the address of the VM that reads for this one; none if this VM reads itself.
+    /// Sets the address of this VM's reader; none if this VM reads itself.
     pub fn set_reader_address(&self, reader: Option<SocketAddr>) {
         *self
             .reader_address
@@ -172,7 +173,7 @@
             .unwrap_or_else(PoisonError::into_inner) = reader;
     }
 
-    /// Where the VM that reads for this one accepts connections; none if this VM reads itself.
+    /// Where this VM's reader accepts connections; none if this VM reads itself.
     #[must_use]
     pub fn reader_address(&self) -> Option<SocketAddr> {
         *self
@@ -205,7 +206,7 @@
         let reads = self.reads.lock().unwrap_or_else(PoisonError::into_inner);
         match reads.unreachable {
             None => Reachability::Reachable,
-            Some(last) if now.since(last) >= UNREACHABLE_FOR => Reachability::Untested,
+            Some(last) if now.since(last) >= UNREACHABLE_FOR => Reachability::Suspect,
             Some(_) => Reachability::Unreachable,
         }
     }
--- a/crates/relay/tests/all/fixture.rs
+++ b/crates/relay/tests/all/fixture.rs
@@ -10,13 +10,13 @@
 use pimento_relay::follow::Connectivity;
 use pimento_relay::follow::Fold;
 use pimento_relay::follow::Follower;
-use pimento_relay::follow::Lead;
 use pimento_relay::follow::Polling;
+use pimento_relay::follow::ReadRole;
+use pimento_relay::follow::ReadTiming;
 use pimento_relay::follow::RecordContext;
-use pimento_relay::follow::Timing;
 use pimento_relay::topic::Record;
 use pimento_relay::topic::Topic;
-use pimento_relay::zone::Zone;
+use pimento_relay::zone::ZoneReading;
 use pimento_units::Offset;
 use tokio_util::sync::CancellationToken;
 
@@ -30,9 +30,9 @@
     pause: Duration::ZERO,
 };
 
-pub const TIMING: Timing = Timing {
+pub const TIMING: ReadTiming = ReadTiming {
     alone: QUICK,
-    leading: QUICK,
+    reader: QUICK,
     max_proof_age: Duration::from_mins(1),
     timeout: Duration::from_millis(200),
 };
@@ -76,7 +76,7 @@
 pub struct Fixture {
     pub log: MemoryLog,
     pub calls: LogCalls,
-    pub zone: Zone,
+    pub zone: ZoneReading,
     pub follower: Follower<All, MemoryLog>,
     _token: tokio_util::sync::DropGuard,
 }
@@ -86,12 +86,12 @@
         Self::with_timing(TIMING)
     }
 
-    pub fn with_timing(timing: Timing) -> Self {
+    pub fn with_timing(timing: ReadTiming) -> Self {
         Self::with_log(MemoryLog::new(), timing)
     }
 
-    pub fn with_log(log: MemoryLog, timing: Timing) -> Self {
-        let zone = Zone::default();
+    pub fn with_log(log: MemoryLog, timing: ReadTiming) -> Self {
+        let zone = ZoneReading::default();
         let token = CancellationToken::new();
         let calls = LogCalls::default();
         let follower = Follower::start(
@@ -126,10 +126,10 @@
     }
 
     /// Makes another VM read for this one, once this one has a view.
-    pub async fn make_led(&self) {
+    pub async fn make_served(&self) {
         self.until("a first proof", |f| f.follower.proven_at().is_some())
             .await;
-        self.zone.lead.send_replace(Lead::Led);
+        self.zone.read_role.send_replace(ReadRole::Served);
         let mut calls = self.log.calls();
         // The running read ends first.
         loop {
--- a/crates/scheduler/src/endpoint_state.rs
+++ b/crates/scheduler/src/endpoint_state.rs
@@ -20,7 +20,8 @@
 /// Expected run time of a call before any was measured.
 pub(crate) const INITIAL_RUN_TIME: Duration = Duration::from_secs(1);
 
-/// An endpoint of the pool.
+/// An endpoint of the pool, as the list of endpoints describes it. `EndpointState` adds what this node
+/// observes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// The endpoint's name.
@@ -31,14 +32,15 @@
     pub address: SocketAddr,
     /// Whether it may take new work.
     pub usable: bool,
-    /// Delay to its zone in addition to the delay within the local zone.
-    pub distance: Duration,
+    /// Round-trip time to its zone beyond that within the local zone; zero for the local zone.
+    pub extra_delay: Duration,
     /// Versions that it holds, sorted; `None` for a plain service.
     pub versions: Option<Vec<id::Version>>,
     /// Its last load report, and when that was measured.
     pub report: Option<(limit::Report, Moment)>,
-    /// For an engine whose calls carry their prompts: its memory for running calls and cached prefixes.
-    pub memory: Option<Tokens>,
+    /// For an engine whose calls carry their prompts: the size of its KV cache, for running calls and cached
+    /// prefixes.
+    pub kv_capacity: Option<Tokens>,
     /// Distinguishes successive endpoints of the same name, which share no state.
     pub incarnation: u64,
 }
@@ -60,16 +62,18 @@
     pub(crate) limiter: limit::Limiter,
     /// The properties for which the limiter was configured.
     inputs: LimiterInputs,
-    pub(crate) key: u64,
-    /// Successive refusals, and until when no further call is sent because of them.
+    /// Hash of the endpoint's name, the same at every node.
+    pub(crate) name_hash: u64,
+    /// Successive refusals. They determine `closed_until`.
     pub(crate) consecutive_refusals: u32,
+    /// When the backoff after its last refusal ends; no call is sent before.
     pub(crate) closed_until: Moment,
     /// When it accepts calls again according to its last refusal.
     pub(crate) retry_at: Moment,
     /// Prefill queue and prefix cache, for an engine.
     pub(crate) engine: Option<Engine>,
-    /// The limit that it named for all VMs together.
-    pub(crate) limit: Option<EndpointLimit>,
+    /// The limit in requests per second that it named for all VMs together.
+    pub(crate) rate_limit: Option<EndpointLimit>,
 }
 
 /// Time after which to retry at an endpoint if this VM has no share of its limit.
@@ -78,18 +82,20 @@
 impl EndpointState {
     /// Returns whether the endpoint accepts the job from this VM now.
     pub(crate) fn accepts(&self, job: &Job, now: Moment) -> bool {
-        self.is_open(now) && self.member.holds(job.version.as_ref())
+        self.accepts_calls(now) && self.member.holds(job.version.as_ref())
     }
 
     /// Returns whether the endpoint accepts calls from this VM now.
-    pub(crate) fn is_open(&self, now: Moment) -> bool {
-        let allowed = self.throttle().is_none_or(|throttle| throttle.is_open(now));
+    pub(crate) fn accepts_calls(&self, now: Moment) -> bool {
+        let allowed = self
+            .throttle()
+            .is_none_or(|throttle| throttle.can_send(now));
         self.member.usable && now >= self.closed_until && allowed
     }
 
     /// Returns the token bucket of an endpoint that named a limit.
     pub(crate) fn throttle(&self) -> Option<Throttle> {
-        self.limit.as_ref()?.throttle()
+        self.rate_limit.as_ref()?.throttle()
     }
 
     /// Returns when this VM may send the next call.
@@ -115,7 +121,7 @@
     pub(crate) fn free(&self, now: Moment) -> u32 {
         let free = self.limiter.free();
         match self.throttle() {
-            _ if !self.is_open(now) => 0,
+            _ if !self.accepts_calls(now) => 0,
             None => free,
             Some(_) => free.min(1),
         }
@@ -142,14 +148,14 @@
 pub(crate) fn initial_state(member: Member) -> EndpointState {
     let inputs = LimiterInputs::of(&member);
     EndpointState {
-        key: choice::hash(member.endpoint.as_str()),
+        name_hash: choice::hash(member.endpoint.as_str()),
         limiter: limiter(inputs),
         inputs,
         consecutive_refusals: 0,
         closed_until: Moment::ZERO,
         retry_at: Moment::ZERO,
-        engine: member.memory.map(Engine::new),
-        limit: None,
+        engine: member.kv_capacity.map(Engine::new),
+        rate_limit: None,
         member,
     }
 }
@@ -168,7 +174,7 @@
         let batch = member.report.map(|(report, _)| report.batch);
         Self {
             batch: batch.filter(|batch| *batch > 0),
-            engine: member.memory.is_some(),
+            engine: member.kv_capacity.is_some(),
         }
     }
 }
@@ -200,19 +206,19 @@
     // engine were not created then, it would look idle for ever, and each prompt as if its prefill took no
     // time.
     let restarted = state.member.incarnation != member.incarnation;
-    if restarted || state.member.memory != member.memory {
-        state.engine = member.memory.map(Engine::new);
+    if restarted || state.member.kv_capacity != member.kv_capacity {
+        state.engine = member.kv_capacity.map(Engine::new);
     }
     if restarted {
         state.consecutive_refusals = 0;
         state.closed_until = Moment::ZERO;
         state.retry_at = Moment::ZERO;
-        state.limit = None;
+        state.rate_limit = None;
     }
     if let Some((report, at)) = member.report
         && state.member.report.is_none_or(|(_, seen)| seen < at)
     {
-        state.limiter.report(report);
+        state.limiter.apply_report(report);
     }
     let fresh = LimiterInputs::of(&member);
     if fresh != state.inputs && state.limiter.in_flight() == 0 {
--- a/crates/scheduler/tests/endpoint_limit.rs
+++ b/crates/scheduler/tests/endpoint_limit.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use pimento_endpoint::Fault;
-use pimento_policy::throttle::Limit;
+use pimento_policy::throttle::RateLimit;
 use pimento_scheduler::Clock;
 use pimento_scheduler::Job;
 use pimento_scheduler::Member;
+use pimento_scheduler::NoSlot;
 use pimento_scheduler::Participants;
 use pimento_scheduler::Pool;
-use pimento_scheduler::Refused;
 use pimento_scheduler::Scheduler;
 use pimento_scheduler::endpoint_limit::Report;
 use pimento_units::Moment;
@@ -24,7 +24,7 @@
 const OWN: u64 = 1;
 const OTHER: u64 = 2;
 
-fn desk(incarnation: u64) -> Member {
+fn plain_member(incarnation: u64) -> Member {
     Member {
         incarnation,
         ..member(6)
@@ -33,7 +33,7 @@
 
 fn call(clock: Clock, wait: Duration) -> Job {
     Job {
-        customer: "garage".parse().unwrap(),
+        customer: "customer".parse().unwrap(),
         weight: 1,
         priority: 1,
         tokens: Tokens(1),
@@ -53,20 +53,20 @@
     let scheduler = Scheduler::new(clock);
     let zone = "a".parse().unwrap();
     scheduler.set_participants(&Participants::new(OWN, vec![(zone, vms.to_vec())]));
-    let pool = scheduler.pool(&"desk".parse().unwrap());
-    pool.update(vec![desk(1)]);
+    let pool = scheduler.pool(&"service".parse().unwrap());
+    pool.update(vec![plain_member(1)]);
     (clock, scheduler, pool)
 }
 
 fn observe(clock: Clock, pool: &Pool, limit: Option<f64>, sent: Moment) -> bool {
-    let limit = limit.map(|limit| Limit::try_from(limit).unwrap());
+    let limit = limit.map(|limit| RateLimit::try_from(limit).unwrap());
     let endpoint = "i-1".parse().unwrap();
     assert!(clock.now() >= sent);
     pool.record_limit(&endpoint, limit, sent)
 }
 
 fn limited(pool: &Pool) -> usize {
-    pool.depth().limited
+    pool.metrics().limited
 }
 
 /// Guards against an answer that was on its way when the endpoint named its limit, and removes it.
@@ -88,9 +88,9 @@
 async fn a_restarted_endpoint_has_no_limit() {
     let (clock, _scheduler, pool) = pool(&[OWN]);
     observe(clock, &pool, Some(2.0), clock.now());
-    pool.update(vec![desk(1)]);
+    pool.update(vec![plain_member(1)]);
     assert_eq!(limited(&pool), 1);
-    pool.update(vec![desk(2)]);
+    pool.update(vec![plain_member(2)]);
     assert_eq!(limited(&pool), 0);
 }
 
@@ -113,7 +113,7 @@
     tokio::time::sleep(Duration::from_millis(5)).await;
     let newer = Report {
         age: Duration::ZERO,
-        limit: Some(Limit::try_from(3.0).unwrap()),
+        limit: Some(RateLimit::try_from(3.0).unwrap()),
         ..reports[0]
     };
     pool.merge_limit(newer);
@@ -143,7 +143,7 @@
     let cancel = CancellationToken::new();
     let job = || call(clock, Duration::from_secs(10));
     let refused = pool.acquire(job(), &cancel).await.unwrap_err();
-    let Refused::Overloaded { after } = refused else {
+    let NoSlot::Overloaded { after } = refused else {
         panic!("{refused:?}");
     };
     assert!((0.5..=30.0).contains(&after.as_secs_f64()), "{after:?}");
@@ -161,9 +161,9 @@
     let (clock, _scheduler, pool) = pool(&[OTHER]);
     let second = Member {
         endpoint: "i-2".parse().unwrap(),
-        ..desk(1)
+        ..plain_member(1)
     };
-    pool.update(vec![desk(1), second]);
+    pool.update(vec![plain_member(1), second]);
     let cancel = CancellationToken::new();
     for _ in 0..3 {
         let mut job = call(clock, Duration::from_secs(3));
@@ -177,7 +177,7 @@
         .acquire(call(clock, Duration::from_secs(3)), &cancel)
         .await;
     assert!(
-        matches!(refused, Err(Refused::Overloaded { .. })),
+        matches!(refused, Err(NoSlot::Overloaded { .. })),
         "{refused:?}"
     );
     assert!(clock.now().since(began) < Duration::from_secs(1));
--- a/crates/standin/src/load/overload.rs
+++ b/crates/standin/src/load/overload.rs
@@ -1,6 +1,6 @@
 //! Promises checked in trials with overload or faults.
 
-use crate::load::judge::Evidence;
+use crate::load::judge::Trial;
 use crate::load::judge::total;
 use crate::load::promise::Promise;
 use crate::load::result::Row;
@@ -8,11 +8,11 @@
 /// In an overload, at most one call in this many may be refused with `run: unknown`.
 const CALLS_PER_UNKNOWN: u64 = 100;
 
-impl Evidence {
-    /// Few refusals say `unknown`. A call is refused that way if it found no slot after an earlier
-    /// attempt, or if its only attempt hit a fault: correct, but the caller can't know whether the
-    /// call ran. Admission has to keep the first kind rare, and the second can't exceed the number
-    /// of calls hit by faults.
+impl Trial {
+    /// Few refusals have `run: unknown`, which does not tell the caller whether the call ran. Such
+    /// a refusal is correct if the only attempt hit a fault, or if a later attempt found no free
+    /// slot. The first case can't occur more often than faults do. Admission has to keep the second
+    /// one rare.
     pub(super) fn few_unknown(&self) -> Promise {
         let rows = || self.report.rows.iter();
         let sent = total(rows(), |row| row.sent);
